--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -1,7 +1,7 @@
 //! The interface of the decision module: settings at start-up, events in, actions out.
 
 /// A moment or a span, in seconds. The clock has no special start; it only goes forward.
-pub type Secs = f64;
+pub type Seconds = f64;
 /// A server, the same at every balancer and across restarts of its process.
 pub type ServerId = u32;
 /// A request and, once it has begun, its connection.
@@ -9,7 +9,7 @@
 
 /// What may happen when a request of a class runs more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     Safe,
     Keyed,
     Unsafe,
@@ -17,7 +17,7 @@
 
 /// The servers that drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -25,12 +25,12 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    pub effect: Effect,
-    pub scope: Scope,
+    pub effect: Idempotency,
+    pub scope: DedupScope,
     /// How long servers remember a keyed request, from the first attempt that may have run.
-    pub window: Secs,
+    pub window: Seconds,
     /// The wanted time of the set-up.
-    pub aim: Secs,
+    pub aim: Seconds,
     pub worth: f64,
 }
 
@@ -42,7 +42,7 @@
 
 /// The values a load report can hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Field {
+pub enum ReportField {
     Load,
     Connections,
     Queue,
@@ -56,12 +56,12 @@
 pub struct Budget {
     pub free: f64,
     pub ratio: f64,
-    pub span: Secs,
+    pub span: Seconds,
 }
 
 /// What a whole of many balancers is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Matter {
+pub enum QuotaKind {
     /// Attempts beyond a request's first, within any span of the allowance's length.
     Further,
     /// Connections moved off servers for their load, within any such span. Drains are none of them.
@@ -80,14 +80,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
     pub units: u64,
-    pub until: Secs,
+    pub until: Seconds,
     pub after: u64,
     /// Of matters that are counted within a span.
-    pub span: Secs,
+    pub span: Seconds,
     /// What all balancers have together.
     pub whole: u64,
     /// An exchange among balancers may bring more within so long of a request's coming; 0 where it would not.
-    pub wait: Secs,
+    pub wait: Seconds,
 }
 
 /// Why a request was given up, for the log.
@@ -103,16 +103,16 @@
     /// The budget of further attempts, or this balancer's part of one, is used up.
     FurtherAttempts,
     /// This balancer's part has no room for it.
-    Part(Matter),
+    Part(QuotaKind),
     /// No server has room for it.
     NoServer,
 }
 
 /// What a balancer uses of a part that it has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Use {
-    pub matter: Matter,
-    pub busy: u64,
+pub struct QuotaUsage {
+    pub quota: QuotaKind,
+    pub in_use: u64,
     /// How often the part was too small, since the start.
     pub denied: u64,
 }
@@ -128,19 +128,19 @@
     pub zones: usize,
     pub classes: Vec<Class>,
     pub tenants: Vec<Tenant>,
-    pub report_fields: Vec<Field>,
+    pub report_fields: Vec<ReportField>,
     pub max_attempts: usize,
-    pub max_retry_after: Secs,
+    pub max_retry_after: Seconds,
     pub may_retry_after: bool,
     pub may_probe: bool,
     pub may_cancel: bool,
     /// The server list comes only when asked for.
     pub must_ask: bool,
-    pub ask_within: Secs,
+    pub ask_within: Seconds,
     pub cold_from: f64,
-    pub cold_for: Secs,
+    pub cold_for: Seconds,
     pub fall_multiple: f64,
-    pub fall_for: Secs,
+    pub fall_for: Seconds,
     /// Connections of one group share work on a server.
     pub groups: bool,
     /// What a request that crosses zones costs, and a probe for each request, and what a request
@@ -150,7 +150,7 @@
     pub over_share_worth: f64,
     pub budget: Option<Budget>,
     /// The shortest time in which clients want an answer on an open connection, where that is told.
-    pub message_aim: Option<Secs>,
+    pub message_aim: Option<Seconds>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -173,7 +173,7 @@
     /// Its size beside others' in the list, where the list tells sizes.
     pub size: Option<f64>,
     /// When the process last started, unless that is long ago.
-    pub born: Option<Secs>,
+    pub born: Option<Seconds>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -198,7 +198,7 @@
     /// Expected load in seconds of work a second, where the site gives it.
     pub hint: Option<f64>,
     /// Time until the client stops waiting.
-    pub patience: Secs,
+    pub patience: Seconds,
     /// The client asked for this before, and was refused, failed, cut off or moved; false where clients
     /// don't mark it.
     pub again: bool,
@@ -218,7 +218,7 @@
 
 /// What a balancer takes: one that operators empty takes nothing new, and at last nothing at all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Taking {
+pub enum AdmissionMode {
     #[default]
     All,
     /// New requests are turned away; what was taken goes on.
@@ -282,11 +282,11 @@
     /// The connection's load now, in seconds of work a second.
     LoadNote(RequestId, f64),
     /// How long a message takes at the connection's server now.
-    DelayNote(ServerId, Secs),
+    DelayNote(ServerId, Seconds),
     Probed(ServerId, Outcome, Report),
-    Taking(Taking),
+    Taking(AdmissionMode),
     /// A part of a whole from now on; of what none is told is no part.
-    Allowance(Matter, Allowance),
+    Allowance(QuotaKind, Allowance),
     /// Other settings hold from now on. Classes, tenants, zones and kinds that were there keep their
     /// numbers, also those that are named no more: requests under way go by them to their end.
     Settings(Box<Settings>),
@@ -297,9 +297,9 @@
 pub enum Action {
     /// Start an attempt, with its time-out; and where a repeat is harmless only for a time, or a part that it uses is
     /// leased, how long from now it may begin at its server: a dial takes a part of that.
-    Send(RequestId, ServerId, Secs, Option<Secs>),
+    Send(RequestId, ServerId, Seconds, Option<Seconds>),
     /// Final: turned away, harmless to repeat, perhaps with a time to come back after.
-    Refuse(RequestId, Option<Secs>),
+    Refuse(RequestId, Option<Seconds>),
     /// Final: failed, without a promise.
     Fail(RequestId),
     /// Close an open connection politely; its client comes again.
@@ -310,5 +310,5 @@
     /// Ask for the server list and its changes from now on.
     Subscribe,
     /// Ask for a `Timer` event with this token after a while.
-    Timer(Secs, u64),
+    Timer(Seconds, u64),
 }
--- a/crates/balancer/src/fading.rs
+++ b/crates/balancer/src/decay.rs
@@ -1,21 +1,21 @@
 //! A sum that forgets: what is added fades with a time constant.
 
-use crate::api::Secs;
+use crate::api::Seconds;
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Fading {
+pub struct DecayingSum {
     sum: f64,
-    at: Secs,
+    at: Seconds,
 }
 
-impl Fading {
+impl DecayingSum {
     /// The sum at `now`, when what was added fades by a factor e in `span`.
-    pub fn get(&self, now: Secs, span: Secs) -> f64 {
+    pub fn value_at(&self, now: Seconds, span: Seconds) -> f64 {
         self.sum * ((self.at - now).min(0.0) / span).exp()
     }
 
-    pub fn add(&mut self, now: Secs, span: Secs, amount: f64) {
-        self.sum = self.get(now, span) + amount;
+    pub fn add(&mut self, now: Seconds, span: Seconds, amount: f64) {
+        self.sum = self.value_at(now, span) + amount;
         self.at = now;
     }
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -5,7 +5,7 @@
 //! The same settings, seed and events always give the same actions.
 
 pub mod api;
-mod fading;
+mod decay;
 pub mod policy;
 mod quotas;
 mod state;
--- a/crates/balancer/src/quotas.rs
+++ b/crates/balancer/src/quotas.rs
@@ -6,15 +6,15 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::api::{Allowance, Matter, RequestId, Secs, ServerId};
+use crate::api::{Allowance, QuotaKind, RequestId, Seconds, ServerId};
 
 /// Whoever counts at the other end may see a line so much sooner or later.
-const SLACK: Secs = 0.05;
+const SLACK: Seconds = 0.05;
 
 /// What units are counted of: a matter as a whole, or at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Counter {
-    matter: Matter,
+    matter: QuotaKind,
     server: Option<ServerId>,
 }
 
@@ -27,9 +27,9 @@
 
 #[derive(Debug, Default)]
 pub struct Quotas {
-    parts: BTreeMap<Matter, Part>,
+    parts: BTreeMap<QuotaKind, Part>,
     /// When units that count within a span were used.
-    used: BTreeMap<Counter, VecDeque<Secs>>,
+    used: BTreeMap<Counter, VecDeque<Seconds>>,
     /// Units of attempts whose lines have not been written yet, and how many there are of each kind.
     unwritten: BTreeMap<RequestId, Vec<Counter>>,
     pending: BTreeMap<Counter, u64>,
@@ -37,7 +37,7 @@
 
 impl Quotas {
     /// A part from now on.
-    pub fn allow(&mut self, matter: Matter, allowance: Allowance) {
+    pub fn set_allowance(&mut self, matter: QuotaKind, allowance: Allowance) {
         let part = self.parts.entry(matter).or_insert(Part {
             allowance,
             denied: 0,
@@ -45,18 +45,18 @@
         part.allowance = allowance;
     }
 
-    pub fn has(&self, matter: Matter) -> bool {
+    pub fn is_limited(&self, matter: QuotaKind) -> bool {
         self.parts.contains_key(&matter)
     }
 
     /// All parts, with how often each was too small.
-    pub fn denials(&self) -> Vec<(Matter, u64)> {
-        let denied = |(matter, part): (&Matter, &Part)| (*matter, part.denied);
+    pub fn denials(&self) -> Vec<(QuotaKind, u64)> {
+        let denied = |(matter, part): (&QuotaKind, &Part)| (*matter, part.denied);
         self.parts.iter().map(denied).collect()
     }
 
     /// The units that may be used now; none where no part was told.
-    pub fn units(&self, matter: Matter, now: Secs) -> Option<u64> {
+    pub fn allowed_units(&self, matter: QuotaKind, now: Seconds) -> Option<u64> {
         let allowance = self.parts.get(&matter)?.allowance;
         let leased = now < allowance.until;
         Some(if leased {
@@ -67,32 +67,32 @@
     }
 
     /// The units of all balancers together.
-    pub fn whole(&self, matter: Matter) -> Option<u64> {
+    pub fn fleet_units(&self, matter: QuotaKind) -> Option<u64> {
         Some(self.parts.get(&matter)?.allowance.whole)
     }
 
     /// How long after its coming a request may wait for a part that has no room for it.
-    pub fn wait(&self, matter: Matter) -> Secs {
+    pub fn max_wait(&self, matter: QuotaKind) -> Seconds {
         let part = self.parts.get(&matter);
         part.map_or(0.0, |part| part.allowance.wait)
     }
 
     /// A larger part would have been used.
-    pub fn deny(&mut self, matter: Matter) {
+    pub fn record_denial(&mut self, matter: QuotaKind) {
         if let Some(part) = self.parts.get_mut(&matter) {
             part.denied += 1;
         }
     }
 
     /// One unit is used now, if there is such a part.
-    pub fn spend(&mut self, matter: Matter, now: Secs) {
+    pub fn spend_unit(&mut self, matter: QuotaKind, now: Seconds) {
         let server = None;
         self.add(Counter { matter, server }, now);
     }
 
     /// One unit is in use for an attempt whose line is still to be written, if there is such a part.
-    pub fn reserve(&mut self, id: RequestId, matter: Matter, server: Option<ServerId>) {
-        if self.has(matter) {
+    pub fn reserve_unit(&mut self, id: RequestId, matter: QuotaKind, server: Option<ServerId>) {
+        if self.is_limited(matter) {
             let counter = Counter { matter, server };
             self.unwritten.entry(id).or_default().push(counter);
             *self.pending.entry(counter).or_default() += 1;
@@ -105,14 +105,14 @@
     }
 
     /// The line of the latest attempt was written by now.
-    pub fn written(&mut self, id: RequestId, now: Secs) {
+    pub fn mark_written(&mut self, id: RequestId, now: Seconds) {
         for counter in self.take_reserved(id) {
             self.add(counter, now);
         }
     }
 
     /// The latest attempt ended without a line: its units are free.
-    pub fn release(&mut self, id: RequestId) {
+    pub fn release_units(&mut self, id: RequestId) {
         self.take_reserved(id);
     }
 
@@ -129,7 +129,12 @@
     }
 
     /// How much longer a unit that was just taken may be used: those beyond what is left after the lease end with it.
-    pub fn lease_left(&self, matter: Matter, server: Option<ServerId>, now: Secs) -> Option<Secs> {
+    pub fn remaining_lease(
+        &self,
+        matter: QuotaKind,
+        server: Option<ServerId>,
+        now: Seconds,
+    ) -> Option<Seconds> {
         let allowance = self.parts.get(&matter)?.allowance;
         let used = self.used_of(Counter { matter, server }, now);
         let leased = now < allowance.until && used > allowance.after;
@@ -137,13 +142,13 @@
     }
 
     /// What is in use of a part that counts within a span; of one that counts at each server, at `server`.
-    pub fn used_at(&self, matter: Matter, server: ServerId, now: Secs) -> u64 {
+    pub fn used_at_server(&self, matter: QuotaKind, server: ServerId, now: Seconds) -> u64 {
         let server = Some(server);
         self.used_of(Counter { matter, server }, now)
     }
 
     /// The same where most is in use.
-    pub fn used(&self, matter: Matter, now: Secs) -> u64 {
+    pub fn max_used(&self, matter: QuotaKind, now: Seconds) -> u64 {
         let first = Counter {
             matter,
             server: None,
@@ -163,7 +168,7 @@
         each.max().unwrap_or(0)
     }
 
-    fn used_of(&self, counter: Counter, now: Secs) -> u64 {
+    fn used_of(&self, counter: Counter, now: Seconds) -> u64 {
         let since = self.since(counter.matter, now);
         let used = self.used.get(&counter);
         let used = used.map_or(0, |used| {
@@ -173,7 +178,7 @@
     }
 
     /// Units that were used before this are free again.
-    fn since(&self, matter: Matter, now: Secs) -> Secs {
+    fn since(&self, matter: QuotaKind, now: Seconds) -> Seconds {
         let span = self
             .parts
             .get(&matter)
@@ -181,8 +186,8 @@
         now - span - SLACK
     }
 
-    fn add(&mut self, counter: Counter, now: Secs) {
-        if !self.has(counter.matter) {
+    fn add(&mut self, counter: Counter, now: Seconds) {
+        if !self.is_limited(counter.matter) {
             return;
         }
         let since = self.since(counter.matter, now);
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -4,12 +4,12 @@
 use violetwind_balancer::Balancer;
 use violetwind_balancer::api::*;
 
-pub struct Bench {
+pub struct BalancerHarness {
     pub balancer: Balancer,
-    pub now: Secs,
+    pub now: Seconds,
 }
 
-pub fn class(effect: Effect, scope: Scope) -> Class {
+pub fn class(effect: Idempotency, scope: DedupScope) -> Class {
     Class {
         effect,
         scope,
@@ -25,9 +25,9 @@
         me: 0,
         zone: Some(0),
         zones: 1,
-        classes: vec![class(Effect::Safe, Scope::All)],
+        classes: vec![class(Idempotency::Safe, DedupScope::All)],
         tenants: Vec::new(),
-        report_fields: vec![Field::Load],
+        report_fields: vec![ReportField::Load],
         max_attempts: 3,
         max_retry_after: 1.0,
         may_retry_after: true,
@@ -72,7 +72,7 @@
     }
 }
 
-pub fn grouped(id: RequestId, group: u64) -> Request {
+pub fn grouped_request(id: RequestId, group: u64) -> Request {
     Request {
         group: Some(group),
         hint: Some(0.02),
@@ -80,7 +80,7 @@
     }
 }
 
-pub fn load(load: f64) -> Report {
+pub fn load_report(load: f64) -> Report {
     Report {
         load: Some(load),
         ..Report::default()
@@ -95,7 +95,7 @@
     })
 }
 
-pub fn refused(actions: &[Action]) -> Vec<RequestId> {
+pub fn refused_requests(actions: &[Action]) -> Vec<RequestId> {
     let refused = |action: &Action| match action {
         Action::Refuse(id, _) => Some(*id),
         _ => None,
@@ -103,7 +103,7 @@
     actions.iter().filter_map(refused).collect()
 }
 
-pub fn moved(actions: &[Action]) -> Vec<RequestId> {
+pub fn moved_requests(actions: &[Action]) -> Vec<RequestId> {
     let moved = |action: &Action| match action {
         Action::Move(id) => Some(*id),
         _ => None,
@@ -111,62 +111,67 @@
     actions.iter().filter_map(moved).collect()
 }
 
-impl Bench {
+impl BalancerHarness {
     pub fn new(settings: Settings, entries: Vec<Entry>, seed: u64) -> Self {
         let mut bench = Self {
             balancer: Balancer::new(settings, seed),
             now: 100.0,
         };
-        bench.on(Event::Start);
-        bench.on(Event::Servers(ListKind::Restored, entries));
+        bench.handle_and_answer_probes(Event::Start);
+        bench.handle_and_answer_probes(Event::Servers(ListKind::Restored, entries));
         bench
     }
 
     /// What comes of an event. Servers that are probed say at once that they are too busy to tell.
-    pub fn on(&mut self, event: Event) -> Vec<Action> {
-        let mut actions = self.on_alone(event);
+    pub fn handle_and_answer_probes(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = self.handle_event(event);
         let mut answered = 0;
         while let Some(action) = actions.get(answered).cloned() {
             answered += 1;
             if let Action::Probe(server) = action {
                 let busy = Event::Probed(server, Outcome::Full, Report::default());
-                actions.extend(self.on_alone(busy));
+                actions.extend(self.handle_event(busy));
             }
         }
         actions
     }
 
     /// What comes of an event alone; the test answers probes.
-    pub fn on_alone(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.balancer.handle(self.now, event, &mut actions);
+        self.balancer.handle_event(self.now, event, &mut actions);
         actions
     }
 
-    pub fn report(&mut self, server: ServerId, figure: f64) -> Vec<Action> {
-        self.probed(server, load(figure))
+    pub fn report_load(&mut self, server: ServerId, figure: f64) -> Vec<Action> {
+        self.answer_periodic_probe(server, load_report(figure))
     }
 
     /// The report that a probe of a round brings.
-    pub fn probed(&mut self, server: ServerId, report: Report) -> Vec<Action> {
-        self.on_alone(Event::Timer((1 << 32) + u64::from(server)));
-        self.on_alone(Event::Probed(server, Outcome::Ok, report))
+    pub fn answer_periodic_probe(&mut self, server: ServerId, report: Report) -> Vec<Action> {
+        self.handle_event(Event::Timer((1 << 32) + u64::from(server)));
+        self.handle_event(Event::Probed(server, Outcome::Ok, report))
     }
 
-    pub fn silent(&mut self, server: ServerId) {
-        self.on(Event::Probed(server, Outcome::TimedOut, Report::default()));
+    pub fn time_out_probe(&mut self, server: ServerId) {
+        self.handle_and_answer_probes(Event::Probed(server, Outcome::TimedOut, Report::default()));
     }
 
-    pub fn place(&mut self, id: RequestId) -> Option<ServerId> {
-        let actions = self.on(Event::Request(request(id)));
+    pub fn place_request(&mut self, id: RequestId) -> Option<ServerId> {
+        let actions = self.handle_and_answer_probes(Event::Request(request(id)));
         sent_to(&actions, id)
     }
 
-    pub fn end(&mut self, id: RequestId, server: ServerId, outcome: Outcome) -> Vec<Action> {
-        self.finish(id, server, outcome, false)
+    pub fn end_attempt(
+        &mut self,
+        id: RequestId,
+        server: ServerId,
+        outcome: Outcome,
+    ) -> Vec<Action> {
+        self.report_outcome(id, server, outcome, false)
     }
 
-    pub fn finish(
+    pub fn report_outcome(
         &mut self,
         id: RequestId,
         server: ServerId,
@@ -174,7 +179,7 @@
         last: bool,
     ) -> Vec<Action> {
         let report = Report::default();
-        self.on(Event::Outcome(Ended {
+        self.handle_and_answer_probes(Event::Outcome(Ended {
             id,
             server,
             outcome,
@@ -184,9 +189,9 @@
     }
 
     /// Opens connections with these loads on a server, named from `first` on.
-    pub fn open(&mut self, server: ServerId, first: RequestId, loads: &[f64]) {
+    pub fn open_connections(&mut self, server: ServerId, first: RequestId, loads: &[f64]) {
         for (id, load) in (first..).zip(loads) {
-            self.on(Event::Open(
+            self.handle_and_answer_probes(Event::Open(
                 Request {
                     hint: Some(*load),
                     ..request(id)
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -7,9 +7,9 @@
 
 #[test]
 fn first_requests_are_placed_before_anything_is_known() {
-    let mut bench = Bench::new(settings(), vec![entry(1), entry(2)], 3);
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1), entry(2)], 3);
     for id in 0..20 {
-        let actions = bench.on(Event::Request(Request {
+        let actions = bench.handle_and_answer_probes(Event::Request(Request {
             hint: None,
             ..request(id)
         }));
@@ -20,30 +20,30 @@
 /// A server that shed all its connections looked empty and was refilled at once, by all proxies.
 #[test]
 fn connections_lost_are_not_taken_for_room() {
-    let mut bench = Bench::new(settings(), vec![entry(1), entry(2)], 3);
-    bench.open(1, 1000, &[0.1; 10]);
-    bench.open(2, 2000, &[0.1; 10]);
-    bench.report(1, 0.8);
-    bench.report(2, 0.5);
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1), entry(2)], 3);
+    bench.open_connections(1, 1000, &[0.1; 10]);
+    bench.open_connections(2, 2000, &[0.1; 10]);
+    bench.report_load(1, 0.8);
+    bench.report_load(2, 0.5);
     for id in 1000..1010 {
-        bench.finish(id, 1, Outcome::Reset, true);
+        bench.report_outcome(id, 1, Outcome::Reset, true);
     }
-    assert_eq!(bench.place(9), Some(2));
+    assert_eq!(bench.place_request(9), Some(2));
 }
 
 /// While the store that set-up needs was down, every request was tried on every server.
 #[test]
 fn when_every_server_fails_requests_are_soon_refused_at_once() {
-    let mut bench = Bench::new(settings(), (1..=30).map(entry).collect(), 3);
+    let mut bench = BalancerHarness::new(settings(), (1..=30).map(entry).collect(), 3);
     let mut attempts = 0;
     for id in 0..200 {
         bench.now += 0.02;
-        let mut actions = bench.on(Event::Request(request(id)));
+        let mut actions = bench.handle_and_answer_probes(Event::Request(request(id)));
         while let Some(server) = sent_to(&actions, id) {
             attempts += 1;
-            actions = bench.end(id, server, Outcome::Error);
+            actions = bench.end_attempt(id, server, Outcome::Error);
         }
-        assert_eq!(refused(&actions), [id]);
+        assert_eq!(refused_requests(&actions), [id]);
     }
     assert!(
         attempts < 150,
@@ -54,45 +54,45 @@
 /// Time-outs at a cut-off zone had the reachable zone refused at half load.
 #[test]
 fn servers_out_of_reach_do_not_throttle_the_others() {
-    let mut bench = Bench::new(settings(), (1..=40).map(entry).collect(), 3);
+    let mut bench = BalancerHarness::new(settings(), (1..=40).map(entry).collect(), 3);
     for server in 2..=40 {
-        bench.report(server, 0.1);
+        bench.report_load(server, 0.1);
     }
-    bench.report(1, 0.3);
+    bench.report_load(1, 0.3);
     for id in 0..30 {
-        let server = bench.place(id).expect("sent");
+        let server = bench.place_request(id).expect("sent");
         if server != 1 {
-            bench.end(id, server, Outcome::TimedOut);
+            bench.end_attempt(id, server, Outcome::TimedOut);
         }
     }
-    (2..=40).for_each(|server| bench.silent(server));
+    (2..=40).for_each(|server| bench.time_out_probe(server));
     for id in 100..110 {
         bench.now += 0.3;
-        bench.report(1, 0.3);
-        assert_eq!(bench.place(id), Some(1), "request {id}");
+        bench.report_load(1, 0.3);
+        assert_eq!(bench.place_request(id), Some(1), "request {id}");
     }
 }
 
 /// A server cut off kept its figure beside no own load; sizes came out tiny and all was refused.
 #[test]
 fn a_cut_off_server_does_not_shrink_the_others() {
-    let mut bench = Bench::new(settings(), vec![entry(1), entry(2)], 3);
-    bench.open(1, 1000, &[0.02; 20]);
-    bench.open(2, 2000, &[0.02; 20]);
-    bench.report(2, 0.84);
-    bench.report(1, 0.5);
-    bench.silent(2);
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1), entry(2)], 3);
+    bench.open_connections(1, 1000, &[0.02; 20]);
+    bench.open_connections(2, 2000, &[0.02; 20]);
+    bench.report_load(2, 0.84);
+    bench.report_load(1, 0.5);
+    bench.time_out_probe(2);
     for id in 2000..2019 {
-        bench.finish(id, 2, Outcome::Reset, true);
+        bench.report_outcome(id, 2, Outcome::Reset, true);
     }
     for id in 0..5 {
         bench.now += 0.5;
-        bench.report(1, 0.5);
+        bench.report_load(1, 0.5);
         let light = Request {
             hint: Some(0.02),
             ..request(id)
         };
-        let actions = bench.on(Event::Request(light));
+        let actions = bench.handle_and_answer_probes(Event::Request(light));
         assert_eq!(sent_to(&actions, id), Some(1));
     }
 }
@@ -100,25 +100,25 @@
 /// A failing server is quick to answer and looks idle.
 #[test]
 fn a_server_that_fails_fast_is_ejected_and_tried_again_later() {
-    let mut bench = Bench::new(settings(), (1..=3).map(entry).collect(), 3);
-    let fails = |bench: &mut Bench, ids: std::ops::Range<RequestId>| {
+    let mut bench = BalancerHarness::new(settings(), (1..=3).map(entry).collect(), 3);
+    let fails = |bench: &mut BalancerHarness, ids: std::ops::Range<RequestId>| {
         let mut failed = 0;
         for id in ids {
             bench.now += 0.1;
             for (server, figure) in [(1, 0.0), (2, 0.5), (3, 0.5)] {
-                bench.report(server, figure);
+                bench.report_load(server, figure);
             }
-            let mut actions = bench.on(Event::Request(Request {
+            let mut actions = bench.handle_and_answer_probes(Event::Request(Request {
                 hint: Some(0.001),
                 ..request(id)
             }));
             while let Some(server) = sent_to(&actions, id) {
                 if server != 1 {
-                    bench.on(Event::Begun(id, server));
+                    bench.handle_and_answer_probes(Event::Begun(id, server));
                     break;
                 }
                 failed += 1;
-                actions = bench.end(id, server, Outcome::Error);
+                actions = bench.end_attempt(id, server, Outcome::Error);
             }
         }
         failed
@@ -131,32 +131,32 @@
 
 #[test]
 fn when_all_servers_fail_their_probes_requests_still_go_out() {
-    let mut bench = Bench::new(settings(), vec![entry(1), entry(2)], 3);
-    bench.silent(1);
-    bench.silent(2);
-    assert!(bench.place(9).is_some());
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1), entry(2)], 3);
+    bench.time_out_probe(1);
+    bench.time_out_probe(2);
+    assert!(bench.place_request(9).is_some());
 }
 
 #[test]
 fn a_silent_server_is_avoided_until_it_answers() {
-    let mut bench = Bench::new(settings(), vec![entry(1), entry(2)], 3);
-    bench.report(1, 0.0);
-    bench.report(2, 0.6);
-    bench.silent(1);
-    assert_eq!(bench.place(8), Some(2));
-    bench.report(1, 0.0);
-    assert_eq!(bench.place(9), Some(1));
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1), entry(2)], 3);
+    bench.report_load(1, 0.0);
+    bench.report_load(2, 0.6);
+    bench.time_out_probe(1);
+    assert_eq!(bench.place_request(8), Some(2));
+    bench.report_load(1, 0.0);
+    assert_eq!(bench.place_request(9), Some(1));
 }
 
-fn with_groups() -> Bench {
+fn with_groups() -> BalancerHarness {
     let set = Settings {
         groups: true,
         ..settings()
     };
-    let mut bench = Bench::new(set, vec![entry(1), entry(2)], 3);
+    let mut bench = BalancerHarness::new(set, vec![entry(1), entry(2)], 3);
     for id in 0..40 {
-        bench.on(Event::Open(grouped(1000 + id, 7), 1));
-        bench.on(Event::Open(grouped(2000 + id, 8), 2));
+        bench.handle_and_answer_probes(Event::Open(grouped_request(1000 + id, 7), 1));
+        bench.handle_and_answer_probes(Event::Open(grouped_request(2000 + id, 8), 2));
     }
     bench
 }
@@ -165,9 +165,9 @@
 #[test]
 fn a_group_stays_where_it_is_while_there_is_room() {
     let mut bench = with_groups();
-    bench.report(1, 0.55);
-    bench.report(2, 0.45);
-    let actions = bench.on(Event::Request(grouped(9, 7)));
+    bench.report_load(1, 0.55);
+    bench.report_load(2, 0.45);
+    let actions = bench.handle_and_answer_probes(Event::Request(grouped_request(9, 7)));
     assert_eq!(sent_to(&actions, 9), Some(1));
 }
 
@@ -175,20 +175,20 @@
 #[test]
 fn a_full_server_of_its_group_does_not_hide_an_idle_one() {
     let mut bench = with_groups();
-    bench.report(1, 0.85);
-    bench.report(2, 0.1);
-    let actions = bench.on(Event::Request(grouped(9, 7)));
+    bench.report_load(1, 0.85);
+    bench.report_load(2, 0.1);
+    let actions = bench.handle_and_answer_probes(Event::Request(grouped_request(9, 7)));
     assert_eq!(sent_to(&actions, 9), Some(2));
 }
 
 #[test]
 fn requests_beyond_all_capacity_are_refused_at_once_with_a_time_to_come_back() {
-    let mut bench = Bench::new(settings(), vec![entry(1), entry(2)], 3);
-    bench.open(1, 1000, &[0.1; 10]);
-    bench.open(2, 2000, &[0.1; 10]);
-    bench.report(1, 0.95);
-    bench.report(2, 0.95);
-    let actions = bench.on(Event::Request(request(9)));
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1), entry(2)], 3);
+    bench.open_connections(1, 1000, &[0.1; 10]);
+    bench.open_connections(2, 2000, &[0.1; 10]);
+    bench.report_load(1, 0.95);
+    bench.report_load(2, 0.95);
+    let actions = bench.handle_and_answer_probes(Event::Request(request(9)));
     let [Action::Refuse(9, Some(wait))] = actions[..] else {
         panic!("{actions:?}")
     };
@@ -215,12 +215,12 @@
 /// enough.
 #[test]
 fn a_server_past_its_capacity_sheds_what_is_worth_least_for_its_load() {
-    let mut bench = Bench::new(two_tenants(), vec![entry(1)], 3);
+    let mut bench = BalancerHarness::new(two_tenants(), vec![entry(1)], 3);
     for id in 0..20 {
-        bench.on(Event::Open(of_tenant(1000 + id, 0), 1));
-        bench.on(Event::Open(of_tenant(2000 + id, 1), 1));
+        bench.handle_and_answer_probes(Event::Open(of_tenant(1000 + id, 0), 1));
+        bench.handle_and_answer_probes(Event::Open(of_tenant(2000 + id, 1), 1));
     }
-    let shed = moved(&bench.report(1, 1.25));
+    let shed = moved_requests(&bench.report_load(1, 1.25));
     // A quarter is over, and twice that goes, as the report is late.
     assert!(
         (16..=24).contains(&shed.len()),
@@ -234,60 +234,89 @@
 
 #[test]
 fn a_tenant_beyond_its_share_is_refused_first() {
-    let mut bench = Bench::new(two_tenants(), vec![entry(1)], 3);
+    let mut bench = BalancerHarness::new(two_tenants(), vec![entry(1)], 3);
     for id in 0..20 {
-        bench.on(Event::Open(of_tenant(1000 + id, 0), 1));
-        bench.on(Event::Open(of_tenant(2000 + id, 1), 1));
+        bench.handle_and_answer_probes(Event::Open(of_tenant(1000 + id, 0), 1));
+        bench.handle_and_answer_probes(Event::Open(of_tenant(2000 + id, 1), 1));
     }
-    bench.report(1, 0.8);
-    assert_eq!(refused(&bench.on(Event::Request(of_tenant(1, 0)))), [1]);
+    bench.report_load(1, 0.8);
     assert_eq!(
-        sent_to(&bench.on(Event::Request(of_tenant(2, 1))), 2),
+        refused_requests(&bench.handle_and_answer_probes(Event::Request(of_tenant(1, 0)))),
+        [1]
+    );
+    assert_eq!(
+        sent_to(
+            &bench.handle_and_answer_probes(Event::Request(of_tenant(2, 1))),
+            2
+        ),
         Some(1)
     );
 }
 
 #[test]
 fn reports_without_sense_are_passed_over() {
-    let mut bench = Bench::new(settings(), vec![entry(1), entry(2)], 3);
-    bench.report(1, 0.2);
-    bench.report(2, 0.4);
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1), entry(2)], 3);
+    bench.report_load(1, 0.2);
+    bench.report_load(2, 0.4);
     for nonsense in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -3.0] {
-        bench.report(2, nonsense);
-        bench.on(Event::LoadNote(77, nonsense));
+        bench.report_load(2, nonsense);
+        bench.handle_and_answer_probes(Event::LoadNote(77, nonsense));
     }
-    bench.on(Event::Probed(2, Outcome::Ok, Report::default()));
-    assert_eq!(bench.place(8), Some(1));
-    bench.report(1, 1e300);
-    assert_eq!(bench.place(9), Some(2));
+    bench.handle_and_answer_probes(Event::Probed(2, Outcome::Ok, Report::default()));
+    assert_eq!(bench.place_request(8), Some(1));
+    bench.report_load(1, 1e300);
+    assert_eq!(bench.place_request(9), Some(2));
 }
 
 #[test]
 fn unknown_ids_late_outcomes_and_stray_timers_are_passed_over() {
-    let mut bench = Bench::new(settings(), vec![entry(1)], 3);
-    assert!(bench.end(5, 1, Outcome::Error).is_empty());
-    assert!(bench.end(5, 99, Outcome::Ok).is_empty());
-    assert!(bench.on(Event::Begun(5, 99)).is_empty());
-    assert!(bench.on(Event::Gone(5)).is_empty());
-    assert!(bench.on(Event::LoadNote(5, 1.0)).is_empty());
-    assert!(bench.on(Event::DelayNote(99, 1.0)).is_empty());
-    assert!(bench.on(Event::Timer(1)).is_empty());
-    assert!(bench.on(Event::Timer(17)).is_empty());
-    assert!(bench.on(Event::Timer((1 << 32) + 99)).is_empty());
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1)], 3);
+    assert!(bench.end_attempt(5, 1, Outcome::Error).is_empty());
+    assert!(bench.end_attempt(5, 99, Outcome::Ok).is_empty());
     assert!(
         bench
-            .on(Event::Probed(99, Outcome::Ok, load(0.5)))
+            .handle_and_answer_probes(Event::Begun(5, 99))
             .is_empty()
     );
-    assert_eq!(bench.place(9), Some(1));
+    assert!(bench.handle_and_answer_probes(Event::Gone(5)).is_empty());
+    assert!(
+        bench
+            .handle_and_answer_probes(Event::LoadNote(5, 1.0))
+            .is_empty()
+    );
+    assert!(
+        bench
+            .handle_and_answer_probes(Event::DelayNote(99, 1.0))
+            .is_empty()
+    );
+    assert!(bench.handle_and_answer_probes(Event::Timer(1)).is_empty());
+    assert!(bench.handle_and_answer_probes(Event::Timer(17)).is_empty());
+    assert!(
+        bench
+            .handle_and_answer_probes(Event::Timer((1 << 32) + 99))
+            .is_empty()
+    );
+    assert!(
+        bench
+            .handle_and_answer_probes(Event::Probed(99, Outcome::Ok, load_report(0.5)))
+            .is_empty()
+    );
+    assert_eq!(bench.place_request(9), Some(1));
 }
 
 #[test]
 fn a_client_that_leaves_early_has_its_attempt_cancelled_and_gets_no_answer() {
-    let mut bench = Bench::new(settings(), vec![entry(1)], 3);
-    bench.place(9).expect("sent");
-    assert_eq!(bench.on(Event::Gone(9)), [Action::Cancel(9, 0)]);
-    assert!(bench.finish(9, 1, Outcome::Cancelled, true).is_empty());
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1)], 3);
+    bench.place_request(9).expect("sent");
+    assert_eq!(
+        bench.handle_and_answer_probes(Event::Gone(9)),
+        [Action::Cancel(9, 0)]
+    );
+    assert!(
+        bench
+            .report_outcome(9, 1, Outcome::Cancelled, true)
+            .is_empty()
+    );
 }
 
 #[test]
@@ -296,8 +325,8 @@
         must_ask: true,
         ..settings()
     };
-    let mut bench = Bench::new(set, vec![entry(1)], 3);
-    let actions = bench.on(Event::Servers(ListKind::Unavailable, Vec::new()));
+    let mut bench = BalancerHarness::new(set, vec![entry(1)], 3);
+    let actions = bench.handle_and_answer_probes(Event::Servers(ListKind::Unavailable, Vec::new()));
     let [Action::Timer(after, token)] = actions[..] else {
         panic!("{actions:?}")
     };
@@ -306,33 +335,39 @@
         "within the time that the rules leave"
     );
     bench.now += after;
-    assert_eq!(bench.on(Event::Timer(token)), [Action::Subscribe]);
+    assert_eq!(
+        bench.handle_and_answer_probes(Event::Timer(token)),
+        [Action::Subscribe]
+    );
     assert!(
-        bench.on(Event::Timer(token)).is_empty(),
+        bench
+            .handle_and_answer_probes(Event::Timer(token))
+            .is_empty(),
         "one call at a time"
     );
-    assert_eq!(bench.place(9), Some(1), "the old list still holds");
+    assert_eq!(bench.place_request(9), Some(1), "the old list still holds");
 }
 
 #[test]
 fn a_wholly_cold_fleet_is_waited_for_but_not_to_the_deadline() {
-    let mut bench = Bench::new(settings(), Vec::new(), 3);
-    let actions = bench.on(Event::Request(request(9)));
+    let mut bench = BalancerHarness::new(settings(), Vec::new(), 3);
+    let actions = bench.handle_and_answer_probes(Event::Request(request(9)));
     let [Action::Timer(after, token)] = actions[..] else {
         panic!("{actions:?}")
     };
     bench.now += after;
-    let mut actions = bench.on(Event::Servers(ListKind::Replace, vec![entry(1)]));
-    actions.extend(bench.on(Event::Timer(token)));
+    let mut actions =
+        bench.handle_and_answer_probes(Event::Servers(ListKind::Replace, vec![entry(1)]));
+    actions.extend(bench.handle_and_answer_probes(Event::Timer(token)));
     assert_eq!(sent_to(&actions, 9), Some(1));
-    bench.on(Event::Servers(ListKind::Replace, Vec::new()));
-    let mut actions = bench.on(Event::Request(request(10)));
+    bench.handle_and_answer_probes(Event::Servers(ListKind::Replace, Vec::new()));
+    let mut actions = bench.handle_and_answer_probes(Event::Request(request(10)));
     let start = bench.now;
     while let [Action::Timer(after, token)] = actions[..] {
         bench.now += after;
-        actions = bench.on(Event::Timer(token));
+        actions = bench.handle_and_answer_probes(Event::Timer(token));
     }
-    assert_eq!(refused(&actions), [10]);
+    assert_eq!(refused_requests(&actions), [10]);
     assert!(bench.now - start < 1.9, "answered well before the deadline");
 }
 
@@ -341,21 +376,21 @@
 #[test]
 fn a_restarted_balancer_places_again() {
     for figure in [0.0, 0.2, 0.6] {
-        let mut bench = Bench::new(settings(), vec![entry(1), entry(2)], 3);
-        bench.report(1, figure);
-        bench.report(2, figure);
+        let mut bench = BalancerHarness::new(settings(), vec![entry(1), entry(2)], 3);
+        bench.report_load(1, figure);
+        bench.report_load(2, figure);
         for id in 0..10 {
             bench.now += 0.5;
-            bench.report(1, figure);
-            bench.report(2, figure);
-            let actions = bench.on(Event::Request(Request {
+            bench.report_load(1, figure);
+            bench.report_load(2, figure);
+            let actions = bench.handle_and_answer_probes(Event::Request(Request {
                 hint: None,
                 ..request(id)
             }));
             let server =
                 sent_to(&actions, id).unwrap_or_else(|| panic!("at {figure}: {actions:?}"));
-            bench.on(Event::Begun(id, server));
-            bench.on(Event::LoadNote(id, 0.05));
+            bench.handle_and_answer_probes(Event::Begun(id, server));
+            bench.handle_and_answer_probes(Event::LoadNote(id, 0.05));
         }
     }
 }
@@ -365,41 +400,47 @@
 fn what_is_worth_less_for_its_load_is_refused_sooner() {
     let light = Class {
         worth: 5.0,
-        ..class(Effect::Safe, Scope::All)
+        ..class(Idempotency::Safe, DedupScope::All)
     };
     let set = Settings {
-        classes: vec![light, class(Effect::Safe, Scope::All)],
+        classes: vec![light, class(Idempotency::Safe, DedupScope::All)],
         ..settings()
     };
-    let mut bench = Bench::new(set, vec![entry(1)], 3);
+    let mut bench = BalancerHarness::new(set, vec![entry(1)], 3);
     let of = |id, class, hint| Request {
         class,
         hint: Some(hint),
         ..request(id)
     };
     for id in 0..40 {
-        bench.on(Event::Open(of(1000 + id, 0, 0.01), 1));
-        bench.on(Event::Open(of(2000 + id, 1, 0.01), 1));
+        bench.handle_and_answer_probes(Event::Open(of(1000 + id, 0, 0.01), 1));
+        bench.handle_and_answer_probes(Event::Open(of(2000 + id, 1, 0.01), 1));
     }
-    bench.report(1, 0.8);
+    bench.report_load(1, 0.8);
     assert_eq!(
-        sent_to(&bench.on(Event::Request(of(1, 0, 0.01))), 1),
+        sent_to(
+            &bench.handle_and_answer_probes(Event::Request(of(1, 0, 0.01))),
+            1
+        ),
         Some(1)
     );
-    assert_eq!(refused(&bench.on(Event::Request(of(2, 1, 0.01)))), [2]);
+    assert_eq!(
+        refused_requests(&bench.handle_and_answer_probes(Event::Request(of(2, 1, 0.01)))),
+        [2]
+    );
 }
 
 /// Own placements counted until a report came, and where none ever comes, for good.
 #[test]
 fn without_reports_placements_go_on() {
-    let mut bench = Bench::new(settings(), vec![entry(1), entry(2)], 3);
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1), entry(2)], 3);
     for id in 0..500 {
         bench.now += 1.0;
         let server = bench
-            .place(id)
+            .place_request(id)
             .unwrap_or_else(|| panic!("request {id} was not sent"));
-        bench.on(Event::Begun(id, server));
-        bench.finish(id, server, Outcome::Ok, true);
+        bench.handle_and_answer_probes(Event::Begun(id, server));
+        bench.report_outcome(id, server, Outcome::Ok, true);
     }
 }
 
@@ -407,11 +448,11 @@
 /// what the others told, so that those seemed to add nothing: one server got all of a fleet's clients.
 #[test]
 fn the_first_loads_told_set_the_scale_of_all() {
-    let mut bench = Bench::new(settings(), vec![entry(1)], 3);
-    bench.report(1, 0.0);
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1)], 3);
+    bench.report_load(1, 0.0);
     let mut held = 0;
     for id in 0..200 {
-        let actions = bench.on(Event::Request(Request {
+        let actions = bench.handle_and_answer_probes(Event::Request(Request {
             hint: None,
             ..request(id)
         }));
@@ -419,10 +460,10 @@
             continue;
         };
         held += 1;
-        bench.on(Event::Begun(id, server));
+        bench.handle_and_answer_probes(Event::Begun(id, server));
         // One in three tells its load, and that is small.
         if id % 3 == 2 {
-            bench.on(Event::LoadNote(id, 0.02));
+            bench.handle_and_answer_probes(Event::LoadNote(id, 0.02));
         }
     }
     assert!((8..=60).contains(&held), "{held} connections on one server");
@@ -434,13 +475,17 @@
 fn all_servers_are_probed_once_requests_make_that_affordable() {
     let mut set = settings();
     set.price_probe = 0.002;
-    let mut bench = Bench::new(set, (1..=5).map(entry).collect(), 3);
-    let mut actions = bench.on_alone(Event::Request(request(1)));
+    let mut bench = BalancerHarness::new(set, (1..=5).map(entry).collect(), 3);
+    let mut actions = bench.handle_event(Event::Request(request(1)));
     let mut probed = std::collections::BTreeSet::new();
     while let Some(action) = actions.pop() {
         if let Action::Probe(server) = action {
             probed.insert(server);
-            actions.extend(bench.on_alone(Event::Probed(server, Outcome::Ok, load(0.1))));
+            actions.extend(bench.handle_event(Event::Probed(
+                server,
+                Outcome::Ok,
+                load_report(0.1),
+            )));
         }
     }
     assert_eq!(probed.into_iter().collect::<Vec<_>>(), [1, 2, 3, 4, 5]);
@@ -449,10 +494,10 @@
 /// A server that was filled far past its capacity by late reports shed one connection a second.
 #[test]
 fn a_drowned_server_sheds_its_excess_at_once_where_others_have_room() {
-    let mut bench = Bench::new(settings(), vec![entry(1), entry(2)], 3);
-    bench.open(1, 1000, &[0.1; 20]);
-    bench.report(2, 0.1);
-    let moved = moved(&bench.report(1, 1.2)).len();
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1), entry(2)], 3);
+    bench.open_connections(1, 1000, &[0.1; 20]);
+    bench.report_load(2, 0.1);
+    let moved = moved_requests(&bench.report_load(1, 1.2)).len();
     assert!((5..18).contains(&moved), "{moved} moved");
 }
 
@@ -461,22 +506,24 @@
 #[test]
 fn clients_that_come_together_after_a_restart_are_spread_by_careful_sizes() {
     let placed = |standing: &[f64]| {
-        let mut bench = Bench::new(settings(), (1..=3).map(entry).collect(), 3);
-        bench.open(1, 1000, standing);
+        let mut bench = BalancerHarness::new(settings(), (1..=3).map(entry).collect(), 3);
+        bench.open_connections(1, 1000, standing);
         for id in (1000..).take(standing.len()) {
-            bench.on(Event::LoadNote(id, 0.02));
+            bench.handle_and_answer_probes(Event::LoadNote(id, 0.02));
         }
-        (1..=3).for_each(|server| drop(bench.report(server, 0.1)));
+        (1..=3).for_each(|server| drop(bench.report_load(server, 0.1)));
         let mut held = 0;
         for id in 0..300 {
             let unknown = Request {
                 hint: None,
                 ..request(id)
             };
-            if let Some(server) = sent_to(&bench.on(Event::Request(unknown)), id) {
+            if let Some(server) =
+                sent_to(&bench.handle_and_answer_probes(Event::Request(unknown)), id)
+            {
                 held += 1;
-                bench.on(Event::Begun(id, server));
-                bench.on(Event::LoadNote(id, 0.02));
+                bench.handle_and_answer_probes(Event::Begun(id, server));
+                bench.handle_and_answer_probes(Event::LoadNote(id, 0.02));
             }
         }
         held
@@ -491,31 +538,35 @@
 fn late_messages_outweigh_a_report_that_shows_room() {
     let mut set = settings();
     set.message_aim = Some(0.15);
-    let mut bench = Bench::new(set, vec![entry(1), entry(2)], 3);
-    bench.open(1, 1000, &[0.1; 10]);
-    bench.report(1, 0.1);
-    bench.report(2, 0.6);
-    assert_eq!(bench.place(1), Some(1));
+    let mut bench = BalancerHarness::new(set, vec![entry(1), entry(2)], 3);
+    bench.open_connections(1, 1000, &[0.1; 10]);
+    bench.report_load(1, 0.1);
+    bench.report_load(2, 0.6);
+    assert_eq!(bench.place_request(1), Some(1));
     // In time, by the shortest aim: nothing changes.
-    assert!(bench.on(Event::DelayNote(1, 0.1)).is_empty());
-    assert_eq!(bench.place(2), Some(1));
+    assert!(
+        bench
+            .handle_and_answer_probes(Event::DelayNote(1, 0.1))
+            .is_empty()
+    );
+    assert_eq!(bench.place_request(2), Some(1));
     let mut gone = 0;
     for _ in 0..10 {
         bench.now += 0.1;
-        let actions = bench.on(Event::DelayNote(1, 0.4));
+        let actions = bench.handle_and_answer_probes(Event::DelayNote(1, 0.4));
         // One at a time, as past the threshold: its peers see the same, or nothing.
-        assert!(moved(&actions).len() <= 1);
-        gone += moved(&actions).len();
+        assert!(moved_requests(&actions).len() <= 1);
+        gone += moved_requests(&actions).len();
     }
     assert!(gone > 0);
-    assert_eq!(bench.place(3), Some(2));
+    assert_eq!(bench.place_request(3), Some(2));
     // It has recovered, or the last note is old.
-    bench.on(Event::DelayNote(1, 0.05));
-    assert_eq!(bench.place(4), Some(1));
-    bench.on(Event::DelayNote(1, 0.4));
+    bench.handle_and_answer_probes(Event::DelayNote(1, 0.05));
+    assert_eq!(bench.place_request(4), Some(1));
+    bench.handle_and_answer_probes(Event::DelayNote(1, 0.4));
     bench.now += 2.5;
-    bench.report(1, 0.1);
-    assert_eq!(bench.place(5), Some(1));
+    bench.report_load(1, 0.1);
+    assert_eq!(bench.place_request(5), Some(1));
 }
 
 /// A slow way between zones makes all servers there late at once: they keep what they hold while there is no
@@ -525,18 +576,18 @@
     for aim in [None, Some(0.15)] {
         let mut set = settings();
         set.message_aim = aim;
-        let mut bench = Bench::new(set, vec![entry(1), entry(2)], 3);
+        let mut bench = BalancerHarness::new(set, vec![entry(1), entry(2)], 3);
         for server in [1, 2] {
-            bench.open(server, 1000 * u64::from(server), &[0.1; 10]);
-            bench.report(server, 0.3);
+            bench.open_connections(server, 1000 * u64::from(server), &[0.1; 10]);
+            bench.report_load(server, 0.3);
         }
         for _ in 0..20 {
             bench.now += 0.1;
             for server in [1, 2] {
-                let actions = bench.on(Event::DelayNote(server, 0.5));
+                let actions = bench.handle_and_answer_probes(Event::DelayNote(server, 0.5));
                 // The first of them is late while the other has room still.
                 let both = bench.now > 100.15;
-                assert!(moved(&actions).is_empty() || aim.is_some() && !both);
+                assert!(moved_requests(&actions).is_empty() || aim.is_some() && !both);
             }
         }
     }
--- a/crates/balancer/tests/quotas.rs
+++ b/crates/balancer/tests/quotas.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use common::{Bench, entry, sent_to, settings};
+use common::{BalancerHarness, entry, sent_to, settings};
 use violetwind_balancer::api::*;
 
 const COLD: ServerId = 9;
-const SPAN: Secs = 20.0;
+const SPAN: Seconds = 20.0;
 
-fn part(units: u64, until: Secs, after: u64) -> Allowance {
+fn part(units: u64, until: Seconds, after: u64) -> Allowance {
     Allowance {
         units,
         until,
@@ -20,7 +20,7 @@
 }
 
 /// A cold server alone, idle, so that every request goes there as far as its part allows.
-fn cold_server(part: Allowance) -> Bench {
+fn cold_server(part: Allowance) -> BalancerHarness {
     let set = Settings {
         cold_for: 60.0,
         fall_multiple: 1000.0,
@@ -30,25 +30,25 @@
         born: Some(99.0),
         ..entry(COLD)
     };
-    let mut bench = Bench::new(set, vec![cold], 5);
-    bench.on(Event::Allowance(Matter::Cold, part));
-    bench.report(COLD, 0.0);
+    let mut bench = BalancerHarness::new(set, vec![cold], 5);
+    bench.handle_and_answer_probes(Event::Allowance(QuotaKind::Cold, part));
+    bench.report_load(COLD, 0.0);
     bench.now += 1.0;
     bench
 }
 
 /// Whether a request that comes now is sent, and how long its line may be written.
-fn send(bench: &mut Bench, id: RequestId) -> Option<Option<Secs>> {
+fn send(bench: &mut BalancerHarness, id: RequestId) -> Option<Option<Seconds>> {
     // A cold server has a short pause between two turns.
     bench.now += 0.6;
-    bench.report(COLD, 0.0);
-    let actions = bench.on(Event::Request(common::request(id)));
+    bench.report_load(COLD, 0.0);
+    let actions = bench.handle_and_answer_probes(Event::Request(common::request(id)));
     let sent = actions.iter().find_map(|action| match action {
         Action::Send(sent, COLD, _, begin_within) if *sent == id => Some(*begin_within),
         _ => None,
     });
     if sent.is_none() {
-        bench.on(Event::Gone(id));
+        bench.handle_and_answer_probes(Event::Gone(id));
     }
     sent
 }
@@ -70,19 +70,19 @@
     let begun = bench.now;
     assert!(send(&mut bench, 1).is_some() && send(&mut bench, 2).is_some());
     assert!(bench.balancer.awaits_write(1));
-    bench.on(Event::Written(1, COLD));
-    bench.on(Event::Begun(1, COLD));
+    bench.handle_and_answer_probes(Event::Written(1, COLD));
+    bench.handle_and_answer_probes(Event::Begun(1, COLD));
     bench.now = begun + 5.0;
     assert_eq!(send(&mut bench, 3), None, "two are out");
-    bench.on(Event::Written(2, COLD));
-    bench.on(Event::Begun(2, COLD));
+    bench.handle_and_answer_probes(Event::Written(2, COLD));
+    bench.handle_and_answer_probes(Event::Begun(2, COLD));
     assert!(!bench.balancer.awaits_write(2));
     bench.now = begun + 0.6 + SPAN + 0.1;
     assert!(
         send(&mut bench, 4).is_some(),
         "the first one's span is over"
     );
-    bench.on(Event::Written(4, COLD));
+    bench.handle_and_answer_probes(Event::Written(4, COLD));
     assert_eq!(send(&mut bench, 5), None, "the second one's is not");
     bench.now = begun + 5.0 + 0.6 + SPAN + 0.1;
     assert!(send(&mut bench, 6).is_some());
@@ -93,8 +93,8 @@
     let mut bench = cold_server(part(1, 1e9, 0));
     assert!(send(&mut bench, 1).is_some());
     assert_eq!(send(&mut bench, 2), None);
-    bench.on(ended(1, Outcome::LocalFailure));
-    bench.on(Event::Gone(1));
+    bench.handle_and_answer_probes(ended(1, Outcome::LocalFailure));
+    bench.handle_and_answer_probes(Event::Gone(1));
     assert!(send(&mut bench, 3).is_some());
 }
 
@@ -108,7 +108,7 @@
     for end in [reset, failed, recalled, Event::Gone(1)] {
         let mut bench = cold_server(part(1, 1e9, 0));
         assert!(send(&mut bench, 1).is_some());
-        bench.on(end.clone());
+        bench.handle_and_answer_probes(end.clone());
         bench.now += SPAN - 1.0;
         assert_eq!(send(&mut bench, 2), None, "{end:?}");
     }
@@ -130,10 +130,10 @@
 /// An attempt that is no further one, at a server that is not cold, costs the host no word.
 #[test]
 fn nothing_is_reported_where_nothing_counts_lines() {
-    let mut bench = Bench::new(settings(), vec![entry(1)], 5);
-    bench.on(Event::Allowance(Matter::Cold, part(1, 1e9, 0)));
-    bench.report(1, 0.0);
-    let actions = bench.on(Event::Request(common::request(1)));
+    let mut bench = BalancerHarness::new(settings(), vec![entry(1)], 5);
+    bench.handle_and_answer_probes(Event::Allowance(QuotaKind::Cold, part(1, 1e9, 0)));
+    bench.report_load(1, 0.0);
+    let actions = bench.handle_and_answer_probes(Event::Request(common::request(1)));
     assert_eq!(sent_to(&actions, 1), Some(1));
     assert!(!bench.balancer.awaits_write(1));
 }
@@ -150,11 +150,11 @@
         max_attempts: 9,
         ..settings()
     };
-    let mut bench = Bench::new(set, (1..6).map(entry).collect(), 5);
-    (1..6).for_each(|server| drop(bench.report(server, 0.0)));
+    let mut bench = BalancerHarness::new(set, (1..6).map(entry).collect(), 5);
+    (1..6).for_each(|server| drop(bench.report_load(server, 0.0)));
     let begun = bench.now;
-    let fail = |bench: &mut Bench, id, server| {
-        bench.on(Event::Outcome(Ended {
+    let fail = |bench: &mut BalancerHarness, id, server| {
+        bench.handle_and_answer_probes(Event::Outcome(Ended {
             id,
             server,
             outcome: Outcome::Full,
@@ -162,17 +162,17 @@
             report: Report::default(),
         }))
     };
-    let actions = bench.on(Event::Request(common::request(1)));
+    let actions = bench.handle_and_answer_probes(Event::Request(common::request(1)));
     let first = sent_to(&actions, 1).expect("sent");
     assert!(!bench.balancer.awaits_write(1));
     let second = sent_to(&fail(&mut bench, 1, first), 1).expect("sent again");
     assert!(bench.balancer.awaits_write(1));
     bench.now += 1.0;
-    bench.on(Event::Written(1, second));
-    bench.on(Event::Begun(1, second));
-    let again = |bench: &mut Bench, id| {
-        (1..6).for_each(|server| drop(bench.report(server, 0.0)));
-        let actions = bench.on(Event::Request(common::request(id)));
+    bench.handle_and_answer_probes(Event::Written(1, second));
+    bench.handle_and_answer_probes(Event::Begun(1, second));
+    let again = |bench: &mut BalancerHarness, id| {
+        (1..6).for_each(|server| drop(bench.report_load(server, 0.0)));
+        let actions = bench.handle_and_answer_probes(Event::Request(common::request(id)));
         let server = sent_to(&actions, id).expect("sent");
         sent_to(&fail(bench, id, server), id)
     };
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -28,7 +28,7 @@
 
 /// Runs for so many seconds with a request of one of a few groups every four, whose connections
 /// stay, and counts the probes of the second half. Probes are answered with the mean load and timers run when due.
-fn run(bench: &mut Bench, seconds: u32) -> usize {
+fn run(bench: &mut BalancerHarness, seconds: u32) -> usize {
     let (mut due, mut probed, mut id) = (Vec::new(), 0, 0);
     let half = bench.now + f64::from(seconds) / 2.0;
     let until = bench.now + f64::from(seconds);
@@ -38,12 +38,12 @@
         let (ready, later): (Vec<_>, Vec<_>) = due.into_iter().partition(|(at, _)| *at < bench.now);
         due = later;
         for (_, token) in ready {
-            actions.extend(bench.on_alone(Event::Timer(token)));
+            actions.extend(bench.handle_event(Event::Timer(token)));
         }
         if ((bench.now * 10.0).round() as u64).is_multiple_of(40) {
             id += 1;
             let group = Some(id % 5);
-            actions.extend(bench.on_alone(Event::Request(Request {
+            actions.extend(bench.handle_event(Event::Request(Request {
                 group,
                 ..request(id)
             })));
@@ -55,11 +55,11 @@
             match action {
                 Action::Timer(after, token) => due.push((bench.now + after, token)),
                 Action::Probe(server) => {
-                    let report = Event::Probed(server, Outcome::Ok, load(0.4));
-                    actions.extend(bench.on_alone(report));
+                    let report = Event::Probed(server, Outcome::Ok, load_report(0.4));
+                    actions.extend(bench.handle_event(report));
                 }
                 Action::Send(id, server, ..) => {
-                    actions.extend(bench.on_alone(Event::Begun(id, server)))
+                    actions.extend(bench.handle_event(Event::Begun(id, server)))
                 }
                 _ => {}
             }
@@ -71,7 +71,7 @@
 /// Every balancer of a large fleet probed every server each second: a hundred probes a request.
 #[test]
 fn a_balancer_with_few_requests_probes_only_servers_that_it_uses() {
-    let mut bench = Bench::new(large(), fleet(), 3);
+    let mut bench = BalancerHarness::new(large(), fleet(), 3);
     let probed = run(&mut bench, 80);
     // It holds twenty connections at most, and each server is probed every 4.5 to 5.5 s.
     assert!((8..=180).contains(&probed), "{probed} probes in 40 s");
@@ -80,13 +80,13 @@
 /// Where all probes together are cheap for the requests that come, every listed server is probed.
 #[test]
 fn a_balancer_with_many_requests_probes_every_server() {
-    let mut bench = Bench::new(large(), fleet(), 3);
+    let mut bench = BalancerHarness::new(large(), fleet(), 3);
     for id in 0..600 {
         bench.now += 0.01;
-        bench.on(Event::Request(request(id)));
+        bench.handle_and_answer_probes(Event::Request(request(id)));
     }
     let grown = (SERVERS + 1..=2 * SERVERS).map(entry).collect();
-    let actions = bench.on(Event::Servers(ListKind::Update, grown));
+    let actions = bench.handle_and_answer_probes(Event::Servers(ListKind::Update, grown));
     assert_eq!(probes(&actions), SERVERS as usize);
 }
 
@@ -94,17 +94,17 @@
 /// come again at once, six times each, had every server probed and the probes cost six times their share.
 #[test]
 fn what_clients_ask_for_again_buys_no_probes() {
-    let mut bench = Bench::new(large(), fleet(), 3);
+    let mut bench = BalancerHarness::new(large(), fleet(), 3);
     for id in 0..600 {
         bench.now += 0.01;
         let again = id % 100 > 0;
-        bench.on(Event::Request(Request {
+        bench.handle_and_answer_probes(Event::Request(Request {
             again,
             ..request(id)
         }));
     }
     let grown = (SERVERS + 1..=2 * SERVERS).map(entry).collect();
-    let actions = bench.on(Event::Servers(ListKind::Update, grown));
+    let actions = bench.handle_and_answer_probes(Event::Servers(ListKind::Update, grown));
     assert_eq!(probes(&actions), 0);
 }
 
@@ -112,8 +112,8 @@
 /// group to the same full server.
 #[test]
 fn an_unknown_server_is_asked_for_its_load_before_it_is_sent_anything() {
-    let mut bench = Bench::new(large(), fleet(), 3);
-    let mut actions = bench.on_alone(Event::Request(grouped(1, 7)));
+    let mut bench = BalancerHarness::new(large(), fleet(), 3);
+    let mut actions = bench.handle_event(Event::Request(grouped_request(1, 7)));
     let mut full = Vec::new();
     while sent_to(&actions, 1).is_none() {
         let Some(Action::Probe(server)) = actions.first() else {
@@ -122,22 +122,22 @@
         let figure = if full.is_empty() { 0.9 } else { 0.4 };
         full.push(*server);
         bench.now += 0.06;
-        actions = bench.on_alone(Event::Probed(*server, Outcome::Ok, load(figure)));
+        actions = bench.handle_event(Event::Probed(*server, Outcome::Ok, load_report(figure)));
     }
     let to = sent_to(&actions, 1).expect("sent");
     assert_eq!(full.iter().position(|server| *server == to), Some(1));
     // Another balancer asks the same servers in the same order.
-    let mut peer = Bench::new(Settings { me: 9, ..large() }, fleet(), 77);
-    let actions = peer.on_alone(Event::Request(grouped(2, 7)));
+    let mut peer = BalancerHarness::new(Settings { me: 9, ..large() }, fleet(), 77);
+    let actions = peer.handle_event(Event::Request(grouped_request(2, 7)));
     assert_eq!(actions.first(), Some(&Action::Probe(full[0])));
 }
 
 /// A server that does not answer must not hold a request past a part of its wanted time.
 #[test]
 fn a_request_does_not_wait_long_for_a_figure() {
-    let mut bench = Bench::new(large(), fleet(), 3);
+    let mut bench = BalancerHarness::new(large(), fleet(), 3);
     let start = bench.now;
-    let mut actions = bench.on_alone(Event::Request(request(1)));
+    let mut actions = bench.handle_event(Event::Request(request(1)));
     while sent_to(&actions, 1).is_none() {
         let timer = actions.iter().find_map(|action| match action {
             Action::Timer(after, token) => Some((*after, *token)),
@@ -145,7 +145,7 @@
         });
         let (after, token) = timer.expect("a timer while it waits");
         bench.now += after;
-        actions = bench.on_alone(Event::Timer(token));
+        actions = bench.handle_event(Event::Timer(token));
     }
     assert!(bench.now - start < 0.25, "{} s", bench.now - start);
 }
@@ -154,20 +154,20 @@
 /// was refused in a fleet at half load.
 #[test]
 fn one_own_placement_does_not_fill_a_server_for_a_large_fleet() {
-    let mut bench = Bench::new(large(), fleet(), 3);
+    let mut bench = BalancerHarness::new(large(), fleet(), 3);
     for server in 1..=SERVERS {
-        bench.open(server, u64::from(server) * 100, &[0.1]);
+        bench.open_connections(server, u64::from(server) * 100, &[0.1]);
     }
     for id in 1..4 {
         bench.now += 5.0;
         for server in (1..=SERVERS).rev() {
-            bench.report(server, if server == 1 { 0.5 } else { 0.9 });
+            bench.report_load(server, if server == 1 { 0.5 } else { 0.9 });
         }
         bench.now += 0.06;
-        bench.report(1, 0.5);
-        assert_eq!(bench.place(id), Some(1));
+        bench.report_load(1, 0.5);
+        assert_eq!(bench.place_request(id), Some(1));
         bench.now += 0.2;
-        assert_eq!(bench.place(10 + id), Some(1), "after {id}");
+        assert_eq!(bench.place_request(10 + id), Some(1), "after {id}");
     }
 }
 
@@ -179,14 +179,14 @@
         born: Some(now),
         ..entry(1)
     };
-    let mut fleet: Vec<Bench> = (0..300)
-        .map(|me| Bench::new(Settings { me, ..large() }, vec![cold(100.0)], me))
+    let mut fleet: Vec<BalancerHarness> = (0..300)
+        .map(|me| BalancerHarness::new(Settings { me, ..large() }, vec![cold(100.0)], me))
         .collect();
     let mut sent = [0.0; 5];
     for (half, id) in (0..20).zip(0..) {
         for bench in &mut fleet {
             bench.now = 100.0 + f64::from(half) * 0.5;
-            sent[half as usize / 4] += f64::from(bench.place(id).is_some());
+            sent[half as usize / 4] += f64::from(bench.place_request(id).is_some());
         }
     }
     // A warm one holds about 50 and fills over 10 s: 5 a second, of which it can do a fifth at first
@@ -214,20 +214,20 @@
     // More than the fleet has, to be less at the mercy of chance.
     for me in 0..3000 {
         let warm = vec![listed(1, 0, 1.0), listed(2, 1, 4.0)];
-        let mut bench = Bench::new(Settings { me, ..large() }, warm, me);
+        let mut bench = BalancerHarness::new(Settings { me, ..large() }, warm, me);
         // Both warm ones are full; a connection on each shows their kinds.
-        bench.open(1, 1000, &[0.1]);
-        bench.open(2, 2000, &[0.1]);
-        bench.report(1, 0.9);
+        bench.open_connections(1, 1000, &[0.1]);
+        bench.open_connections(2, 2000, &[0.1]);
+        bench.report_load(1, 0.9);
         bench.now += 0.5;
-        bench.report(2, 0.9);
+        bench.report_load(2, 0.9);
         let grown = vec![cold(3, 0, 1.0), cold(4, 1, 4.0)];
-        bench.on(Event::Servers(ListKind::Update, grown));
+        bench.handle_and_answer_probes(Event::Servers(ListKind::Update, grown));
         for id in 0..20 {
             bench.now += 0.4;
-            bench.report(1, 0.9);
-            bench.report(2, 0.9);
-            if let Some(server @ (3 | 4)) = bench.place(id) {
+            bench.report_load(1, 0.9);
+            bench.report_load(2, 0.9);
+            if let Some(server @ (3 | 4)) = bench.place_request(id) {
                 sent[server as usize - 3] += 1;
             }
         }
@@ -238,36 +238,40 @@
 /// Learning of all servers at each report took more CPU than a large fleet has.
 #[test]
 fn a_list_of_none_of_one_and_of_several_hundred_is_fine() {
-    let mut bench = Bench::new(large(), Vec::new(), 3);
-    assert_eq!(bench.place(1), None);
-    bench.on(Event::Servers(ListKind::Replace, vec![entry(1)]));
-    assert_eq!(bench.place(2), Some(1));
+    let mut bench = BalancerHarness::new(large(), Vec::new(), 3);
+    assert_eq!(bench.place_request(1), None);
+    bench.handle_and_answer_probes(Event::Servers(ListKind::Replace, vec![entry(1)]));
+    assert_eq!(bench.place_request(2), Some(1));
     let doubled = |n: u32| (1..=n).map(entry).collect::<Vec<_>>();
-    bench.on(Event::Servers(ListKind::Replace, doubled(400)));
-    assert!(bench.place(3).is_some());
-    bench.on(Event::Servers(ListKind::Update, doubled(800)));
-    assert!(bench.place(4).is_some());
+    bench.handle_and_answer_probes(Event::Servers(ListKind::Replace, doubled(400)));
+    assert!(bench.place_request(3).is_some());
+    bench.handle_and_answer_probes(Event::Servers(ListKind::Update, doubled(800)));
+    assert!(bench.place_request(4).is_some());
     // Of a restored list nothing is left.
-    bench.on(Event::Servers(ListKind::Replace, vec![entry(900)]));
-    assert_eq!(bench.place(5), Some(900));
+    bench.handle_and_answer_probes(Event::Servers(ListKind::Replace, vec![entry(900)]));
+    assert_eq!(bench.place_request(5), Some(900));
 }
 
 /// All servers of a group's order that were in use go at once; the next in it take over.
 #[test]
 fn servers_in_use_that_go_at_once_are_replaced_along_the_order() {
-    let mut bench = Bench::new(large(), fleet(), 3);
+    let mut bench = BalancerHarness::new(large(), fleet(), 3);
     let mut gone = Vec::new();
     for id in 1..5 {
         bench.now += 1.0;
-        let to = sent_to(&bench.on(Event::Request(grouped(id, 7))), id).expect("sent");
+        let to = sent_to(
+            &bench.handle_and_answer_probes(Event::Request(grouped_request(id, 7))),
+            id,
+        )
+        .expect("sent");
         assert!(!gone.contains(&to), "{to} is gone");
         gone.push(to);
         let lost = Entry {
             status: Status::Gone,
             ..entry(to)
         };
-        bench.on(Event::Servers(ListKind::Update, vec![lost]));
-        bench.finish(id, to, Outcome::Reset, true);
+        bench.handle_and_answer_probes(Event::Servers(ListKind::Update, vec![lost]));
+        bench.report_outcome(id, to, Outcome::Reset, true);
     }
 }
 
@@ -280,10 +284,10 @@
         ..Report::default()
     };
     let refuses = |connections| {
-        let mut bench = Bench::new(large(), vec![entry(1)], 3);
-        bench.open(1, 1000, &[0.1; 4]);
-        bench.probed(1, both(0.8, connections));
-        bench.place(1).is_none()
+        let mut bench = BalancerHarness::new(large(), vec![entry(1)], 3);
+        bench.open_connections(1, 1000, &[0.1; 4]);
+        bench.answer_periodic_probe(1, both(0.8, connections));
+        bench.place_request(1).is_none()
     };
     assert!(refuses(8.0), "one more adds a tenth of a server");
     assert!(!refuses(80.0), "one more adds a hundredth");
@@ -301,18 +305,18 @@
     let refuses = |held| {
         let tenants = vec![Tenant { quota: Some(300.0) }, Tenant { quota: None }];
         let set = Settings { tenants, ..large() };
-        let mut bench = Bench::new(set, vec![entry(1)], 3);
+        let mut bench = BalancerHarness::new(set, vec![entry(1)], 3);
         let of = |id, tenant| Request {
             tenant: Some(tenant),
             hint: Some(0.1),
             ..request(id)
         };
         for id in 0..held {
-            bench.on(Event::Open(of(1000 + id, 0), 1));
-            bench.on(Event::Open(of(2000 + id, 1), 1));
+            bench.handle_and_answer_probes(Event::Open(of(1000 + id, 0), 1));
+            bench.handle_and_answer_probes(Event::Open(of(2000 + id, 1), 1));
         }
-        bench.report(1, 0.78);
-        sent_to(&bench.on(Event::Request(of(1, 0))), 1).is_none()
+        bench.report_load(1, 0.78);
+        sent_to(&bench.handle_and_answer_probes(Event::Request(of(1, 0))), 1).is_none()
     };
     assert!(!refuses(1), "two for a share of one may be chance");
     assert!(refuses(5), "six are beyond a share of one");
@@ -322,14 +326,14 @@
 /// that was a good part of what swamped them.
 #[test]
 fn a_swamped_fleet_is_not_asked_for_room() {
-    let mut bench = Bench::new(large(), fleet(), 3);
+    let mut bench = BalancerHarness::new(large(), fleet(), 3);
     for server in 1..=10 {
-        bench.open(server, u64::from(server) * 100, &[0.1]);
+        bench.open_connections(server, u64::from(server) * 100, &[0.1]);
         bench.now += 0.06;
-        bench.report(server, 1.2);
+        bench.report_load(server, 1.2);
     }
     let asked: usize = (1..20)
-        .map(|id| probes(&bench.on_alone(Event::Request(request(id)))))
+        .map(|id| probes(&bench.handle_event(Event::Request(request(id)))))
         .sum();
     assert_eq!(asked, 0);
 }
@@ -338,12 +342,12 @@
 /// an optimised build, and over twenty of this one, which now takes one or two.
 #[test]
 fn a_burst_of_requests_is_not_ranked_again_at_each_answer() {
-    let mut bench = Bench::new(large(), fleet(), 3);
+    let mut bench = BalancerHarness::new(large(), fleet(), 3);
     let start = std::time::Instant::now();
     let mut asked = Vec::new();
     for id in 0..6000 {
         let group = Some(id % 400);
-        for action in bench.on_alone(Event::Request(Request {
+        for action in bench.handle_event(Event::Request(Request {
             group,
             ..request(id)
         })) {
@@ -354,9 +358,9 @@
     }
     let mut sent = 0;
     for server in asked {
-        let answer = Event::Probed(server, Outcome::Ok, load(0.1));
+        let answer = Event::Probed(server, Outcome::Ok, load_report(0.1));
         let send = |action: &&Action| matches!(action, Action::Send(..));
-        sent += bench.on_alone(answer).iter().filter(send).count();
+        sent += bench.handle_event(answer).iter().filter(send).count();
     }
     assert!(sent > 0, "what waited for an answer is sent");
     assert!(start.elapsed().as_secs() < 10, "{:?}", start.elapsed());
@@ -368,21 +372,21 @@
 fn a_cold_server_that_is_not_heard_of_is_used_when_the_others_are_full() {
     let mut set = settings();
     set.may_probe = false;
-    let mut bench = Bench::new(set, (1..=4).map(entry).collect(), 3);
+    let mut bench = BalancerHarness::new(set, (1..=4).map(entry).collect(), 3);
     for server in 1..=4 {
-        bench.probed(server, load(0.86));
+        bench.answer_periodic_probe(server, load_report(0.86));
     }
-    assert_eq!(bench.place(1), None);
+    assert_eq!(bench.place_request(1), None);
     let born = bench.now;
     let cold = Entry {
         born: Some(born),
         ..entry(9)
     };
-    bench.on(Event::Servers(ListKind::Update, vec![cold]));
+    bench.handle_and_answer_probes(Event::Servers(ListKind::Update, vec![cold]));
     let (mut placed, mut at_once) = (0, 0);
     for id in 10..90 {
         bench.now += 0.05;
-        let to = bench.place(id);
+        let to = bench.place_request(id);
         assert!(to.is_none_or(|server| server == 9), "{to:?}");
         placed += usize::from(to.is_some());
         at_once += usize::from(to.is_some() && bench.now < born + 0.5);
--- a/crates/balancer/tests/vast.rs
+++ b/crates/balancer/tests/simulated_fleet.rs
@@ -13,10 +13,10 @@
 const FLEET: usize = 100;
 /// Connections of the usual load that fill a warm server.
 const FULL: f64 = 50.0;
-const COLD_FOR: Secs = 7.2;
+const COLD_FOR: Seconds = 7.2;
 const COLD_FROM: f64 = 0.3;
 /// Servers refresh their figures after so long, each at its own moment.
-const REFRESH: Secs = 0.8;
+const REFRESH: Seconds = 0.8;
 
 fn one_of_many(me: u64) -> Settings {
     Settings {
@@ -42,15 +42,15 @@
 
 #[derive(Clone, Debug, Default)]
 struct Server {
-    born: Option<Secs>,
+    born: Option<Seconds>,
     connections: f64,
     reported: f64,
-    refreshed: Secs,
-    sends: Vec<Secs>,
+    refreshed: Seconds,
+    sends: Vec<Seconds>,
 }
 
 impl Server {
-    fn share(&self, now: Secs) -> f64 {
+    fn share(&self, now: Seconds) -> f64 {
         let warm = self
             .born
             .map_or(1.0, |born| ((now - born) / COLD_FOR).clamp(0.0, 1.0));
@@ -60,10 +60,10 @@
 
 /// The balancers, the servers, and timers that are due.
 struct Fleet {
-    now: Secs,
-    benches: Vec<Bench>,
+    now: Seconds,
+    benches: Vec<BalancerHarness>,
     servers: BTreeMap<ServerId, Server>,
-    due: Vec<(Secs, usize, u64)>,
+    due: Vec<(Seconds, usize, u64)>,
     next: RequestId,
     refused: usize,
     rng: Pcg64Mcg,
@@ -72,7 +72,7 @@
 impl Fleet {
     fn new(loads: &[(ServerId, f64)], seed: u64) -> Self {
         let entries: Vec<Entry> = loads.iter().map(|(id, _)| entry(*id)).collect();
-        let bench = |me| Bench::new(one_of_many(me), entries.clone(), seed * 1000 + me);
+        let bench = |me| BalancerHarness::new(one_of_many(me), entries.clone(), seed * 1000 + me);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let server = |&(id, load): &(ServerId, f64)| {
             let server = Server {
@@ -119,7 +119,7 @@
     }
 
     /// So long, with so many requests a second, 100 at most, at balancers by chance.
-    fn run(&mut self, span: Secs, a_second: f64) {
+    fn run(&mut self, span: Seconds, a_second: f64) {
         let until = self.now + span;
         while self.now < until {
             self.now += 0.01;
@@ -148,11 +148,11 @@
         self.benches[at].now = now;
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            for action in self.benches[at].on_alone(event) {
+            for action in self.benches[at].handle_event(event) {
                 match action {
                     Action::Probe(id) => {
                         let figure = self.servers[&id].reported;
-                        events.push(Event::Probed(id, Outcome::Ok, load(figure)));
+                        events.push(Event::Probed(id, Outcome::Ok, load_report(figure)));
                     }
                     Action::Send(id, to, ..) => {
                         let server = self.servers.get_mut(&to).unwrap();
@@ -212,35 +212,40 @@
 /// from it until then: idle servers beside full ones, and refusals.
 #[test]
 fn a_turn_beyond_the_warm_up_falls_away_with_it() {
-    let mut bench = Bench::new(one_of_many(3), vec![entry(1)], 3);
-    bench.report(1, 1.0);
+    let mut bench = BalancerHarness::new(one_of_many(3), vec![entry(1)], 3);
+    bench.report_load(1, 1.0);
     let cold = Entry {
         born: Some(bench.now),
         ..entry(2)
     };
-    bench.on(Event::Servers(ListKind::Update, vec![cold]));
+    bench.handle_and_answer_probes(Event::Servers(ListKind::Update, vec![cold]));
     bench.now += 0.1;
-    bench.report(1, 1.0);
-    assert_eq!(bench.place(1), None);
+    bench.report_load(1, 1.0);
+    assert_eq!(bench.place_request(1), None);
     bench.now += COLD_FOR;
-    bench.report(1, 1.0);
-    bench.report(2, 0.0);
-    assert_eq!(bench.place(2), Some(2));
+    bench.report_load(1, 1.0);
+    bench.report_load(2, 0.0);
+    assert_eq!(bench.place_request(2), Some(2));
 }
 
 /// Peers were taken to place as often as a balancer is asked, refused requests included: then one own
 /// connection seemed to fill a server, and most was refused beside servers with room.
 #[test]
 fn what_is_refused_loads_no_server() {
-    let ask = |bench: &mut Bench, id| sent_to(&bench.on(Event::Request(usual(id))), id);
-    let report = |bench: &mut Bench, of_seven| {
+    let ask = |bench: &mut BalancerHarness, id| {
+        sent_to(
+            &bench.handle_and_answer_probes(Event::Request(usual(id))),
+            id,
+        )
+    };
+    let report = |bench: &mut BalancerHarness, of_seven| {
         for server in 1..=10 {
             bench.now += 0.06;
-            bench.report(server, if server == 7 { of_seven } else { 1.0 });
+            bench.report_load(server, if server == 7 { of_seven } else { 1.0 });
         }
     };
     for seed in 0..20 {
-        let mut bench = Bench::new(one_of_many(3), (1..=10).map(entry).collect(), seed);
+        let mut bench = BalancerHarness::new(one_of_many(3), (1..=10).map(entry).collect(), seed);
         report(&mut bench, 1.0);
         assert!((0..60).all(|id| ask(&mut bench, id).is_none()));
         // The storm is over; what it told of the rate of requests still fades.
@@ -278,15 +283,15 @@
         groups: true,
         ..one_of_many(3)
     };
-    let mut bench = Bench::new(set, (1..=5).map(entry).collect(), 3);
-    bench.open(1, 1000, &[1.0]);
+    let mut bench = BalancerHarness::new(set, (1..=5).map(entry).collect(), 3);
+    bench.open_connections(1, 1000, &[1.0]);
     for (server, figure) in [(1, 0.5), (2, 0.5), (3, 0.5), (4, 0.5), (5, 6.0)] {
         bench.now += 0.06;
-        bench.report(server, figure);
+        bench.report_load(server, figure);
     }
     let group = Some(77);
     let request = Request { group, ..usual(1) };
-    let to = sent_to(&bench.on(Event::Request(request)), 1);
+    let to = sent_to(&bench.handle_and_answer_probes(Event::Request(request)), 1);
     assert!(matches!(to, Some(1..=4)), "{to:?}");
 }
 
@@ -295,13 +300,13 @@
 fn one_request_a_minute_does_not_pay_for_probes_of_all_servers() {
     let probed = |waited| {
         let entries = (1..=12).map(entry).collect();
-        let mut bench = Bench::new(one_of_many(3), entries, 3);
+        let mut bench = BalancerHarness::new(one_of_many(3), entries, 3);
         bench.now += waited;
-        let actions = bench.on_alone(Event::Request(usual(1)));
+        let actions = bench.handle_event(Event::Request(usual(1)));
         let mut probes = 0;
         for action in actions {
             if let Action::Probe(server) = action {
-                let told = bench.on_alone(Event::Probed(server, Outcome::Ok, load(0.3)));
+                let told = bench.handle_event(Event::Probed(server, Outcome::Ok, load_report(0.3)));
                 probes += told
                     .iter()
                     .filter(|a| matches!(a, Action::Probe(_)))
@@ -321,13 +326,13 @@
 /// held no connection: their figures were long forgotten, but still told it that room was short.
 #[test]
 fn forgotten_figures_don_t_keep_it_from_asking() {
-    let mut bench = Bench::new(one_of_many(3), (1..=10).map(entry).collect(), 3);
+    let mut bench = BalancerHarness::new(one_of_many(3), (1..=10).map(entry).collect(), 3);
     for server in 1..=5 {
         bench.now += 0.06;
-        bench.report(server, 1.0);
+        bench.report_load(server, 1.0);
     }
-    let asks = |bench: &mut Bench, id| {
-        let actions = bench.on_alone(Event::Request(usual(id)));
+    let asks = |bench: &mut BalancerHarness, id| {
+        let actions = bench.handle_event(Event::Request(usual(id)));
         actions
             .iter()
             .any(|action| matches!(action, Action::Probe(_)))
--- a/crates/balancer/tests/unprobed.rs
+++ b/crates/balancer/tests/unprobed.rs
@@ -16,18 +16,20 @@
 /// A server that one dial did not reach was never used again by that balancer: nothing could clear it.
 #[test]
 fn a_server_that_did_not_answer_once_is_tried_again() {
-    let mut bench = Bench::new(unprobed(), vec![entry(1), entry(2)], 3);
-    let first = bench.place(1).expect("sent");
-    let actions = bench.end(1, first, Outcome::ConnectFailed);
+    let mut bench = BalancerHarness::new(unprobed(), vec![entry(1), entry(2)], 3);
+    let first = bench.place_request(1).expect("sent");
+    let actions = bench.end_attempt(1, first, Outcome::ConnectFailed);
     let second = sent_to(&actions, 1).expect("sent elsewhere");
     assert_ne!(first, second);
     // For a while it is avoided.
     bench.now += 1.0;
     for id in 10..20 {
-        assert_eq!(bench.place(id), Some(second));
+        assert_eq!(bench.place_request(id), Some(second));
     }
     bench.now += 30.0;
-    let used: Vec<_> = (100..140).filter_map(|id| bench.place(id)).collect();
+    let used: Vec<_> = (100..140)
+        .filter_map(|id| bench.place_request(id))
+        .collect();
     assert!(used.contains(&first), "{used:?}");
 }
 
@@ -44,13 +46,13 @@
         ..unprobed()
     };
     let place = |again: bool, group: u64| {
-        let mut bench = Bench::new(settings(), servers(), 3);
+        let mut bench = BalancerHarness::new(settings(), servers(), 3);
         bench.now += 2.0;
         let request = Request {
             again,
-            ..grouped(1, group)
+            ..grouped_request(1, group)
         };
-        let actions = bench.on(Event::Request(request));
+        let actions = bench.handle_and_answer_probes(Event::Request(request));
         sent_to(&actions, 1)
     };
     let count = |again| {
@@ -68,21 +70,21 @@
 fn a_keyed_repeat_says_until_when_it_may_begin() {
     let class = Class {
         window: 3.0,
-        ..class(Effect::Keyed, Scope::All)
+        ..class(Idempotency::Keyed, DedupScope::All)
     };
     let settings = Settings {
         classes: vec![class],
         ..unprobed()
     };
-    let mut bench = Bench::new(settings, vec![entry(1), entry(2)], 3);
+    let mut bench = BalancerHarness::new(settings, vec![entry(1), entry(2)], 3);
     let begin = |actions: &[Action]| match actions.first() {
         Some(Action::Send(_, _, _, begin)) => *begin,
         other => panic!("{other:?}"),
     };
-    let actions = bench.on(Event::Request(request(1)));
+    let actions = bench.handle_and_answer_probes(Event::Request(request(1)));
     assert_eq!(begin(&actions), None);
     let server = sent_to(&actions, 1).unwrap();
     bench.now += 0.5;
-    let left = begin(&bench.end(1, server, Outcome::Reset)).expect("an end");
+    let left = begin(&bench.end_attempt(1, server, Outcome::Reset)).expect("an end");
     assert!((left - 2.5).abs() < 1e-9, "{left}");
 }
--- a/crates/common/src/retune.rs
+++ b/crates/common/src/merge.rs
@@ -6,20 +6,20 @@
 
 use violetwind_balancer::api::{Settings, Tenant};
 
-use crate::settings::{Name, Names};
+use crate::settings::{IndexedName, NameTable};
 
 /// Numbers that all settings since the start may use up, for classes, tenants, zones and kinds each.
-pub const NUMBERS: usize = 1024;
+pub const MAX_INDICES: usize = 1024;
 
 /// `new` with the numbers of `old`, and the number of each of the new classes.
-pub fn retune(
-    (old, old_names): (&Settings, &Names),
-    (mut new, new_names): (Settings, Names),
-) -> Result<(Settings, Names, Vec<usize>), String> {
+pub fn merge_settings(
+    (old, old_names): (&Settings, &NameTable),
+    (mut new, new_names): (Settings, NameTable),
+) -> Result<(Settings, NameTable, Vec<usize>), String> {
     let mut names = old_names.clone();
-    names.rated = new_names.rated;
+    names.rating_is_size = new_names.rating_is_size;
     for known in names.classes.iter_mut().chain(&mut names.tenants) {
-        known.current = false;
+        known.in_use = false;
     }
     let mut classes = old.classes.clone();
     let mut numbers = Vec::with_capacity(new.classes.len());
@@ -30,7 +30,7 @@
             names.classes.push(name.clone());
             classes.len() - 1
         });
-        names.classes[at].current = true;
+        names.classes[at].in_use = true;
         numbers.push(at);
     }
     let mut tenants: Vec<Tenant> = old.tenants.clone();
@@ -40,10 +40,10 @@
             .iter()
             .position(|known| known.name == name.name)
         {
-            Some(at) => (tenants[at], names.tenants[at].current) = (tenant.clone(), true),
+            Some(at) => (tenants[at], names.tenants[at].in_use) = (tenant.clone(), true),
             None => {
                 tenants.push(tenant.clone());
-                names.tenants.push(Name::new(&name.name));
+                names.tenants.push(IndexedName::new(&name.name));
             }
         }
     }
@@ -65,9 +65,9 @@
         ("azs", names.zones.len()),
         ("skus", names.kinds.len()),
     ];
-    if let Some((key, _)) = counts.iter().find(|(_, count)| *count > NUMBERS) {
+    if let Some((key, _)) = counts.iter().find(|(_, count)| *count > MAX_INDICES) {
         return Err(format!(
-            "settings.{key}: more than {NUMBERS} since the start: this needs a restart"
+            "settings.{key}: more than {MAX_INDICES} since the start: this needs a restart"
         ));
     }
     (new.classes, new.tenants) = (classes, tenants);
--- a/crates/common/src/facts.rs
+++ b/crates/common/src/named_values.rs
@@ -1,19 +1,19 @@
 //! Typed access to values that stand under names, wherever they come from.
 
-use violetwind_balancer::api::Secs;
+use violetwind_balancer::api::Seconds;
 
 /// Values by name. A list of plain values is joined by commas; one of objects gives its length
 /// under `NAME.count` and its items under `NAME.0`, `NAME.1` and so on.
-pub trait Facts {
+pub trait NamedValues {
     fn get(&self, name: &str) -> Option<&str>;
 
-    fn need(&self, name: &str) -> Result<&str, String> {
+    fn require(&self, name: &str) -> Result<&str, String> {
         self.get(name)
             .ok_or_else(|| format!("expected the field {name}"))
     }
 
-    fn int(&self, name: &str) -> Result<u64, String> {
-        let value = self.need(name)?;
+    fn require_int(&self, name: &str) -> Result<u64, String> {
+        let value = self.require(name)?;
         value
             .parse()
             .map_err(|_| format!("{name}={value}: expected a whole number"))
@@ -21,7 +21,7 @@
 
     fn int_or(&self, name: &str, absent: u64) -> Result<u64, String> {
         if self.get(name).is_some() {
-            self.int(name)
+            self.require_int(name)
         } else {
             Ok(absent)
         }
@@ -40,7 +40,7 @@
         Ok(self.number(name)?.unwrap_or(absent))
     }
 
-    fn secs(&self, name: &str) -> Result<Secs, String> {
+    fn require_seconds(&self, name: &str) -> Result<Seconds, String> {
         let value = self
             .number(name)?
             .ok_or_else(|| format!("expected the field {name}"))?;
--- a/crates/common/src/report.rs
+++ b/crates/common/src/report.rs
@@ -1,27 +1,27 @@
 //! The words of load reports.
 
-use violetwind_balancer::api::{Field, Report};
+use violetwind_balancer::api::{Report, ReportField};
 
 /// The value behind a name of reports and of the settings.
-pub(crate) fn field(name: &str) -> Option<Field> {
+pub(crate) fn report_field(name: &str) -> Option<ReportField> {
     match name {
-        "x0" => Some(Field::Load),
-        "rif" | "inflight" => Some(Field::Connections),
-        "q" | "queue" => Some(Field::Queue),
-        "busy" | "util" => Some(Field::Utilisation),
-        "fail_rate" | "eps" => Some(Field::Errors),
+        "x0" => Some(ReportField::Load),
+        "rif" | "inflight" => Some(ReportField::Connections),
+        "q" | "queue" => Some(ReportField::Queue),
+        "busy" | "util" => Some(ReportField::Utilisation),
+        "fail_rate" | "eps" => Some(ReportField::Errors),
         _ => None,
     }
 }
 
 /// Notes a value of a report; names that mean nothing to the module are passed over.
-pub fn note(report: &mut Report, name: &str, value: f64) {
-    let place = match field(name) {
-        Some(Field::Load) => &mut report.load,
-        Some(Field::Connections) => &mut report.connections,
-        Some(Field::Queue) => &mut report.queue,
-        Some(Field::Utilisation) => &mut report.utilisation,
-        Some(Field::Errors) => &mut report.errors,
+pub fn set_report_field(report: &mut Report, name: &str, value: f64) {
+    let place = match report_field(name) {
+        Some(ReportField::Load) => &mut report.load,
+        Some(ReportField::Connections) => &mut report.connections,
+        Some(ReportField::Queue) => &mut report.queue,
+        Some(ReportField::Utilisation) => &mut report.utilisation,
+        Some(ReportField::Errors) => &mut report.errors,
         None => return,
     };
     *place = Some(value);
--- a/crates/common/src/rows.rs
+++ b/crates/common/src/rows.rs
@@ -1,33 +1,33 @@
 //! Rows of the server list, before an instance's names give their words a number.
 
-use violetwind_balancer::api::{Entry, Secs, ServerId, Status};
+use violetwind_balancer::api::{Entry, Seconds, ServerId, Status};
 
-use crate::settings::{Names, index};
+use crate::settings::{NameTable, index_of};
 
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct ServerRow {
     pub server: ServerId,
     pub cell: u64,
     pub status: Status,
     pub kind: Option<String>,
     pub zone: Option<String>,
     /// 0 or absent: long ago.
-    pub born: Option<Secs>,
+    pub started_at: Option<Seconds>,
     pub rating: Option<f64>,
 }
 
-impl Row {
-    pub fn entry(&self, names: &Names) -> Entry {
+impl ServerRow {
+    pub fn to_entry(&self, names: &NameTable) -> Entry {
         Entry {
             server: self.server,
             status: self.status,
-            zone: index(&names.zones, self.zone.as_deref()),
-            kind: index(&names.kinds, self.kind.as_deref()),
+            zone: index_of(&names.zones, self.zone.as_deref()),
+            kind: index_of(&names.kinds, self.kind.as_deref()),
             cell: self.cell,
             size: self
                 .rating
-                .filter(|size| names.rated && *size > 0.0 && size.is_finite()),
-            born: self.born.filter(|born| *born != 0.0),
+                .filter(|size| names.rating_is_size && *size > 0.0 && size.is_finite()),
+            born: self.started_at.filter(|born| *born != 0.0),
         }
     }
 }
--- a/crates/common/src/settings.rs
+++ b/crates/common/src/settings.rs
@@ -1,58 +1,58 @@
 //! The settings of an instance, by the names that the operators give them.
 
-use violetwind_balancer::api::{Budget, Class, Effect, Scope, Settings, Tenant};
+use violetwind_balancer::api::{Budget, Class, DedupScope, Idempotency, Settings, Tenant};
 
-use crate::facts::Facts;
-use crate::report::field;
+use crate::named_values::NamedValues;
+use crate::report::report_field;
 
 /// A name behind a number; the number stays when the name is used no more.
 #[derive(Clone, Debug)]
-pub(crate) struct Name {
+pub(crate) struct IndexedName {
     pub name: String,
-    pub current: bool,
+    pub in_use: bool,
 }
 
-impl Name {
+impl IndexedName {
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_string(),
-            current: true,
+            in_use: true,
         }
     }
 }
 
-fn current(names: &[Name], name: Option<&str>) -> Option<usize> {
+fn current(names: &[IndexedName], name: Option<&str>) -> Option<usize> {
     names
         .iter()
-        .position(|known| known.current && Some(known.name.as_str()) == name)
+        .position(|known| known.in_use && Some(known.name.as_str()) == name)
 }
 
 /// The names an instance's settings use; inside, classes, tenants, zones and kinds are numbers.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     pub(crate) zones: Vec<String>,
     pub(crate) kinds: Vec<String>,
-    pub(crate) classes: Vec<Name>,
-    pub(crate) tenants: Vec<Name>,
+    pub(crate) classes: Vec<IndexedName>,
+    pub(crate) tenants: Vec<IndexedName>,
     /// Whether the list's rating is a server's size.
-    pub(crate) rated: bool,
+    pub(crate) rating_is_size: bool,
 }
 
-pub(crate) fn index(names: &[String], name: Option<&str>) -> Option<usize> {
+pub(crate) fn index_of(names: &[String], name: Option<&str>) -> Option<usize> {
     names.iter().position(|known| Some(known.as_str()) == name)
 }
 
-impl Names {
-    pub fn class(&self, name: &str) -> Option<usize> {
+impl NameTable {
+    pub fn class_index(&self, name: &str) -> Option<usize> {
         current(&self.classes, Some(name))
     }
 
-    pub fn tenant(&self, name: Option<&str>) -> Option<usize> {
+    pub fn tenant_index(&self, name: Option<&str>) -> Option<usize> {
         current(&self.tenants, name)
     }
 }
 
-fn message_aim(facts: &impl Facts) -> Result<Option<f64>, String> {
+fn message_aim(facts: &impl NamedValues) -> Result<Option<f64>, String> {
     let name = "family-info.message-aim-s";
     let mut shortest: Option<f64> = None;
     for text in facts.list(name) {
@@ -66,7 +66,7 @@
 }
 
 /// The budget of attempts, where all its keys are there.
-fn budget(facts: &impl Facts) -> Result<Option<Budget>, String> {
+fn budget(facts: &impl NamedValues) -> Result<Option<Budget>, String> {
     let figure = |name: &str| match facts.number(name)? {
         Some(value) if !value.is_finite() || value < 0.0 => {
             Err(format!("{name}={value}: expected a number of 0 or more"))
@@ -83,22 +83,24 @@
 }
 
 /// Reads the settings; keys it does not know are passed over.
-pub fn settings(facts: &impl Facts) -> Result<(Settings, Names), String> {
-    let mut names = Names {
+pub fn read_settings(facts: &impl NamedValues) -> Result<(Settings, NameTable), String> {
+    let mut names = NameTable {
         zones: facts.list("azs"),
         kinds: facts.list("skus"),
-        rated: matches!(facts.get("weights"), Some("nominal" | "rough")),
-        ..Names::default()
+        rating_is_size: matches!(facts.get("weights"), Some("nominal" | "rough")),
+        ..NameTable::default()
     };
     let mut classes = Vec::new();
     for at in 0..facts.int_or("request-classes.count", 0)? {
         let key = |part: &str| format!("request-classes.{at}.{part}");
-        names.classes.push(Name::new(facts.need(&key("name"))?));
+        names
+            .classes
+            .push(IndexedName::new(facts.require(&key("name"))?));
         classes.push(Class {
-            effect: match facts.need(&key("idempotency"))? {
-                "pure" => Effect::Safe,
-                "token" => Effect::Keyed,
-                "side_effect" => Effect::Unsafe,
+            effect: match facts.require(&key("idempotency"))? {
+                "pure" => Idempotency::Safe,
+                "token" => Idempotency::Keyed,
+                "side_effect" => Idempotency::Unsafe,
                 other => {
                     return Err(format!(
                         "idempotency={other}: expected pure, token or side_effect"
@@ -106,9 +108,9 @@
                 }
             },
             scope: match facts.get(&key("group")) {
-                Some("zone") => Scope::Zone,
-                Some("cell") => Scope::Cell,
-                _ => Scope::All,
+                Some("zone") => DedupScope::Zone,
+                Some("cell") => DedupScope::Cell,
+                _ => DedupScope::All,
             },
             window: facts.number_or(&key("window-s"), 0.0)?,
             aim: facts.number_or(&key("target-s"), 0.0)?,
@@ -120,7 +122,7 @@
     for at in 0..facts.int_or("orgs.count", 0)? {
         names
             .tenants
-            .push(Name::new(facts.need(&format!("orgs.{at}.name"))?));
+            .push(IndexedName::new(facts.require(&format!("orgs.{at}.name"))?));
         tenants.push(Tenant {
             quota: quotas.get(at as usize).and_then(|quota| quota.parse().ok()),
         });
@@ -128,14 +130,14 @@
     let settings = Settings {
         fleet_size: facts.int_or("fleet-size", 1)?.max(1) as usize,
         me: facts.int_or("me", 0)?,
-        zone: index(&names.zones, facts.get("zone")),
+        zone: index_of(&names.zones, facts.get("zone")),
         zones: names.zones.len(),
         classes,
         tenants,
         report_fields: facts
             .list("reporting.fields")
             .iter()
-            .filter_map(|name| field(name))
+            .filter_map(|name| report_field(name))
             .collect(),
         max_attempts: facts.int_or("permissions.max-attempts", 1)? as usize,
         max_retry_after: facts.number_or("permissions.max-retry-after-s", 0.0)?,
--- a/crates/common/tests/retune.rs
+++ b/crates/common/tests/merge.rs
@@ -2,19 +2,19 @@
 
 use std::collections::BTreeMap;
 
-use violetwind_balancer::api::{Budget, Effect, Settings};
-use violetwind_common::{Facts, NUMBERS, Names, retune, settings};
+use violetwind_balancer::api::{Budget, Idempotency, Settings};
+use violetwind_common::{MAX_INDICES, NameTable, NamedValues, merge_settings, read_settings};
 
 struct Told(BTreeMap<String, String>);
 
-impl Facts for Told {
+impl NamedValues for Told {
     fn get(&self, name: &str) -> Option<&str> {
         self.0.get(name).map(String::as_str)
     }
 }
 
 /// Settings with these classes (name, effect), tenants (name, quota) and zones, as seen from the last zone.
-fn told(classes: &[(&str, &str)], tenants: &[(&str, &str)], zones: &str) -> (Settings, Names) {
+fn told(classes: &[(&str, &str)], tenants: &[(&str, &str)], zones: &str) -> (Settings, NameTable) {
     let mut facts = BTreeMap::new();
     let mut put = |key: String, value: &str| drop(facts.insert(key, value.to_string()));
     put("request-classes.count".into(), &classes.len().to_string());
@@ -33,7 +33,7 @@
     );
     put("azs".into(), zones);
     put("zone".into(), zones.rsplit(',').next().unwrap());
-    settings(&Told(facts)).unwrap()
+    read_settings(&Told(facts)).unwrap()
 }
 
 #[test]
@@ -45,18 +45,18 @@
         &[],
         "a",
     );
-    let (now, now_names, numbers) = retune((&old, &names), new).unwrap();
+    let (now, now_names, numbers) = merge_settings((&old, &names), new).unwrap();
     assert_eq!(numbers, [2, 3, 0]);
-    assert_eq!(now_names.class("watch"), Some(0));
-    assert_eq!(now_names.class("book"), Some(3));
-    assert_eq!(now.classes[1].effect, Effect::Safe);
-    assert_eq!(now.classes[3].effect, Effect::Unsafe);
+    assert_eq!(now_names.class_index("watch"), Some(0));
+    assert_eq!(now_names.class_index("book"), Some(3));
+    assert_eq!(now.classes[1].effect, Idempotency::Safe);
+    assert_eq!(now.classes[3].effect, Idempotency::Unsafe);
     // One vanishes; what comes back as it was gets its old number.
     let new = told(&[("book", "pure"), ("new", "token")], &[], "a");
-    let (last, last_names, numbers) = retune((&now, &now_names), new).unwrap();
+    let (last, last_names, numbers) = merge_settings((&now, &now_names), new).unwrap();
     assert_eq!(numbers, [1, 2]);
-    assert_eq!(last_names.class("watch"), None);
-    assert_eq!(last_names.class("book"), Some(1));
+    assert_eq!(last_names.class_index("watch"), None);
+    assert_eq!(last_names.class_index("book"), Some(1));
     assert_eq!(last.classes.len(), 4);
 }
 
@@ -64,10 +64,10 @@
 fn tenants_and_zones_keep_their_numbers_by_name() {
     let (old, names) = told(&[], &[("t1", "5"), ("t2", "6")], "a,b");
     let new = told(&[], &[("t3", "7"), ("t2", "8")], "c,b,a");
-    let (now, names, _) = retune((&old, &names), new).unwrap();
-    assert_eq!(names.tenant(Some("t1")), None);
-    assert_eq!(names.tenant(Some("t2")), Some(1));
-    assert_eq!(names.tenant(Some("t3")), Some(2));
+    let (now, names, _) = merge_settings((&old, &names), new).unwrap();
+    assert_eq!(names.tenant_index(Some("t1")), None);
+    assert_eq!(names.tenant_index(Some("t2")), Some(1));
+    assert_eq!(names.tenant_index(Some("t3")), Some(2));
     assert_eq!(now.tenants[1].quota, Some(8.0));
     assert_eq!(now.zone, Some(0));
     assert_eq!(now.zones, 3);
@@ -79,11 +79,11 @@
     let (mut now, mut names) = told(&[("c", "pure")], &[], "a");
     for at in 1.. {
         let name = format!("c{at}");
-        match retune((&now, &names), told(&[(&name, "pure")], &[], "a")) {
+        match merge_settings((&now, &names), told(&[(&name, "pure")], &[], "a")) {
             Ok((next, next_names, _)) => (now, names) = (next, next_names),
             Err(error) => {
                 assert!(error.contains("request-classes"), "{error}");
-                assert_eq!(at, NUMBERS);
+                assert_eq!(at, MAX_INDICES);
                 return;
             }
         }
@@ -94,7 +94,7 @@
     let facts = given
         .iter()
         .map(|(key, value)| (format!("rules.{key}"), value.to_string()));
-    settings(&Told(facts.collect())).map(|(settings, _)| settings.budget)
+    read_settings(&Told(facts.collect())).map(|(settings, _)| settings.budget)
 }
 
 /// A missing key is no budget; a figure that is none must not pass for one.
--- a/crates/consul/src/client.rs
+++ b/crates/consul/src/client.rs
@@ -17,7 +17,7 @@
 use crate::rows::{Cutter, Reader};
 use crate::rules::{Api, Settings};
 use crate::token::Token;
-use violetwind_net::{Stream, connect};
+use violetwind_net::{SharedTcpStream, connect};
 
 /// Why there is no list.
 #[derive(Debug)]
@@ -154,7 +154,7 @@
             let stream = stream.map_err(|_| Failure::of("never comes up"))?;
             let stream = stream.map_err(|error| Failure::of(error.into_inner()))?;
             let _ = stream.set_nodelay(true);
-            let (sender, connection) = http1::handshake(TokioIo::new(Stream::new(stream)))
+            let (sender, connection) = http1::handshake(TokioIo::new(SharedTcpStream::new(stream)))
                 .await
                 .map_err(Failure::of)?;
             // Each call hears of an error itself.
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -8,7 +8,7 @@
 use tokio::time::{interval, sleep};
 use tracing::{info, warn};
 use violetwind_catalogue::{Row, Telling};
-use violetwind_engine::Notice;
+use violetwind_engine::EngineEvent;
 
 use crate::client::{Client, Failure, Read};
 use crate::query::{Head, Query, Verdict};
@@ -20,7 +20,7 @@
     settings: Rc<Settings>,
     datacenter: Option<String>,
     name: Rc<str>,
-    engine: mpsc::Sender<Notice>,
+    engine: mpsc::Sender<EngineEvent>,
 ) {
     let mut client = Client::new(&settings, datacenter.as_deref());
     let mut query = Query::new(settings.limits.clone());
@@ -72,14 +72,14 @@
 
 /// Tells the engine, a long list in parts between which connections are served. False if it is gone.
 async fn tell(
-    engine: &mpsc::Sender<Notice>,
+    engine: &mpsc::Sender<EngineEvent>,
     name: &Rc<str>,
     telling: Telling,
     slice: usize,
 ) -> bool {
     let send = async |telling| {
         engine
-            .send(Notice::Told(name.clone(), telling))
+            .send(EngineEvent::SourceUpdate(name.clone(), telling))
             .await
             .is_ok()
     };
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 use violetwind_catalogue::{Row, Telling, Word};
 use violetwind_consul::{Api, Field, Identity, Settings, watch};
-use violetwind_engine::Notice;
+use violetwind_engine::EngineEvent;
 use violetwind_standins::PATIENCE;
 use violetwind_standins::consul::{Check, Consul, Instance, Maintenance, Mood};
 
@@ -38,7 +38,7 @@
 }
 
 /// What a watch tells.
-struct Told(mpsc::Receiver<Notice>);
+struct Told(mpsc::Receiver<EngineEvent>);
 
 impl Told {
     async fn next(&mut self) -> Telling {
@@ -46,7 +46,7 @@
             .await
             .expect("nothing is told");
         match notice.expect("the watch goes on") {
-            Notice::Told(_, telling) => telling,
+            EngineEvent::SourceUpdate(_, telling) => telling,
             other => panic!("{other:?}"),
         }
     }
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -4,7 +4,7 @@
 
 use rustix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
-use violetwind_balancer::api::Secs;
+use violetwind_balancer::api::Seconds;
 
 /// Microseconds of CLOCK_MONOTONIC, the same for all processes of a machine: what log lines of several processes are
 /// compared by.
@@ -18,14 +18,14 @@
 enum Wall {
     System,
     /// It runs with the monotonic one, this much ahead.
-    Ahead(Secs),
+    Ahead(Seconds),
 }
 
 /// Moments of the runtime as seconds of the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    monotonic: Secs,
+    monotonic: Seconds,
     wall: Wall,
 }
 
@@ -35,13 +35,13 @@
         let now = clock_gettime(ClockId::Monotonic);
         Self {
             start: Instant::now(),
-            monotonic: now.tv_sec as Secs + now.tv_nsec as Secs / 1e9,
+            monotonic: now.tv_sec as Seconds + now.tv_nsec as Seconds / 1e9,
             wall: Wall::System,
         }
     }
 
     /// A clock by which it is this time at that moment, in simulated time; its wall clock shows the same.
-    pub fn fixed(start: Instant, time: Secs) -> Self {
+    pub fn simulated(start: Instant, time: Seconds) -> Self {
         Self {
             start,
             monotonic: time,
@@ -54,23 +54,23 @@
     }
 
     /// Seconds of the monotonic clock at a moment.
-    pub fn at(&self, moment: Instant) -> Secs {
+    pub fn seconds_at(&self, moment: Instant) -> Seconds {
         self.monotonic + moment.saturating_duration_since(self.start).as_secs_f64()
     }
 
     /// The moment of a monotonic time in milliseconds; the start for one before it.
-    pub fn moment(&self, monotonic_ms: u64) -> Instant {
-        let since = (monotonic_ms as Secs / 1e3 - self.monotonic).clamp(0.0, 1e9);
+    pub fn instant_at(&self, monotonic_ms: u64) -> Instant {
+        let since = (monotonic_ms as Seconds / 1e3 - self.monotonic).clamp(0.0, 1e9);
         self.start + Duration::from_secs_f64(since)
     }
 
     /// Unix time in seconds as the wall clock shows it now: it is compared with nothing that was read earlier.
-    pub fn wall(&self, now: Instant) -> Secs {
+    pub fn unix_seconds(&self, now: Instant) -> Seconds {
         match self.wall {
             Wall::System => SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0.0, |since| since.as_secs_f64()),
-            Wall::Ahead(by) => self.at(now) + by,
+            Wall::Ahead(by) => self.seconds_at(now) + by,
         }
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -13,96 +13,96 @@
 use tracing::{debug, error, info, trace, warn};
 use violetwind_balancer::Balancer;
 use violetwind_balancer::api::{
-    Action, Allowance, Entry, Event, GiveUpReason, ListKind, Outcome, Report, RequestId, Secs,
-    ServerId, Settings, Status, Taking,
+    Action, AdmissionMode, Allowance, Entry, Event, GiveUpReason, ListKind, Outcome, Report,
+    RequestId, Seconds, ServerId, Settings, Status,
 };
 use violetwind_catalogue::{Instance, Telling, Word};
-use violetwind_common::{Names, Row, server_id};
+use violetwind_common::{NameTable, ServerRow, server_id};
 use violetwind_service::{Bans, Change, Kept, Machines, Millis, Outs, taking};
 
 mod machines;
 
 use crate::clock::{Clock, monotonic_us};
 use crate::limits::Limits;
-use crate::members::Members;
-use crate::spread::Spread;
-use crate::start_times::{Reading, StartTimes};
-use crate::words::{Binding, Listed, Notice, Order, Reply};
+use crate::members::SourceSet;
+use crate::spread::MoveSchedule;
+use crate::start_times::{ListContext, StartTimes};
+use crate::words::{ConnectionCommand, EngineEvent, ListedServer, OperatorReply, UnlistedServers};
 
 /// The name under which the list of the last run is weighed.
 const LAST_RUN: &str = "last run";
 
 #[derive(Debug)]
 struct Conn {
-    orders: mpsc::Sender<Order>,
+    orders: mpsc::Sender<ConnectionCommand>,
     /// Where its attempt is out.
-    out: Option<ServerId>,
+    attempt_server: Option<ServerId>,
     /// The server that it is up on.
-    on: Option<ServerId>,
+    connected_server: Option<ServerId>,
     /// The address that it was last sent to.
     at: Option<SocketAddr>,
 }
 
 impl Conn {
-    fn new(orders: mpsc::Sender<Order>) -> Self {
+    fn new(orders: mpsc::Sender<ConnectionCommand>) -> Self {
         Self {
             orders,
-            out: None,
-            on: None,
+            attempt_server: None,
+            connected_server: None,
             at: None,
         }
     }
 }
 
 /// Who asks servers for their load; the answers come back as notices.
-pub trait Probe {
+pub trait ProbeSender {
     /// Probes a server at an address. False if too many wait there.
-    fn probe(&mut self, server: ServerId, at: SocketAddr) -> bool;
+    fn send_probe(&mut self, server: ServerId, at: SocketAddr) -> bool;
 }
 
 /// What an engine runs by.
 #[derive(Debug)]
-pub struct Setup {
+pub struct EngineConfig {
     pub settings: Settings,
     pub seed: u64,
-    pub names: Names,
+    pub names: NameTable,
     pub limits: Limits,
     /// With these, lists come from sources that a catalogue weighs; without, as [`Notice::List`].
-    pub catalogue: Option<violetwind_catalogue::Limits>,
-    pub service: violetwind_service::Limits,
+    pub catalogue_limits: Option<violetwind_catalogue::Limits>,
+    pub service_limits: violetwind_service::Limits,
     /// The servers that operators keep out, and whether they have emptied this proxy.
     pub bans: Bans,
-    pub left: bool,
+    pub has_left: bool,
     /// Which machine each server is on, for orders that take machines out.
     pub machines: Machines,
 }
 
 pub struct Engine<P> {
-    names: Names,
+    names: NameTable,
     limits: Limits,
     clock: Clock,
     now: Instant,
     balancer: Balancer,
     actions: Vec<Action>,
     probes: P,
-    members: Option<Members>,
+    members: Option<SourceSet>,
     /// Rows of the catalogue that the module has not been told yet; the last word on a server counts.
-    changed: BTreeMap<ServerId, Listed>,
-    conns: HashMap<RequestId, Conn>,
+    changed: BTreeMap<ServerId, ListedServer>,
+    connections: HashMap<RequestId, Conn>,
     /// Where each server is reached, with the identity behind its number.
     addresses: HashMap<ServerId, (String, SocketAddr)>,
     start_times: StartTimes,
     /// The sources that have given a list; the empty name is that of lists without a catalogue.
     have_listed: BTreeSet<Rc<str>>,
     /// What was last told of each, before the operators' word goes over it.
-    told: HashMap<ServerId, Row>,
+    last_rows: HashMap<ServerId, ServerRow>,
     service: violetwind_service::Limits,
     bans: Bans,
     outs: Outs,
-    cold_for: Secs,
+    cold_for: Seconds,
     /// Since when operators empty the proxy, what it takes, and when that changes.
     left_at: Option<Instant>,
-    taking: Taking,
+    taking: AdmissionMode,
     next_stage: Option<Instant>,
     ending: bool,
     /// Nothing more is taken for good.
@@ -110,16 +110,16 @@
     /// A successor serves.
     succeeded: bool,
     on_server: HashMap<ServerId, BTreeSet<RequestId>>,
-    draining: BTreeMap<ServerId, Spread>,
-    leaving: Option<Spread>,
+    draining: BTreeMap<ServerId, MoveSchedule>,
+    leaving: Option<MoveSchedule>,
     /// Connections to addresses that their servers have left.
-    strays: Vec<Spread>,
+    strays: Vec<MoveSchedule>,
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
     next_spread: Option<Instant>,
 }
 
-impl<P: Probe> Engine<P> {
-    pub fn new(setup: Setup, clock: Clock, probes: P) -> Self {
+impl<P: ProbeSender> Engine<P> {
+    pub fn new(setup: EngineConfig, clock: Clock, probes: P) -> Self {
         Self {
             outs: Outs::new(setup.machines),
             cold_for: setup.settings.cold_for,
@@ -130,19 +130,19 @@
             clock,
             actions: Vec::new(),
             probes,
-            members: setup.catalogue.map(Members::new),
+            members: setup.catalogue_limits.map(SourceSet::new),
             changed: BTreeMap::new(),
-            conns: HashMap::new(),
+            connections: HashMap::new(),
             addresses: HashMap::new(),
             start_times: StartTimes::default(),
             have_listed: BTreeSet::new(),
-            told: HashMap::new(),
-            service: setup.service,
+            last_rows: HashMap::new(),
+            service: setup.service_limits,
             bans: setup
                 .bans
-                .taken_over((clock.at(clock.start()) * 1e3) as Millis),
-            left_at: setup.left.then(|| clock.start()),
-            taking: Taking::All,
+                .taken_over((clock.seconds_at(clock.start()) * 1e3) as Millis),
+            left_at: setup.has_left.then(|| clock.start()),
+            taking: AdmissionMode::All,
             next_stage: None,
             ending: false,
             last: false,
@@ -160,13 +160,13 @@
     /// source has given a newer one.
     pub async fn run(
         mut self,
-        mut inbox: mpsc::Receiver<Notice>,
-        known: Vec<Listed>,
+        mut inbox: mpsc::Receiver<EngineEvent>,
+        known: Vec<ListedServer>,
         ready: Rc<watch::Sender<bool>>,
     ) {
         self.start(Instant::now(), known);
         loop {
-            let due = self.next_wake();
+            let due = self.next_wakeup();
             let wake = async {
                 match due {
                     Some(at) => sleep_until(at).await,
@@ -177,18 +177,18 @@
                 notice = inbox.recv() => match notice {
                     Some(notice) => {
                         let listed = match &notice {
-                            Notice::List(..) => true,
-                            Notice::Told(_, telling) => telling.completes(),
+                            EngineEvent::ServerList(..) => true,
+                            EngineEvent::SourceUpdate(_, telling) => telling.completes(),
                             _ => false,
                         };
-                        self.take(Instant::now(), notice);
+                        self.handle_event(Instant::now(), notice);
                         if listed {
                             ready.send_replace(true);
                         }
                     }
                     None => return,
                 },
-                () = wake => self.wake(Instant::now()),
+                () = wake => self.handle_wakeup(Instant::now()),
             }
             if !self.changed.is_empty() {
                 yield_now().await;
@@ -197,33 +197,33 @@
     }
 
     /// Comes to life with the list as it was last known.
-    pub fn start(&mut self, now: Instant, known: Vec<Listed>) {
+    pub fn start(&mut self, now: Instant, known: Vec<ListedServer>) {
         self.now = now;
         self.handle(Event::Start);
         if self.left_at.is_some() {
-            self.set_taking(Taking::Nothing);
+            self.set_taking(AdmissionMode::Nothing);
         }
         if self.members.is_none() {
             return self.take_list(ListKind::Restored, known);
         }
         // The last run is a source whose word stands until the others have spoken.
         let last: Rc<str> = LAST_RUN.into();
-        self.take(now, Notice::Sources(vec![last.clone()]));
-        let rows = known.into_iter().filter_map(catalogue_row).collect();
-        self.take(now, Notice::Told(last, Telling::Whole(rows)));
+        self.handle_event(now, EngineEvent::Sources(vec![last.clone()]));
+        let rows = known.into_iter().filter_map(to_catalogue_row).collect();
+        self.handle_event(now, EngineEvent::SourceUpdate(last, Telling::Whole(rows)));
     }
 
     /// When it wants to be woken.
-    pub fn next_wake(&self) -> Option<Instant> {
+    pub fn next_wakeup(&self) -> Option<Instant> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-        let look = self.members.as_ref().and_then(Members::next_wake);
-        let look = look.map(|at| self.clock.moment(at));
+        let look = self.members.as_ref().and_then(SourceSet::next_wakeup);
+        let look = look.map(|at| self.clock.instant_at(at));
         let rest = (!self.changed.is_empty()).then_some(self.now);
         let due = [timer, self.next_spread, self.next_stage, look, rest];
         due.into_iter().flatten().min()
     }
 
-    pub fn wake(&mut self, now: Instant) {
+    pub fn handle_wakeup(&mut self, now: Instant) {
         self.now = now;
         while let Some(Reverse((at, token))) = self.timers.peek().copied()
             && at <= now
@@ -238,18 +238,18 @@
             self.spread_moves(now);
         }
         self.take_changed();
-        let due = self.members.as_ref().and_then(Members::next_wake);
-        if due.is_some_and(|at| self.clock.moment(at) <= now) {
-            self.weigh(|members, now| members.wake(now));
+        let due = self.members.as_ref().and_then(SourceSet::next_wakeup);
+        if due.is_some_and(|at| self.clock.instant_at(at) <= now) {
+            self.weigh(|members, now| members.handle_wakeup(now));
         }
     }
 
     /// Takes a list where no catalogue stands between.
-    fn take_list(&mut self, kind: ListKind, mut rows: Vec<Listed>) {
+    fn take_list(&mut self, kind: ListKind, mut rows: Vec<ListedServer>) {
         let reading = self.reading("");
         for listed in &mut rows {
-            let start = listed.row.born;
-            listed.row.born = self.start_times.resolve(&listed.uid, start, reading);
+            let start = listed.row.started_at;
+            listed.row.started_at = self.start_times.resolve(&listed.uid, start, reading);
         }
         if matches!(kind, ListKind::Replace | ListKind::Update) {
             self.have_listed.insert("".into());
@@ -270,7 +270,7 @@
             let Some(instance) = &mut row.instance else {
                 continue;
             };
-            let listed = instance.born.map(|ms| ms as Secs / 1e3);
+            let listed = instance.born.map(|ms| ms as Seconds / 1e3);
             let start = self.start_times.resolve(&row.uid, listed, reading);
             instance.born = start.map(|at| (at * 1e3) as u64);
         }
@@ -279,19 +279,19 @@
         }
     }
 
-    fn reading(&self, source: &str) -> Reading {
-        Reading {
-            now: self.clock.at(self.now),
-            wall: self.clock.wall(self.now),
-            follows: self.have_listed.contains(source),
+    fn reading(&self, source: &str) -> ListContext {
+        ListContext {
+            now: self.clock.seconds_at(self.now),
+            unix_seconds: self.clock.unix_seconds(self.now),
+            has_earlier_list: self.have_listed.contains(source),
             cold_for: self.cold_for,
         }
     }
 
     /// Asks the catalogue, and takes what changes by it: who leaves at once, the rest in slices between
     /// which connections are served.
-    fn weigh(&mut self, ask: impl FnOnce(&mut Members, u64) -> Vec<Listed>) {
-        let now = (self.clock.at(self.now) * 1e3) as u64;
+    fn weigh(&mut self, ask: impl FnOnce(&mut SourceSet, u64) -> Vec<ListedServer>) {
+        let now = (self.clock.seconds_at(self.now) * 1e3) as u64;
         let rows = match &mut self.members {
             Some(members) => ask(members, now),
             None => return,
@@ -317,7 +317,7 @@
     /// Takes a slice of what changed.
     fn take_changed(&mut self) {
         let mut rows = Vec::new();
-        while rows.len() < self.limits.slice
+        while rows.len() < self.limits.max_rows_per_step
             && let Some((_, listed)) = self.changed.pop_first()
         {
             rows.push(listed);
@@ -334,83 +334,87 @@
         }
         if let Some((uid, _)) = self.addresses.get(&server) {
             let uid = uid.clone();
-            self.weigh(|members, now| members.heard_of(now, &uid, answered));
+            self.weigh(|members, now| members.report_reachability(now, &uid, answered));
         }
     }
 
     /// Takes one notice, and gives its orders before it returns.
-    pub fn take(&mut self, now: Instant, notice: Notice) {
+    pub fn handle_event(&mut self, now: Instant, notice: EngineEvent) {
         self.now = now;
         match notice {
-            Notice::List(kind, rows) => self.take_list(kind, rows),
-            Notice::Sources(names) => self.weigh(|members, now| members.set_sources(now, &names)),
-            Notice::Told(name, mut telling) => {
+            EngineEvent::ServerList(kind, rows) => self.take_list(kind, rows),
+            EngineEvent::Sources(names) => {
+                self.weigh(|members, now| members.set_sources(now, &names))
+            }
+            EngineEvent::SourceUpdate(name, mut telling) => {
                 self.resolve_starts(&name, &mut telling);
-                self.weigh(|members, now| members.tell(now, &name, telling));
+                self.weigh(|members, now| members.apply_update(now, &name, telling));
+            }
+            EngineEvent::ListUnavailable => {
+                self.handle(Event::Servers(ListKind::Unavailable, Vec::new()))
             }
-            Notice::ListLost => self.handle(Event::Servers(ListKind::Unavailable, Vec::new())),
-            Notice::Request(request, orders) => {
-                self.conns.insert(request.id, Conn::new(orders));
+            EngineEvent::Request(request, orders) => {
+                self.connections.insert(request.id, Conn::new(orders));
                 self.handle(Event::Request(request));
             }
-            Notice::Standing(id, uid, orders) => {
+            EngineEvent::Resume(id, uid, orders) => {
                 let server = server_id(&uid);
                 let address = self.addresses.get(&server);
-                let order = match address.filter(|_| !self.kept_out(&uid)) {
-                    _ if self.last => Order::Fail,
-                    Some(&(_, endpoint)) => Order::Send {
+                let order = match address.filter(|_| !self.is_kept_out(&uid)) {
+                    _ if self.last => ConnectionCommand::Fail,
+                    Some(&(_, endpoint)) => ConnectionCommand::Send {
                         server,
                         endpoint,
-                        within: self.limits.standing,
+                        within: self.limits.resume_timeout,
                         write_by: None,
                         report_write: false,
                     },
-                    None => Order::NotYet,
+                    None => ConnectionCommand::NotYet,
                 };
                 let mut conn = Conn::new(orders);
-                if let Order::Send { endpoint, .. } = order {
+                if let ConnectionCommand::Send { endpoint, .. } = order {
                     conn.at = Some(endpoint);
                 }
-                self.conns.insert(id, conn);
+                self.connections.insert(id, conn);
                 self.order(id, order);
             }
-            Notice::Allowances(parts, reply) => {
+            EngineEvent::Allowances(parts, reply) => {
                 for (matter, part, until) in parts {
-                    let until = self.clock.at(until);
+                    let until = self.clock.seconds_at(until);
                     self.handle(Event::Allowance(matter, Allowance { until, ..part }));
                 }
                 // Whoever asked and has gone needs no answer.
-                let _ = reply.send(self.balancer.uses(self.clock.at(now)));
+                let _ = reply.send(self.balancer.quota_usage(self.clock.seconds_at(now)));
             }
-            Notice::Stands(request, server) => {
+            EngineEvent::Resumed(request, server) => {
                 self.up(request.id, server);
                 self.handle(Event::Open(request, server));
             }
-            Notice::Adopted(request, server, orders) => {
+            EngineEvent::Adopted(request, server, orders) => {
                 let id = request.id;
                 let mut conn = Conn::new(orders);
                 let address = self.addresses.get(&server);
                 conn.at = address.map(|(_, endpoint)| *endpoint);
                 let known = address.is_some();
-                self.conns.insert(id, conn);
+                self.connections.insert(id, conn);
                 self.up(id, server);
                 self.handle(Event::Open(request, server));
                 if !known {
                     // No list of this process has named its server.
-                    self.order(id, Order::Move);
+                    self.order(id, ConnectionCommand::Move);
                 }
             }
-            Notice::Written(id, server) => self.handle(Event::Written(id, server)),
-            Notice::Up(id, server) => {
+            EngineEvent::Written(id, server) => self.handle(Event::Written(id, server)),
+            EngineEvent::ConnectionUp(id, server) => {
                 self.up(id, server);
                 self.handle(Event::Begun(id, server));
                 self.heard_of(server, true);
             }
-            Notice::Ended(ended) => {
+            EngineEvent::AttemptEnded(ended) => {
                 if ended.last {
                     self.forget(ended.id);
-                } else if let Some(conn) = self.conns.get_mut(&ended.id) {
-                    conn.out = None;
+                } else if let Some(conn) = self.connections.get_mut(&ended.id) {
+                    conn.attempt_server = None;
                 }
                 let unreached = ended.outcome == Outcome::ConnectFailed;
                 let server = ended.server;
@@ -419,19 +423,21 @@
                     self.heard_of(server, false);
                 }
             }
-            Notice::Gone(id) => {
+            EngineEvent::ClientGone(id) => {
                 self.forget(id);
                 self.handle(Event::Gone(id));
             }
-            Notice::Load(id, load) => self.handle(Event::LoadNote(id, load)),
-            Notice::Delay(server, delay) => self.handle(Event::DelayNote(server, delay)),
-            Notice::Silent(server) => {
+            EngineEvent::ConnectionLoad(id, load) => self.handle(Event::LoadNote(id, load)),
+            EngineEvent::MessageDelay(server, delay) => {
+                self.handle(Event::DelayNote(server, delay))
+            }
+            EngineEvent::ServerUnresponsive(server) => {
                 // To the module a server that leaves lines unanswered is as one that leaves probes.
                 let outcome = Outcome::TimedOut;
                 self.handle(Event::Probed(server, outcome, Report::default()));
                 self.heard_of(server, false);
             }
-            Notice::Probed(server, outcome, report) => {
+            EngineEvent::Probed(server, outcome, report) => {
                 self.handle(Event::Probed(server, outcome, report));
                 match outcome {
                     Outcome::Ok | Outcome::Full | Outcome::Error => self.heard_of(server, true),
@@ -442,21 +448,21 @@
                     Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFailure => {}
                 }
             }
-            Notice::Shutdown(within) => {
+            EngineEvent::Shutdown(within) => {
                 self.ending = true;
                 let connections = self.leave_within(within);
                 info!(connections, "shutdown: clients are moved");
             }
-            Notice::Last => {
+            EngineEvent::FinishShutdown => {
                 self.next_stage = None;
-                self.set_taking(Taking::Nothing);
+                self.set_taking(AdmissionMode::Nothing);
                 self.last = true;
                 let up: Vec<RequestId> = self.on_server.values().flatten().copied().collect();
                 for id in up {
-                    self.order(id, Order::Move);
+                    self.order(id, ConnectionCommand::Move);
                 }
             }
-            Notice::Succeeded(Some(within)) => {
+            EngineEvent::SuccessorChanged(Some(within)) => {
                 self.succeeded = true;
                 let connections = self.leave_within(within);
                 info!(
@@ -465,45 +471,45 @@
                 );
                 let up: Vec<RequestId> = self.on_server.values().flatten().copied().collect();
                 for id in up {
-                    self.order(id, Order::HandOver);
+                    self.order(id, ConnectionCommand::HandOver);
                 }
             }
-            Notice::Succeeded(None) => {
+            EngineEvent::SuccessorChanged(None) => {
                 self.succeeded = false;
                 if !self.ending && self.left_at.is_none() {
                     self.leaving = None;
                 }
             }
-            Notice::Settings(settings, names) => {
+            EngineEvent::Settings(settings, names) => {
                 self.names = names;
                 self.cold_for = settings.cold_for;
                 self.handle(Event::Settings(settings));
                 self.tell_all_again();
             }
             // Nobody may wait for the answer any more.
-            Notice::Operator(change, binding, reply) => {
+            EngineEvent::OperatorChange(change, binding, reply) => {
                 drop(reply.send(self.change(change, binding)));
             }
-            Notice::Out(machines, reply) => {
-                self.out(machines);
+            EngineEvent::MachinesOut(machines, reply) => {
+                self.set_machines_out(machines);
                 let _ = reply.send(());
             }
-            Notice::Look(reply) => drop(reply.send(self.look())),
-            Notice::Health(reply) => drop(reply.send(self.addresses.len())),
+            EngineEvent::QueryMachines(reply) => drop(reply.send(self.snapshot_machines())),
+            EngineEvent::Health(reply) => drop(reply.send(self.addresses.len())),
         }
     }
 
     /// Carries out an operator's word: once this returns, it is in force.
-    fn change(&mut self, change: Change, binding: Binding) -> Reply {
-        let now = (self.clock.at(self.now) * 1e3) as Millis;
+    fn change(&mut self, change: Change, binding: UnlistedServers) -> OperatorReply {
+        let now = (self.clock.seconds_at(self.now) * 1e3) as Millis;
         let kept = match &change {
-            Change::Leave | Change::Join if self.ending => return Reply::Ending,
+            Change::Leave | Change::Join if self.ending => return OperatorReply::Ending,
             Change::Leave => self.leave(),
             Change::Join => self.join(),
             Change::Offline(uid) | Change::Online(uid)
-                if binding == Binding::IfNamed && !self.named(uid) =>
+                if binding == UnlistedServers::Reject && !self.named(uid) =>
             {
-                return Reply::Unknown;
+                return OperatorReply::Unknown;
             }
             Change::Offline(uid) => {
                 self.outs.word(uid, false);
@@ -519,7 +525,7 @@
             }
         };
         if let (Kept::Changed, Change::Offline(uid) | Change::Online(uid)) = (kept, &change) {
-            self.tell_again(uid);
+            self.resend_row(uid);
         }
         info!(
             ?change,
@@ -528,9 +534,9 @@
             "an operator's word"
         );
         match kept {
-            Kept::Changed => Reply::Changed(self.bans.clone()),
-            Kept::Same => Reply::Same(self.bans.clone()),
-            Kept::Full => Reply::Full,
+            Kept::Changed => OperatorReply::Changed(self.bans.clone()),
+            Kept::Same => OperatorReply::Same(self.bans.clone()),
+            Kept::Full => OperatorReply::Full,
         }
     }
 
@@ -541,10 +547,10 @@
     }
 
     /// Tells the module of a server anew, as the operators' word on it has changed.
-    fn tell_again(&mut self, uid: &str) {
+    fn resend_row(&mut self, uid: &str) {
         let server = server_id(uid);
-        if let Some(row) = self.told.get(&server).cloned() {
-            let listed = Listed {
+        if let Some(row) = self.last_rows.get(&server).cloned() {
+            let listed = ListedServer {
                 uid: uid.to_string(),
                 endpoint: None,
                 row,
@@ -552,18 +558,18 @@
             self.list(ListKind::Update, vec![listed]);
         }
         let up = |status| matches!(status, Status::Up | Status::Suspected);
-        let told = self.told.iter().filter(|(_, row)| up(row.status));
+        let told = self.last_rows.iter().filter(|(_, row)| up(row.status));
         let uids = told.filter_map(|(server, _)| self.addresses.get(server));
-        let mut used = uids.filter(|(uid, _)| !self.kept_out(uid));
-        if self.kept_out(uid) && used.next().is_none() {
+        let mut used = uids.filter(|(uid, _)| !self.is_kept_out(uid));
+        if self.is_kept_out(uid) && used.next().is_none() {
             warn!(uid, "the last server has been put out: nothing is served");
         }
     }
 
     /// Tells the module of all servers anew: words of the list may have got a number.
     fn tell_all_again(&mut self) {
-        let told = self.told.iter().filter_map(|(server, row)| {
-            Some(Listed {
+        let told = self.last_rows.iter().filter_map(|(server, row)| {
+            Some(ListedServer {
                 uid: self.addresses.get(server)?.0.clone(),
                 endpoint: None,
                 row: row.clone(),
@@ -574,14 +580,14 @@
     }
 
     /// Puts the operators' word over what a list says.
-    fn ruled(&self, uid: &str, row: &mut Row) {
-        if self.kept_out(uid) && matches!(row.status, Status::Up | Status::Suspected) {
+    fn apply_overrides(&self, uid: &str, row: &mut ServerRow) {
+        if self.is_kept_out(uid) && matches!(row.status, Status::Up | Status::Suspected) {
             row.status = Status::Draining;
         }
-        let listed = row.born.map(|born| (born * 1e3) as Millis);
+        let listed = row.started_at.map(|born| (born * 1e3) as Millis);
         let born = self.outs.born(uid, self.bans.born(uid, listed));
         if born != listed {
-            row.born = born.map(|ms| ms as f64 / 1e3);
+            row.started_at = born.map(|ms| ms as f64 / 1e3);
         }
     }
 
@@ -601,7 +607,7 @@
             return Kept::Same;
         }
         (self.leaving, self.next_stage) = (None, None);
-        self.set_taking(Taking::All);
+        self.set_taking(AdmissionMode::All);
         Kept::Changed
     }
 
@@ -615,7 +621,7 @@
         self.set_taking(now_taken);
     }
 
-    fn set_taking(&mut self, taking: Taking) {
+    fn set_taking(&mut self, taking: AdmissionMode) {
         if std::mem::replace(&mut self.taking, taking) != taking {
             info!(?taking, "what is taken");
             self.handle(Event::Taking(taking));
@@ -632,7 +638,7 @@
             .as_ref()
             .is_none_or(|earlier| earlier.until > until)
         {
-            self.leaving = Some(Spread::new(left, from, until));
+            self.leaving = Some(MoveSchedule::new(left, from, until));
         }
         self.next_spread = Some(self.now);
         count
@@ -640,25 +646,28 @@
 
     fn up(&mut self, id: RequestId, server: ServerId) {
         if self.succeeded {
-            self.order(id, Order::HandOver);
+            self.order(id, ConnectionCommand::HandOver);
         }
-        if let Some(conn) = self.conns.get_mut(&id) {
-            conn.out = None;
-            conn.on = Some(server);
+        if let Some(conn) = self.connections.get_mut(&id) {
+            conn.attempt_server = None;
+            conn.connected_server = Some(server);
             self.on_server.entry(server).or_default().insert(id);
             if let Some(leaving) = &mut self.leaving {
-                leaving.left.push(id);
+                leaving.pending.push(id);
                 self.next_spread = Some(self.now);
             }
             if let Some(draining) = self.draining.get_mut(&server) {
-                draining.left.push(id);
+                draining.pending.push(id);
                 self.next_spread = Some(self.now);
             }
         }
     }
 
     fn forget(&mut self, id: RequestId) {
-        let on = self.conns.remove(&id).and_then(|conn| conn.on);
+        let on = self
+            .connections
+            .remove(&id)
+            .and_then(|conn| conn.connected_server);
         if let Some(server) = on
             && let Some(ids) = self.on_server.get_mut(&server)
         {
@@ -669,7 +678,7 @@
         }
     }
 
-    fn list(&mut self, kind: ListKind, rows: Vec<Listed>) {
+    fn list(&mut self, kind: ListKind, rows: Vec<ListedServer>) {
         let mut entries: Vec<Entry> = Vec::with_capacity(rows.len());
         for listed in rows {
             let server = listed.row.server;
@@ -690,16 +699,20 @@
                 }
             }
             let mut row = listed.row.clone();
-            self.told.insert(server, listed.row);
-            self.note_out(&listed.uid);
-            self.ruled(&listed.uid, &mut row);
-            entries.push(row.entry(&self.names));
+            self.last_rows.insert(server, listed.row);
+            self.record_if_out(&listed.uid);
+            self.apply_overrides(&listed.uid, &mut row);
+            entries.push(row.to_entry(&self.names));
             self.note_status(server, row.status);
         }
         if kind != ListKind::Update {
             // A server that a whole list leaves out is gone.
             let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
-            for (_, row) in self.told.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+            for (_, row) in self
+                .last_rows
+                .iter_mut()
+                .filter(|(id, _)| !listed.contains(id))
+            {
                 row.status = Status::Gone;
             }
             let used: Vec<ServerId> = self.on_server.keys().copied().collect();
@@ -715,7 +728,7 @@
     fn left_behind(&mut self, server: ServerId, old: SocketAddr) {
         let Some(members) = &self.members else { return };
         let stays = Duration::from_millis(members.absent_for());
-        let at_old = |id: &&RequestId| self.conns.get(id).is_some_and(|c| c.at == Some(old));
+        let at_old = |id: &&RequestId| self.connections.get(id).is_some_and(|c| c.at == Some(old));
         let on = self.on_server.get(&server).into_iter().flatten();
         let left: Vec<RequestId> = on.filter(at_old).copied().collect();
         if left.is_empty() {
@@ -725,7 +738,7 @@
         info!(uid, %old, connections = left.len(), "a server has another address");
         let from = self.now + stays;
         let until = from + self.limits.drain_span;
-        self.strays.push(Spread::new(left, from, until));
+        self.strays.push(MoveSchedule::new(left, from, until));
         self.next_spread = Some(self.now);
     }
 
@@ -748,43 +761,48 @@
             };
             let from = self.now + wait;
             let until = from + self.limits.drain_span;
-            self.draining.insert(server, Spread::new(left, from, until));
+            self.draining
+                .insert(server, MoveSchedule::new(left, from, until));
             self.next_spread = Some(self.now);
         } else if status == Status::Gone
             && self.members.is_some()
             && let Some(spread) = self.draining.get_mut(&server)
         {
             // It drained, and does not answer any more: no time is left to wait for.
-            spread.hasten(self.now, self.limits.drain_span);
+            spread.start_now(self.now, self.limits.drain_span);
         }
     }
 
     /// Attempts that have not sent anything to a server that leaves go elsewhere.
     fn recall(&mut self, server: ServerId) {
-        for conn in self.conns.values().filter(|conn| conn.out == Some(server)) {
+        for conn in self
+            .connections
+            .values()
+            .filter(|conn| conn.attempt_server == Some(server))
+        {
             // One that has just ended needs no word, and one that takes none has its deadline.
-            let _ = conn.orders.try_send(Order::Recall);
+            let _ = conn.orders.try_send(ConnectionCommand::Recall);
         }
     }
 
     /// Moves of the clients of a server or a proxy that leaves: a few at each tick.
     fn spread_moves(&mut self, now: Instant) {
-        let tick = self.limits.spread_tick;
+        let tick = self.limits.move_interval;
         let mut due = Vec::new();
         let spreads = self.draining.values_mut().chain(&mut self.leaving);
         let spreads = spreads.chain(&mut self.strays);
         let mut busy = false;
         for spread in spreads {
-            busy |= !spread.left.is_empty() || now < spread.until;
+            busy |= !spread.pending.is_empty() || now < spread.until;
             if now < spread.from {
                 continue;
             }
-            due.extend(spread.due(now));
+            due.extend(spread.take_due(now));
         }
-        self.strays.retain(|spread| !spread.left.is_empty());
+        self.strays.retain(|spread| !spread.pending.is_empty());
         self.forget_gone(now);
         for id in due {
-            self.order(id, Order::Move);
+            self.order(id, ConnectionCommand::Move);
         }
         self.next_spread = busy.then(|| now + tick);
     }
@@ -793,10 +811,10 @@
     fn forget_gone(&mut self, now: Instant) {
         let Some(members) = &self.members else { return };
         let (on_server, addresses) = (&self.on_server, &mut self.addresses);
-        let told = &mut self.told;
+        let told = &mut self.last_rows;
         self.draining.retain(|server, spread| {
-            let over = spread.left.is_empty() && spread.until <= now;
-            let known = |(uid, _): &(String, SocketAddr)| members.knows(uid);
+            let over = spread.pending.is_empty() && spread.until <= now;
+            let known = |(uid, _): &(String, SocketAddr)| members.is_known(uid);
             let listed = addresses.get(server).is_some_and(known);
             let stays = !over || listed || on_server.contains_key(server);
             if !stays {
@@ -812,7 +830,7 @@
         trace!(?event);
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer
-            .handle(self.clock.at(self.now), event, &mut actions);
+            .handle_event(self.clock.seconds_at(self.now), event, &mut actions);
         for action in actions.drain(..) {
             self.carry_out(action);
         }
@@ -820,7 +838,7 @@
     }
 
     fn give_up_reason(&self, id: RequestId) -> Option<GiveUpReason> {
-        let given_up = self.balancer.given_up();
+        let given_up = self.balancer.given_up_requests();
         let found = given_up.iter().find(|(of, _)| *of == id);
         found.map(|(_, reason)| *reason)
     }
@@ -833,7 +851,7 @@
                     return error!(server, "the module names a server without an address");
                 };
                 let within = Duration::from_secs_f64(timeout.clamp(0.0, 3600.0));
-                let order = Order::Send {
+                let order = ConnectionCommand::Send {
                     server,
                     endpoint,
                     within,
@@ -841,8 +859,8 @@
                         .map(|left| self.now + Duration::from_secs_f64(left.clamp(0.0, 3600.0))),
                     report_write: self.balancer.awaits_write(id),
                 };
-                if let Some(conn) = self.conns.get_mut(&id) {
-                    (conn.out, conn.at) = (Some(server), Some(endpoint));
+                if let Some(conn) = self.connections.get_mut(&id) {
+                    (conn.attempt_server, conn.at) = (Some(server), Some(endpoint));
                 }
                 debug!(
                     request = id,
@@ -854,19 +872,19 @@
             }
             Action::Refuse(id, wait) => {
                 debug!(request = id, reason = ?self.give_up_reason(id), "refused");
-                self.answer(id, Order::Refuse(wait));
+                self.answer(id, ConnectionCommand::Refuse(wait));
             }
             Action::Fail(id) => {
                 debug!(request = id, reason = ?self.give_up_reason(id), "failed");
-                self.answer(id, Order::Fail);
+                self.answer(id, ConnectionCommand::Fail);
             }
-            Action::Move(id) => self.order(id, Order::Move),
-            Action::Cancel(id, _) => self.order(id, Order::Cancel),
+            Action::Move(id) => self.order(id, ConnectionCommand::Move),
+            Action::Cancel(id, _) => self.order(id, ConnectionCommand::Cancel),
             Action::Probe(server) => {
                 let Some(&(_, endpoint)) = self.addresses.get(&server) else {
                     return;
                 };
-                if !self.probes.probe(server, endpoint) {
+                if !self.probes.send_probe(server, endpoint) {
                     debug!(server, "too many probes wait: one is left out");
                 }
             }
@@ -880,14 +898,14 @@
     }
 
     /// A final answer: the connection is told, and the engine is done with it.
-    fn answer(&mut self, id: RequestId, order: Order) {
+    fn answer(&mut self, id: RequestId, order: ConnectionCommand) {
         self.order(id, order);
         self.forget(id);
     }
 
-    fn order(&mut self, id: RequestId, order: Order) {
+    fn order(&mut self, id: RequestId, order: ConnectionCommand) {
         // One that has ended just now needs no orders.
-        if let Some(conn) = self.conns.get(&id)
+        if let Some(conn) = self.connections.get(&id)
             && let Err(mpsc::error::TrySendError::Full(order)) = conn.orders.try_send(order)
         {
             error!(id, ?order, "a connection does not take its orders");
@@ -896,7 +914,7 @@
 }
 
 /// A row of a list as a source's word.
-pub fn catalogue_row(listed: Listed) -> Option<violetwind_catalogue::Row> {
+pub fn to_catalogue_row(listed: ListedServer) -> Option<violetwind_catalogue::Row> {
     let row = listed.row;
     let word = match row.status {
         Status::Up => Word::Ready,
@@ -910,7 +928,10 @@
         kind: row.kind.map(Into::into),
         cell: row.cell,
         size: row.rating,
-        born: row.born.filter(|at| *at > 0.0).map(|at| (at * 1e3) as u64),
+        born: row
+            .started_at
+            .filter(|at| *at > 0.0)
+            .map(|at| (at * 1e3) as u64),
         epoch: 0,
     });
     // Only what has left needs no address.
--- a/crates/engine/src/engine/machines.rs
+++ b/crates/engine/src/engine/machines.rs
@@ -3,31 +3,31 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use tracing::info;
-use violetwind_balancer::api::{ServerId, Status, Taking};
+use violetwind_balancer::api::{AdmissionMode, ServerId, Status};
 use violetwind_service::Millis;
 
-use super::{Engine, Probe};
-use crate::words::{Looked, Seen, SeenServer};
+use super::{Engine, ProbeSender};
+use crate::words::{MachinesSnapshot, ObservedMachine, ObservedServer};
 
-impl<P: Probe> Engine<P> {
+impl<P: ProbeSender> Engine<P> {
     /// Whether an operator or an order keeps a server out.
-    pub(super) fn kept_out(&self, uid: &str) -> bool {
+    pub(super) fn is_kept_out(&self, uid: &str) -> bool {
         self.bans.is_out(uid) || self.outs.is_out(uid)
     }
 
     fn now_ms(&self) -> Millis {
-        (self.clock.at(self.now) * 1e3) as Millis
+        (self.clock.seconds_at(self.now) * 1e3) as Millis
     }
 
     /// A server that a list names while its machine is out went out with it.
-    pub(super) fn note_out(&mut self, uid: &str) {
+    pub(super) fn record_if_out(&mut self, uid: &str) {
         if self.outs.is_out(uid) {
             self.outs.note(uid, self.now_ms(), &self.service);
         }
     }
 
     /// Nothing new goes to these machines from now on, and their clients are moved; others come back.
-    pub(super) fn out(&mut self, machines: BTreeMap<String, BTreeSet<String>>) {
+    pub(super) fn set_machines_out(&mut self, machines: BTreeMap<String, BTreeSet<String>>) {
         let uids: BTreeSet<String> = self
             .addresses
             .values()
@@ -50,42 +50,47 @@
         );
         for uid in changed {
             self.outs.note(&uid, self.now_ms(), &self.service);
-            self.tell_again(&uid);
+            self.resend_row(&uid);
         }
     }
 
     /// What is known here of each machine.
-    pub(super) fn look(&self) -> Looked {
+    pub(super) fn snapshot_machines(&self) -> MachinesSnapshot {
         let mut at: BTreeMap<ServerId, u64> = BTreeMap::new();
-        for conn in self.conns.values() {
-            let there: BTreeSet<ServerId> = [conn.out, conn.on].into_iter().flatten().collect();
+        for conn in self.connections.values() {
+            let there: BTreeSet<ServerId> = [conn.attempt_server, conn.connected_server]
+                .into_iter()
+                .flatten()
+                .collect();
             for server in there {
                 *at.entry(server).or_default() += 1;
             }
         }
-        let mut looked = Looked {
+        let mut looked = MachinesSnapshot {
             machines: BTreeMap::new(),
-            connections: self.conns.len(),
-            takes_nothing: self.taking == Taking::Nothing,
+            connections: self.connections.len(),
+            admits_nothing: self.taking == AdmissionMode::Nothing,
         };
-        let now = self.clock.at(self.now);
+        let now = self.clock.seconds_at(self.now);
         for (server, (uid, _)) in &self.addresses {
             let clients = at.get(server).copied().unwrap_or(0);
-            let row = self.told.get(server);
+            let row = self.last_rows.get(server);
             let row = row.filter(|row| row.status != Status::Gone);
             if row.is_none() && clients == 0 {
                 continue;
             }
             let name = self.outs.machine_of(uid).to_string();
-            let seen: &mut Seen = looked.machines.entry(name).or_default();
+            let seen: &mut ObservedMachine = looked.machines.entry(name).or_default();
             seen.clients += clients;
             let Some(row) = row else { continue };
             let mut ruled = row.clone();
-            self.ruled(uid, &mut ruled);
+            self.apply_overrides(uid, &mut ruled);
             let up = matches!(row.status, Status::Up);
-            let warm = ruled.born.is_none_or(|born| born + self.cold_for <= now);
+            let warm = ruled
+                .started_at
+                .is_none_or(|born| born + self.cold_for <= now);
             seen.zone = seen.zone.take().or_else(|| row.zone.clone());
-            seen.servers.push(SeenServer {
+            seen.servers.push(ObservedServer {
                 uid: uid.clone(),
                 kind: row.kind.clone(),
                 cell: row.cell,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -13,6 +13,9 @@
 mod words;
 
 pub use clock::{Clock, monotonic_us};
-pub use engine::{Engine, Probe, Setup, catalogue_row};
+pub use engine::{Engine, EngineConfig, ProbeSender, to_catalogue_row};
 pub use limits::Limits;
-pub use words::{Binding, Listed, Looked, Notice, Order, Reply, Seen, SeenServer};
+pub use words::{
+    ConnectionCommand, EngineEvent, ListedServer, MachinesSnapshot, ObservedMachine,
+    ObservedServer, OperatorReply, UnlistedServers,
+};
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 
 use tracing::{info, warn};
-use violetwind_balancer::api::{Secs, ServerId, Status};
+use violetwind_balancer::api::{Seconds, ServerId, Status};
 use violetwind_catalogue::{Belief, Catalogue, Counts, Fact, Limits, Millis, SourceId, Telling};
-use violetwind_common::{Row, server_id};
+use violetwind_common::{ServerRow, server_id};
 
-use crate::words::Listed;
+use crate::words::ListedServer;
 
 /// A source that is silent is told of after this, and again each time that has doubled.
 const SILENT_FROM: Millis = 10_000;
@@ -17,7 +17,7 @@
 const NAMED: usize = 10;
 
 #[derive(Debug)]
-pub(crate) struct Members {
+pub(crate) struct SourceSet {
     catalogue: Catalogue,
     sources: BTreeMap<Rc<str>, Named>,
     counts: Counts,
@@ -31,7 +31,7 @@
     doubted: bool,
 }
 
-impl Members {
+impl SourceSet {
     pub fn new(limits: Limits) -> Self {
         Self {
             catalogue: Catalogue::new(limits),
@@ -45,7 +45,7 @@
     }
 
     /// The sources that count from now on; words of others stand until these have spoken.
-    pub fn set_sources(&mut self, now: Millis, names: &[Rc<str>]) -> Vec<Listed> {
+    pub fn set_sources(&mut self, now: Millis, names: &[Rc<str>]) -> Vec<ListedServer> {
         for name in names {
             if self.sources.contains_key(name) {
                 continue;
@@ -72,7 +72,7 @@
     }
 
     /// What a source says; one that is not among the sources is not heard.
-    pub fn tell(&mut self, now: Millis, name: &str, telling: Telling) -> Vec<Listed> {
+    pub fn apply_update(&mut self, now: Millis, name: &str, telling: Telling) -> Vec<ListedServer> {
         let Some(named) = self.sources.get(name) else {
             return Vec::new();
         };
@@ -81,22 +81,27 @@
         self.rows(facts)
     }
 
-    pub fn heard_of(&mut self, now: Millis, uid: &str, answered: bool) -> Vec<Listed> {
+    pub fn report_reachability(
+        &mut self,
+        now: Millis,
+        uid: &str,
+        answered: bool,
+    ) -> Vec<ListedServer> {
         let facts = self.catalogue.heard_of(now, uid, answered);
         self.rows(facts)
     }
 
-    pub fn next_wake(&self) -> Option<Millis> {
+    pub fn next_wakeup(&self) -> Option<Millis> {
         self.catalogue.next_wake()
     }
 
-    pub fn wake(&mut self, now: Millis) -> Vec<Listed> {
+    pub fn handle_wakeup(&mut self, now: Millis) -> Vec<ListedServer> {
         let facts = self.catalogue.wake(now);
         self.notes(now);
         self.rows(facts)
     }
 
-    pub fn knows(&self, uid: &str) -> bool {
+    pub fn is_known(&self, uid: &str) -> bool {
         self.catalogue.knows(uid)
     }
 
@@ -148,7 +153,7 @@
     }
 
     /// Facts as rows of a list of changes. The log names the first few that are no longer simply ready.
-    fn rows(&self, facts: Vec<Fact>) -> Vec<Listed> {
+    fn rows(&self, facts: Vec<Fact>) -> Vec<ListedServer> {
         let doubtful = facts.iter().filter(|fact| fact.belief != Belief::Ready);
         for fact in doubtful.clone().take(NAMED) {
             info!(uid = &*fact.uid, belief = ?fact.belief, why = %fact.why, "a server");
@@ -161,12 +166,12 @@
     }
 }
 
-fn row(fact: Fact) -> Listed {
+fn row(fact: Fact) -> ListedServer {
     let instance = fact.instance;
     let server: ServerId = server_id(&fact.uid);
-    Listed {
+    ListedServer {
         endpoint: Some(instance.endpoint),
-        row: Row {
+        row: ServerRow {
             server,
             cell: instance.cell,
             status: match fact.belief {
@@ -177,7 +182,7 @@
             },
             kind: instance.kind.map(String::from),
             zone: instance.zone.map(String::from),
-            born: fact.born.map(|ms| ms as Secs / 1e3),
+            started_at: fact.born.map(|ms| ms as Seconds / 1e3),
             rating: instance.size,
         },
         uid: fact.uid.into(),
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -9,10 +9,10 @@
 use std::collections::HashMap;
 
 use tracing::info;
-use violetwind_balancer::api::Secs;
+use violetwind_balancer::api::Seconds;
 
 /// Two clocks may differ by this much: each of them may have been stepped by an hour.
-const MAX_DIFFERENCE: Secs = 2.0 * 3600.0;
+const MAX_DIFFERENCE: Seconds = 2.0 * 3600.0;
 /// Starts that are remembered; those seen longest ago are forgotten beyond.
 const MAX_REMEMBERED: usize = 1 << 16;
 
@@ -20,20 +20,20 @@
 #[derive(Clone, Copy, Debug)]
 struct Start {
     listed_ms: u64,
-    at: Option<Secs>,
-    seen: Secs,
+    at: Option<Seconds>,
+    seen: Seconds,
 }
 
 /// The list that is being read.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
+pub struct ListContext {
     /// Now by the monotonic clock, and by the wall clock.
-    pub now: Secs,
-    pub wall: Secs,
+    pub now: Seconds,
+    pub unix_seconds: Seconds,
     /// Whether its source has given a list before.
-    pub follows: bool,
+    pub has_earlier_list: bool,
     /// How long a server is cold.
-    pub cold_for: Secs,
+    pub cold_for: Seconds,
 }
 
 /// The starts of all servers that lists have named.
@@ -45,7 +45,12 @@
 impl StartTimes {
     /// When the present process of a server started by the monotonic clock, given its start in Unix time as listed;
     /// none for long ago.
-    pub fn resolve(&mut self, uid: &str, listed: Option<Secs>, reading: Reading) -> Option<Secs> {
+    pub fn resolve(
+        &mut self,
+        uid: &str,
+        listed: Option<Seconds>,
+        reading: ListContext,
+    ) -> Option<Seconds> {
         let listed = listed.filter(|start| *start > 0.0)?;
         let listed_ms = (listed * 1e3) as u64;
         if let Some(start) = self.known.get_mut(uid)
@@ -54,10 +59,10 @@
             start.seen = reading.now;
             return start.at;
         }
-        let certainly_warm = listed + MAX_DIFFERENCE + reading.cold_for < reading.wall;
+        let certainly_warm = listed + MAX_DIFFERENCE + reading.cold_for < reading.unix_seconds;
         let start = Start {
             listed_ms,
-            at: (reading.follows || !certainly_warm).then_some(reading.now),
+            at: (reading.has_earlier_list || !certainly_warm).then_some(reading.now),
             seen: reading.now,
         };
         self.known.insert(uid.to_string(), start);
@@ -69,8 +74,8 @@
         if self.known.len() <= MAX_REMEMBERED {
             return;
         }
-        let mut seen: Vec<Secs> = self.known.values().map(|start| start.seen).collect();
-        seen.sort_by(Secs::total_cmp);
+        let mut seen: Vec<Seconds> = self.known.values().map(|start| start.seen).collect();
+        seen.sort_by(Seconds::total_cmp);
         let oldest_kept = seen[seen.len() / 2];
         self.known.retain(|_, start| start.seen >= oldest_kept);
         info!(
--- a/crates/engine/src/words.rs
+++ b/crates/engine/src/words.rs
@@ -9,91 +9,94 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 use violetwind_balancer::api::{
-    Allowance, Ended, ListKind, Matter, Outcome, Report, Request, RequestId, Secs, ServerId,
-    Settings, Use,
+    Allowance, Ended, ListKind, Outcome, QuotaKind, QuotaUsage, Report, Request, RequestId,
+    Seconds, ServerId, Settings,
 };
 use violetwind_catalogue::Telling;
-use violetwind_common::{Names, Row};
+use violetwind_common::{NameTable, ServerRow};
 use violetwind_service::{Bans, Change};
 
 /// One row of a list with what the module does not need.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedServer {
     pub uid: String,
     /// Where this proxy reaches it; a row of a server that is gone may have none.
     pub endpoint: Option<SocketAddr>,
-    pub row: Row,
+    pub row: ServerRow,
 }
 
 /// What fronts and sources tell the engine.
 #[derive(Debug)]
-pub enum Notice {
+pub enum EngineEvent {
     /// A list that is taken as it is told, where no catalogue stands between.
-    List(ListKind, Vec<Listed>),
-    ListLost,
+    ServerList(ListKind, Vec<ListedServer>),
+    ListUnavailable,
     /// The sources that count from now on, by name, those that go before others first.
     Sources(Vec<Rc<str>>),
     /// What one of them says.
-    Told(Rc<str>, Telling),
+    SourceUpdate(Rc<str>, Telling),
     /// A client's request, with the way to its connection.
-    Request(Request, mpsc::Sender<Order>),
+    Request(Request, mpsc::Sender<ConnectionCommand>),
     /// One that stood at this server before the start, and the word that it is up there again.
-    Standing(RequestId, String, mpsc::Sender<Order>),
-    Stands(Request, ServerId),
+    Resume(RequestId, String, mpsc::Sender<ConnectionCommand>),
+    Resumed(Request, ServerId),
     /// A connection that is up there, and was another process's until now.
-    Adopted(Request, ServerId, mpsc::Sender<Order>),
+    Adopted(Request, ServerId, mpsc::Sender<ConnectionCommand>),
     /// The line of an attempt was written: only said of one whose order wants it.
     Written(RequestId, ServerId),
-    Up(RequestId, ServerId),
-    Ended(Ended),
-    Gone(RequestId),
+    ConnectionUp(RequestId, ServerId),
+    AttemptEnded(Ended),
+    ClientGone(RequestId),
     /// A connection's load now, in seconds of work a second.
-    Load(RequestId, f64),
+    ConnectionLoad(RequestId, f64),
     /// How long a message takes at a server now.
-    Delay(ServerId, Secs),
+    MessageDelay(ServerId, Seconds),
     /// A server leaves clients' lines without an answer.
-    Silent(ServerId),
+    ServerUnresponsive(ServerId),
     Probed(ServerId, Outcome, Report),
     /// The proxy ends: its clients are moved within this time from now.
     Shutdown(Range<Duration>),
     /// It is about to end: nothing more is taken, and what still waits is answered.
-    Last,
+    FinishShutdown,
     /// A successor serves from now on, and this proxy moves its clients likewise; or it has gone again.
-    Succeeded(Option<Range<Duration>>),
+    SuccessorChanged(Option<Range<Duration>>),
     /// Other settings hold from now on.
-    Settings(Box<Settings>, Names),
+    Settings(Box<Settings>, NameTable),
     /// An operator's word; the answer comes once it is in force. One that another process of this proxy has
     /// taken is binding here whether or not a list has named the server.
-    Operator(Change, Binding, oneshot::Sender<Reply>),
+    OperatorChange(Change, UnlistedServers, oneshot::Sender<OperatorReply>),
     /// Parts of what several proxies share, each until a moment; answered with what is used of all of them.
-    Allowances(Vec<(Matter, Allowance, Instant)>, oneshot::Sender<Vec<Use>>),
+    Allowances(
+        Vec<(QuotaKind, Allowance, Instant)>,
+        oneshot::Sender<Vec<QuotaUsage>>,
+    ),
     /// The machines that orders have out from now on, with the servers on them; answered once that is in force.
-    Out(BTreeMap<String, BTreeSet<String>>, oneshot::Sender<()>),
+    MachinesOut(BTreeMap<String, BTreeSet<String>>, oneshot::Sender<()>),
     /// Answered with what is known here of machines.
-    Look(oneshot::Sender<Looked>),
+    QueryMachines(oneshot::Sender<MachinesSnapshot>),
     /// Answered as soon as the engine comes to it: how many servers it knows.
     Health(oneshot::Sender<usize>),
 }
 
 /// Machines as this proxy knows them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Looked {
-    pub machines: BTreeMap<String, Seen>,
+pub struct MachinesSnapshot {
+    pub machines: BTreeMap<String, ObservedMachine>,
     /// Connections and requests of all clients, and whether no more are taken.
     pub connections: usize,
-    pub takes_nothing: bool,
+    pub admits_nothing: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct ObservedMachine {
     pub zone: Option<String>,
-    pub servers: Vec<SeenServer>,
+    pub servers: Vec<ObservedServer>,
     /// Connections there, and attempts that are on their way.
     pub clients: u64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct SeenServer {
+pub struct ObservedServer {
     pub uid: String,
     pub kind: Option<String>,
     pub cell: u64,
@@ -109,14 +112,14 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Binding {
-    IfNamed,
-    Always,
+pub enum UnlistedServers {
+    Reject,
+    Accept,
 }
 
 /// What became of an operator's word.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum OperatorReply {
     Changed(Bans),
     /// It was so already.
     Same(Bans),
@@ -130,7 +133,7 @@
 
 /// What the engine tells one connection.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum ConnectionCommand {
     Send {
         server: ServerId,
         endpoint: SocketAddr,
@@ -144,7 +147,7 @@
     Recall,
     /// The server of a standing connection is not known yet.
     NotYet,
-    Refuse(Option<Secs>),
+    Refuse(Option<Seconds>),
     Fail,
     Move,
     /// A successor serves: it gets the connection, if that is between lines.
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -8,18 +8,19 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 use violetwind_balancer::api::*;
-use violetwind_common::{Names, Row, server_id};
+use violetwind_common::{NameTable, ServerRow, server_id};
 use violetwind_engine::{
-    Binding, Clock, Engine, Limits, Listed, Notice, Order, Probe, Reply, Setup,
+    Clock, ConnectionCommand, Engine, EngineConfig, EngineEvent, Limits, ListedServer,
+    OperatorReply, ProbeSender, UnlistedServers,
 };
 use violetwind_service::{Bans, Change};
 
-pub const START: Secs = 1.7e9;
+pub const START_UNIX_SECONDS: Seconds = 1.7e9;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
         effect,
-        scope: Scope::All,
+        scope: DedupScope::All,
         window: 0.0,
         aim: 0.5,
         worth: 1.0,
@@ -32,7 +33,7 @@
         me: 0,
         zone: None,
         zones: 0,
-        classes: vec![class(Effect::Safe)],
+        classes: vec![class(Idempotency::Safe)],
         tenants: Vec::new(),
         report_fields: Vec::new(),
         max_attempts: 4,
@@ -57,66 +58,69 @@
 
 struct NoProbes;
 
-impl Probe for NoProbes {
-    fn probe(&mut self, _: ServerId, _: SocketAddr) -> bool {
+impl ProbeSender for NoProbes {
+    fn send_probe(&mut self, _: ServerId, _: SocketAddr) -> bool {
         true
     }
 }
 
-pub fn row(uid: &str, status: Status, born: Option<Secs>) -> Listed {
-    Listed {
+pub fn listed_server(uid: &str, status: Status, born: Option<Seconds>) -> ListedServer {
+    ListedServer {
         uid: uid.to_string(),
         endpoint: Some(([127, 0, 0, 1], 1000 + u16::from(uid.as_bytes()[0])).into()),
-        row: Row {
+        row: ServerRow {
             server: server_id(uid),
             cell: 0,
             status,
             kind: None,
             zone: None,
-            born,
+            started_at: born,
             rating: None,
         },
     }
 }
 
-pub struct Plain {
+pub struct EngineHarness {
     engine: Engine<NoProbes>,
     start: Instant,
     now: Instant,
     next: RequestId,
-    orders: BTreeMap<RequestId, mpsc::Receiver<Order>>,
+    orders: BTreeMap<RequestId, mpsc::Receiver<ConnectionCommand>>,
     out: BTreeMap<RequestId, ServerId>,
-    last: BTreeMap<RequestId, Order>,
+    last: BTreeMap<RequestId, ConnectionCommand>,
     moved: BTreeSet<RequestId>,
 }
 
-impl Plain {
+impl EngineHarness {
     pub fn new(uids: &[&str]) -> Self {
-        Self::seeded(uids, 28)
+        Self::with_seed(uids, 28)
     }
 
-    pub fn seeded(uids: &[&str], seed: u64) -> Self {
+    pub fn with_seed(uids: &[&str], seed: u64) -> Self {
         let start = Instant::now();
-        let setup = Setup {
+        let setup = EngineConfig {
             settings: settings(),
             seed,
-            names: Names::default(),
+            names: NameTable::default(),
             limits: Limits {
-                notices: 16,
-                slice: 4,
-                standing: Duration::from_secs(1),
+                max_queued_events: 16,
+                max_rows_per_step: 4,
+                resume_timeout: Duration::from_secs(1),
                 drain_wait: Duration::from_millis(700),
                 drain_span: Duration::from_millis(800),
-                spread_tick: Duration::from_millis(20),
+                move_interval: Duration::from_millis(20),
             },
-            catalogue: None,
-            service: violetwind_service::Limits::default(),
+            catalogue_limits: None,
+            service_limits: violetwind_service::Limits::default(),
             bans: Bans::default(),
-            left: false,
+            has_left: false,
             machines: violetwind_service::Machines::default(),
         };
-        let mut engine = Engine::new(setup, Clock::fixed(start, START), NoProbes);
-        let rows = uids.iter().map(|uid| row(uid, Status::Up, None)).collect();
+        let mut engine = Engine::new(setup, Clock::simulated(start, START_UNIX_SECONDS), NoProbes);
+        let rows = uids
+            .iter()
+            .map(|uid| listed_server(uid, Status::Up, None))
+            .collect();
         engine.start(start, rows);
         Self {
             engine,
@@ -130,54 +134,58 @@
         }
     }
 
-    pub fn id(&self, uid: &str) -> ServerId {
+    pub fn server_id(&self, uid: &str) -> ServerId {
         server_id(uid)
     }
 
-    pub fn unix(&self) -> Secs {
-        START + (self.now - self.start).as_secs_f64()
+    pub fn unix_seconds(&self) -> Seconds {
+        START_UNIX_SECONDS + (self.now - self.start).as_secs_f64()
     }
 
-    pub fn take(&mut self, notice: Notice) {
-        self.engine.take(self.now, notice);
+    pub fn handle_event(&mut self, notice: EngineEvent) {
+        self.engine.handle_event(self.now, notice);
     }
 
-    pub fn say(&mut self, change: Change) -> Reply {
+    pub fn apply_change(&mut self, change: Change) -> OperatorReply {
         let (reply, mut answer) = oneshot::channel();
-        self.take(Notice::Operator(change, Binding::IfNamed, reply));
+        self.handle_event(EngineEvent::OperatorChange(
+            change,
+            UnlistedServers::Reject,
+            reply,
+        ));
         answer.try_recv().expect("in force at once")
     }
 
-    pub fn list(&mut self, kind: ListKind, rows: Vec<Listed>) {
-        self.take(Notice::List(kind, rows));
+    pub fn send_list(&mut self, kind: ListKind, rows: Vec<ListedServer>) {
+        self.handle_event(EngineEvent::ServerList(kind, rows));
     }
 
     /// Time passes, and the engine is woken as often as it wants.
-    pub fn run(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         let until = self.now + time;
-        while let Some(at) = self.engine.next_wake().filter(|at| *at <= until) {
+        while let Some(at) = self.engine.next_wakeup().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.engine.wake(self.now);
+            self.engine.handle_wakeup(self.now);
         }
         self.now = until;
     }
 
     /// A connection that another process had.
-    pub fn adopt(&mut self, uid: &str) -> RequestId {
+    pub fn adopt_connection(&mut self, uid: &str) -> RequestId {
         let (request, to) = self.new_request(0);
         let id = request.id;
-        self.take(Notice::Adopted(request, server_id(uid), to));
+        self.handle_event(EngineEvent::Adopted(request, server_id(uid), to));
         id
     }
 
-    pub fn request(&mut self, class: usize) -> RequestId {
+    pub fn send_request(&mut self, class: usize) -> RequestId {
         let (request, to) = self.new_request(class);
         let id = request.id;
-        self.take(Notice::Request(request, to));
+        self.handle_event(EngineEvent::Request(request, to));
         id
     }
 
-    fn new_request(&mut self, class: usize) -> (Request, mpsc::Sender<Order>) {
+    fn new_request(&mut self, class: usize) -> (Request, mpsc::Sender<ConnectionCommand>) {
         self.next += 1;
         let (to, orders) = mpsc::channel(8);
         self.orders.insert(self.next, orders);
@@ -193,36 +201,36 @@
         (request, to)
     }
 
-    pub fn open(&mut self) -> RequestId {
-        let id = self.request(0);
+    pub fn request_default_class(&mut self) -> RequestId {
+        let id = self.send_request(0);
         self.hear(id);
         id
     }
 
     /// Where a new request is sent to, which is up there at once and ends; none if it is not sent.
-    pub fn open_on(&mut self) -> Option<ServerId> {
-        let id = self.open();
+    pub fn place_and_close(&mut self) -> Option<ServerId> {
+        let id = self.request_default_class();
         let server = self.out.get(&id).copied()?;
-        self.up(id);
-        self.take(Notice::Gone(id));
+        self.mark_up(id);
+        self.handle_event(EngineEvent::ClientGone(id));
         Some(server)
     }
 
     /// The answer to a new request.
-    pub fn refused(&mut self) -> Option<Order> {
-        let id = self.open();
+    pub fn answer_to_new_request(&mut self) -> Option<ConnectionCommand> {
+        let id = self.request_default_class();
         self.last.remove(&id)
     }
 
-    fn hear(&mut self, id: RequestId) -> Vec<Order> {
+    fn hear(&mut self, id: RequestId) -> Vec<ConnectionCommand> {
         let mut heard = Vec::new();
         while let Ok(order) = self.orders.get_mut(&id).unwrap().try_recv() {
             match &order {
-                Order::Send { server, .. } => drop(self.out.insert(id, *server)),
-                Order::Move => drop(self.moved.insert(id)),
+                ConnectionCommand::Send { server, .. } => drop(self.out.insert(id, *server)),
+                ConnectionCommand::Move => drop(self.moved.insert(id)),
                 _ => {}
             }
-            if !matches!(order, Order::Cancel) {
+            if !matches!(order, ConnectionCommand::Cancel) {
                 self.last.insert(id, order.clone());
             }
             heard.push(order);
@@ -231,12 +239,12 @@
     }
 
     /// The next thing a connection is told, if there is any.
-    pub fn order(&mut self, id: RequestId) -> Option<Order> {
+    pub fn next_command(&mut self, id: RequestId) -> Option<ConnectionCommand> {
         self.hear(id).into_iter().next()
     }
 
     /// The last thing it was told.
-    pub fn last(&mut self, id: RequestId) -> Option<Order> {
+    pub fn last_command(&mut self, id: RequestId) -> Option<ConnectionCommand> {
         self.hear(id);
         self.last.get(&id).cloned()
     }
@@ -247,9 +255,9 @@
     }
 
     /// Its attempt ends so, and the module goes on.
-    pub fn attempt_ended(&mut self, id: RequestId, outcome: Outcome) {
+    pub fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
         self.hear(id);
-        self.take(Notice::Ended(Ended {
+        self.handle_event(EngineEvent::AttemptEnded(Ended {
             id,
             server: self.out[&id],
             outcome,
@@ -258,8 +266,8 @@
         }));
     }
 
-    pub fn up(&mut self, id: RequestId) {
+    pub fn mark_up(&mut self, id: RequestId) {
         let server = self.out[&id];
-        self.take(Notice::Up(id, server));
+        self.handle_event(EngineEvent::ConnectionUp(id, server));
     }
 }
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -15,8 +15,11 @@
 use tokio::time::Instant;
 use violetwind_balancer::api::*;
 use violetwind_catalogue::{Instance, Row, Telling, Word};
-use violetwind_common::{Names, server_id};
-use violetwind_engine::{Binding, Clock, Engine, Limits, Notice, Order, Probe, Reply, Setup};
+use violetwind_common::{NameTable, server_id};
+use violetwind_engine::{
+    Clock, ConnectionCommand, Engine, EngineConfig, EngineEvent, Limits, OperatorReply,
+    ProbeSender, UnlistedServers,
+};
 use violetwind_service::Change;
 
 fn ms(ms: u64) -> Duration {
@@ -38,8 +41,8 @@
 #[derive(Clone, Default)]
 struct Asked(Rc<RefCell<Vec<ServerId>>>);
 
-impl Probe for Asked {
-    fn probe(&mut self, server: ServerId, _: SocketAddr) -> bool {
+impl ProbeSender for Asked {
+    fn send_probe(&mut self, server: ServerId, _: SocketAddr) -> bool {
         self.0.borrow_mut().push(server);
         true
     }
@@ -47,7 +50,7 @@
 
 #[derive(Debug, Default)]
 struct Client {
-    orders: Option<mpsc::Receiver<Order>>,
+    orders: Option<mpsc::Receiver<ConnectionCommand>>,
     /// Where an attempt is out, and where it is up.
     out: Option<ServerId>,
     on: Option<ServerId>,
@@ -73,25 +76,25 @@
     fn new(servers: usize, sources: &[&str]) -> Self {
         let start = Instant::now();
         let asked = Asked::default();
-        let setup = Setup {
+        let setup = EngineConfig {
             settings: settings(),
             seed: 14,
-            names: Names::default(),
+            names: NameTable::default(),
             limits: Limits {
-                notices: 16,
-                slice: 4,
-                standing: ms(1000),
+                max_queued_events: 16,
+                max_rows_per_step: 4,
+                resume_timeout: ms(1000),
                 drain_wait: ms(700),
                 drain_span: ms(800),
-                spread_tick: ms(20),
+                move_interval: ms(20),
             },
-            catalogue: Some(violetwind_catalogue::Limits::default()),
-            service: violetwind_service::Limits::default(),
+            catalogue_limits: Some(violetwind_catalogue::Limits::default()),
+            service_limits: violetwind_service::Limits::default(),
             bans: violetwind_service::Bans::default(),
-            left: false,
+            has_left: false,
             machines: violetwind_service::Machines::default(),
         };
-        let clock = Clock::fixed(start, 1.7e9);
+        let clock = Clock::simulated(start, 1.7e9);
         let mut world = Self {
             engine: Engine::new(setup, clock, asked.clone()),
             asked,
@@ -112,7 +115,7 @@
 
     fn sources(&mut self, names: &[&str]) {
         let names = names.iter().map(|name| (*name).into()).collect();
-        self.take(Notice::Sources(names));
+        self.take(EngineEvent::Sources(names));
     }
 
     fn list(&self, word: impl Fn(usize) -> Option<Word>) -> Telling {
@@ -144,11 +147,11 @@
     }
 
     fn tell(&mut self, source: &str, telling: Telling) {
-        self.take(Notice::Told(source.into(), telling));
+        self.take(EngineEvent::SourceUpdate(source.into(), telling));
     }
 
-    fn take(&mut self, notice: Notice) {
-        self.engine.take(self.now, notice);
+    fn take(&mut self, notice: EngineEvent) {
+        self.engine.handle_event(self.now, notice);
         self.settle();
     }
 
@@ -162,8 +165,8 @@
                     true => Outcome::TimedOut,
                     false => Outcome::Ok,
                 };
-                let notice = Notice::Probed(server, outcome, Report::default());
-                self.engine.take(self.now, notice);
+                let notice = EngineEvent::Probed(server, outcome, Report::default());
+                self.engine.handle_event(self.now, notice);
             }
             let mut notices = Vec::new();
             for (&id, client) in &mut self.clients {
@@ -173,26 +176,30 @@
                 while let Ok(order) = orders.try_recv() {
                     busy = true;
                     match order {
-                        Order::Send { server, .. } => {
+                        ConnectionCommand::Send { server, .. } => {
                             self.sent.push((self.now, server));
                             client.out = Some(server);
                             if self.eager && !self.dead.contains(&server) {
                                 client.out = None;
                                 client.on = Some(server);
-                                notices.push(Notice::Up(id, server));
+                                notices.push(EngineEvent::ConnectionUp(id, server));
                             }
                         }
-                        Order::Refuse(_) | Order::Fail => client.finals += 1,
-                        Order::Move => {
+                        ConnectionCommand::Refuse(_) | ConnectionCommand::Fail => {
+                            client.finals += 1
+                        }
+                        ConnectionCommand::Move => {
                             client.moved_at.get_or_insert(self.now);
                         }
-                        Order::Recall => client.recalled = true,
-                        Order::NotYet | Order::Cancel | Order::HandOver => {}
+                        ConnectionCommand::Recall => client.recalled = true,
+                        ConnectionCommand::NotYet
+                        | ConnectionCommand::Cancel
+                        | ConnectionCommand::HandOver => {}
                     }
                 }
             }
             for notice in notices {
-                self.engine.take(self.now, notice);
+                self.engine.handle_event(self.now, notice);
             }
             if !busy {
                 return;
@@ -202,9 +209,9 @@
 
     fn pass(&mut self, span: Duration) {
         let until = self.now + span;
-        while let Some(at) = self.engine.next_wake().filter(|at| *at <= until) {
+        while let Some(at) = self.engine.next_wakeup().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.engine.wake(self.now);
+            self.engine.handle_wakeup(self.now);
             self.settle();
         }
         self.now = until;
@@ -226,7 +233,7 @@
             patience: 2.0,
             again: false,
         };
-        self.take(Notice::Request(request, to));
+        self.take(EngineEvent::Request(request, to));
     }
 
     fn open_many(&mut self, clients: u64) {
@@ -504,8 +511,8 @@
                         opened.remove(&id);
                         let ended = Ended { id, server, outcome: Outcome::Ok, last: true, report: Report::default() };
                         world.take(match step {
-                            Step::Ends(_) => Notice::Ended(ended),
-                            _ => Notice::Gone(id),
+                            Step::Ends(_) => EngineEvent::AttemptEnded(ended),
+                            _ => EngineEvent::ClientGone(id),
                         });
                     }
                 }
@@ -517,7 +524,7 @@
             for (id, server) in out {
                 world.clients.get_mut(&id).unwrap().out = None;
                 let ended = Ended { id, server, outcome: Outcome::ConnectFailed, last: false, report: Report::default() };
-                world.take(Notice::Ended(ended));
+                world.take(EngineEvent::AttemptEnded(ended));
             }
             for (_, to) in &world.sent[sent..] {
                 let n = (0..8).find(|n| world.id(*n) == *to).unwrap();
@@ -540,13 +547,17 @@
     let banned = server_id("s-0");
     let say = |world: &mut World, change| {
         let (reply, mut answer) = tokio::sync::oneshot::channel();
-        world.take(Notice::Operator(change, Binding::IfNamed, reply));
+        world.take(EngineEvent::OperatorChange(
+            change,
+            UnlistedServers::Reject,
+            reply,
+        ));
         answer.try_recv().expect("in force at once")
     };
     let unknown = Change::Offline("nobody".into());
-    assert_eq!(say(&mut world, unknown), Reply::Unknown);
+    assert_eq!(say(&mut world, unknown), OperatorReply::Unknown);
     let out = Change::Offline("s-0".into());
-    assert!(matches!(say(&mut world, out), Reply::Changed(_)));
+    assert!(matches!(say(&mut world, out), OperatorReply::Changed(_)));
     let from = world.sent.len();
     world.tell("consul", world.list(|_| Some(Word::Ready)));
     world.tell("consul", world.list(|n| (n > 0).then_some(Word::Ready)));
@@ -563,7 +574,7 @@
             .all(|(_, server)| *server != banned)
     );
     let back = Change::Online("s-0".into());
-    assert!(matches!(say(&mut world, back), Reply::Changed(_)));
+    assert!(matches!(say(&mut world, back), OperatorReply::Changed(_)));
     for id in 2000..2030 {
         world.open(id);
         world.pass(ms(50));
--- a/crates/engine/tests/start_times.rs
+++ b/crates/engine/tests/start_times.rs
@@ -1,17 +1,17 @@
 //! Starts of servers under steps of any machine's wall clock.
 
-use violetwind_engine::start_times::{Reading, StartTimes};
+use violetwind_engine::start_times::{ListContext, StartTimes};
 
 const HOUR: f64 = 3600.0;
 /// The true Unix time at the monotonic time 0.
 const UNIX: f64 = 1.7e9;
 
 /// At a monotonic time, with this machine's wall clock off by so much.
-fn reading(now: f64, step: f64, follows: bool) -> Reading {
-    Reading {
+fn reading(now: f64, step: f64, follows: bool) -> ListContext {
+    ListContext {
         now,
-        wall: UNIX + now + step,
-        follows,
+        unix_seconds: UNIX + now + step,
+        has_earlier_list: follows,
         cold_for: 8.0,
     }
 }
--- a/crates/lab/src/model/budgets.rs
+++ b/crates/lab/src/model/budgets.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use violetwind_balancer::api::{Allowance, Matter, Secs, Use};
+use violetwind_balancer::api::{Allowance, QuotaKind, QuotaUsage, Seconds};
 use violetwind_fleet::budget::{Def, Divider, Kind, Meters, Part, Shares};
 use violetwind_fleet::{Limits, Name, Number, SessionId};
 
@@ -35,9 +35,9 @@
 }
 
 /// What a proxy is told, by its number.
-pub type Told = (usize, Matter, Allowance);
+pub type Told = (usize, QuotaKind, Allowance);
 
-fn ms(secs: Secs) -> u64 {
+fn ms(secs: Seconds) -> u64 {
     (secs * 1e3) as u64
 }
 
@@ -77,7 +77,7 @@
     }
 
     /// What proxies have from their start, before any exchange: fixed parts that sum to the whole, or floors.
-    pub fn first(&self, set: &Scenario, proxy: usize) -> Vec<(Matter, Allowance)> {
+    pub fn first(&self, set: &Scenario, proxy: usize) -> Vec<(QuotaKind, Allowance)> {
         let fixed = |budget: &Budget| {
             let (whole, proxies) = (budget.whole, set.proxies as u64);
             let units = match budget.divided {
@@ -98,7 +98,7 @@
         let counted = set
             .budgets
             .iter()
-            .filter(|b| b.divided || b.of != Matter::Cold);
+            .filter(|b| b.divided || b.of != QuotaKind::Cold);
         counted.map(fixed).collect()
     }
 
@@ -106,7 +106,7 @@
         self.divided.is_empty()
     }
 
-    fn member(&mut self, now: Secs) -> Member {
+    fn member(&mut self, now: Seconds) -> Member {
         self.next += 1;
         let defs: Vec<Def> = self.divided.iter().map(|(_, def)| def.clone()).collect();
         let outside: BTreeSet<Name> = defs.iter().map(|def| def.name.clone()).collect();
@@ -121,7 +121,7 @@
     }
 
     /// A proxy's process is gone: what it had stays aside for a window.
-    pub fn restarted(&mut self, now: Secs, proxy: usize) {
+    pub fn restarted(&mut self, now: Seconds, proxy: usize) {
         if self.is_empty() {
             return;
         }
@@ -146,7 +146,11 @@
     }
 
     /// All tell what they use and need, and are told their parts.
-    pub fn exchange(&mut self, now: Secs, mut uses: impl FnMut(usize) -> Vec<Use>) -> Vec<Told> {
+    pub fn exchange(
+        &mut self,
+        now: Seconds,
+        mut uses: impl FnMut(usize) -> Vec<QuotaUsage>,
+    ) -> Vec<Told> {
         let (at, limits) = (ms(now), self.limits.clone());
         let due = self.due.extract_if(.., |(due, ..)| *due <= at);
         for (_, name, number) in due.collect::<Vec<_>>() {
@@ -160,12 +164,12 @@
                 let of = self
                     .divided
                     .iter()
-                    .find(|(budget, _)| budget.of == used.matter);
+                    .find(|(budget, _)| budget.of == used.quota);
                 if let Some((_, def)) = of {
                     let word = member.words.get(&def.name).copied().unwrap_or(0);
                     member
                         .meters
-                        .heard(&def.name, word, used.busy, used.denied, at);
+                        .heard(&def.name, word, used.in_use, used.denied, at);
                 }
             }
             let needs = member.meters.needs(at, 1, &limits);
--- a/crates/lab/src/model/policy.rs
+++ b/crates/lab/src/model/policy.rs
@@ -68,9 +68,9 @@
     }
 
     /// What is used of budgets; baselines know none.
-    pub fn uses(&mut self, now: f64) -> Vec<Use> {
+    pub fn uses(&mut self, now: f64) -> Vec<QuotaUsage> {
         match self {
-            Self::Module(balancer, _) => balancer.uses(now),
+            Self::Module(balancer, _) => balancer.quota_usage(now),
             Self::Baseline(_) => Vec::new(),
         }
     }
@@ -78,7 +78,7 @@
     pub fn handle(&mut self, now: f64, event: Event, truth: &Truth, out: &mut Vec<Action>) {
         match self {
             Self::Module(balancer, moves) => {
-                balancer.handle(now, event, out);
+                balancer.handle_event(now, event, out);
                 if !*moves {
                     out.retain(|action| !matches!(action, Action::Move(_)));
                 }
@@ -91,7 +91,7 @@
 #[derive(Debug)]
 struct Waiting {
     request: Request,
-    deadline: Secs,
+    deadline: Seconds,
     tried: Vec<ServerId>,
     may_have_run: bool,
 }
@@ -114,7 +114,7 @@
 
 /// How often the bound looks for connections to move, and how much fuller than where it fills servers to
 /// a server has to be for that, and how much emptier the other.
-const LOOK: Secs = 0.25;
+const LOOK: Seconds = 0.25;
 const OVER: f64 = 0.02;
 const UNDER: f64 = 0.05;
 
@@ -133,7 +133,7 @@
         }
     }
 
-    fn handle(&mut self, now: Secs, event: Event, truth: &Truth, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Seconds, event: Event, truth: &Truth, out: &mut Vec<Action>) {
         match event {
             Event::Servers(kind, entries) => {
                 if matches!(kind, ListKind::Replace | ListKind::Restored) {
@@ -205,12 +205,12 @@
         }
     }
 
-    fn place(&mut self, now: Secs, id: RequestId, truth: &Truth, out: &mut Vec<Action>) {
+    fn place(&mut self, now: Seconds, id: RequestId, truth: &Truth, out: &mut Vec<Action>) {
         let Some(waiting) = self.requests.get(&id) else {
             return;
         };
         let left = waiting.deadline - now;
-        let safe = self.set.classes[waiting.request.class].effect == Effect::Safe;
+        let safe = self.set.classes[waiting.request.class].effect == Idempotency::Safe;
         let again = !waiting.may_have_run || safe;
         let to = match left > 0.0 && waiting.tried.len() < self.set.max_attempts && again {
             true => self.choose(id, truth),
--- a/crates/lab/src/model/rules.rs
+++ b/crates/lab/src/model/rules.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use violetwind_balancer::api::{Effect, Matter};
+use violetwind_balancer::api::{Idempotency, QuotaKind};
 
 use crate::scenario::Budget;
 
@@ -43,7 +43,7 @@
     deadline: f64,
     answers: u32,
     effects: u32,
-    effect: Effect,
+    effect: Idempotency,
 }
 
 #[derive(Debug, Default)]
@@ -54,15 +54,17 @@
     /// Since when a cold server has been asked for too much.
     over: HashMap<u32, f64>,
     /// Wholes and windows, and when some of each was used: at cold servers, at each.
-    wholes: Vec<(Matter, usize, f64)>,
-    used: BTreeMap<(Matter, Option<u32>), VecDeque<f64>>,
+    wholes: Vec<(QuotaKind, usize, f64)>,
+    used: BTreeMap<(QuotaKind, Option<u32>), VecDeque<f64>>,
     pub breaches: Vec<Breach>,
     pub count: usize,
 }
 
 impl Rules {
     pub fn new(budgets: &[Budget]) -> Self {
-        let kept = budgets.iter().filter(|b| b.divided || b.of != Matter::Cold);
+        let kept = budgets
+            .iter()
+            .filter(|b| b.divided || b.of != QuotaKind::Cold);
         let wholes = kept.map(|b| (b.of, b.whole as usize, b.window));
         Self {
             wholes: wholes.collect(),
@@ -71,7 +73,7 @@
     }
 
     /// One more of what a budget may be of was used, at a server where each has its own count.
-    pub fn used(&mut self, now: f64, matter: Matter, server: Option<u32>) {
+    pub fn used(&mut self, now: f64, matter: QuotaKind, server: Option<u32>) {
         let of = self.wholes.iter().find(|(of, ..)| *of == matter);
         let Some((_, whole, window)) = of.copied() else {
             return;
@@ -95,7 +97,7 @@
         }
     }
 
-    pub fn asked(&mut self, id: u64, deadline: f64, effect: Effect) {
+    pub fn asked(&mut self, id: u64, deadline: f64, effect: Idempotency) {
         let request = Request {
             deadline,
             answers: 0,
@@ -143,7 +145,7 @@
             return;
         };
         request.effects += 1;
-        let twice = request.effects > 1 && request.effect == Effect::Unsafe;
+        let twice = request.effects > 1 && request.effect == Idempotency::Unsafe;
         if twice {
             self.breach(Rule::Twice, now, format!("request {id}: ran twice"));
         }
--- a/crates/lab/src/model/world.rs
+++ b/crates/lab/src/model/world.rs
@@ -730,7 +730,7 @@
             }
             Action::Move(id) => {
                 if self.up_on(id).is_some() {
-                    self.rules.used(self.now, Matter::Moves, None);
+                    self.rules.used(self.now, QuotaKind::Moves, None);
                     // Not within the module's own call.
                     self.after(self.set.network.near, Step::Move(id));
                 }
@@ -755,7 +755,7 @@
 
     fn probe(&mut self, proxy: usize, server: ServerId) {
         self.counts.probes += 1;
-        self.rules.used(self.now, Matter::Probes, None);
+        self.rules.used(self.now, QuotaKind::Probes, None);
         let process = self.proxies[proxy].process;
         let trip = self.trip(proxy, server);
         let place = &self.servers[server as usize];
@@ -788,7 +788,7 @@
         asked.out = Some(server);
         let attempt = asked.attempt;
         if attempt > 1 {
-            self.rules.used(self.now, Matter::Further, None);
+            self.rules.used(self.now, QuotaKind::Further, None);
         }
         // Every proxy has heard by then that it is cold.
         let place = &self.servers[server as usize];
@@ -796,7 +796,7 @@
             .born
             .map_or(0.0, |born| born + 1.5 * self.set.lists.delay);
         if place.warmth(self.now, &self.set.server) < 1.0 && self.now > told {
-            self.rules.used(self.now, Matter::Cold, Some(server));
+            self.rules.used(self.now, QuotaKind::Cold, Some(server));
         }
         self.after(timeout, Step::TimeOut(id, attempt));
         if !self.reaches(proxy, server) {
@@ -1121,7 +1121,7 @@
 fn settings(set: &Scenario, me: usize) -> Settings {
     let class = |class: &crate::scenario::Class| Class {
         effect: class.effect,
-        scope: Scope::All,
+        scope: DedupScope::All,
         window: 30.0,
         aim: class.aim,
         worth: class.worth,
@@ -1133,7 +1133,7 @@
         zones: set.zones,
         classes: set.classes.iter().map(class).collect(),
         tenants: vec![Tenant { quota: None }; set.demand.tenants],
-        report_fields: vec![Field::Load, Field::Connections],
+        report_fields: vec![ReportField::Load, ReportField::Connections],
         max_attempts: 4,
         max_retry_after: 2.0,
         may_retry_after: true,
