--- a/crates/proxy/tests/outer_names/attributes.rs
+++ b/crates/proxy/tests/outer_names/attributes.rs
@@ -4,7 +4,7 @@
 use syn::punctuated::Punctuated;
 use syn::{Attribute, Expr, Ident, Lit, Token};
 
-/// `key` or `key = value` of an attribute.
+/// `key`, `key = value` or `key(…)` of an attribute.
 pub struct Word {
     pub key: String,
     pub value: Option<Expr>,
@@ -50,6 +50,13 @@
             }),
             _ => None,
         },
+        Expr::Call(call) => match &*call.func {
+            Expr::Path(path) => Some(Word {
+                key: path.path.get_ident()?.to_string(),
+                value: Some(Expr::Call(call.clone())),
+            }),
+            _ => None,
+        },
         _ => None,
     }
 }
--- a/crates/proxy/tests/outer_names/programs.rs
+++ b/crates/proxy/tests/outer_names/programs.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 
-use syn::{Attribute, Expr, Field, Fields, Item, Lit, Type};
+use syn::{Attribute, Expr, Field, Fields, Item, Lit, Type, Variant};
 
 use crate::attributes::{Word, derives, find, parted, plain, words};
 use crate::page::{Lines, add, quoted};
@@ -15,9 +15,12 @@
     sources: &'a [Source],
     source: &'a Source,
     lines: Lines,
+    /// Values by position of the command at hand, in order.
+    values: Vec<String>,
 }
 
-/// One line for each command, flag and positional value: `violetwind work plan --floor <FLOOR>`.
+/// One line for each command with its values by position, `violetwind work plan <NAME>`, and for each of its flags,
+/// `violetwind work plan --floor <FLOOR>`.
 pub fn commands(sources: &[Source]) -> Lines {
     let mut lines = Lines::new();
     for source in sources {
@@ -34,8 +37,10 @@
                 sources,
                 source,
                 lines: Lines::new(),
+                values: Vec::new(),
             };
-            walk.named(&name.to_string(), &program(source, attributes));
+            let program = program(source, attributes);
+            walk.command(&program, |walk| walk.named(&name.to_string(), &program));
             lines.append(&mut walk.lines);
         }
     }
@@ -69,17 +74,26 @@
         same.or_else(|| others.find_map(|one| one.syntax.items.iter().find(wanted)))
     }
 
+    /// Adds the line of a command, with the values by position that stand within it.
+    fn command(&mut self, name: &str, within: impl FnOnce(&mut Self)) {
+        let outer = std::mem::take(&mut self.values);
+        within(self);
+        let values = std::mem::replace(&mut self.values, outer);
+        let line = [vec![name.to_string()], values].concat().join(" ");
+        add(&mut self.lines, "", quoted(&line));
+    }
+
     fn named(&mut self, name: &str, before: &str) {
         match self.item(name).cloned() {
-            Some(Item::Struct(item)) => self.fields(&item.fields, before),
+            Some(Item::Struct(item)) => {
+                plain_rule(&item.attrs);
+                self.fields(&item.fields, before);
+            }
             Some(Item::Enum(item)) => {
+                plain_rule(&item.attrs);
                 for variant in &item.variants {
-                    let words = words(&variant.attrs, &HEADS);
-                    let told = find(&words, "name").and_then(Word::text);
-                    let name = told.unwrap_or_else(|| parted(&plain(&variant.ident), "-"));
-                    let line = format!("{before} {name}");
-                    add(&mut self.lines, "", quoted(&line));
-                    self.fields(&variant.fields, &line);
+                    let line = format!("{before} {}", word_of(variant));
+                    self.command(&line, |walk| walk.fields(&variant.fields, &line));
                 }
             }
             _ => {}
@@ -89,16 +103,19 @@
     fn fields(&mut self, fields: &Fields, before: &str) {
         for field in fields {
             let words = words(&field.attrs, &HEADS);
+            let is = |key: &str| find(&words, key).is_some();
             let inner = named_type(&field.ty);
-            let within = field.ident.is_none()
-                || find(&words, "flatten").is_some()
-                || find(&words, "subcommand").is_some();
-            match within {
-                true => self.named(&inner, before),
-                false => {
-                    let line = format!("{before} {}", self.argument(field, &words, &inner));
-                    add(&mut self.lines, "", quoted(&line));
-                }
+            if is("skip") {
+                continue;
+            }
+            if field.ident.is_none() || is("flatten") || is("subcommand") {
+                self.named(&inner, before);
+                continue;
+            }
+            let argument = self.argument(field, &words, &inner);
+            match is("long") || is("short") {
+                true => add(&mut self.lines, "", quoted(&format!("{before} {argument}"))),
+                false => self.values.push(argument),
             }
         }
     }
@@ -137,15 +154,23 @@
         let Some(Item::Enum(item)) = self.item(name) else {
             return Vec::new();
         };
-        let value = |variant: &syn::Variant| {
-            let words = words(&variant.attrs, &HEADS);
-            let told = find(&words, "name").and_then(Word::text);
-            told.unwrap_or_else(|| parted(&plain(&variant.ident), "-"))
-        };
-        item.variants.iter().map(value).collect()
+        item.variants.iter().map(word_of).collect()
     }
 }
 
+/// The word of a command or of a value.
+fn word_of(variant: &Variant) -> String {
+    let words = words(&variant.attrs, &HEADS);
+    let told = find(&words, "name").and_then(Word::text);
+    told.unwrap_or_else(|| parted(&plain(&variant.ident), "-"))
+}
+
+/// Stops where names would be made by another rule than clap's own.
+fn plain_rule(attributes: &[Attribute]) {
+    let rule = find(&words(attributes, &HEADS), "rename_all").is_some();
+    assert!(!rule, "rename_all of clap: teach this test to follow it");
+}
+
 fn is_clap(attributes: &[Attribute]) -> bool {
     derives(attributes, &["Parser", "Subcommand", "Args", "ValueEnum"])
 }
--- a/crates/proxy/tests/outer_names/proof.rs
+++ b/crates/proxy/tests/outer_names/proof.rs
@@ -18,7 +18,7 @@
 
 #[derive(Subcommand)]
 enum Inner {
-    LetIn { node: String },
+    LetIn { node: String, zone: String },
 }
 
 #[derive(Serialize)]
@@ -29,6 +29,20 @@
     hidden: u64,
 }
 
+#[derive(Serialize)]
+struct Cell {
+    name: String,
+    kind: String,
+    cell: String,
+    room: u64,
+}
+
+#[derive(Debug)]
+struct Told {
+    asked: u64,
+    up: u64,
+}
+
 type Number = u64;
 
 #[derive(Serialize, Deserialize)]
@@ -59,7 +73,7 @@
 "##;
 
 fn page(code: &str) -> String {
-    let start = "## Printed by Debug\n\n### proxy\n\n- `NoServer DeadlineOver{since}`\n";
+    let start = "## Printed by Debug\n\n### proxy\n\n- `NoServer DeadlineOver{since}`\n- `Told{asked up}`\n";
     let sections = derive(&sources(code), start);
     sections
         .iter()
@@ -94,12 +108,19 @@
             "zone_top",
             "`tool --zone-most <ZONE_MOST> env VIOLETWIND_AT`",
         ),
-        ("LetIn", "Admit", "`tool let-in`"),
+        ("LetIn", "Admit", "`tool let-in <NODE> <ZONE>`"),
+        (
+            "node: String, zone",
+            "zone: String, node",
+            "`tool let-in <NODE> <ZONE>`",
+        ),
         ("VIOLETWIND_AT", "VIOLETWIND_TO", "`VIOLETWIND_AT`"),
         ("NODE_NAME", "NODE_TITLE", "`NODE_NAME`"),
         ("since_ms", "after_ms", "`since-ms`"),
         ("Option<Number>", "Option<u32>", "`- | String, Option<u64>`"),
         ("Hello,", "", "`- | String, Option<u64>`"),
+        ("room: u64", "space: u64", "`name kind cell room`"),
+        ("asked: u64", "wanted: u64", "`Told{asked up}`"),
         ("NoServer", "Nobody", "`NoServer DeadlineOver{since}`"),
         ("drain_wait", "drain_time", "`drain_wait`"),
         ("orgs.{at}", "teams.{at}", "`orgs.{}.name`"),
--- a/crates/proxy/tests/outer_names/types.rs
+++ b/crates/proxy/tests/outer_names/types.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use syn::visit::Visit;
-use syn::{Attribute, Field, Fields, GenericArgument, PathArguments, Type};
+use syn::{Attribute, Field, Fields, GenericArgument, Ident, PathArguments, Type};
 
 use crate::attributes::{Word, derives, find, parted, plain, words};
 use crate::page::{Lines, add, quoted};
@@ -39,6 +39,7 @@
 /// A struct, as one nameless variant, or an enum.
 struct Shape {
     package: String,
+    name: String,
     attributes: Vec<Attribute>,
     variants: Vec<Variant>,
 }
@@ -64,7 +65,7 @@
             attributes: Vec::new(),
             fields: listed(&item.fields),
         };
-        self.add(&item.attrs, vec![variant]);
+        self.add(&item.ident, &item.attrs, vec![variant]);
     }
 
     fn visit_item_enum(&mut self, item: &'ast syn::ItemEnum) {
@@ -73,7 +74,7 @@
             attributes: variant.attrs.clone(),
             fields: listed(&variant.fields),
         });
-        self.add(&item.attrs, variants.collect());
+        self.add(&item.ident, &item.attrs, variants.collect());
     }
 
     fn visit_item_type(&mut self, item: &'ast syn::ItemType) {
@@ -83,9 +84,10 @@
 }
 
 impl Collected<'_> {
-    fn add(&mut self, attributes: &[Attribute], variants: Vec<Variant>) {
+    fn add(&mut self, name: &Ident, attributes: &[Attribute], variants: Vec<Variant>) {
         self.shapes.push(Shape {
             package: self.package.to_string(),
+            name: plain(name),
             attributes: attributes.to_vec(),
             variants,
         });
@@ -213,12 +215,12 @@
         }
     }
 
-    /// Names in order, as Debug writes them.
+    /// Names in order, as Debug writes them: for a struct also its own.
     fn printed(&self) -> String {
         let parts = self.variants.iter().map(|variant| {
             let inner = variant.names().join(" ");
             match (&variant.name, inner.is_empty()) {
-                (None, _) => inner,
+                (None, _) => format!("{}{{{inner}}}", self.name),
                 (Some(name), true) => name.clone(),
                 (Some(name), false) => format!("{name}{{{inner}}}"),
             }
@@ -261,7 +263,7 @@
         return None;
     }
     let words = words(attributes, &["serde"]);
-    let told = find(&words, "rename").and_then(Word::text);
+    let told = find(&words, "rename").map(|word| word.text().expect("one name"));
     Some(told.unwrap_or_else(|| match rule {
         None => name.to_string(),
         Some("kebab-case") => parted(name, "-"),
@@ -272,15 +274,22 @@
     }))
 }
 
-/// Types that are written by name, each with its names in order.
+/// Types that are written by name, each with its names in order. For one of [`BY_NAME`] that is not there any
+/// more, the type with the most names in common is told.
 pub fn by_name(sources: &[Source]) -> Lines {
     let mut lines = Lines::new();
+    let mut others = Lines::new();
     for shape in &collected(sources).shapes {
-        let written = shape.is_written().then(|| shape.written());
-        if let Some(line) = written
-            && (shape.is_marked() || BY_NAME.contains(&line.as_str()))
-        {
-            add(&mut lines, &shape.package, quoted(&line));
+        if shape.is_written() {
+            let line = shape.written();
+            let is_named = shape.is_marked() || BY_NAME.contains(&line.as_str());
+            let place = if is_named { &mut lines } else { &mut others };
+            add(place, &shape.package, quoted(&line));
+        }
+    }
+    for line in BY_NAME.map(quoted) {
+        if lines.keys().all(|key| key.1 != line) {
+            lines.extend(nearest(&line, &others).map(|key| (key.clone(), 1)));
         }
     }
     lines
@@ -326,31 +335,35 @@
         let found = there.get(key).copied().unwrap_or(0).min(*count);
         if found > 0 {
             lines.insert(key.clone(), found);
-        } else if let Some(near) = nearest(key, &there, page) {
-            lines.insert(near, 1);
+        } else {
+            let is_other = |other: &Key| other.0 == key.0 && !page.contains_key(other);
+            let mut others = there.clone();
+            others.retain(|other, _| is_other(other));
+            lines.extend(nearest(&key.1, &others).map(|near| (near.clone(), 1)));
         }
     }
     lines
 }
 
+/// A heading and a line.
 type Key = (String, String);
 
-fn nearest(wanted: &Key, there: &Lines, page: &Lines) -> Option<Key> {
-    let parts = |line: &str| -> Vec<String> {
-        let words = line.split(|letter: char| !letter.is_alphanumeric() && letter != '_');
-        words
-            .filter(|word| !word.is_empty())
-            .map(str::to_string)
-            .collect()
-    };
-    let names = parts(&wanted.1);
-    let common = |key: &Key| {
-        let own = parts(&key.1);
-        let shared = own.iter().filter(|name| names.contains(name)).count();
-        2 * shared > own.len().max(names.len()) || (2 * shared == own.len() && shared > 0)
+/// The line with the most names in common with another: more than half of them.
+fn nearest<'a>(line: &str, there: &'a Lines) -> Option<&'a Key> {
+    let wanted = names(line);
+    let shared = |key: &Key| {
+        let own = names(&key.1);
+        let shared = own.iter().filter(|name| wanted.contains(name)).count();
+        (2 * shared > own.len().max(wanted.len())).then_some(shared)
     };
-    let mut candidates = there
+    let near = there
         .keys()
-        .filter(|key| key.0 == wanted.0 && !page.contains_key(key));
-    candidates.find(|key| common(key)).cloned()
+        .filter_map(|key| Some((shared(key)?, key)))
+        .max_by_key(|(shared, _)| *shared);
+    near.map(|(_, key)| key)
+}
+
+fn names(line: &str) -> Vec<&str> {
+    let words = line.split(|letter: char| !letter.is_alphanumeric() && letter != '_');
+    words.filter(|word| !word.is_empty()).collect()
 }
--- a/crates/proxy/tests/outer_names/words.rs
+++ b/crates/proxy/tests/outer_names/words.rs
@@ -58,7 +58,7 @@
 ];
 
 /// Texts, or parts of them, that programs, tests or operators look for, by the crate that writes them.
-const MATCHED: [(&str, &str); 69] = [
+const MATCHED: [(&str, &str); 70] = [
     ("catalogue", "ready by all that list it"),
     (
         "catalogue",
@@ -72,6 +72,7 @@
     ("catalogue", "no source has listed it for long"),
     ("catalogue", "forgotten: the catalogue is full"),
     ("common", "needs a restart"),
+    ("conf", "__"),
     ("conf", "did you mean "),
     ("conf", "no such key"),
     ("fleet", "another program works on it"),
