--- a/crates/standins/src/members.rs
+++ b/crates/standins/src/members.rs
@@ -221,6 +221,11 @@
         self.write_files(at);
     }
 
+    /// The program of all processes that are started from now on.
+    pub fn set_program(&mut self, program: PathBuf) {
+        self.spec.program = program;
+    }
+
     /// Starts the process of a member on the files that it has.
     pub fn run(&mut self, at: usize) {
         let child = self.spawn(at, &mut self.command(at));
