--- a/crates/balancer/tests/code_limits.rs
+++ b/crates/balancer/tests/code_limits.rs
@@ -71,7 +71,7 @@
 #[test]
 fn every_module_is_either_a_decision_or_known_to_be_none() {
     let named: Vec<PathBuf> = modules().into_iter().map(|(path, _)| path.into()).collect();
-    let none = ["api.rs", "decay.rs", "lib.rs", "quotas.rs", "state.rs"];
+    let none = ["api.rs", "fading.rs", "lib.rs", "quotas.rs", "state.rs"];
     for entry in fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("src")).unwrap() {
         let name = entry.unwrap().file_name();
         let name = name.to_str().unwrap();
--- a/crates/catalogue/benches/whole.rs
+++ b/crates/catalogue/benches/whole.rs
@@ -2,22 +2,22 @@
 
 use std::time::{Duration, Instant};
 
-use violetwind_catalogue::{Catalogue, Instance, Limits, Row, Telling, Word};
+use violetwind_catalogue::{Catalogue, Instance, Limits, ReportedStatus, Row, SourceUpdate};
 
 fn rows(servers: usize, failing: impl Fn(usize) -> bool) -> Vec<Row> {
     let row = |n: usize| Row {
         uid: format!("server-{n}").into(),
-        word: if failing(n) {
-            Word::Failing
+        status: if failing(n) {
+            ReportedStatus::Failing
         } else {
-            Word::Ready
+            ReportedStatus::Ready
         },
         instance: Some(Instance {
             endpoint: ([127, 0, (n >> 8) as u8, n as u8], 3000).into(),
             zone: Some("a".into()),
             kind: Some("m".into()),
             cell: 0,
-            size: Some(1.0),
+            weight: Some(1.0),
             born: None,
             epoch: n as u64,
         }),
@@ -30,7 +30,7 @@
     for changes in [0, 1, 1000] {
         let mut catalogue = Catalogue::new(Limits::default());
         let source = catalogue.add_source("one").expect("the first");
-        catalogue.tell(1, source, Telling::Whole(rows(servers, |_| false)));
+        catalogue.apply_update(1, source, SourceUpdate::Snapshot(rows(servers, |_| false)));
         let (mut took, mut facts) = (Duration::ZERO, 0);
         let rounds = 20;
         for round in 1..=rounds {
@@ -38,7 +38,7 @@
             let rows = rows(servers, failing);
             let start = Instant::now();
             facts += catalogue
-                .tell(round as u64 * 1000, source, Telling::Whole(rows))
+                .apply_update(round as u64 * 1000, source, SourceUpdate::Snapshot(rows))
                 .len();
             took += start.elapsed();
         }
--- a/crates/catalogue/src/view.rs
+++ b/crates/catalogue/src/catalogue.rs
@@ -2,10 +2,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::doubt::Doubt;
 use crate::limits::Limits;
-use crate::record::{Record, Told};
-use crate::words::{Belief, Fact, Heard, Instance, Millis, Row, Said, Seen, Telling, Why, Word};
+use crate::server_record::{PublishedStatus, ServerRecord};
+use crate::trust::SourceTrust;
+use crate::types::{
+    EffectiveStatus, Instance, Millis, ReportedStatus, Row, ServerView, SourceReport, SourceStatus,
+    SourceUpdate, StatusChange, StatusReason,
+};
 
 /// A source's number; lower ones go before higher ones where descriptions differ.
 pub type SourceId = u8;
@@ -18,9 +21,9 @@
     /// Servers forgotten to make room.
     pub evicted: u64,
     /// Rows without an address of a server that was not known.
-    pub unknown: u64,
+    pub unaddressed_rows: u64,
     /// Times a source came to be doubted.
-    pub doubts: u64,
+    pub distrusted_sources: u64,
 }
 
 /// A source as it stands.
@@ -28,11 +31,11 @@
 pub struct SourceView<'a> {
     pub id: SourceId,
     pub name: &'a str,
-    pub listed: usize,
+    pub listed_servers: usize,
     /// When it last answered, and since when it has not.
-    pub answered: Option<Millis>,
-    pub lost_since: Option<Millis>,
-    pub doubted_since: Option<Millis>,
+    pub last_answer_at: Option<Millis>,
+    pub unavailable_since: Option<Millis>,
+    pub distrusted_since: Option<Millis>,
 }
 
 #[derive(Debug, Default)]
@@ -49,14 +52,14 @@
     /// The number of its last whole list, and since when parts of that are being told.
     mark: u64,
     reading: Option<Millis>,
-    doubt: Doubt,
+    doubt: SourceTrust,
 }
 
 #[derive(Debug)]
 pub struct Catalogue {
     limits: Limits,
     sources: Vec<Source>,
-    servers: BTreeMap<Box<str>, Record>,
+    servers: BTreeMap<Box<str>, ServerRecord>,
     /// Servers that nobody lists, by when they were last listed.
     unlisted: BTreeSet<(Millis, Box<str>)>,
     /// Servers whose belief time may change.
@@ -64,7 +67,7 @@
     /// Servers to judge before the next facts go out, and to settle when the moment closes.
     dirty: BTreeSet<Box<str>>,
     touched: BTreeSet<Box<str>>,
-    evicted: Vec<Fact>,
+    evicted: Vec<StatusChange>,
     now: Millis,
     looked_at: Millis,
     /// Servers that may turn gone by long absence, in thousandths.
@@ -103,7 +106,7 @@
         let free = |source: &Source| !source.live && !source.retiring && source.voices == 0;
         let at = self.sources.iter().position(free);
         let at = at.unwrap_or(self.sources.len());
-        if at >= self.limits.sources.min(usize::from(SourceId::MAX)) {
+        if at >= self.limits.max_sources.min(usize::from(SourceId::MAX)) {
             return None;
         }
         let source = Source {
@@ -120,7 +123,7 @@
 
     /// Takes a source away. Its words stand until every other has spoken once, so that a change of
     /// sources leaves no moment without a list; then servers that no other lists are absent.
-    pub fn retire(&mut self, now: Millis, source: SourceId) -> Vec<Fact> {
+    pub fn retire_source(&mut self, now: Millis, source: SourceId) -> Vec<StatusChange> {
         self.advance(now);
         if let Some(source) = self.sources.get_mut(usize::from(source)) {
             source.retiring |= std::mem::take(&mut source.live);
@@ -131,14 +134,19 @@
     }
 
     /// Takes what a source says, and returns what changes by it.
-    pub fn tell(&mut self, now: Millis, source: SourceId, telling: Telling) -> Vec<Fact> {
+    pub fn apply_update(
+        &mut self,
+        now: Millis,
+        source: SourceId,
+        telling: SourceUpdate,
+    ) -> Vec<StatusChange> {
         self.advance(now);
         let now = self.now;
         let at = usize::from(source);
         let Some(teller) = self.sources.get_mut(at).filter(|source| source.live) else {
             return Vec::new();
         };
-        if let Telling::Lost = telling {
+        if let SourceUpdate::Unavailable = telling {
             teller.reading = None;
             teller.lost_since.get_or_insert(now);
             return self.facts();
@@ -146,35 +154,42 @@
         teller.answered = Some(now);
         teller.lost_since = None;
         match telling {
-            Telling::Whole(rows) => self.whole(source, true, true, rows),
-            Telling::Part { first, last, rows } => self.whole(source, first, last, rows),
-            Telling::Changes(rows) => {
+            SourceUpdate::Snapshot(rows) => self.whole(source, true, true, rows),
+            SourceUpdate::SnapshotPart { first, last, rows } => {
+                self.whole(source, first, last, rows)
+            }
+            SourceUpdate::Delta(rows) => {
                 for row in rows {
                     self.row(source, row);
                 }
             }
-            Telling::Stale(rows) => {
+            SourceUpdate::StaleSnapshot(rows) => {
                 // A drain is a drain, however old the word; nothing else is believed.
-                for row in rows.into_iter().filter(|row| row.word == Word::Draining) {
+                for row in rows
+                    .into_iter()
+                    .filter(|row| row.status == ReportedStatus::Draining)
+                {
                     self.row(source, row);
                 }
             }
-            Telling::Same | Telling::Lost => {}
+            SourceUpdate::Unchanged | SourceUpdate::Unavailable => {}
         }
         self.release();
         self.facts()
     }
 
     /// A server answered a probe, or brought something back for a line or an attempt; or it did not.
-    pub fn heard_of(&mut self, now: Millis, uid: &str, answered: bool) -> Vec<Fact> {
+    pub fn record_liveness(&mut self, now: Millis, uid: &str, answered: bool) -> Vec<StatusChange> {
         let Some(record) = self.servers.get_mut(uid) else {
             return Vec::new();
         };
         let misses = match answered {
             true => 0,
-            false => record.misses.saturating_add(1),
+            false => record.missed_responses.saturating_add(1),
         };
-        if std::mem::replace(&mut record.misses, misses) == misses || !record.pending() {
+        if std::mem::replace(&mut record.missed_responses, misses) == misses
+            || !record.needs_reevaluation()
+        {
             return Vec::new();
         }
         self.advance(now);
@@ -183,15 +198,18 @@
     }
 
     /// When time alone may change something next.
-    pub fn next_wake(&self) -> Option<Millis> {
+    pub fn next_tick(&self) -> Option<Millis> {
         let busy = [&self.pending, &self.touched, &self.dirty];
         let busy = busy.iter().any(|set| !set.is_empty());
-        let doubted = self.sources.iter().any(|source| source.doubt.judged);
-        (busy || doubted).then_some(self.looked_at + self.limits.tick)
+        let doubted = self
+            .sources
+            .iter()
+            .any(|source| source.doubt.was_distrusted);
+        (busy || doubted).then_some(self.looked_at + self.limits.tick_interval)
     }
 
     /// Looks again at all that depends on time.
-    pub fn wake(&mut self, now: Millis) -> Vec<Fact> {
+    pub fn tick(&mut self, now: Millis) -> Vec<StatusChange> {
         self.advance(now);
         let span = self.now.saturating_sub(self.looked_at);
         self.looked_at = self.now;
@@ -204,16 +222,16 @@
     }
 
     /// Every server, in the order of identities.
-    pub fn servers(&self) -> impl Iterator<Item = Seen<'_>> {
+    pub fn servers(&self) -> impl Iterator<Item = ServerView<'_>> {
         self.servers.iter().filter_map(|(uid, record)| {
             let (belief, why) = self.judge(record);
-            Some(Seen {
+            Some(ServerView {
                 uid,
-                belief,
-                why,
+                status: belief,
+                reason: why,
                 instance: record.instance()?,
-                said: &record.said,
-                penalty: record.penalty(self.now, &self.limits),
+                reports: &record.reports,
+                flap_penalty: record.flap_penalty(self.now, &self.limits),
             })
         })
     }
@@ -223,14 +241,14 @@
         live.map(|(id, source)| SourceView {
             id: id as SourceId,
             name: &source.name,
-            listed: source.doubt.listed(),
-            answered: source.answered,
-            lost_since: source.lost_since,
-            doubted_since: source.doubt.since(),
+            listed_servers: source.doubt.listed_servers(),
+            last_answer_at: source.answered,
+            unavailable_since: source.lost_since,
+            distrusted_since: source.doubt.distrusted_since(),
         })
     }
 
-    pub fn knows(&self, uid: &str) -> bool {
+    pub fn contains(&self, uid: &str) -> bool {
         self.servers.contains_key(uid)
     }
 
@@ -267,15 +285,15 @@
     }
 
     fn row(&mut self, source: SourceId, row: Row) {
-        let heard = match row.word {
-            Word::Ready => Heard::Ready,
-            Word::Failing => Heard::Failing,
-            Word::Draining => Heard::Draining,
-            Word::Left => Heard::Left,
+        let heard = match row.status {
+            ReportedStatus::Ready => SourceStatus::Ready,
+            ReportedStatus::Failing => SourceStatus::Failing,
+            ReportedStatus::Draining => SourceStatus::Draining,
+            ReportedStatus::Left => SourceStatus::Left,
         };
         if !self.servers.contains_key(&row.uid) {
-            if heard == Heard::Left || row.instance.is_none() {
-                self.counts.unknown += u64::from(heard != Heard::Left);
+            if heard == SourceStatus::Left || row.instance.is_none() {
+                self.counts.unaddressed_rows += u64::from(heard != SourceStatus::Left);
                 return;
             }
             if !self.make_room() {
@@ -288,23 +306,23 @@
 
     /// Whether there is room for one more server, if need be by forgetting one that nobody lists.
     fn make_room(&mut self) -> bool {
-        if self.servers.len() < self.limits.servers {
+        if self.servers.len() < self.limits.max_servers {
             return true;
         }
         let Some((_, uid)) = self.unlisted.first().cloned() else {
             return false;
         };
         self.counts.evicted += 1;
-        self.remove(&uid, Why::NoRoom);
+        self.remove(&uid, StatusReason::Evicted);
         true
     }
 
     /// Forgets a server; the engine hears that it is gone if it has not yet.
-    fn remove(&mut self, uid: &str, why: Why) {
+    fn remove(&mut self, uid: &str, why: StatusReason) {
         let Some(record) = self.servers.remove(uid) else {
             return;
         };
-        for said in &record.said {
+        for said in &record.reports {
             self.uncount(said);
             self.sources[usize::from(said.source)].voices -= 1;
         }
@@ -315,90 +333,98 @@
             set.remove(uid);
         }
         let known = record
-            .told
+            .last_published
             .as_ref()
-            .filter(|told| told.belief != Belief::Gone);
+            .filter(|told| told.status != EffectiveStatus::Gone);
         if let (Some(_), Some(instance)) = (known, record.instance()) {
-            self.evicted.push(Fact {
+            self.evicted.push(StatusChange {
                 uid: uid.into(),
-                belief: Belief::Gone,
-                why,
+                status: EffectiveStatus::Gone,
+                reason: why,
                 instance: instance.clone(),
                 born: None,
             });
         }
     }
 
-    fn uncount(&mut self, said: &Said) {
+    fn uncount(&mut self, said: &SourceReport) {
         let source = &mut self.sources[usize::from(said.source)];
-        source.doubt.count(said.heard, said.bad_since, false);
+        source
+            .doubt
+            .count_report(said.status, said.suspect_since, false);
     }
 
     /// Notes a source's word on a server that is known, or that there is room for.
-    fn say(&mut self, source: SourceId, uid: &str, heard: Heard, instance: Option<Instance>) {
+    fn say(
+        &mut self,
+        source: SourceId,
+        uid: &str,
+        heard: SourceStatus,
+        instance: Option<Instance>,
+    ) {
         let now = self.now;
         let mark = self.sources[usize::from(source)].mark;
         // A list read for the first time tells of servers that may have run for long.
         let news = self.sources[usize::from(source)].told;
         let new = !self.servers.contains_key(uid);
         if new {
-            let record = Record::new(news.then_some(now));
+            let record = ServerRecord::new(news.then_some(now));
             self.servers.insert(uid.into(), record);
         }
         let Some(record) = self.servers.get_mut(uid) else {
             return;
         };
-        let old = record.said.iter().position(|said| said.source == source);
+        let old = record.reports.iter().position(|said| said.source == source);
         let (before, changed) = match old {
             Some(at) => {
-                let said = &mut record.said[at];
-                said.mark = mark;
+                let said = &mut record.reports[at];
+                said.snapshot_number = mark;
                 let before = said.words();
-                let mut changed = said.heard != heard;
+                let mut changed = said.status != heard;
                 if let Some(instance) = instance.filter(|instance| *instance != said.instance) {
                     let moved = instance.endpoint != said.instance.endpoint;
-                    let again = instance.epoch != said.instance.epoch && !said.heard.listed();
+                    let again = instance.epoch != said.instance.epoch && !said.status.is_listed();
                     if moved || again || instance.epoch > said.instance.epoch {
                         // Another process behind the same identity.
-                        record.born_seen = Some(now);
-                        record.misses = 0;
+                        record.observed_start = Some(now);
+                        record.missed_responses = 0;
                     }
                     said.instance = instance;
                     changed = true;
                 }
-                if said.heard != heard {
+                if said.status != heard {
                     said.since = now;
-                    if heard.suspicious() && !said.heard.suspicious() {
-                        said.bad_since = now;
+                    if heard.is_suspect() && !said.status.is_suspect() {
+                        said.suspect_since = now;
                     }
-                    said.heard = heard;
+                    said.status = heard;
                 }
                 (Some(before), changed)
             }
             None => {
                 let Some(instance) = instance else { return };
-                record.said.push(Said {
+                record.reports.push(SourceReport {
                     source,
-                    heard,
+                    status: heard,
                     since: now,
-                    bad_since: now,
+                    suspect_since: now,
                     instance,
-                    mark,
+                    snapshot_number: mark,
                 });
-                record.said.sort_by_key(|said| said.source);
+                record.reports.sort_by_key(|said| said.source);
                 (None, true)
             }
         };
-        let after = record.of(source).expect("said just now").words();
-        if after.0.listed() {
-            record.ripe = false;
+        let after = record.report_of(source).expect("said just now").words();
+        if after.0.is_listed() {
+            record.absence_expired = false;
         }
         let place = &mut self.sources[usize::from(source)];
         match before {
-            Some((heard, bad_since)) => place.doubt.count(heard, bad_since, false),
+            Some((heard, bad_since)) => place.doubt.count_report(heard, bad_since, false),
             None => place.voices += 1,
         }
-        place.doubt.count(after.0, after.1, true);
+        place.doubt.count_report(after.0, after.1, true);
         if changed {
             self.touch(uid.into());
         }
@@ -409,7 +435,7 @@
         let Some(record) = self.servers.get_mut(&uid) else {
             return;
         };
-        let since = (!record.listed()).then(|| record.last_listed());
+        let since = (!record.is_listed()).then(|| record.last_listed_at());
         if record.unlisted_since != since {
             if let Some(old) = record.unlisted_since {
                 self.unlisted.remove(&(old, uid.clone()));
@@ -426,11 +452,11 @@
     /// What the last whole list of a source left out.
     fn leave_out(&mut self, source: SourceId) {
         let mark = self.sources[usize::from(source)].mark;
-        let out = |record: &Record| {
-            let said = record.of(source)?;
-            (said.mark != mark && said.heard.listed()).then_some(said.heard)
+        let out = |record: &ServerRecord| {
+            let said = record.report_of(source)?;
+            (said.snapshot_number != mark && said.status.is_listed()).then_some(said.status)
         };
-        let left_out: Vec<(Box<str>, Heard)> = self
+        let left_out: Vec<(Box<str>, SourceStatus)> = self
             .servers
             .iter()
             .filter_map(|(uid, record)| Some((uid.clone(), out(record)?)))
@@ -438,8 +464,8 @@
         for (uid, before) in left_out {
             // After a drain the end was to be expected.
             let heard = match before {
-                Heard::Draining => Heard::Left,
-                _ => Heard::Absent,
+                SourceStatus::Draining => SourceStatus::Left,
+                _ => SourceStatus::Absent,
             };
             self.say(source, &uid, heard, None);
         }
@@ -462,22 +488,22 @@
             let spoken: Vec<Box<str>> = self
                 .servers
                 .iter()
-                .filter(|(_, record)| record.of(source).is_some())
+                .filter(|(_, record)| record.report_of(source).is_some())
                 .map(|(uid, _)| uid.clone())
                 .collect();
             for uid in spoken {
                 let record = self.servers.get_mut(&uid).expect("listed just now");
-                let other = |said: &Said| said.source != source;
-                if record.said.iter().any(other) {
-                    let at = record.said.iter().position(|said| !other(said));
-                    let said = record.said.remove(at.expect("it has a word"));
+                let other = |said: &SourceReport| said.source != source;
+                if record.reports.iter().any(other) {
+                    let at = record.reports.iter().position(|said| !other(said));
+                    let said = record.reports.remove(at.expect("it has a word"));
                     self.uncount(&said);
                     self.sources[usize::from(source)].voices -= 1;
                     self.touch(uid);
                 } else {
-                    let heard = match record.of(source).map(|said| said.heard) {
-                        Some(heard) if heard.binds() => Heard::Left,
-                        _ => Heard::Absent,
+                    let heard = match record.report_of(source).map(|said| said.status) {
+                        Some(heard) if heard.is_binding() => SourceStatus::Left,
+                        _ => SourceStatus::Absent,
                     };
                     self.say(source, &uid, heard, None);
                 }
@@ -499,16 +525,17 @@
     fn settle(&mut self) {
         let now = self.now;
         for source in &mut self.sources {
-            let before = source.doubt.since();
-            source.doubt.settle(now, &self.limits);
-            self.counts.doubts += u64::from(before.is_none() && source.doubt.since().is_some());
+            let before = source.doubt.distrusted_since();
+            source.doubt.update(now, &self.limits);
+            self.counts.distrusted_sources +=
+                u64::from(before.is_none() && source.doubt.distrusted_since().is_some());
         }
         self.judge_sources();
         for uid in std::mem::take(&mut self.touched) {
             if let Some(record) = self.servers.get_mut(&uid) {
                 let sources = &self.sources;
-                let doubted = |id: SourceId| sources[usize::from(id)].doubt.judged;
-                record.settle(now, doubted, &self.limits);
+                let doubted = |id: SourceId| sources[usize::from(id)].doubt.was_distrusted;
+                record.update_flap_state(now, doubted, &self.limits);
             }
         }
     }
@@ -519,9 +546,9 @@
         let mut turned = Vec::new();
         for (at, source) in self.sources.iter_mut().enumerate() {
             let speaks = source.live || source.retiring;
-            let doubted = speaks && source.doubt.now(self.now, &self.limits);
-            if source.doubt.judged != doubted {
-                source.doubt.judged = doubted;
+            let doubted = speaks && source.doubt.is_distrusted(self.now, &self.limits);
+            if source.doubt.was_distrusted != doubted {
+                source.doubt.was_distrusted = doubted;
                 turned.push(at as SourceId);
             }
         }
@@ -529,8 +556,9 @@
             return;
         }
         for (uid, record) in &self.servers {
-            let ill = |said: &Said| said.heard.suspicious() && turned.contains(&said.source);
-            if record.said.iter().any(ill) {
+            let ill =
+                |said: &SourceReport| said.status.is_suspect() && turned.contains(&said.source);
+            if record.reports.iter().any(ill) {
                 self.dirty.insert(uid.clone());
                 self.touched.insert(uid.clone());
             }
@@ -541,23 +569,23 @@
     /// those that have been gone for as long again.
     fn ripen(&mut self, span: Millis) {
         let limits = &self.limits;
-        let a_second = (limits.gone_share * self.servers.len() as f64).max(1.0);
+        let a_second = (limits.max_gone_ratio_per_s * self.servers.len() as f64).max(1.0);
         let most = (a_second * 1000.0) as u64;
         self.gone_budget = (self.gone_budget + (a_second * span as f64) as u64).min(most.max(1000));
-        let due = self.now.saturating_sub(limits.absent_for);
+        let due = self.now.saturating_sub(limits.absence_timeout);
         let mut ripe = Vec::new();
         let mut over = Vec::new();
         for (since, uid) in self.unlisted.iter().take_while(|(since, _)| *since <= due) {
             let record = &self.servers[uid];
-            let doubted = |id: SourceId| self.sources[usize::from(id)].doubt.judged;
-            let forget = since.saturating_add(2 * limits.absent_for) <= self.now;
-            let told = record.told.as_ref();
-            let gone = told.is_some_and(|told| told.belief == Belief::Gone);
-            if gone && forget && record.ripe {
+            let doubted = |id: SourceId| self.sources[usize::from(id)].doubt.was_distrusted;
+            let forget = since.saturating_add(2 * limits.absence_timeout) <= self.now;
+            let told = record.last_published.as_ref();
+            let gone = told.is_some_and(|told| told.status == EffectiveStatus::Gone);
+            if gone && forget && record.absence_expired {
                 over.push(uid.clone());
-            } else if record.ripens(doubted) {
+            } else if record.is_absence_trusted(doubted) {
                 // After a drain, or once it was told gone, its clients have been moved already.
-                if !record.drained() && !gone {
+                if !record.is_draining() && !gone {
                     if self.gone_budget < 1000 {
                         continue;
                     }
@@ -568,28 +596,28 @@
         }
         for uid in ripe {
             if let Some(record) = self.servers.get_mut(&uid) {
-                record.ripe = true;
+                record.absence_expired = true;
                 self.dirty.insert(uid);
             }
         }
         for uid in over {
-            self.remove(&uid, Why::AbsentForLong);
+            self.remove(&uid, StatusReason::AbsenceExpired);
         }
     }
 
     // Facts.
 
-    fn judge(&self, record: &Record) -> (Belief, Why) {
-        let doubted = |id: SourceId| self.sources[usize::from(id)].doubt.judged;
-        record.judge(doubted, &self.limits)
+    fn judge(&self, record: &ServerRecord) -> (EffectiveStatus, StatusReason) {
+        let doubted = |id: SourceId| self.sources[usize::from(id)].doubt.was_distrusted;
+        record.evaluate(doubted, &self.limits)
     }
 
     /// What has changed since the last facts.
-    fn facts(&mut self) -> Vec<Fact> {
+    fn facts(&mut self) -> Vec<StatusChange> {
         self.judge_sources();
         let mut facts = std::mem::take(&mut self.evicted);
         // Half of a list may look like a loss of the other half: until its end only drains go out.
-        let begun = self.now.saturating_sub(self.limits.tick);
+        let begun = self.now.saturating_sub(self.limits.tick_interval);
         let reading = |source: &Source| source.reading.is_some_and(|at| at >= begun);
         let half = self.sources.iter().any(reading);
         let mut held = BTreeSet::new();
@@ -597,45 +625,45 @@
             let Some(record) = self.servers.get(&uid) else {
                 continue;
             };
-            if half && !record.drained() {
+            if half && !record.is_draining() {
                 held.insert(uid);
                 continue;
             }
             let (belief, why) = self.judge(record);
-            let pending = record.pending();
+            let pending = record.needs_reevaluation();
             let record = self.servers.get_mut(&uid).expect("found just now");
-            let was = record.told.as_ref().map(|told| told.belief);
-            if was == Some(Belief::Gone) && belief != Belief::Gone {
+            let was = record.last_published.as_ref().map(|told| told.status);
+            if was == Some(EffectiveStatus::Gone) && belief != EffectiveStatus::Gone {
                 // Back from the dead: its process may have been started anew.
-                record.born_seen = Some(self.now);
-                record.misses = 0;
+                record.observed_start = Some(self.now);
+                record.missed_responses = 0;
             }
-            let Some(said) = record.described() else {
+            let Some(said) = record.primary_report() else {
                 continue;
             };
-            let seen = record.born_seen;
+            let seen = record.observed_start;
             let born = said.instance.born.max(seen);
-            let same = |told: &Told| {
-                told.belief == belief && told.born == born && told.instance == said.instance
+            let same = |told: &PublishedStatus| {
+                told.status == belief && told.started_at == born && told.instance == said.instance
             };
-            let same = record.told.as_ref().is_some_and(same);
+            let same = record.last_published.as_ref().is_some_and(same);
             let instance = said.instance.clone();
-            match pending || belief != Belief::Ready {
+            match pending || belief != EffectiveStatus::Ready {
                 true => self.pending.insert(uid.clone()),
                 false => self.pending.remove(&uid),
             };
             if same {
                 continue;
             }
-            record.told = Some(Told {
-                belief,
-                born,
+            record.last_published = Some(PublishedStatus {
+                status: belief,
+                started_at: born,
                 instance: instance.clone(),
             });
-            facts.push(Fact {
+            facts.push(StatusChange {
                 uid,
-                belief,
-                why,
+                status: belief,
+                reason: why,
                 instance,
                 born,
             });
@@ -645,8 +673,8 @@
     }
 }
 
-impl Said {
-    fn words(&self) -> (Heard, Millis) {
-        (self.heard, self.bad_since)
+impl SourceReport {
+    fn words(&self) -> (SourceStatus, Millis) {
+        (self.status, self.suspect_since)
     }
 }
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -15,12 +15,15 @@
 //! go out as values. The view at a moment depends on what was told at that moment, not on its order
 //! (words of one source on one server excepted: its last word counts).
 
-mod doubt;
+mod catalogue;
 mod limits;
-mod record;
-mod view;
-mod words;
+mod server_record;
+mod trust;
+mod types;
 
+pub use catalogue::{Catalogue, Counts, SourceId, SourceView};
 pub use limits::Limits;
-pub use view::{Catalogue, Counts, SourceId, SourceView};
-pub use words::{Belief, Fact, Heard, Instance, Millis, Row, Said, Seen, Telling, Why, Word};
+pub use types::{
+    EffectiveStatus, Instance, Millis, ReportedStatus, Row, ServerView, SourceReport, SourceStatus,
+    SourceUpdate, StatusChange, StatusReason,
+};
--- a/crates/catalogue/src/words.rs
+++ b/crates/catalogue/src/types.rs
@@ -14,7 +14,7 @@
     pub kind: Option<Box<str>>,
     pub cell: u64,
     /// Its size beside others', where the source tells sizes.
-    pub size: Option<f64>,
+    pub weight: Option<f64>,
     /// When its process started, where the source tells that.
     pub born: Option<Millis>,
     /// Changes with each registration, where the source tells that (Consul's `CreateIndex`).
@@ -23,7 +23,7 @@
 
 /// A source's word on one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ReportedStatus {
     Ready,
     /// A check of the source's fails.
     Failing,
@@ -35,43 +35,46 @@
 #[derive(Clone, Debug)]
 pub struct Row {
     pub uid: Box<str>,
-    pub word: Word,
+    pub status: ReportedStatus,
     /// None where the source no longer tells it ([`Word::Left`]).
     pub instance: Option<Instance>,
 }
 
 /// What a source says at one time.
 #[derive(Clone, Debug)]
-pub enum Telling {
+pub enum SourceUpdate {
     /// All servers it knows.
-    Whole(Vec<Row>),
+    Snapshot(Vec<Row>),
     /// The same in parts: nothing but drains counts before the last of them. What is in none of the parts
     /// is left out.
-    Part {
+    SnapshotPart {
         first: bool,
         last: bool,
         rows: Vec<Row>,
     },
     /// Those that changed.
-    Changes(Vec<Row>),
+    Delta(Vec<Row>),
     /// A list too old to be believed: only its drains count.
-    Stale(Vec<Row>),
+    StaleSnapshot(Vec<Row>),
     /// Nothing new.
-    Same,
+    Unchanged,
     /// A call failed, or the source is silent.
-    Lost,
+    Unavailable,
 }
 
-impl Telling {
+impl SourceUpdate {
     /// Whether it ends a whole list.
-    pub fn completes(&self) -> bool {
-        matches!(self, Self::Whole(_) | Self::Part { last: true, .. })
+    pub fn completes_snapshot(&self) -> bool {
+        matches!(
+            self,
+            Self::Snapshot(_) | Self::SnapshotPart { last: true, .. }
+        )
     }
 }
 
 /// What a source's word has come to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum SourceStatus {
     Ready,
     Failing,
     Draining,
@@ -81,35 +84,35 @@
     Left,
 }
 
-impl Heard {
-    pub(crate) fn listed(self) -> bool {
+impl SourceStatus {
+    pub(crate) fn is_listed(self) -> bool {
         matches!(self, Self::Ready | Self::Failing | Self::Draining)
     }
 
-    pub(crate) fn suspicious(self) -> bool {
+    pub(crate) fn is_suspect(self) -> bool {
         matches!(self, Self::Failing | Self::Absent)
     }
 
-    pub(crate) fn binds(self) -> bool {
+    pub(crate) fn is_binding(self) -> bool {
         matches!(self, Self::Draining | Self::Left)
     }
 }
 
 /// One source's word on one server, and since when it stands.
 #[derive(Clone, Debug)]
-pub struct Said {
+pub struct SourceReport {
     pub source: super::SourceId,
-    pub heard: Heard,
+    pub status: SourceStatus,
     pub since: Millis,
     /// Since when it has been suspicious without a break.
-    pub(crate) bad_since: Millis,
+    pub(crate) suspect_since: Millis,
     pub(crate) instance: Instance,
-    pub(crate) mark: u64,
+    pub(crate) snapshot_number: u64,
 }
 
 /// What the engine is told of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belief {
+pub enum EffectiveStatus {
     Ready,
     /// Nothing new while others have room; its clients stay.
     Suspected,
@@ -121,45 +124,45 @@
 
 /// Why it is believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    AllSayReady,
+pub enum StatusReason {
+    AllReady,
     /// It is failing or absent by a source that lost too much at once.
-    SourceDoubted,
-    OneSaysFailing,
-    NobodyListsIt,
+    SourceDistrusted,
+    ReportedFailing,
+    Unlisted,
     /// It went back and forth too often.
-    Damped,
-    DrainTold,
+    FlapDamped,
+    DrainReported,
     /// Suspected, and it leaves probes or lines unanswered.
-    Unanswered,
+    Unresponsive,
     /// Listed by nobody for as long as the limits say.
-    AbsentForLong,
+    AbsenceExpired,
     /// Forgotten to make room for others.
-    NoRoom,
+    Evicted,
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for StatusReason {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
-            Self::AllSayReady => "ready by all that list it",
-            Self::SourceDoubted => "its source lost too much at once and is doubted",
-            Self::OneSaysFailing => "a source says that it fails",
-            Self::NobodyListsIt => "no source lists it any more",
-            Self::Damped => "it went back and forth too often",
-            Self::DrainTold => "a drain was told",
-            Self::Unanswered => "suspected, and it does not answer",
-            Self::AbsentForLong => "no source has listed it for long",
-            Self::NoRoom => "forgotten: the catalogue is full",
+            Self::AllReady => "ready by all that list it",
+            Self::SourceDistrusted => "its source lost too much at once and is doubted",
+            Self::ReportedFailing => "a source says that it fails",
+            Self::Unlisted => "no source lists it any more",
+            Self::FlapDamped => "it went back and forth too often",
+            Self::DrainReported => "a drain was told",
+            Self::Unresponsive => "suspected, and it does not answer",
+            Self::AbsenceExpired => "no source has listed it for long",
+            Self::Evicted => "forgotten: the catalogue is full",
         })
     }
 }
 
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fact {
+pub struct StatusChange {
     pub uid: Box<str>,
-    pub belief: Belief,
-    pub why: Why,
+    pub status: EffectiveStatus,
+    pub reason: StatusReason,
     pub instance: Instance,
     /// When its process started, as told or as seen: a server that is new, at a new address or back
     /// from the dead counts as cold.
@@ -168,12 +171,12 @@
 
 /// One server with everything that is known of it.
 #[derive(Clone, Debug)]
-pub struct Seen<'a> {
+pub struct ServerView<'a> {
     pub uid: &'a str,
-    pub belief: Belief,
-    pub why: Why,
+    pub status: EffectiveStatus,
+    pub reason: StatusReason,
     pub instance: &'a Instance,
-    pub said: &'a [Said],
+    pub reports: &'a [SourceReport],
     /// Times it turned suspect, fading.
-    pub penalty: f64,
+    pub flap_penalty: f64,
 }
--- a/crates/catalogue/tests/properties.rs
+++ b/crates/catalogue/tests/properties.rs
@@ -6,27 +6,28 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use violetwind_catalogue::{
-    Belief, Catalogue, Instance, Limits, Millis, Row, SourceId, Telling, Word,
+    Catalogue, EffectiveStatus, Instance, Limits, Millis, ReportedStatus, Row, SourceId,
+    SourceUpdate,
 };
 
 const SOURCES: u8 = 3;
 
 #[derive(Clone, Debug)]
 enum Step {
-    Word(SourceId, u8, Word),
-    Whole(SourceId, Vec<(u8, Word)>),
-    Stale(SourceId, Vec<(u8, Word)>),
+    Word(SourceId, u8, ReportedStatus),
+    Whole(SourceId, Vec<(u8, ReportedStatus)>),
+    Stale(SourceId, Vec<(u8, ReportedStatus)>),
     Lost(SourceId),
     Heard(u8, bool),
     Pass(Millis),
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn word() -> impl Strategy<Value = ReportedStatus> {
     prop_oneof![
-        4 => Just(Word::Ready),
-        3 => Just(Word::Failing),
-        1 => Just(Word::Draining),
-        1 => Just(Word::Left),
+        4 => Just(ReportedStatus::Ready),
+        3 => Just(ReportedStatus::Failing),
+        1 => Just(ReportedStatus::Draining),
+        1 => Just(ReportedStatus::Left),
     ]
 }
 
@@ -46,29 +47,29 @@
     format!("s-{n}")
 }
 
-fn row(n: u8, word: Word) -> Row {
+fn row(n: u8, word: ReportedStatus) -> Row {
     Row {
         uid: uid(n).into(),
-        word,
+        status: word,
         instance: Some(Instance {
             endpoint: ([127, 0, 0, 1], 3000 + u16::from(n)).into(),
             zone: None,
             kind: None,
             cell: 0,
-            size: None,
+            weight: None,
             born: None,
             epoch: 0,
         }),
     }
 }
 
-fn rows(rows: &[(u8, Word)]) -> Vec<Row> {
+fn rows(rows: &[(u8, ReportedStatus)]) -> Vec<Row> {
     rows.iter().map(|(n, word)| row(*n, *word)).collect()
 }
 
 fn catalogue(servers: usize) -> Catalogue {
     let mut catalogue = Catalogue::new(Limits {
-        servers,
+        max_servers: servers,
         ..Limits::default()
     });
     for n in 0..SOURCES {
@@ -77,14 +78,14 @@
     catalogue
 }
 
-fn apply(c: &mut Catalogue, now: Millis, step: &Step) -> Vec<violetwind_catalogue::Fact> {
+fn apply(c: &mut Catalogue, now: Millis, step: &Step) -> Vec<violetwind_catalogue::StatusChange> {
     match step {
-        Step::Word(s, n, w) => c.tell(now, *s, Telling::Changes(vec![row(*n, *w)])),
-        Step::Whole(s, r) => c.tell(now, *s, Telling::Whole(rows(r))),
-        Step::Stale(s, r) => c.tell(now, *s, Telling::Stale(rows(r))),
-        Step::Lost(s) => c.tell(now, *s, Telling::Lost),
-        Step::Heard(n, answered) => c.heard_of(now, &uid(*n), *answered),
-        Step::Pass(_) => c.wake(now),
+        Step::Word(s, n, w) => c.apply_update(now, *s, SourceUpdate::Delta(vec![row(*n, *w)])),
+        Step::Whole(s, r) => c.apply_update(now, *s, SourceUpdate::Snapshot(rows(r))),
+        Step::Stale(s, r) => c.apply_update(now, *s, SourceUpdate::StaleSnapshot(rows(r))),
+        Step::Lost(s) => c.apply_update(now, *s, SourceUpdate::Unavailable),
+        Step::Heard(n, answered) => c.record_liveness(now, &uid(*n), *answered),
+        Step::Pass(_) => c.tick(now),
     }
 }
 
@@ -94,12 +95,12 @@
 struct Drains(BTreeMap<u8, BTreeSet<SourceId>>);
 
 impl Drains {
-    fn word(&mut self, source: SourceId, n: u8, word: Word) {
+    fn word(&mut self, source: SourceId, n: u8, word: ReportedStatus) {
         let by = self.0.entry(n).or_default();
         match word {
-            Word::Draining => by.insert(source),
-            Word::Ready | Word::Failing => by.remove(&source),
-            Word::Left => false,
+            ReportedStatus::Draining => by.insert(source),
+            ReportedStatus::Ready | ReportedStatus::Failing => by.remove(&source),
+            ReportedStatus::Left => false,
         };
     }
 
@@ -108,7 +109,7 @@
             Step::Word(s, n, w) => self.word(*s, *n, *w),
             Step::Whole(s, r) => r.iter().for_each(|(n, w)| self.word(*s, *n, *w)),
             Step::Stale(s, r) => {
-                let drains = r.iter().filter(|(_, w)| *w == Word::Draining);
+                let drains = r.iter().filter(|(_, w)| *w == ReportedStatus::Draining);
                 drains.for_each(|(n, w)| self.word(*s, *n, *w));
             }
             _ => {}
@@ -128,11 +129,11 @@
     #[test]
     fn a_told_drain_is_never_overruled(steps in prop::collection::vec(step(), 1..80)) {
         let (mut c, mut drains, mut now) = (catalogue(1000), Drains::default(), 1_000_000);
-        let mut believed: BTreeMap<Box<str>, Belief> = BTreeMap::new();
+        let mut believed: BTreeMap<Box<str>, EffectiveStatus> = BTreeMap::new();
         for step in &steps {
             now += if let Step::Pass(span) = step { *span } else { 0 };
             for fact in apply(&mut c, now, step) {
-                believed.insert(fact.uid, fact.belief);
+                believed.insert(fact.uid, fact.status);
             }
             drains.take(step);
             let known: BTreeSet<String> = c.servers().map(|seen| seen.uid.to_string()).collect();
@@ -143,7 +144,7 @@
                 }
                 let belief = believed.get(uid(*n).as_str());
                 prop_assert!(
-                    matches!(belief, Some(Belief::Draining | Belief::Gone)),
+                    matches!(belief, Some(EffectiveStatus::Draining | EffectiveStatus::Gone)),
                     "{} drained by {by:?} is {belief:?} after {step:?}", uid(*n)
                 );
             }
@@ -159,19 +160,19 @@
             now += if let Step::Pass(span) = step { *span } else { 0 };
             apply(&mut c, now, step);
             prop_assert!(c.len() <= 12);
-            prop_assert!(c.servers().all(|seen| seen.said.len() <= usize::from(SOURCES)));
+            prop_assert!(c.servers().all(|seen| seen.reports.len() <= usize::from(SOURCES)));
         }
         // Once every source lists nothing, nothing is left after a while.
         for source in 0..SOURCES {
-            c.tell(now, source, Telling::Whole(Vec::new()));
+            c.apply_update(now, source, SourceUpdate::Snapshot(Vec::new()));
         }
         for _ in 0..4000 {
-            let Some(at) = c.next_wake() else { break };
+            let Some(at) = c.next_tick() else { break };
             now = now.max(at);
-            c.wake(now);
+            c.tick(now);
         }
         prop_assert!(c.is_empty(), "{} left", c.len());
-        prop_assert!(c.next_wake().is_none());
+        prop_assert!(c.next_tick().is_none());
     }
 
     #[test]
@@ -184,8 +185,8 @@
         let (mut one, mut two, mut now) = (catalogue(1000), catalogue(1000), 1_000_000);
         for c in [&mut one, &mut two] {
             for source in 0..SOURCES {
-                let all: Vec<(u8, Word)> = (0..40).map(|n| (n, Word::Ready)).collect();
-                c.tell(now, source, Telling::Whole(rows(&all)));
+                let all: Vec<(u8, ReportedStatus)> = (0..40).map(|n| (n, ReportedStatus::Ready)).collect();
+                c.apply_update(now, source, SourceUpdate::Snapshot(rows(&all)));
             }
         }
         for (moment, span) in moments.iter().zip(&spans) {
@@ -199,8 +200,8 @@
                 words.swap(at, (seed.wrapping_mul(at as u64 + 7) % len) as usize);
             }
             words.iter().for_each(|step| drop(apply(&mut two, now, step)));
-            let view = |c: &Catalogue| -> Vec<(String, Belief)> {
-                c.servers().map(|seen| (seen.uid.to_string(), seen.belief)).collect()
+            let view = |c: &Catalogue| -> Vec<(String, EffectiveStatus)> {
+                c.servers().map(|seen| (seen.uid.to_string(), seen.status)).collect()
             };
             prop_assert_eq!(view(&one), view(&two));
         }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -3,8 +3,8 @@
 //! likely one. `serde` stops at the first error and knows no place of a value that a later layer gave,
 //! so values are read from a tree that keeps both.
 
-mod read;
+mod section;
 mod tree;
 
-pub use read::{Problem, Problems, Section, span_text};
-pub use tree::Tree;
+pub use section::{Problem, Problems, Section, format_duration};
+pub use tree::ConfigTree;
--- a/crates/conf/src/read.rs
+++ b/crates/conf/src/section.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::tree::{Node, Tree, Value};
+use crate::tree::{ConfigTree, Node, Value};
 
 /// How alike an unknown key must be to a known one to be taken for it.
 const ALIKE: f64 = 0.75;
@@ -16,20 +16,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// `FILE:LINE`, `environment NAME` or `--set KEY`.
-    pub place: String,
+    pub location: String,
     pub key: String,
-    pub what: String,
+    pub message: String,
     /// What was probably meant.
     pub hint: Option<String>,
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}: ", self.place)?;
+        write!(out, "{}: ", self.location)?;
         if !self.key.is_empty() {
             write!(out, "`{}`: ", self.key)?;
         }
-        out.write_str(&self.what)?;
+        out.write_str(&self.message)?;
         match &self.hint {
             Some(hint) => write!(out, " ({hint})"),
             None => Ok(()),
@@ -54,9 +54,9 @@
     pub fn into_vec(self) -> Vec<Problem> {
         let mut problems = self.0.take();
         let line = |problem: &Problem| -> (String, u64) {
-            match problem.place.rsplit_once(':') {
+            match problem.location.rsplit_once(':') {
                 Some((name, line)) => (name.to_string(), line.parse().unwrap_or(0)),
-                None => (problem.place.clone(), 0),
+                None => (problem.location.clone(), 0),
             }
         };
         problems.sort_by_cached_key(line);
@@ -76,14 +76,14 @@
 
 impl<'a> Section<'a> {
     /// The whole file.
-    pub fn root(tree: &'a Tree, problems: &Problems) -> Self {
+    pub fn root(tree: &'a ConfigTree, problems: &Problems) -> Self {
         let table = match &tree.root.value {
             Value::Table(table) => Some(table),
             _ => None,
         };
         Self {
             path: String::new(),
-            place: tree.root.place.clone(),
+            place: tree.root.location.clone(),
             table,
             asked: RefCell::default(),
             problems: problems.clone(),
@@ -91,18 +91,18 @@
     }
 
     /// Whether the file has it at all.
-    pub fn is_there(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         self.table.is_some()
     }
 
     /// Whether a key is given, so that its absence can mean something else than a default.
-    pub fn has(&self, name: &str) -> bool {
+    pub fn has_key(&self, name: &str) -> bool {
         self.asked.borrow_mut().push(name.to_string());
         self.table.is_some_and(|table| table.contains_key(name))
     }
 
     /// Where it stands.
-    pub fn place(&self) -> &str {
+    pub fn location(&self) -> &str {
         &self.place
     }
 
@@ -119,12 +119,12 @@
     }
 
     /// Tells what is wrong with a key; its own place counts, or that of the section.
-    pub fn wrong(&self, name: &str, what: impl Into<String>) {
+    pub fn report_problem(&self, name: &str, what: impl Into<String>) {
         let node = self.table.and_then(|table| table.get(name));
         self.problems.add(Problem {
-            place: node.map_or(&self.place, |node| &node.place).to_string(),
+            location: node.map_or(&self.place, |node| &node.location).to_string(),
             key: self.key(name),
-            what: what.into(),
+            message: what.into(),
             hint: None,
         });
     }
@@ -138,7 +138,7 @@
         let node = self.node(name)?;
         let value = read(&node.value);
         if value.is_none() {
-            self.wrong(
+            self.report_problem(
                 name,
                 format!("expected {expected}, found {}", shown(&node.value)),
             );
@@ -156,7 +156,7 @@
         let within = range.contains(&value);
         if !within {
             let (from, to) = (show(*range.start()), show(*range.end()));
-            self.wrong(name, format!("{} is not from {from} to {to}", show(value)));
+            self.report_problem(name, format!("{} is not from {from} to {to}", show(value)));
         }
         within
     }
@@ -169,9 +169,9 @@
     }
 
     /// A text that must be there.
-    pub fn need_text(&self, name: &str) -> String {
+    pub fn required_text(&self, name: &str) -> String {
         if self.table.is_some_and(|table| !table.contains_key(name)) {
-            self.wrong(name, "expected a text, found nothing");
+            self.report_problem(name, "expected a text, found nothing");
         }
         self.text(name).unwrap_or_default()
     }
@@ -204,7 +204,12 @@
     }
 
     /// A span of time, such as `"300ms"`, `"4s"`, `"10m"` or `"1h"`.
-    pub fn span(&self, name: &str, range: RangeInclusive<Duration>, default: Duration) -> Duration {
+    pub fn duration(
+        &self,
+        name: &str,
+        range: RangeInclusive<Duration>,
+        default: Duration,
+    ) -> Duration {
         let value = self.read(
             name,
             "a span such as \"300ms\" or \"4s\"",
@@ -213,12 +218,12 @@
                 _ => None,
             },
         );
-        let sound = value.filter(|value| self.within(name, *value, &range, span_text));
+        let sound = value.filter(|value| self.within(name, *value, &range, format_duration));
         sound.unwrap_or(default)
     }
 
     /// A value in a form that `parse` understands.
-    pub fn parsed<T>(
+    pub fn parse_with<T>(
         &self,
         name: &str,
         expected: &str,
@@ -237,14 +242,14 @@
             .map(|(word, _)| format!("\"{word}\""))
             .collect();
         let expected = names.join(" or ");
-        let value = self.parsed(name, &expected, |text| {
+        let value = self.parse_with(name, &expected, |text| {
             let (_, of) = words.iter().find(|(word, _)| *word == text)?;
             Some(of.clone())
         });
         value.unwrap_or(default)
     }
 
-    pub fn texts(&self, name: &str) -> Vec<String> {
+    pub fn text_list(&self, name: &str) -> Vec<String> {
         let texts = self.read(name, "a list of texts", |value| match value {
             Value::List(items) => items
                 .iter()
@@ -259,7 +264,7 @@
     }
 
     /// A table of names and texts, whatever the names.
-    pub fn names(&self, name: &str) -> BTreeMap<String, String> {
+    pub fn text_map(&self, name: &str) -> BTreeMap<String, String> {
         let section = self.section(name);
         let keys = section.table.into_iter().flat_map(|table| table.keys());
         keys.filter_map(|key| Some((key.clone(), section.text(key)?)))
@@ -274,7 +279,7 @@
         let node = self.table.and_then(|table| table.get(name));
         Section {
             path: self.key(name),
-            place: node.map_or(&self.place, |node| &node.place).clone(),
+            place: node.map_or(&self.place, |node| &node.location).clone(),
             table,
             asked: RefCell::default(),
             problems: self.problems.clone(),
@@ -292,7 +297,7 @@
         for (at, node) in list.into_iter().flatten().enumerate() {
             let path = self.key(&format!("{name}.{at}"));
             let Value::Table(table) = &node.value else {
-                self.wrong(
+                self.report_problem(
                     name,
                     format!("expected {expected}, found {}", shown(&node.value)),
                 );
@@ -300,7 +305,7 @@
             };
             sections.push(Section {
                 path,
-                place: node.place.clone(),
+                place: node.location.clone(),
                 table: Some(table),
                 asked: RefCell::default(),
                 problems: self.problems.clone(),
@@ -310,7 +315,7 @@
     }
 
     /// Tells of keys that nothing asked for. Call it last.
-    pub fn finish(&self) {
+    pub fn report_unknown_keys(&self) {
         let asked = self.asked.borrow();
         for (name, node) in self.table.into_iter().flatten() {
             if asked.contains(name) {
@@ -322,9 +327,9 @@
                 .filter(|known| alike(known) >= ALIKE)
                 .max_by(|one, two| alike(one).total_cmp(&alike(two)));
             self.problems.add(Problem {
-                place: node.place.to_string(),
+                location: node.location.to_string(),
                 key: self.key(name),
-                what: "no such key".into(),
+                message: "no such key".into(),
                 hint: nearest.map(|known| format!("did you mean `{known}`?")),
             });
         }
@@ -339,7 +344,7 @@
         Value::Flag(flag) => flag.to_string(),
         Value::List(_) => "a list".into(),
         Value::Table(_) => "a section".into(),
-        Value::Other => "a date".into(),
+        Value::Datetime => "a date".into(),
     }
 }
 
@@ -357,7 +362,7 @@
 }
 
 /// A span as the file writes it, to the microsecond.
-pub fn span_text(span: Duration) -> String {
+pub fn format_duration(span: Duration) -> String {
     match span.as_millis() {
         _ if !span.as_micros().is_multiple_of(1000) || span.is_zero() => {
             format!("{}ms", span.as_micros() as f64 / 1000.0)
--- a/crates/conf/src/tree.rs
+++ b/crates/conf/src/tree.rs
@@ -5,7 +5,7 @@
 
 use toml_edit::{Document, Item, TableLike, Value as Toml};
 
-use crate::read::Problem;
+use crate::section::Problem;
 
 /// The longest file, and the deepest nesting that a layer may add.
 const MOST_BYTES: usize = 1 << 20;
@@ -20,29 +20,29 @@
     List(Vec<Node>),
     Table(BTreeMap<String, Node>),
     /// A date, which no key takes.
-    Other,
+    Datetime,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     pub value: Value,
     /// `FILE:LINE`, `environment NAME` or `--set KEY`.
-    pub place: Rc<str>,
+    pub location: Rc<str>,
 }
 
 /// A file and the layers over it.
 #[derive(Clone, Debug)]
-pub struct Tree {
+pub struct ConfigTree {
     pub(crate) root: Node,
 }
 
-impl Tree {
+impl ConfigTree {
     /// No file: all values are the defaults.
     pub fn empty() -> Self {
         Self {
             root: Node {
                 value: Value::Table(BTreeMap::new()),
-                place: "defaults".into(),
+                location: "defaults".into(),
             },
         }
     }
@@ -50,9 +50,9 @@
     /// Reads a file's text; `name` is what errors call it.
     pub fn parse(name: &str, text: &str) -> Result<Self, Problem> {
         let problem = |at: Option<usize>, what: String| Problem {
-            place: place(name, text, at).to_string(),
+            location: place(name, text, at).to_string(),
             key: String::new(),
-            what,
+            message: what,
             hint: None,
         };
         if text.len() > MOST_BYTES {
@@ -66,19 +66,19 @@
         Ok(Self {
             root: Node {
                 value: Value::Table(table),
-                place: place(name, text, None),
+                location: place(name, text, None),
             },
         })
     }
 
     /// Puts a value over what the file says, at a path such as `log.format` or `source.0.address`. The
     /// text is read as a TOML value if it is one, else taken as it is.
-    pub fn set(&mut self, path: &str, text: &str, place: &str) -> Result<(), Problem> {
+    pub fn set_value(&mut self, path: &str, text: &str, place: &str) -> Result<(), Problem> {
         let keys: Vec<&str> = path.split('.').collect();
         let problem = |what: &str| Problem {
-            place: place.to_string(),
+            location: place.to_string(),
             key: path.to_string(),
-            what: what.to_string(),
+            message: what.to_string(),
             hint: None,
         };
         if keys.len() > MOST_DEPTH || keys.iter().any(|key| key.is_empty()) {
@@ -94,7 +94,7 @@
             node = match &mut node.value {
                 Value::Table(table) => table.entry(key.to_string()).or_insert_with(|| Node {
                     value: Value::Table(BTreeMap::new()),
-                    place: place.clone(),
+                    location: place.clone(),
                 }),
                 Value::List(list) => {
                     let at: Option<usize> = key.parse().ok();
@@ -106,13 +106,16 @@
                 _ => return Err(problem("a key within what is no section")),
             };
         }
-        *node = Node { value, place };
+        *node = Node {
+            value,
+            location: place,
+        };
         Ok(())
     }
 
     /// Layers variables of the environment over the file: `PREFIX` and then the path, in capitals, with
     /// two underscores between keys, as in `VIOLETWIND__LOG__FORMAT`.
-    pub fn set_from(
+    pub fn set_from_env(
         &mut self,
         prefix: &str,
         variables: impl Iterator<Item = (String, String)>,
@@ -125,7 +128,7 @@
         for (name, value) in found {
             let path = name[prefix.len()..].to_ascii_lowercase().replace("__", ".");
             let place = format!("environment {name}");
-            problems.extend(self.set(&path, &value, &place).err());
+            problems.extend(self.set_value(&path, &value, &place).err());
         }
         problems
     }
@@ -155,12 +158,15 @@
                     .iter()
                     .map(|inner| Node {
                         value: Value::Table(self::table(name, text, inner)),
-                        place: place(name, text, inner.span().map(|span| span.start)),
+                        location: place(name, text, inner.span().map(|span| span.start)),
                     })
                     .collect(),
             ),
         };
-        Some(Node { value, place: here })
+        Some(Node {
+            value,
+            location: here,
+        })
     };
     let keys = table.iter().map(|(key, item)| {
         let key_at = table.key(key).and_then(|key| key.span());
@@ -175,7 +181,7 @@
         Toml::Integer(number) => Value::Int(*number.value()),
         Toml::Float(number) => Value::Float(*number.value()),
         Toml::Boolean(flag) => Value::Flag(*flag.value()),
-        Toml::Datetime(_) => Value::Other,
+        Toml::Datetime(_) => Value::Datetime,
         Toml::Array(items) => Value::List(
             items
                 .iter()
@@ -187,7 +193,7 @@
                     };
                     Node {
                         value: from_value(name, text, item, &here),
-                        place: here,
+                        location: here,
                     }
                 })
                 .collect(),
@@ -199,7 +205,7 @@
                 .map(|(key, item)| {
                     let node = Node {
                         value: from_value(name, text, item, place),
-                        place: place.clone(),
+                        location: place.clone(),
                     };
                     (key.to_string(), node)
                 })
--- a/crates/conf/tests/reading.rs
+++ b/crates/conf/tests/reading.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use violetwind_conf::{Problem, Problems, Section, Tree};
+use violetwind_conf::{ConfigTree, Problem, Problems, Section};
 
 const FILE: &str = r#"
 [log]
@@ -22,33 +22,33 @@
 names = ["two"]
 "#;
 
-fn read(tree: &Tree) -> Vec<String> {
+fn read(tree: &ConfigTree) -> Vec<String> {
     let problems = Problems::default();
     let root = Section::root(tree, &problems);
     let log = root.section("log");
     log.text("level");
     log.choice("format", &[("text", 0), ("json", 1)], 0);
-    log.finish();
+    log.report_unknown_keys();
     let limits = root.section("limits");
     let secs = Duration::from_secs;
     limits.int("rows", 1..=10, 5);
-    limits.span("connect", secs(0)..=secs(2), secs(1));
+    limits.duration("connect", secs(0)..=secs(2), secs(1));
     limits.number("share", 0.0..=1.0, 0.5);
-    let ok = limits.span("ok", secs(0)..=secs(2), secs(1));
+    let ok = limits.duration("ok", secs(0)..=secs(2), secs(1));
     assert_eq!(ok, Duration::from_millis(250));
-    limits.finish();
+    limits.report_unknown_keys();
     for source in root.sections("source") {
-        source.need_text("name");
-        source.finish();
+        source.required_text("name");
+        source.report_unknown_keys();
     }
-    root.finish();
+    root.report_unknown_keys();
     let problems = problems.into_vec();
     problems.iter().map(Problem::to_string).collect()
 }
 
 #[test]
 fn every_error_is_told_at_once_with_its_line_and_a_suggestion() {
-    let tree = Tree::parse("a.toml", FILE).unwrap();
+    let tree = ConfigTree::parse("a.toml", FILE).unwrap();
     let expected = [
         "a.toml:3: `log.formt`: no such key (did you mean `format`?)",
         "a.toml:4: `log.level`: expected a text, found 7",
@@ -63,7 +63,7 @@
 
 #[test]
 fn layers_go_over_the_file_and_errors_name_them() {
-    let mut tree = Tree::parse("a.toml", FILE).unwrap();
+    let mut tree = ConfigTree::parse("a.toml", FILE).unwrap();
     let variables = [
         ("VW__LOG__LEVEL", "warn"),
         ("VW__LIMITS__ROWS", "99"),
@@ -73,16 +73,16 @@
         ("OTHER", "x"),
     ];
     let variables = variables.map(|(name, value)| (name.to_string(), value.to_string()));
-    let problems = tree.set_from("VW__", variables.into_iter());
+    let problems = tree.set_from_env("VW__", variables.into_iter());
     let told: Vec<String> = problems.iter().map(Problem::to_string).collect();
     let expected = [
         "environment VW__LOG__LEVEL__DEEP: `log.level.deep`: a key within what is no section",
         "environment VW__SOURCE__7__NAME: `source.7.name`: no such place in the list",
     ];
     assert_eq!(told, expected);
-    tree.set("limits.connect", "500ms", "--set limits.connect")
+    tree.set_value("limits.connect", "500ms", "--set limits.connect")
         .unwrap();
-    tree.set("limits.share", "true", "--set limits.share")
+    tree.set_value("limits.share", "true", "--set limits.share")
         .unwrap();
     let expected = [
         "--set limits.share: `limits.share`: expected a number, found true",
@@ -95,7 +95,7 @@
 
 #[test]
 fn what_is_no_toml_is_told_by_its_line() {
-    let problem = Tree::parse("a.toml", "[log]\nlevel = \n").unwrap_err();
-    assert_eq!(problem.place, "a.toml:2");
-    assert!(Tree::parse("a.toml", &"#".repeat(2 << 20)).is_err());
+    let problem = ConfigTree::parse("a.toml", "[log]\nlevel = \n").unwrap_err();
+    assert_eq!(problem.location, "a.toml:2");
+    assert!(ConfigTree::parse("a.toml", &"#".repeat(2 << 20)).is_err());
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -16,13 +16,13 @@
 
 mod limits;
 mod log;
+mod messages;
 mod node;
-mod words;
 
 pub use limits::Limits;
 pub use log::Log;
-pub use node::{Node, Refused, Role, Status};
-pub use words::{
-    Body, Change, Disk, Entry, Index, Input, Member, Members, Message, Millis, NodeId, Output,
-    Payload, Seq, Snapshot, Term, Token, Write,
+pub use messages::{
+    DurableState, DurableWrite, Entry, Index, Input, Member, Members, MembershipChange, Message,
+    MessageBody, Millis, NodeId, Output, Payload, ReadId, Snapshot, Term, WriteSeq,
 };
+pub use node::{Node, Rejection, Role, Status};
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use crate::words::{Entry, Index, Members, Payload, Snapshot, Term};
+use crate::messages::{Entry, Index, Members, Payload, Snapshot, Term};
 
 #[derive(Clone, Debug)]
 pub struct Log {
@@ -24,7 +24,7 @@
         log
     }
 
-    pub fn last(&self) -> Index {
+    pub fn last_index(&self) -> Index {
         self.snapshot.index + self.entries.len() as Index
     }
 
@@ -48,21 +48,21 @@
     }
 
     /// Entries from `from` on, as many as fit `bytes`, and one at least.
-    pub fn batch(&self, from: Index, bytes: usize) -> Vec<Entry> {
+    pub fn entries_from(&self, from: Index, bytes: usize) -> Vec<Entry> {
         let mut left = bytes;
         let mut batch = Vec::new();
         while let Some(entry) = self.get(from + batch.len() as Index) {
-            if !batch.is_empty() && entry.bytes() > left {
+            if !batch.is_empty() && entry.byte_len() > left {
                 break;
             }
-            left = left.saturating_sub(entry.bytes());
+            left = left.saturating_sub(entry.byte_len());
             batch.push(entry.clone());
         }
         batch
     }
 
     pub fn push(&mut self, entry: Entry) {
-        debug_assert_eq!(entry.index, self.last() + 1);
+        debug_assert_eq!(entry.index, self.last_index() + 1);
         if let Payload::Members(members) = &entry.payload {
             self.members.push((entry.index, members.clone()));
         }
@@ -70,7 +70,7 @@
     }
 
     /// Drops entries from `from` on.
-    pub fn truncate(&mut self, from: Index) {
+    pub fn truncate_from(&mut self, from: Index) {
         let left = from.saturating_sub(self.snapshot.index + 1) as usize;
         self.entries.truncate(left);
         self.members
@@ -78,7 +78,7 @@
     }
 
     /// The first entry of the run of one term that `index` belongs to.
-    pub fn first_of_term(&self, index: Index) -> Index {
+    pub fn first_index_of_term(&self, index: Index) -> Index {
         let term = self.term(index);
         let mut first = index;
         while first > self.snapshot.index + 1 && self.term(first - 1) == term {
--- a/crates/consensus/src/words.rs
+++ b/crates/consensus/src/messages.rs
@@ -10,9 +10,9 @@
 pub type Index = u64;
 /// Writes are numbered in the order in which they have to reach the disk, without gaps, over the whole life
 /// of a directory.
-pub type Seq = u64;
+pub type WriteSeq = u64;
 /// Names what waits for an answer; chosen by the caller.
-pub type Token = u64;
+pub type ReadId = u64;
 
 /// One directory of one member: whoever begins with an empty directory is somebody else.
 #[derive(
@@ -24,7 +24,7 @@
 pub struct Member {
     /// Under which its address is found.
     pub name: String,
-    pub votes: bool,
+    pub is_voter: bool,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -34,12 +34,12 @@
     pub fn voters(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.0
             .iter()
-            .filter(|(_, member)| member.votes)
+            .filter(|(_, member)| member.is_voter)
             .map(|(id, _)| *id)
     }
 
-    pub fn votes(&self, id: NodeId) -> bool {
-        self.0.get(&id).is_some_and(|member| member.votes)
+    pub fn is_voter(&self, id: NodeId) -> bool {
+        self.0.get(&id).is_some_and(|member| member.is_voter)
     }
 
     /// How many voters are a majority.
@@ -48,7 +48,7 @@
     }
 
     /// The id of the member of that name.
-    pub fn named(&self, name: &str) -> Option<NodeId> {
+    pub fn id_by_name(&self, name: &str) -> Option<NodeId> {
         let mut found = self.0.iter().filter(|(_, member)| member.name == name);
         found.next().map(|(id, _)| *id)
     }
@@ -56,9 +56,9 @@
 
 /// One change of the members; any two majorities before and after it share a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum MembershipChange {
     /// A member that gets the log and does not vote yet.
-    Add(NodeId, String),
+    AddLearner(NodeId, String),
     /// Lets a member vote; refused until it has nearly all of the log.
     Promote(NodeId),
     Remove(NodeId),
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Payload {
     /// The first entry of a leader's term.
-    Nothing,
+    Noop,
     Command(Vec<u8>),
     Members(Members),
 }
@@ -80,9 +80,9 @@
 }
 
 impl Entry {
-    pub fn bytes(&self) -> usize {
+    pub fn byte_len(&self) -> usize {
         match &self.payload {
-            Payload::Nothing => 16,
+            Payload::Noop => 16,
             Payload::Command(bytes) => 16 + bytes.len(),
             Payload::Members(members) => 16 + 64 * members.0.len(),
         }
@@ -102,58 +102,58 @@
 pub struct Message {
     pub term: Term,
     /// How far the sender's directory was when it sent this.
-    pub durable: Seq,
-    pub body: Body,
+    pub durable_seq: WriteSeq,
+    pub body: MessageBody,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Body {
+pub enum MessageBody {
     /// "Have you seen me further than this?", after a start.
-    Hello,
+    StalenessRequest,
     /// How far the receiver was seen.
-    Seen(Seq),
+    StalenessResponse(WriteSeq),
     /// Would be voted for in the term named, which nobody takes up by it.
-    PreVote {
-        last: Index,
+    PreVoteRequest {
+        last_index: Index,
         last_term: Term,
     },
-    PreVoted {
+    PreVoteResponse {
         granted: bool,
     },
-    Vote {
-        last: Index,
+    VoteRequest {
+        last_index: Index,
         last_term: Term,
-        transfer: bool,
+        is_transfer: bool,
     },
-    Voted {
+    VoteResponse {
         granted: bool,
     },
-    Append {
-        prev: Index,
+    AppendRequest {
+        prev_index: Index,
         prev_term: Term,
         entries: Vec<Entry>,
-        commit: Index,
+        commit_index: Index,
         round: u64,
     },
     /// All up to `matched` is on the sender's disk as the leader has it; `next` asks for another place.
-    Appended {
-        matched: Index,
-        next: Option<Index>,
+    AppendResponse {
+        match_index: Index,
+        next_index_hint: Option<Index>,
         round: u64,
     },
-    Piece {
+    SnapshotChunk {
         index: Index,
         term: Term,
         members: Members,
         offset: u64,
         data: Vec<u8>,
-        last: bool,
+        is_last: bool,
         round: u64,
     },
     /// So much of the snapshot has come.
-    Pieced {
+    SnapshotChunkResponse {
         index: Index,
-        offset: u64,
+        next_offset: u64,
         round: u64,
     },
     /// Ask for votes now: the leader hands over.
@@ -164,32 +164,32 @@
 /// nothing. In this order: the snapshot replaces all before it and, unless `keep` says where the log goes
 /// on, all entries; entries from `truncate` on are dropped; `append` follows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Write {
-    pub seq: Seq,
+pub struct DurableWrite {
+    pub seq: WriteSeq,
     pub term: Term,
-    pub vote: Option<NodeId>,
+    pub voted_for: Option<NodeId>,
     /// How far other directories have been seen.
-    pub seen: Vec<(NodeId, Seq)>,
+    pub seen_seqs: Vec<(NodeId, WriteSeq)>,
     pub snapshot: Option<Snapshot>,
-    pub keep: bool,
-    pub truncate: Option<Index>,
-    pub append: Vec<Entry>,
+    pub keep_suffix: bool,
+    pub truncate_from: Option<Index>,
+    pub entries: Vec<Entry>,
 }
 
 /// What a directory holds: all writes put together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Disk {
-    pub seq: Seq,
+pub struct DurableState {
+    pub seq: WriteSeq,
     pub term: Term,
-    pub vote: Option<NodeId>,
-    pub seen: BTreeMap<NodeId, Seq>,
+    pub voted_for: Option<NodeId>,
+    pub seen_seqs: BTreeMap<NodeId, WriteSeq>,
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry>,
 }
 
-impl Disk {
+impl DurableState {
     /// What the very first members begin with.
-    pub fn genesis(members: Members) -> Self {
+    pub fn bootstrap(members: Members) -> Self {
         let snapshot = Snapshot {
             index: 0,
             term: 0,
@@ -206,7 +206,7 @@
     ///
     /// # Errors
     /// A write that does not follow the ones before it, which no sound directory holds.
-    pub fn apply(&mut self, write: Write) -> Result<(), String> {
+    pub fn apply(&mut self, write: DurableWrite) -> Result<(), String> {
         if write.seq != self.seq + 1 {
             return Err(format!("write {} follows write {}", write.seq, self.seq));
         }
@@ -214,22 +214,22 @@
             return Err(format!("term {} follows term {}", write.term, self.term));
         }
         self.seq = write.seq;
-        (self.term, self.vote) = (write.term, write.vote);
-        for (id, seq) in write.seen {
-            let seen = self.seen.entry(id).or_default();
+        (self.term, self.voted_for) = (write.term, write.voted_for);
+        for (id, seq) in write.seen_seqs {
+            let seen = self.seen_seqs.entry(id).or_default();
             *seen = seq.max(*seen);
         }
         if let Some(snapshot) = write.snapshot {
-            match write.keep {
+            match write.keep_suffix {
                 true => self.entries.retain(|entry| entry.index > snapshot.index),
                 false => self.entries.clear(),
             }
             self.snapshot = Some(snapshot);
         }
-        if let Some(from) = write.truncate {
+        if let Some(from) = write.truncate_from {
             self.entries.retain(|entry| entry.index < from);
         }
-        for entry in write.append {
+        for entry in write.entries {
             let last = self.entries.last().map(|entry| entry.index);
             let last = last
                 .or(self.snapshot.as_ref().map(|snapshot| snapshot.index))
@@ -249,29 +249,29 @@
     Tick,
     Message(NodeId, Message),
     /// All writes up to this one are on disk.
-    Persisted(Seq),
+    Persisted(WriteSeq),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     Send(NodeId, Message),
     /// To be synced; answered with [`Input::Persisted`].
-    Write(Write),
+    Write(DurableWrite),
     /// Committed entries in order, each exactly once in the life of a process.
     Committed(Vec<Entry>),
     /// The state machine is to be what the snapshot says; committed entries go on behind it.
-    Restored(Snapshot),
+    SnapshotInstalled(Snapshot),
     /// This node leads, and its state machine has all that was committed before its term.
-    Leads(Term),
+    LeaderReady(Term),
     /// It does not lead any more.
-    Follows(Term),
+    SteppedDown(Term),
     /// What is applied up to `Index` was in force after the read was asked for.
-    Read(Token, Index),
+    ReadReady(ReadId, Index),
     /// The read can't be answered here any more.
-    ReadFailed(Token),
+    ReadFailed(ReadId),
     /// Another has seen this directory further: it is an older copy, and never votes again.
     Stale {
-        own: Seq,
-        seen: Seq,
+        own: WriteSeq,
+        seen: WriteSeq,
     },
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -9,9 +9,9 @@
 
 use crate::limits::Limits;
 use crate::log::Log;
-use crate::words::{
-    Body, Change, Disk, Entry, Index, Input, Members, Message, Millis, NodeId, Output, Payload,
-    Seq, Snapshot, Term, Token, Write,
+use crate::messages::{
+    DurableState, DurableWrite, Entry, Index, Input, Members, MembershipChange, Message,
+    MessageBody, Millis, NodeId, Output, Payload, ReadId, Snapshot, Term, WriteSeq,
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -24,7 +24,7 @@
 
 /// Why something was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum Rejection {
     /// The leader, as far as it is known here, has to be asked.
     NotLeader(Option<NodeId>),
     /// A leader that hands over, or has not committed anything of its own term yet.
@@ -42,12 +42,12 @@
     pub role: Role,
     pub term: Term,
     pub leader: Option<NodeId>,
-    pub commit: Index,
-    pub last: Index,
-    pub snapshot: Index,
+    pub commit_index: Index,
+    pub last_index: Index,
+    pub snapshot_index: Index,
     /// Whether it waits to be vouched for.
-    pub barred: bool,
-    pub stale: bool,
+    pub awaits_staleness_check: bool,
+    pub is_stale: bool,
 }
 
 /// What a leader knows of another member.
@@ -108,21 +108,21 @@
     /// An entry of the own term is committed.
     settled: bool,
     round: u64,
-    waiting: Vec<Token>,
-    reads: VecDeque<(u64, Token, Index)>,
+    waiting: Vec<ReadId>,
+    reads: VecDeque<(u64, ReadId, Index)>,
     transfer: Option<(NodeId, Millis)>,
 
-    seq: Seq,
-    durable: Seq,
+    seq: WriteSeq,
+    durable: WriteSeq,
     durable_index: Index,
     /// Writes on the way to the disk, and the last index that each brings there.
-    writes: VecDeque<(Seq, Index)>,
-    pending: Option<Write>,
+    writes: VecDeque<(WriteSeq, Index)>,
+    pending: Option<DurableWrite>,
     /// The write that term and vote stand on.
-    hard: Seq,
-    held: VecDeque<(Seq, NodeId, Message)>,
+    hard: WriteSeq,
+    held: VecDeque<(WriteSeq, NodeId, Message)>,
 
-    seen: BTreeMap<NodeId, Seq>,
+    seen: BTreeMap<NodeId, WriteSeq>,
     unsaved: BTreeSet<NodeId>,
     vouched: BTreeSet<NodeId>,
     barred: bool,
@@ -133,7 +133,7 @@
 
 impl Node {
     /// Goes on from a directory; `seed` draws the times of elections.
-    pub fn new(id: NodeId, disk: Disk, limits: Limits, seed: u64, now: Millis) -> Self {
+    pub fn new(id: NodeId, disk: DurableState, limits: Limits, seed: u64, now: Millis) -> Self {
         let snapshot = disk.snapshot.unwrap_or(Snapshot {
             index: 0,
             term: 0,
@@ -142,7 +142,7 @@
         });
         let mut out = Vec::new();
         if snapshot.index > 0 {
-            out.push(Output::Restored(snapshot.clone()));
+            out.push(Output::SnapshotInstalled(snapshot.clone()));
         }
         let log = Log::new(snapshot, disk.entries);
         let mut node = Self {
@@ -150,7 +150,7 @@
             rng: Pcg32::seed_from_u64(seed ^ id.0),
             now,
             term: disk.term,
-            vote: disk.vote,
+            vote: disk.voted_for,
             commit: log.snapshot.index,
             role: Role::Follower,
             leader: None,
@@ -168,12 +168,12 @@
             transfer: None,
             seq: disk.seq,
             durable: disk.seq,
-            durable_index: log.last(),
+            durable_index: log.last_index(),
             writes: VecDeque::new(),
             pending: None,
             hard: disk.seq,
             held: VecDeque::new(),
-            seen: disk.seen,
+            seen: disk.seen_seqs,
             unsaved: BTreeSet::new(),
             vouched: BTreeSet::new(),
             barred: true,
@@ -201,17 +201,17 @@
             role: self.role,
             term: self.term,
             leader: self.leader,
-            commit: self.commit,
-            last: self.log.last(),
-            snapshot: self.log.snapshot.index,
-            barred: self.barred,
-            stale: self.stale,
+            commit_index: self.commit,
+            last_index: self.log.last_index(),
+            snapshot_index: self.log.snapshot.index,
+            awaits_staleness_check: self.barred,
+            is_stale: self.stale,
         }
     }
 
     /// What settles how it acts next, apart from times and what is drawn: two nodes of one digest are alike
     /// to an explorer of states.
-    pub fn digest(&self, into: &mut impl Hasher) {
+    pub fn hash_state(&self, into: &mut impl Hasher) {
         (
             self.id,
             self.term,
@@ -248,11 +248,11 @@
             .hash(into);
         (
             self.log.snapshot.index,
-            self.log.last(),
+            self.log.last_index(),
             self.transfer.map(|(to, _)| to),
         )
             .hash(into);
-        for index in self.log.snapshot.index + 1..=self.log.last() {
+        for index in self.log.snapshot.index + 1..=self.log.last_index() {
             self.log.get(index).hash(into);
         }
         for (id, peer) in &self.peers {
@@ -262,12 +262,12 @@
     }
 
     /// Whether this node leads and has all that was committed before its term.
-    pub fn leads(&self) -> bool {
+    pub fn is_ready_leader(&self) -> bool {
         self.role == Role::Leader && self.settled
     }
 
     /// The voters that this leader has heard within `within`, itself among them.
-    pub fn heard_within(&self, within: Millis) -> usize {
+    pub fn active_voter_count(&self, within: Millis) -> usize {
         let heard = |id: &NodeId| {
             let peer = self.peers.get(id);
             *id == self.id || peer.is_some_and(|peer| peer.heard + within > self.now)
@@ -288,7 +288,7 @@
     }
 
     /// All there is to do since it was last asked.
-    pub fn outputs(&mut self) -> Vec<Output> {
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         if !self.stale {
             self.begin_round();
         }
@@ -300,10 +300,10 @@
     ///
     /// # Errors
     /// Only a leader takes commands, and only so many without a majority.
-    pub fn propose(&mut self, command: Vec<u8>) -> Result<(Term, Index), Refused> {
+    pub fn propose(&mut self, command: Vec<u8>) -> Result<(Term, Index), Rejection> {
         self.may_append()?;
-        if command.len() > self.limits.entry_bytes {
-            return Err(Refused::Full);
+        if command.len() > self.limits.max_entry_bytes {
+            return Err(Rejection::Full);
         }
         Ok((self.term, self.append(Payload::Command(command))))
     }
@@ -312,43 +312,52 @@
     ///
     /// # Errors
     /// One change at a time; nobody votes who has not nearly all of the log.
-    pub fn change(&mut self, change: Change) -> Result<(Term, Index), Refused> {
+    pub fn change_membership(
+        &mut self,
+        change: MembershipChange,
+    ) -> Result<(Term, Index), Rejection> {
         self.may_append()?;
         let (at, members) = self.log.members();
         if at > self.commit {
-            return Err(Refused::Changing);
+            return Err(Rejection::Changing);
         }
         let mut members = members.clone();
         match change {
-            Change::Add(id, name) => {
-                if members.0.len() >= self.limits.members {
-                    return Err(Refused::Full);
+            MembershipChange::AddLearner(id, name) => {
+                if members.0.len() >= self.limits.max_members {
+                    return Err(Rejection::Full);
                 }
-                if members.0.contains_key(&id) || members.named(&name).is_some() {
-                    return Err(Refused::Senseless);
+                if members.0.contains_key(&id) || members.id_by_name(&name).is_some() {
+                    return Err(Rejection::Senseless);
                 }
-                members.0.insert(id, crate::Member { name, votes: false });
+                members.0.insert(
+                    id,
+                    crate::Member {
+                        name,
+                        is_voter: false,
+                    },
+                );
             }
-            Change::Promote(id) => {
+            MembershipChange::Promote(id) => {
                 // It has acknowledged at least that it is a member: an empty log is not close to a short one.
                 let matched = self.peers.get(&id).map_or(0, |peer| peer.matched);
-                let behind = self.log.last() - matched;
-                let close = matched >= at && behind <= self.limits.promote_behind;
+                let behind = self.log.last_index() - matched;
+                let close = matched >= at && behind <= self.limits.max_promotion_lag;
                 let member = members
                     .0
                     .get_mut(&id)
-                    .filter(|member| close && !member.votes);
-                member.ok_or(Refused::Senseless)?.votes = true;
+                    .filter(|member| close && !member.is_voter);
+                member.ok_or(Rejection::Senseless)?.is_voter = true;
             }
-            Change::Remove(id) => {
-                members.0.remove(&id).ok_or(Refused::Senseless)?;
+            MembershipChange::Remove(id) => {
+                members.0.remove(&id).ok_or(Rejection::Senseless)?;
                 if members.voters().next().is_none() {
-                    return Err(Refused::Senseless);
+                    return Err(Rejection::Senseless);
                 }
             }
         }
         let index = self.append(Payload::Members(members.clone()));
-        let (next, now) = (self.log.last(), self.now);
+        let (next, now) = (self.log.last_index(), self.now);
         for id in members.0.keys().filter(|id| **id != self.id) {
             self.peers
                 .entry(*id)
@@ -362,15 +371,15 @@
     ///
     /// # Errors
     /// Only a leader can tell, and only for so many at once.
-    pub fn read(&mut self, token: Token) -> Result<(), Refused> {
+    pub fn request_read(&mut self, token: ReadId) -> Result<(), Rejection> {
         if self.role != Role::Leader {
-            return Err(Refused::NotLeader(self.leader));
+            return Err(Rejection::NotLeader(self.leader));
         }
         if !self.settled {
-            return Err(Refused::NotNow);
+            return Err(Rejection::NotNow);
         }
-        if self.waiting.len() + self.reads.len() >= self.limits.reads {
-            return Err(Refused::Full);
+        if self.waiting.len() + self.reads.len() >= self.limits.max_pending_reads {
+            return Err(Rejection::Full);
         }
         self.waiting.push(token);
         Ok(())
@@ -380,25 +389,25 @@
     ///
     /// # Errors
     /// Only a leader can, to another voter.
-    pub fn transfer(&mut self, to: NodeId) -> Result<(), Refused> {
+    pub fn transfer_leadership(&mut self, to: NodeId) -> Result<(), Rejection> {
         if self.role != Role::Leader {
-            return Err(Refused::NotLeader(self.leader));
+            return Err(Rejection::NotLeader(self.leader));
         }
-        if to == self.id || !self.members().votes(to) {
-            return Err(Refused::Senseless);
+        if to == self.id || !self.members().is_voter(to) {
+            return Err(Rejection::Senseless);
         }
-        self.transfer = Some((to, self.now + self.limits.election));
+        self.transfer = Some((to, self.now + self.limits.election_timeout));
         self.hand_over();
         Ok(())
     }
 
     /// The voter that is furthest with the log, for a transfer.
-    pub fn closest(&self) -> Option<NodeId> {
+    pub fn transfer_target(&self) -> Option<NodeId> {
         let voters = self.members().voters().filter(|id| *id != self.id);
         let lately = |id: &NodeId| {
             self.peers
                 .get(id)
-                .is_some_and(|peer| peer.heard + self.limits.election > self.now)
+                .is_some_and(|peer| peer.heard + self.limits.election_timeout > self.now)
         };
         voters
             .filter(lately)
@@ -427,40 +436,43 @@
         };
         self.flush();
         let write = self.write();
-        (write.snapshot, write.keep) = (Some(snapshot.clone()), true);
+        (write.snapshot, write.keep_suffix) = (Some(snapshot.clone()), true);
         self.log.compact(snapshot);
     }
 
-    fn may_append(&self) -> Result<(), Refused> {
+    fn may_append(&self) -> Result<(), Rejection> {
         match self.role {
-            Role::Leader if !self.settled || self.transfer.is_some() => Err(Refused::NotNow),
-            Role::Leader if self.log.last() - self.commit >= self.limits.uncommitted as u64 => {
-                Err(Refused::Full)
+            Role::Leader if !self.settled || self.transfer.is_some() => Err(Rejection::NotNow),
+            Role::Leader
+                if self.log.last_index() - self.commit
+                    >= self.limits.max_uncommitted_entries as u64 =>
+            {
+                Err(Rejection::Full)
             }
             Role::Leader => Ok(()),
-            _ => Err(Refused::NotLeader(self.leader)),
+            _ => Err(Rejection::NotLeader(self.leader)),
         }
     }
 
     // Time.
 
     fn draw(&mut self) -> Millis {
-        let election = self.limits.election;
+        let election = self.limits.election_timeout;
         self.rng.random_range(election..2 * election)
     }
 
     fn tick(&mut self) {
         if self.barred {
             if self.now >= self.hello_at {
-                self.hello_at = self.now + self.limits.heartbeat;
+                self.hello_at = self.now + self.limits.heartbeat_interval;
                 for id in self.others() {
-                    self.send(id, Body::Hello);
+                    self.send(id, MessageBody::StalenessRequest);
                 }
             }
             return;
         }
         if self.role == Role::Leader {
-            if self.heard_within(self.limits.election) < self.members().majority() {
+            if self.active_voter_count(self.limits.election_timeout) < self.members().majority() {
                 // Check-quorum: who can't be followed does not lead.
                 self.follow(self.term, None);
                 return;
@@ -495,17 +507,17 @@
 
     // The disk.
 
-    fn write(&mut self) -> &mut Write {
+    fn write(&mut self) -> &mut DurableWrite {
         if self.pending.is_none() {
             self.seq += 1;
             let unsaved = std::mem::take(&mut self.unsaved);
             let seen = unsaved
                 .into_iter()
                 .filter_map(|id| Some((id, *self.seen.get(&id)?)));
-            self.pending = Some(Write {
+            self.pending = Some(DurableWrite {
                 seq: self.seq,
-                seen: seen.collect(),
-                ..Write::default()
+                seen_seqs: seen.collect(),
+                ..DurableWrite::default()
             });
         }
         self.pending.as_mut().expect("just made")
@@ -513,8 +525,8 @@
 
     fn flush(&mut self) {
         if let Some(mut write) = self.pending.take() {
-            (write.term, write.vote) = (self.term, self.vote);
-            let last = write.append.last().map(|entry| entry.index);
+            (write.term, write.voted_for) = (self.term, self.vote);
+            let last = write.entries.last().map(|entry| entry.index);
             let swallowed = write.snapshot.as_ref().map(|snapshot| snapshot.index);
             self.writes
                 .push_back((write.seq, last.or(swallowed).unwrap_or(0)));
@@ -529,7 +541,7 @@
         }
     }
 
-    fn persisted(&mut self, seq: Seq) {
+    fn persisted(&mut self, seq: WriteSeq) {
         self.durable = self.durable.max(seq.min(self.seq));
         let before = self.matched();
         while let Some((at, index)) = self.writes.front().copied() {
@@ -545,7 +557,7 @@
             .is_some_and(|(at, ..)| *at <= self.durable)
         {
             let (_, to, mut message) = self.held.pop_front().expect("just seen");
-            message.durable = self.durable;
+            message.durable_seq = self.durable;
             self.out.push(Output::Send(to, message));
         }
         match self.role {
@@ -559,9 +571,9 @@
                     let matched = self.matched();
                     self.send(
                         leader,
-                        Body::Appended {
-                            matched,
-                            next: None,
+                        MessageBody::AppendResponse {
+                            match_index: matched,
+                            next_index_hint: None,
                             round: 0,
                         },
                     );
@@ -576,24 +588,24 @@
         self.verified.min(self.durable_index)
     }
 
-    fn send(&mut self, to: NodeId, body: Body) {
+    fn send(&mut self, to: NodeId, body: MessageBody) {
         let term = match body {
-            Body::PreVote { .. } => self.term + 1,
+            MessageBody::PreVoteRequest { .. } => self.term + 1,
             _ => self.term,
         };
         self.send_as(to, term, body);
     }
 
-    fn send_as(&mut self, to: NodeId, term: Term, body: Body) {
+    fn send_as(&mut self, to: NodeId, term: Term, body: MessageBody) {
         let message = Message {
             term,
-            durable: self.durable,
+            durable_seq: self.durable,
             body,
         };
         // Sync Before Answer: nothing is said that a term or a vote not yet on disk stands behind.
         if self.hard > self.durable {
             // A bound: what is older than this many is lost, as on any link.
-            if self.held.len() >= 16 * self.limits.members {
+            if self.held.len() >= 16 * self.limits.max_members {
                 self.held.pop_front();
             }
             self.held.push_back((self.hard, to, message));
@@ -607,7 +619,7 @@
     fn weigh_vouchers(&mut self) {
         let members = self.members();
         let voters = members.voters().count();
-        let needed = match (voters, members.votes(self.id)) {
+        let needed = match (voters, members.is_voter(self.id)) {
             (0, _) => 1,
             (_, true) => members.majority() - 1,
             (_, false) => members.majority(),
@@ -615,14 +627,14 @@
         let vouched = self
             .vouched
             .iter()
-            .filter(|id| voters == 0 || members.votes(**id));
+            .filter(|id| voters == 0 || members.is_voter(**id));
         if self.barred && vouched.count() >= needed {
             self.barred = false;
             self.election_at = self.now + self.draw();
         }
     }
 
-    fn seen(&mut self, from: NodeId, durable: Seq) {
+    fn seen(&mut self, from: NodeId, durable: WriteSeq) {
         if self.members().0.contains_key(&from) {
             let seen = self.seen.entry(from).or_default();
             if durable > *seen {
@@ -635,13 +647,13 @@
     // Messages.
 
     fn message(&mut self, from: NodeId, message: Message) {
-        self.seen(from, message.durable);
+        self.seen(from, message.durable_seq);
         match message.body {
-            Body::Hello => {
+            MessageBody::StalenessRequest => {
                 let seen = self.seen.get(&from).copied().unwrap_or(0);
-                return self.send(from, Body::Seen(seen));
+                return self.send(from, MessageBody::StalenessResponse(seen));
             }
-            Body::Seen(seen) => {
+            MessageBody::StalenessResponse(seen) => {
                 if seen > self.durable {
                     self.stale = true;
                     self.role = Role::Follower;
@@ -656,30 +668,36 @@
                 }
                 return;
             }
-            _ if self.barred => return self.send(from, Body::Hello),
-            Body::PreVote { last, last_term } => {
+            _ if self.barred => return self.send(from, MessageBody::StalenessRequest),
+            MessageBody::PreVoteRequest {
+                last_index: last,
+                last_term,
+            } => {
                 return self.pre_vote(from, message.term, last, last_term);
             }
-            Body::PreVoted { granted: true } => {
+            MessageBody::PreVoteResponse { granted: true } => {
                 if self.role == Role::PreCandidate && message.term == self.term + 1 {
                     self.votes.insert(from, true);
                     self.tally();
                 }
                 return;
             }
-            Body::Vote {
-                transfer: false, ..
+            MessageBody::VoteRequest {
+                is_transfer: false, ..
             } if self.has_leader() => return,
             _ => {}
         }
         if message.term < self.term {
-            if matches!(message.body, Body::Append { .. } | Body::Piece { .. }) {
+            if matches!(
+                message.body,
+                MessageBody::AppendRequest { .. } | MessageBody::SnapshotChunk { .. }
+            ) {
                 // A leader of an older term learns so.
                 self.send(
                     from,
-                    Body::Appended {
-                        matched: 0,
-                        next: None,
+                    MessageBody::AppendResponse {
+                        match_index: 0,
+                        next_index_hint: None,
                         round: 0,
                     },
                 );
@@ -690,31 +708,33 @@
             self.follow(message.term, None);
         }
         match message.body {
-            Body::Vote {
-                last, last_term, ..
+            MessageBody::VoteRequest {
+                last_index: last,
+                last_term,
+                ..
             } => self.vote(from, last, last_term),
-            Body::Voted { granted } if self.role == Role::Candidate => {
+            MessageBody::VoteResponse { granted } if self.role == Role::Candidate => {
                 self.votes.insert(from, granted);
                 self.tally();
             }
-            Body::Append {
-                prev,
+            MessageBody::AppendRequest {
+                prev_index: prev,
                 prev_term,
                 entries,
-                commit,
+                commit_index: commit,
                 round,
             } => {
                 self.heed(from);
                 self.take(from, prev, prev_term, entries, round);
                 self.commit_to(commit.min(self.verified));
             }
-            Body::Piece {
+            MessageBody::SnapshotChunk {
                 index,
                 term,
                 members,
                 offset,
                 data,
-                last,
+                is_last: last,
                 round,
             } => {
                 self.heed(from);
@@ -726,33 +746,33 @@
                 };
                 self.piece(from, piece, offset as usize, last, round);
             }
-            Body::Appended {
-                matched,
-                next,
+            MessageBody::AppendResponse {
+                match_index: matched,
+                next_index_hint: next,
                 round,
             } if self.role == Role::Leader => {
                 self.appended(from, matched, next, round);
             }
-            Body::Pieced {
+            MessageBody::SnapshotChunkResponse {
                 index,
-                offset,
+                next_offset: offset,
                 round,
             } if self.role == Role::Leader => {
                 self.pieced(from, index, offset as usize, round);
             }
-            Body::TimeoutNow if self.leader == Some(from) => self.campaign(false, true),
+            MessageBody::TimeoutNow if self.leader == Some(from) => self.campaign(false, true),
             _ => {}
         }
     }
 
     /// Whether a leader was heard so lately that nobody else may ask for votes.
     fn has_leader(&self) -> bool {
-        let lately = |heard: Millis| self.now < heard + self.limits.election;
+        let lately = |heard: Millis| self.now < heard + self.limits.election_timeout;
         self.role == Role::Leader || (self.leader.is_some() && self.heard.is_some_and(lately))
     }
 
     fn up_to_date(&self, last: Index, last_term: Term) -> bool {
-        (last_term, last) >= (self.log.last_term(), self.log.last())
+        (last_term, last) >= (self.log.last_term(), self.log.last_index())
     }
 
     // Elections.
@@ -778,7 +798,7 @@
             let reads = self.reads.drain(..).map(|(_, token, _)| token);
             let failed: Vec<_> = waiting.chain(reads).map(Output::ReadFailed).collect();
             self.out.extend(failed);
-            self.out.push(Output::Follows(self.term));
+            self.out.push(Output::SteppedDown(self.term));
         }
     }
 
@@ -793,17 +813,23 @@
 
     fn campaign(&mut self, pre: bool, transfer: bool) {
         self.election_at = self.now + self.draw();
-        if !self.members().votes(self.id) {
+        if !self.members().is_voter(self.id) {
             return;
         }
         self.leader = None;
         self.votes.clear();
-        let (last, last_term) = (self.log.last(), self.log.last_term());
+        let (last, last_term) = (self.log.last_index(), self.log.last_term());
         if pre {
             self.role = Role::PreCandidate;
             self.votes.insert(self.id, true);
             for id in self.voters() {
-                self.send(id, Body::PreVote { last, last_term });
+                self.send(
+                    id,
+                    MessageBody::PreVoteRequest {
+                        last_index: last,
+                        last_term,
+                    },
+                );
             }
             self.tally();
         } else {
@@ -814,10 +840,10 @@
             for id in self.voters() {
                 self.send(
                     id,
-                    Body::Vote {
-                        last,
+                    MessageBody::VoteRequest {
+                        last_index: last,
                         last_term,
-                        transfer,
+                        is_transfer: transfer,
                     },
                 );
             }
@@ -827,10 +853,10 @@
     fn pre_vote(&mut self, from: NodeId, term: Term, last: Index, last_term: Term) {
         let granted = !self.has_leader() && term > self.term && self.up_to_date(last, last_term);
         if granted {
-            self.send_as(from, term, Body::PreVoted { granted });
+            self.send_as(from, term, MessageBody::PreVoteResponse { granted });
         } else if term <= self.term {
             // Its term is behind: it learns of this one.
-            self.send(from, Body::Voted { granted });
+            self.send(from, MessageBody::VoteResponse { granted });
         }
     }
 
@@ -841,12 +867,12 @@
             self.hard_state(self.term, Some(from));
             self.election_at = self.now + self.draw();
         }
-        self.send(from, Body::Voted { granted });
+        self.send(from, MessageBody::VoteResponse { granted });
     }
 
     fn tally(&mut self) {
         let members = self.members();
-        let granted = |(id, granted): &(&NodeId, &bool)| **granted && members.votes(**id);
+        let granted = |(id, granted): &(&NodeId, &bool)| **granted && members.is_voter(**id);
         if self.votes.iter().filter(granted).count() < members.majority() {
             return;
         }
@@ -862,13 +888,13 @@
         self.leader = Some(self.id);
         self.settled = false;
         self.round = 0;
-        let (next, now) = (self.log.last() + 1, self.now);
+        let (next, now) = (self.log.last_index() + 1, self.now);
         self.peers = self
             .others()
             .into_iter()
             .map(|id| (id, Progress::new(next, now)))
             .collect();
-        self.append(Payload::Nothing);
+        self.append(Payload::Noop);
         self.round += 1;
         self.broadcast(true);
         self.advance();
@@ -879,11 +905,11 @@
     fn append(&mut self, payload: Payload) -> Index {
         let entry = Entry {
             term: self.term,
-            index: self.log.last() + 1,
+            index: self.log.last_index() + 1,
             payload,
         };
         let index = entry.index;
-        self.write().append.push(entry.clone());
+        self.write().entries.push(entry.clone());
         self.log.push(entry);
         self.broadcast(false);
         index
@@ -891,7 +917,7 @@
 
     fn broadcast(&mut self, heartbeat: bool) {
         if heartbeat {
-            self.heartbeat_at = self.now + self.limits.heartbeat;
+            self.heartbeat_at = self.now + self.limits.heartbeat_interval;
         }
         let ids: Vec<_> = self.peers.keys().copied().collect();
         for id in ids {
@@ -901,13 +927,13 @@
 
     /// Sends a member what it lacks as far as the window allows; a heartbeat in any case if asked.
     fn replicate(&mut self, to: NodeId, mut heartbeat: bool) {
-        let (commit, round, last) = (self.commit, self.round, self.log.last());
+        let (commit, round, last) = (self.commit, self.round, self.log.last_index());
         loop {
             let Some(peer) = self.peers.get_mut(&to) else {
                 return;
             };
             if peer.next <= self.log.snapshot.index || peer.piece.is_some() {
-                let resend = 2 * self.limits.heartbeat;
+                let resend = 2 * self.limits.heartbeat_interval;
                 let snapshot = self.log.snapshot.clone();
                 let fresh = peer.piece.is_none();
                 let piece = peer.piece.get_or_insert((snapshot, 0, self.now));
@@ -916,11 +942,11 @@
                 }
                 if heartbeat {
                     let entries = Vec::new();
-                    let body = Body::Append {
-                        prev: 0,
+                    let body = MessageBody::AppendRequest {
+                        prev_index: 0,
                         prev_term: 0,
                         entries,
-                        commit: 0,
+                        commit_index: 0,
                         round,
                     };
                     self.send(to, body);
@@ -928,9 +954,11 @@
                 return;
             }
             let prev = peer.next - 1;
-            let room = peer.in_flight.len() < self.limits.in_flight;
+            let room = peer.in_flight.len() < self.limits.max_in_flight_batches;
             let entries = match room && peer.next <= last {
-                true => self.log.batch(peer.next, self.limits.batch_bytes),
+                true => self
+                    .log
+                    .entries_from(peer.next, self.limits.max_batch_bytes),
                 false => Vec::new(),
             };
             if entries.is_empty() && !heartbeat {
@@ -944,11 +972,11 @@
             let prev_term = self.log.term(prev).expect("behind the snapshot");
             self.send(
                 to,
-                Body::Append {
-                    prev,
+                MessageBody::AppendRequest {
+                    prev_index: prev,
                     prev_term,
                     entries,
-                    commit,
+                    commit_index: commit,
                     round,
                 },
             );
@@ -964,14 +992,14 @@
             return;
         };
         *sent = now;
-        let end = (*offset + self.limits.piece_bytes).min(snapshot.data.len());
-        let body = Body::Piece {
+        let end = (*offset + self.limits.snapshot_chunk_bytes).min(snapshot.data.len());
+        let body = MessageBody::SnapshotChunk {
             index: snapshot.index,
             term: snapshot.term,
             members: snapshot.members.clone(),
             offset: *offset as u64,
             data: snapshot.data[*offset..end].to_vec(),
-            last: end == snapshot.data.len(),
+            is_last: end == snapshot.data.len(),
             round,
         };
         self.send(to, body);
@@ -998,7 +1026,7 @@
     }
 
     fn appended(&mut self, from: NodeId, matched: Index, next: Option<Index>, round: u64) {
-        let (now, last) = (self.now, self.log.last());
+        let (now, last) = (self.now, self.log.last_index());
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
@@ -1036,9 +1064,9 @@
             && self
                 .peers
                 .get(&to)
-                .is_some_and(|peer| peer.matched == self.log.last())
+                .is_some_and(|peer| peer.matched == self.log.last_index())
         {
-            self.send(to, Body::TimeoutNow);
+            self.send(to, MessageBody::TimeoutNow);
         }
     }
 
@@ -1064,7 +1092,7 @@
         }
         while self.reads.front().is_some_and(|(at, ..)| *at <= round) {
             let (_, token, index) = self.reads.pop_front().expect("just seen");
-            self.out.push(Output::Read(token, index));
+            self.out.push(Output::ReadReady(token, index));
         }
     }
 
@@ -1096,11 +1124,11 @@
         }
         if own && !self.settled {
             self.settled = true;
-            self.out.push(Output::Leads(self.term));
+            self.out.push(Output::LeaderReady(self.term));
         }
         let (at, members) = self.log.members();
         if at <= index {
-            let (out, stays) = (!members.votes(self.id), members.0.clone());
+            let (out, stays) = (!members.is_voter(self.id), members.0.clone());
             self.peers.retain(|id, _| stays.contains_key(id));
             if out {
                 self.follow(self.term, None);
@@ -1122,15 +1150,15 @@
         let end = prev + entries.len() as Index;
         if prev > swallowed && self.log.term(prev) != Some(prev_term) {
             let next = match self.log.term(prev) {
-                None => self.log.last() + 1,
-                Some(_) => self.log.first_of_term(prev),
+                None => self.log.last_index() + 1,
+                Some(_) => self.log.first_index_of_term(prev),
             };
             let matched = self.matched();
             return self.send(
                 from,
-                Body::Appended {
-                    matched,
-                    next: Some(next),
+                MessageBody::AppendResponse {
+                    match_index: matched,
+                    next_index_hint: Some(next),
                     round,
                 },
             );
@@ -1139,19 +1167,19 @@
             if self.log.term(entry.index) == Some(entry.term) {
                 continue;
             }
-            if entry.index <= self.log.last() {
+            if entry.index <= self.log.last_index() {
                 self.truncate(entry.index);
             }
-            self.write().append.push(entry.clone());
+            self.write().entries.push(entry.clone());
             self.log.push(entry);
         }
         self.verified = self.verified.max(end);
         let matched = self.matched();
         self.send(
             from,
-            Body::Appended {
-                matched,
-                next: None,
+            MessageBody::AppendResponse {
+                match_index: matched,
+                next_index_hint: None,
                 round,
             },
         );
@@ -1160,8 +1188,8 @@
     fn truncate(&mut self, from: Index) {
         assert!(from > self.commit, "a committed entry is never dropped");
         self.flush();
-        self.write().truncate = Some(from);
-        self.log.truncate(from);
+        self.write().truncate_from = Some(from);
+        self.log.truncate_from(from);
         self.durable_index = self.durable_index.min(from - 1);
         for (_, index) in &mut self.writes {
             *index = (*index).min(from - 1);
@@ -1176,9 +1204,9 @@
             let matched = self.matched();
             return self.send(
                 from,
-                Body::Appended {
-                    matched,
-                    next: None,
+                MessageBody::AppendResponse {
+                    match_index: matched,
+                    next_index_hint: None,
                     round,
                 },
             );
@@ -1199,16 +1227,16 @@
         let incoming = self.incoming.as_mut().expect("just made");
         let data = &mut incoming.snapshot.data;
         let mut done = false;
-        if offset == data.len() && data.len() + piece.data.len() <= self.limits.snapshot_bytes {
+        if offset == data.len() && data.len() + piece.data.len() <= self.limits.max_snapshot_bytes {
             data.extend_from_slice(&piece.data);
             done = last;
         }
         let offset = data.len() as u64;
         self.send(
             from,
-            Body::Pieced {
+            MessageBody::SnapshotChunkResponse {
                 index,
-                offset,
+                next_offset: offset,
                 round,
             },
         );
@@ -1223,7 +1251,7 @@
         let keep = self.log.term(index) == Some(snapshot.term);
         self.flush();
         let write = self.write();
-        (write.snapshot, write.keep) = (Some(snapshot.clone()), keep);
+        (write.snapshot, write.keep_suffix) = (Some(snapshot.clone()), keep);
         if keep {
             self.log.compact(snapshot.clone());
         } else {
@@ -1235,6 +1263,6 @@
         }
         self.verified = self.verified.max(index);
         self.commit = index;
-        self.out.push(Output::Restored(snapshot));
+        self.out.push(Output::SnapshotInstalled(snapshot));
     }
 }
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -1,18 +1,22 @@
 //! Every order of events of three nodes up to a depth.
 
-use violetwind_storm::explore::{Explorer, Planted, State, two_candidates};
+use violetwind_storm::explorer::{Explorer, InjectedBug, State, state_with_two_candidates};
 
 #[test]
 fn every_order_up_to_a_depth_keeps_the_invariants() {
-    let explorer = Explorer::run(Planted::Nothing, &State::new(), 7);
-    assert_eq!(explorer.found, None);
+    let explorer = Explorer::run(InjectedBug::Nothing, &State::new(), 7);
+    assert_eq!(explorer.violation, None);
     assert!(
-        explorer.known.len() > 5_000,
+        explorer.explored_depths.len() > 5_000,
         "{} states",
-        explorer.known.len()
+        explorer.explored_depths.len()
     );
-    let explorer = Explorer::run(Planted::Nothing, &two_candidates(Planted::Nothing), 7);
-    assert_eq!(explorer.found, None);
+    let explorer = Explorer::run(
+        InjectedBug::Nothing,
+        &state_with_two_candidates(InjectedBug::Nothing),
+        7,
+    );
+    assert_eq!(explorer.violation, None);
 }
 
 /// `cargo test --release -p violetwind-consensus --test explore -- --ignored --nocapture`
@@ -23,16 +27,16 @@
         ("from the start", State::new(), 11),
         (
             "from two candidates of one term",
-            two_candidates(Planted::Nothing),
+            state_with_two_candidates(InjectedBug::Nothing),
             10,
         ),
     ] {
         let begun = std::time::Instant::now();
-        let explorer = Explorer::run(Planted::Nothing, &state, depth);
-        assert_eq!(explorer.found, None);
+        let explorer = Explorer::run(InjectedBug::Nothing, &state, depth);
+        assert_eq!(explorer.violation, None);
         println!(
             "{name}: depth {depth}, {} states, {:?}",
-            explorer.known.len(),
+            explorer.explored_depths.len(),
             begun.elapsed()
         );
     }
@@ -41,12 +45,12 @@
 #[test]
 fn planted_errors_are_found_by_exploring() {
     for (planted, name) in [
-        (Planted::ForgetsVote, "Election Safety"),
-        (Planted::AckBeforeSync, "Election Safety"),
+        (InjectedBug::ForgetsVote, "Election Safety"),
+        (InjectedBug::AckBeforeSync, "Election Safety"),
     ] {
-        let explorer = Explorer::run(planted, &two_candidates(planted), 9);
-        let found = explorer.found.expect(name);
+        let explorer = Explorer::run(planted, &state_with_two_candidates(planted), 9);
+        let found = explorer.violation.expect(name);
         assert!(found.starts_with(name), "{found}");
-        println!("{found} after {} states", explorer.known.len());
+        println!("{found} after {} states", explorer.explored_depths.len());
     }
 }
--- a/crates/consensus/tests/seeds.rs
+++ b/crates/consensus/tests/seeds.rs
@@ -1,13 +1,13 @@
 //! Thousands of seeds of faults, and errors planted in the host that the books have to find.
 
-use violetwind_storm::log::{Planted, World};
+use violetwind_storm::replicated_log::{InjectedBug, World};
 
-fn play(seed: u64, voters: u64, planted: Planted) -> World {
+fn play(seed: u64, voters: u64, planted: InjectedBug) -> World {
     let mut world = World::new(seed, voters);
-    world.planted = planted;
-    world.run(1500);
+    world.injected_bug = planted;
+    world.run_for(1500);
     for _ in 0..2 {
-        world.trouble(4000);
+        world.run_random_faults(4000);
     }
     world
 }
@@ -16,11 +16,11 @@
     let (mut elections, mut commits, mut reads) = (0, 0, 0);
     for seed in seeds {
         let voters = [3, 5, 3, 7][seed as usize % 4];
-        let world = play(seed, voters, Planted::Nothing);
-        assert_eq!(world.wrong, None, "seed {seed}, {voters} voters");
-        elections += world.elections;
+        let world = play(seed, voters, InjectedBug::Nothing);
+        assert_eq!(world.violation, None, "seed {seed}, {voters} voters");
+        elections += world.elections_won;
         commits += world.commits;
-        reads += world.read;
+        reads += world.reads_completed;
     }
     (elections, commits, reads)
 }
@@ -53,12 +53,12 @@
 #[test]
 fn planted_errors_are_found() {
     let planted = [
-        Planted::AckBeforeSync,
-        Planted::SkipsEntry,
-        Planted::EmptiedUnderItsName,
+        InjectedBug::AckBeforeSync,
+        InjectedBug::SkipsEntry,
+        InjectedBug::EmptiedUnderItsName,
     ];
     for planted in planted {
-        let found = (0..400).find_map(|seed| Some((seed, play(seed, 3, planted).wrong?)));
+        let found = (0..400).find_map(|seed| Some((seed, play(seed, 3, planted).violation?)));
         let (seed, what) = found.unwrap_or_else(|| panic!("{planted:?} is not found"));
         println!("{planted:?}: seed {seed}, {what}");
         assert!(
@@ -70,9 +70,9 @@
 
 #[test]
 fn one_seed_replays_all() {
-    let told = |world: World| (world.committed, world.leaders, world.elections);
+    let told = |world: World| (world.committed, world.leaders, world.elections_won);
     assert_eq!(
-        told(play(7, 5, Planted::Nothing)),
-        told(play(7, 5, Planted::Nothing))
+        told(play(7, 5, InjectedBug::Nothing)),
+        told(play(7, 5, InjectedBug::Nothing))
     );
 }
--- a/crates/consul/src/client.rs
+++ b/crates/consul/src/client.rs
@@ -13,20 +13,20 @@
 use tokio::time::timeout;
 use violetwind_catalogue::Row;
 
-use crate::query::Head;
-use crate::rows::{Cutter, Reader};
+use crate::query::ResponseHead;
+use crate::rows::{RowParser, RowSplitter};
 use crate::rules::{Api, Settings};
 use crate::token::Token;
 use violetwind_net::{SharedTcpStream, connect};
 
 /// Why there is no list.
 #[derive(Debug)]
-pub(crate) struct Failure {
-    pub head: Option<Head>,
+pub(crate) struct QueryError {
+    pub head: Option<ResponseHead>,
     pub error: String,
 }
 
-impl Failure {
+impl QueryError {
     fn of(error: impl ToString) -> Self {
         Self {
             head: None,
@@ -37,12 +37,12 @@
 
 /// A list that was read to its end.
 #[derive(Debug, Default)]
-pub(crate) struct Read {
+pub(crate) struct ParsedList {
     pub rows: Vec<Row>,
-    pub faults: usize,
-    pub fault: Option<String>,
+    pub invalid_rows: usize,
+    pub first_error: Option<String>,
     /// The time that reading it kept the processor.
-    pub took: Duration,
+    pub parse_time: Duration,
 }
 
 pub(crate) struct Client<'a> {
@@ -73,25 +73,27 @@
     }
 
     /// The next call has a fresh connection; one that is out has ended with this.
-    pub fn hang_up(&mut self) {
+    pub fn disconnect(&mut self) {
         self.connection = None;
     }
 
     /// The head of an answer, which says whether the body is wanted.
-    pub async fn ask(
+    pub async fn send_query(
         &mut self,
         index: Option<u64>,
         token: Option<&Token>,
-    ) -> Result<(Head, Response<Incoming>), Failure> {
+    ) -> Result<(ResponseHead, Response<Incoming>), QueryError> {
         let limits = &self.settings.limits;
         // The API adds up to a sixteenth to the wait, by chance.
-        let waits = index.map_or(Duration::ZERO, |_| limits.wait + limits.wait / 16);
-        let call = timeout(waits + limits.slack, self.call(index, token)).await;
-        let response = call.map_err(|_| Failure::of("no answer in time"))??;
+        let waits = index.map_or(Duration::ZERO, |_| {
+            limits.blocking_wait + limits.blocking_wait / 16
+        });
+        let call = timeout(waits + limits.response_margin, self.call(index, token)).await;
+        let response = call.map_err(|_| QueryError::of("no answer in time"))??;
         let head = head(response.status().as_u16(), response.headers());
         if head.status != 200 {
             let error = format!("status {}", head.status);
-            return Err(Failure {
+            return Err(QueryError {
                 head: Some(head),
                 error,
             });
@@ -103,22 +105,24 @@
         &mut self,
         index: Option<u64>,
         token: Option<&Token>,
-    ) -> Result<Response<Incoming>, Failure> {
+    ) -> Result<Response<Incoming>, QueryError> {
         let path = self.path(index);
         let sender = self.connected().await?;
-        sender.ready().await.map_err(Failure::of)?;
-        let mut request = Request::get(path).body(Empty::new()).map_err(Failure::of)?;
+        sender.ready().await.map_err(QueryError::of)?;
+        let mut request = Request::get(path)
+            .body(Empty::new())
+            .map_err(QueryError::of)?;
         let headers = request.headers_mut();
         let host = HeaderValue::from_str(&self.settings.address.to_string());
-        headers.insert(HOST, host.map_err(Failure::of)?);
+        headers.insert(HOST, host.map_err(QueryError::of)?);
         if let Some(token) = token {
             let value = HeaderValue::from_str(token.secret());
-            let mut value = value.map_err(|_| Failure::of("a token that no header can hold"))?;
+            let mut value = value.map_err(|_| QueryError::of("a token that no header can hold"))?;
             value.set_sensitive(true);
             headers.insert("X-Consul-Token", value);
         }
         let sender = self.connected().await?;
-        sender.send_request(request).await.map_err(Failure::of)
+        sender.send_request(request).await.map_err(QueryError::of)
     }
 
     fn path(&self, index: Option<u64>) -> String {
@@ -136,27 +140,27 @@
         if let Some(datacenter) = self.datacenter {
             add(format!("dc={datacenter}"));
         }
-        if self.settings.stale {
+        if self.settings.allow_stale {
             add("stale".into());
         }
         if let Some(index) = index {
-            let wait = self.settings.limits.wait.as_millis();
+            let wait = self.settings.limits.blocking_wait.as_millis();
             add(format!("index={index}&wait={wait}ms"));
         }
         path
     }
 
-    async fn connected(&mut self) -> Result<&mut SendRequest<Empty<Bytes>>, Failure> {
+    async fn connected(&mut self) -> Result<&mut SendRequest<Empty<Bytes>>, QueryError> {
         if !matches!(&self.connection, Some(connection) if !connection.sender.is_closed()) {
             self.connection = None;
             let connect = connect(self.settings.address);
-            let stream = timeout(self.settings.limits.connect, connect).await;
-            let stream = stream.map_err(|_| Failure::of("never comes up"))?;
-            let stream = stream.map_err(|error| Failure::of(error.into_inner()))?;
+            let stream = timeout(self.settings.limits.connect_timeout, connect).await;
+            let stream = stream.map_err(|_| QueryError::of("never comes up"))?;
+            let stream = stream.map_err(|error| QueryError::of(error.into_inner()))?;
             let _ = stream.set_nodelay(true);
             let (sender, connection) = http1::handshake(TokioIo::new(SharedTcpStream::new(stream)))
                 .await
-                .map_err(Failure::of)?;
+                .map_err(QueryError::of)?;
             // Each call hears of an error itself.
             let task = tokio::task::spawn_local(async move {
                 let _ = connection.await;
@@ -166,64 +170,68 @@
         }
         let connection = self.connection.as_mut();
         Ok(&mut connection
-            .ok_or_else(|| Failure::of("not connected"))?
+            .ok_or_else(|| QueryError::of("not connected"))?
             .sender)
     }
 
     /// Reads a body to its end, row by row; without `wanted` it is only passed over.
-    pub async fn read(&self, response: Response<Incoming>, wanted: bool) -> Result<Read, Failure> {
+    pub async fn read_list(
+        &self,
+        response: Response<Incoming>,
+        wanted: bool,
+    ) -> Result<ParsedList, QueryError> {
         let limits = &self.settings.limits;
         let reading = self.read_body(response.into_body(), wanted);
-        let read = timeout(limits.body_most, reading).await;
-        read.map_err(|_| Failure::of("a body that does not end"))?
+        let read = timeout(limits.body_timeout, reading).await;
+        read.map_err(|_| QueryError::of("a body that does not end"))?
     }
 
-    async fn read_body(&self, mut body: Incoming, wanted: bool) -> Result<Read, Failure> {
+    async fn read_body(&self, mut body: Incoming, wanted: bool) -> Result<ParsedList, QueryError> {
         let limits = &self.settings.limits;
-        let mut cutter = Cutter::new(limits);
-        let mut reader = Reader::new(self.settings.api, &self.settings.rules, limits);
+        let mut cutter = RowSplitter::new(limits);
+        let mut reader = RowParser::new(self.settings.api, &self.settings.rules, limits);
         let (mut bytes, mut took) = (0, Duration::ZERO);
         loop {
-            let frame = timeout(limits.body_idle, body.frame()).await;
-            let frame = frame.map_err(|_| Failure::of("a body that stalls"))?;
+            let frame = timeout(limits.body_idle_timeout, body.frame()).await;
+            let frame = frame.map_err(|_| QueryError::of("a body that stalls"))?;
             let Some(frame) = frame else { break };
-            let frame = frame.map_err(Failure::of)?;
+            let frame = frame.map_err(QueryError::of)?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             bytes += data.len();
-            if bytes > limits.body_bytes {
-                return Err(Failure::of(format!(
+            if bytes > limits.max_body_bytes {
+                return Err(QueryError::of(format!(
                     "more than {} bytes",
-                    limits.body_bytes
+                    limits.max_body_bytes
                 )));
             }
-            let slices = data.chunks(limits.slice_bytes.max(1));
+            let slices = data.chunks(limits.chunk_bytes.max(1));
             for slice in slices.filter(|_| wanted) {
                 let start = Instant::now();
-                let cut = cutter.feed(slice, |row| reader.row(row));
+                let cut = cutter.feed(slice, |row| reader.parse_row(row));
                 took += start.elapsed();
-                cut.map_err(Failure::of)?;
+                cut.map_err(QueryError::of)?;
                 // Connections are served between two parts of a long list.
                 yield_now().await;
             }
         }
         if wanted {
-            cutter.end().map_err(Failure::of)?;
+            cutter.finish().map_err(QueryError::of)?;
         }
-        Ok(Read {
+        Ok(ParsedList {
             rows: reader.rows,
-            faults: reader.faults,
-            fault: reader.fault,
-            took,
+            invalid_rows: reader.invalid_rows,
+            first_error: reader.first_error,
+            parse_time: took,
         })
     }
 }
 
-fn head(status: u16, headers: &HeaderMap) -> Head {
+fn head(status: u16, headers: &HeaderMap) -> ResponseHead {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let number = |name: &str| text(name).and_then(|text| text.trim().parse().ok());
-    Head {
+    ResponseHead {
         status,
         index: number("X-Consul-Index"),
         leaderless: text("X-Consul-KnownLeader").is_some_and(|known| known.trim() == "false"),
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -15,6 +15,6 @@
 mod watch;
 
 pub use limits::Limits;
-pub use rules::{Api, Field, Identity, Rules, Settings};
+pub use rules::{Api, FieldSource, Identity, MappingRules, Settings};
 pub use token::Token;
-pub use watch::{once, watch};
+pub use watch::{fetch_once, watch_service};
--- a/crates/consul/src/rows.rs
+++ b/crates/consul/src/rows.rs
@@ -7,30 +7,30 @@
 use std::net::{IpAddr, SocketAddr};
 
 use serde::Deserialize;
-use violetwind_catalogue::{Instance, Row, Word};
+use violetwind_catalogue::{Instance, ReportedStatus, Row};
 use violetwind_common::group_id;
 
 use crate::limits::Limits;
-use crate::rules::{Api, Field, Identity, Rules};
+use crate::rules::{Api, FieldSource, Identity, MappingRules};
 
 /// Why a body is given up.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum BodyError {
     /// Something else than an array of objects, at this byte.
-    NoArray(usize),
+    NotAnArray(usize),
     RowTooLong(usize),
     TooManyRows(usize),
     /// It ended within the array.
-    Cut(usize),
+    Truncated(usize),
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for BodyError {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::NoArray(at) => write!(out, "no array of objects at byte {at}"),
+            Self::NotAnArray(at) => write!(out, "no array of objects at byte {at}"),
             Self::RowTooLong(at) => write!(out, "a row that is too long at byte {at}"),
             Self::TooManyRows(most) => write!(out, "more than {most} rows"),
-            Self::Cut(at) => write!(out, "it ends within the array, at byte {at}"),
+            Self::Truncated(at) => write!(out, "it ends within the array, at byte {at}"),
         }
     }
 }
@@ -48,7 +48,7 @@
 
 /// Cuts an array of objects into the texts of its objects.
 #[derive(Debug)]
-pub struct Cutter {
+pub struct RowSplitter {
     at: At,
     depth: usize,
     in_text: bool,
@@ -60,7 +60,7 @@
     most_rows: usize,
 }
 
-impl Cutter {
+impl RowSplitter {
     pub fn new(limits: &Limits) -> Self {
         Self {
             at: At::Start,
@@ -70,13 +70,13 @@
             row: Vec::new(),
             rows: 0,
             bytes: 0,
-            most_row: limits.row_bytes,
-            most_rows: limits.rows,
+            most_row: limits.max_row_bytes,
+            most_rows: limits.max_rows,
         }
     }
 
     /// Takes the next bytes and hands on each row that ends in them.
-    pub fn feed(&mut self, bytes: &[u8], mut row: impl FnMut(&[u8])) -> Result<(), Fault> {
+    pub fn feed(&mut self, bytes: &[u8], mut row: impl FnMut(&[u8])) -> Result<(), BodyError> {
         let mut from = (self.at == At::Row).then_some(0);
         for (at, &byte) in bytes.iter().enumerate() {
             match (self.at, byte) {
@@ -103,11 +103,11 @@
                 (At::First | At::Next, b'{') => {
                     self.rows += 1;
                     if self.rows > self.most_rows {
-                        return Err(Fault::TooManyRows(self.most_rows));
+                        return Err(BodyError::TooManyRows(self.most_rows));
                     }
                     (self.at, self.depth, from) = (At::Row, 1, Some(at));
                 }
-                _ => return Err(Fault::NoArray(self.bytes + at)),
+                _ => return Err(BodyError::NotAnArray(self.bytes + at)),
             }
         }
         if let Some(start) = from {
@@ -138,18 +138,18 @@
         self.depth == 0
     }
 
-    fn check_length(&self, more: usize) -> Result<(), Fault> {
+    fn check_length(&self, more: usize) -> Result<(), BodyError> {
         match self.row.len() + more <= self.most_row {
             true => Ok(()),
-            false => Err(Fault::RowTooLong(self.bytes)),
+            false => Err(BodyError::RowTooLong(self.bytes)),
         }
     }
 
     /// The body has ended here.
-    pub fn end(&self) -> Result<(), Fault> {
+    pub fn finish(&self) -> Result<(), BodyError> {
         match self.at {
             At::End => Ok(()),
-            _ => Err(Fault::Cut(self.bytes)),
+            _ => Err(BodyError::Truncated(self.bytes)),
         }
     }
 }
@@ -265,38 +265,38 @@
 
 /// Reads the rows of one answer.
 #[derive(Debug)]
-pub struct Reader<'a> {
-    rules: &'a Rules,
+pub struct RowParser<'a> {
+    rules: &'a MappingRules,
     limits: &'a Limits,
     api: Api,
     seen: HashSet<Box<str>>,
     pub rows: Vec<Row>,
     /// Rows that made no sense, and what was wrong with the first of them.
-    pub faults: usize,
-    pub fault: Option<String>,
+    pub invalid_rows: usize,
+    pub first_error: Option<String>,
 }
 
-impl<'a> Reader<'a> {
-    pub fn new(api: Api, rules: &'a Rules, limits: &'a Limits) -> Self {
+impl<'a> RowParser<'a> {
+    pub fn new(api: Api, rules: &'a MappingRules, limits: &'a Limits) -> Self {
         Self {
             rules,
             limits,
             api,
             seen: HashSet::new(),
             rows: Vec::new(),
-            faults: 0,
-            fault: None,
+            invalid_rows: 0,
+            first_error: None,
         }
     }
 
     /// Takes the text of one row; one that makes no sense is counted and passed over.
-    pub fn row(&mut self, text: &[u8]) {
+    pub fn parse_row(&mut self, text: &[u8]) {
         match self.read(text) {
             Ok(row) => self.rows.push(row),
             Err(error) => {
-                self.faults += 1;
-                let at = self.rows.len() + self.faults;
-                self.fault
+                self.invalid_rows += 1;
+                let at = self.rows.len() + self.invalid_rows;
+                self.first_error
                     .get_or_insert_with(|| format!("row {at}: {error}"));
             }
         }
@@ -318,16 +318,16 @@
         let instance = match self.endpoint(&health) {
             Ok(endpoint) => Some(self.instance(&health, endpoint, warning)?),
             // Known before, it is listed still: a lost address must not look like a lost server.
-            Err(error) if self.fault.is_none() => {
-                self.fault = Some(format!("{uid}: {error}"));
+            Err(error) if self.first_error.is_none() => {
+                self.first_error = Some(format!("{uid}: {error}"));
                 None
             }
             Err(_) => None,
         };
-        self.faults += usize::from(instance.is_none());
+        self.invalid_rows += usize::from(instance.is_none());
         Ok(Row {
             uid,
-            word,
+            status: word,
             instance,
         })
     }
@@ -351,7 +351,7 @@
     }
 
     fn bounded(&self, text: &str) -> Result<Box<str>, String> {
-        if text.len() > self.limits.field_bytes {
+        if text.len() > self.limits.max_field_bytes {
             return Err(format!("a field of {} bytes", text.len()));
         }
         match text.chars().any(char::is_control) {
@@ -361,7 +361,7 @@
     }
 
     /// What its checks say, and whether one of them warns.
-    fn word(&self, row: &Health<'_>) -> (Word, bool) {
+    fn word(&self, row: &Health<'_>) -> (ReportedStatus, bool) {
         let tags = row.service.tags.iter().flatten();
         let drain = self.rules.drain_tag.as_deref();
         let tagged = drain.is_some_and(|drain| tags.into_iter().any(|tag| tag == drain));
@@ -370,13 +370,13 @@
             check.id == "_node_maintenance" || check.id.starts_with("_service_maintenance")
         };
         if tagged || checks().any(|check| maintenance(check) && check.status != "passing") {
-            return (Word::Draining, false);
+            return (ReportedStatus::Draining, false);
         }
         let sound = |check: &Check<'_>| matches!(&*check.status, "passing" | "warning");
         let warns = checks().any(|check| check.status == "warning");
         match checks().all(sound) {
-            true => (Word::Ready, warns),
-            false => (Word::Failing, warns),
+            true => (ReportedStatus::Ready, warns),
+            false => (ReportedStatus::Failing, warns),
         }
     }
 
@@ -414,7 +414,7 @@
             zone: bounded(zone)?,
             kind: bounded(self.field(&self.rules.kind, row))?,
             cell: group.map_or(0, cell),
-            size: weight.filter(|weight| weight.is_finite() && *weight > 0.0),
+            weight: weight.filter(|weight| weight.is_finite() && *weight > 0.0),
             born: born
                 .and_then(|text| text.parse().ok())
                 .filter(|born| *born > 0),
@@ -422,11 +422,11 @@
         })
     }
 
-    fn field<'r>(&self, field: &Field, row: &'r Health<'_>) -> Option<&'r str> {
+    fn field<'r>(&self, field: &FieldSource, row: &'r Health<'_>) -> Option<&'r str> {
         let text = match field {
-            Field::Nothing => None,
-            Field::Datacenter => Some(&*row.node.datacenter),
-            Field::Meta(key) => {
+            FieldSource::Nothing => None,
+            FieldSource::Datacenter => Some(&*row.node.datacenter),
+            FieldSource::Meta(key) => {
                 let metas = [&row.service.meta, &row.node.meta];
                 let mut values = metas
                     .into_iter()
@@ -434,7 +434,7 @@
                     .filter_map(|meta| meta.get(key.as_str()));
                 values.next().map(|value| &**value)
             }
-            Field::Tag(prefix) => {
+            FieldSource::TagPrefix(prefix) => {
                 let mut tags = row.service.tags.iter().flatten();
                 tags.find_map(|tag| tag.strip_prefix(prefix.as_str()))
             }
--- a/crates/consul/src/rules.rs
+++ b/crates/consul/src/rules.rs
@@ -28,37 +28,37 @@
 
 /// Where a word about a server is found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Field {
+pub enum FieldSource {
     Nothing,
     Datacenter,
     /// A value of the service's meta, or else of the node's.
     Meta(String),
     /// What follows this in a tag.
-    Tag(String),
+    TagPrefix(String),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct MappingRules {
     pub identity: Identity,
-    pub zone: Field,
-    pub kind: Field,
-    pub group: Field,
+    pub zone: FieldSource,
+    pub kind: FieldSource,
+    pub group: FieldSource,
     /// When its process started, in Unix milliseconds.
-    pub boot_ms: Field,
+    pub boot_ms: FieldSource,
     /// A tag that means a drain, beside the maintenance of service and node.
     pub drain_tag: Option<String>,
     /// Names of zones as Consul has them, and as the settings have them.
     pub zones: BTreeMap<String, String>,
 }
 
-impl Default for Rules {
+impl Default for MappingRules {
     fn default() -> Self {
         Self {
             identity: Identity::ServiceId,
-            zone: Field::Datacenter,
-            kind: Field::Nothing,
-            group: Field::Nothing,
-            boot_ms: Field::Nothing,
+            zone: FieldSource::Datacenter,
+            kind: FieldSource::Nothing,
+            group: FieldSource::Nothing,
+            boot_ms: FieldSource::Nothing,
             drain_tag: None,
             zones: BTreeMap::new(),
         }
@@ -73,9 +73,9 @@
     pub datacenters: Vec<String>,
     pub api: Api,
     /// Lets any server answer, not only the leader.
-    pub stale: bool,
+    pub allow_stale: bool,
     pub token_file: Option<PathBuf>,
-    pub rules: Rules,
+    pub rules: MappingRules,
     pub limits: Limits,
 }
 
@@ -86,9 +86,9 @@
             service: service.to_string(),
             datacenters: Vec::new(),
             api: Api::Health,
-            stale: true,
+            allow_stale: true,
             token_file: None,
-            rules: Rules::default(),
+            rules: MappingRules::default(),
             limits: Limits::default(),
         }
     }
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -7,28 +7,28 @@
 use tokio::task::yield_now;
 use tokio::time::{interval, sleep};
 use tracing::{info, warn};
-use violetwind_catalogue::{Row, Telling};
+use violetwind_catalogue::{Row, SourceUpdate};
 use violetwind_engine::EngineEvent;
 
-use crate::client::{Client, Failure, Read};
-use crate::query::{Head, Query, Verdict};
+use crate::client::{Client, ParsedList, QueryError};
+use crate::query::{BlockingQuery, ResponseHead, ResponseKind};
 use crate::rules::Settings;
 use crate::token::Token;
 
 /// Tells the engine what Consul lists, under the source's name, until the engine is gone.
-pub async fn watch(
+pub async fn watch_service(
     settings: Rc<Settings>,
     datacenter: Option<String>,
     name: Rc<str>,
     engine: mpsc::Sender<EngineEvent>,
 ) {
     let mut client = Client::new(&settings, datacenter.as_deref());
-    let mut query = Query::new(settings.limits.clone());
+    let mut query = BlockingQuery::new(settings.limits.clone());
     let mut token = Secret::new(&settings);
     let mut noted: Option<String> = None;
     loop {
         token.refresh(&name);
-        let index = query.ask();
+        let index = query.next_index();
         let answer = tokio::select! {
             answer = call(&mut client, &query, index, token.get()) => Some(answer),
             // A call that is out goes on with the old token; it is made again with the new one.
@@ -39,15 +39,15 @@
                 source = &*name,
                 "the token was replaced: the call is made again"
             );
-            client.hang_up();
+            client.disconnect();
             continue;
         };
         let (telling, wait) = match answer {
             Ok((head, verdict, read)) => {
                 note_faults(&name, &read, &mut noted);
-                let resets = query.resets;
-                let wait = query.read(&head, verdict, read.took);
-                if query.resets > resets {
+                let resets = query.index_resets;
+                let wait = query.record_success(&head, verdict, read.parse_time);
+                if query.index_resets > resets {
                     warn!(
                         source = &*name,
                         index = head.index,
@@ -57,13 +57,16 @@
                 (told(verdict, read.rows), wait)
             }
             Err(failure) => {
-                client.hang_up();
+                client.disconnect();
                 warn!(source = &*name, error = failure.error, "consul");
                 let chance = rand::random_range(0.0..1.0);
-                (Telling::Lost, query.failed(failure.head.as_ref(), chance))
+                (
+                    SourceUpdate::Unavailable,
+                    query.record_failure(failure.head.as_ref(), chance),
+                )
             }
         };
-        if !tell(&engine, &name, telling, settings.limits.slice_rows).await {
+        if !tell(&engine, &name, telling, settings.limits.chunk_rows).await {
             return;
         }
         sleep(wait).await;
@@ -74,7 +77,7 @@
 async fn tell(
     engine: &mpsc::Sender<EngineEvent>,
     name: &Rc<str>,
-    telling: Telling,
+    telling: SourceUpdate,
     slice: usize,
 ) -> bool {
     let send = async |telling| {
@@ -84,13 +87,13 @@
             .is_ok()
     };
     let mut rows = match telling {
-        Telling::Whole(rows) if rows.len() > slice => rows.into_iter().peekable(),
+        SourceUpdate::Snapshot(rows) if rows.len() > slice => rows.into_iter().peekable(),
         telling => return send(telling).await,
     };
     let mut first = true;
     while rows.peek().is_some() {
         let part: Vec<Row> = rows.by_ref().take(slice.max(1)).collect();
-        let telling = Telling::Part {
+        let telling = SourceUpdate::SnapshotPart {
             first: std::mem::take(&mut first),
             last: rows.peek().is_none(),
             rows: part,
@@ -104,55 +107,57 @@
 }
 
 /// What Consul lists now, asked once: the rows, and what was wrong with some of them.
-pub async fn once(
+pub async fn fetch_once(
     settings: &Settings,
     datacenter: Option<&str>,
-) -> Result<(Telling, Option<String>), String> {
+) -> Result<(SourceUpdate, Option<String>), String> {
     let mut token = None;
     if let Some(path) = &settings.token_file {
-        token = Some(Token::read(path, settings.limits.token_bytes)?);
+        token = Some(Token::read(path, settings.limits.max_token_bytes)?);
     }
     let mut client = Client::new(settings, datacenter);
-    let query = Query::new(settings.limits.clone());
+    let query = BlockingQuery::new(settings.limits.clone());
     match call(&mut client, &query, None, token.as_ref()).await {
-        Ok((_, verdict, read)) => Ok((told(verdict, read.rows), read.fault)),
+        Ok((_, verdict, read)) => Ok((told(verdict, read.rows), read.first_error)),
         Err(failure) => Err(failure.error),
     }
 }
 
 async fn call(
     client: &mut Client<'_>,
-    query: &Query,
+    query: &BlockingQuery,
     index: Option<u64>,
     token: Option<&Token>,
-) -> Result<(Head, Verdict, Read), Failure> {
-    let (head, response) = client.ask(index, token).await?;
-    let verdict = query.judge(&head);
-    let read = client.read(response, verdict != Verdict::Same).await?;
+) -> Result<(ResponseHead, ResponseKind, ParsedList), QueryError> {
+    let (head, response) = client.send_query(index, token).await?;
+    let verdict = query.classify_response(&head);
+    let read = client
+        .read_list(response, verdict != ResponseKind::Unchanged)
+        .await?;
     Ok((head, verdict, read))
 }
 
-fn told(verdict: Verdict, rows: Vec<Row>) -> Telling {
+fn told(verdict: ResponseKind, rows: Vec<Row>) -> SourceUpdate {
     match verdict {
-        Verdict::Whole => Telling::Whole(rows),
-        Verdict::Same => Telling::Same,
-        Verdict::Stale => Telling::Stale(rows),
-        Verdict::Refused | Verdict::Forbidden => Telling::Lost,
+        ResponseKind::Snapshot => SourceUpdate::Snapshot(rows),
+        ResponseKind::Unchanged => SourceUpdate::Unchanged,
+        ResponseKind::StaleSnapshot => SourceUpdate::StaleSnapshot(rows),
+        ResponseKind::Refused | ResponseKind::Forbidden => SourceUpdate::Unavailable,
     }
 }
 
 /// Rows that make no sense are told once, until something else is wrong.
-fn note_faults(name: &str, read: &Read, noted: &mut Option<String>) {
-    if read.fault.is_some() && read.fault != *noted {
+fn note_faults(name: &str, read: &ParsedList, noted: &mut Option<String>) {
+    if read.first_error.is_some() && read.first_error != *noted {
         warn!(
             source = name,
-            faults = read.faults,
-            first = read.fault,
+            faults = read.invalid_rows,
+            first = read.first_error,
             "rows that make no sense are passed over"
         );
     }
-    if !read.rows.is_empty() || read.fault.is_some() {
-        noted.clone_from(&read.fault);
+    if !read.rows.is_empty() || read.first_error.is_some() {
+        noted.clone_from(&read.first_error);
     }
 }
 
@@ -179,7 +184,7 @@
 
     fn read(&self) -> Option<Result<Token, String>> {
         let path = self.settings.token_file.as_ref()?;
-        Some(Token::read(path, self.settings.limits.token_bytes))
+        Some(Token::read(path, self.settings.limits.max_token_bytes))
     }
 
     /// Reads the file again. One that is half written or gone leaves the token as it was.
@@ -198,7 +203,7 @@
         let every = self
             .settings
             .limits
-            .token_every
+            .token_poll_interval
             .max(Duration::from_millis(10));
         let mut ticks = interval(every);
         ticks.tick().await;
--- a/crates/consul/tests/bodies.rs
+++ b/crates/consul/tests/bodies.rs
@@ -3,17 +3,17 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use violetwind_consul::Limits;
-use violetwind_consul::rows::{Cutter, Fault};
+use violetwind_consul::rows::{BodyError, RowSplitter};
 
-fn cut(body: &[u8], part: usize, limits: &Limits) -> Result<Vec<String>, Fault> {
-    let mut cutter = Cutter::new(limits);
+fn cut(body: &[u8], part: usize, limits: &Limits) -> Result<Vec<String>, BodyError> {
+    let mut cutter = RowSplitter::new(limits);
     let mut rows = Vec::new();
     for part in body.chunks(part) {
         cutter.feed(part, |row| {
             rows.push(String::from_utf8_lossy(row).into_owned())
         })?;
     }
-    cutter.end().map(|()| rows)
+    cutter.finish().map(|()| rows)
 }
 
 #[test]
@@ -30,22 +30,22 @@
 #[test]
 fn a_body_that_is_none_is_given_up_where_that_shows() {
     let limits = Limits {
-        row_bytes: 16,
-        rows: 3,
+        max_row_bytes: 16,
+        max_rows: 3,
         ..Limits::default()
     };
     let fault = |body: &str| cut(body.as_bytes(), 5, &limits).unwrap_err();
-    assert_eq!(fault("{}"), Fault::NoArray(0));
-    assert_eq!(fault("[1]"), Fault::NoArray(1));
-    assert_eq!(fault("[{},]"), Fault::NoArray(4));
-    assert_eq!(fault("[{}{}]"), Fault::NoArray(3));
-    assert_eq!(fault("[] []"), Fault::NoArray(3));
-    assert_eq!(fault(""), Fault::Cut(0));
-    assert_eq!(fault("[{},{"), Fault::Cut(5));
-    assert_eq!(fault("[{},{},{},{}]"), Fault::TooManyRows(3));
+    assert_eq!(fault("{}"), BodyError::NotAnArray(0));
+    assert_eq!(fault("[1]"), BodyError::NotAnArray(1));
+    assert_eq!(fault("[{},]"), BodyError::NotAnArray(4));
+    assert_eq!(fault("[{}{}]"), BodyError::NotAnArray(3));
+    assert_eq!(fault("[] []"), BodyError::NotAnArray(3));
+    assert_eq!(fault(""), BodyError::Truncated(0));
+    assert_eq!(fault("[{},{"), BodyError::Truncated(5));
+    assert_eq!(fault("[{},{},{},{}]"), BodyError::TooManyRows(3));
     assert!(matches!(
         fault("[{\"aaaaaaaaaaaaaaaaaaaaaa\":1}]"),
-        Fault::RowTooLong(_)
+        BodyError::RowTooLong(_)
     ));
 }
 
@@ -63,7 +63,7 @@
         body in prop::collection::vec(prop::sample::select(b"[]{}\",\\ a1:\n".to_vec()), 0..200),
         part in 1..50_usize,
     ) {
-        let limits = Limits { row_bytes: 64, rows: 4, ..Limits::default() };
+        let limits = Limits { max_row_bytes: 64, max_rows: 4, ..Limits::default() };
         let (one, other) = (cut(&body, part, &limits), cut(&body, body.len().max(1), &limits));
         match (&one, &other) {
             (Ok(one), Ok(other)) => {
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -6,11 +6,11 @@
 
 use tokio::sync::mpsc;
 use tokio::time::timeout;
-use violetwind_catalogue::{Row, Telling, Word};
-use violetwind_consul::{Api, Field, Identity, Settings, watch};
+use violetwind_catalogue::{ReportedStatus, Row, SourceUpdate};
+use violetwind_consul::{Api, FieldSource, Identity, Settings, watch_service};
 use violetwind_engine::EngineEvent;
-use violetwind_standins::PATIENCE;
-use violetwind_standins::consul::{Check, Consul, Instance, Maintenance, Mood};
+use violetwind_standins::WAIT_TIMEOUT;
+use violetwind_standins::consul::{Check, Consul, ConsulMode, Instance, Maintenance};
 
 fn at(n: u16) -> SocketAddr {
     ([127, 0, 0, 1], 3000 + n).into()
@@ -25,15 +25,15 @@
 fn settings(consul: &Consul) -> Settings {
     let mut settings = Settings::new(consul.addr, "agenda");
     let ms = Duration::from_millis;
-    settings.limits.wait = ms(300);
-    settings.limits.slack = ms(300);
-    settings.limits.body_idle = ms(200);
-    settings.limits.body_most = ms(800);
-    settings.limits.gap = ms(1);
-    settings.limits.poll = ms(20);
-    settings.limits.backoff = ms(5);
-    settings.limits.backoff_most = ms(20);
-    settings.limits.token_every = ms(10);
+    settings.limits.blocking_wait = ms(300);
+    settings.limits.response_margin = ms(300);
+    settings.limits.body_idle_timeout = ms(200);
+    settings.limits.body_timeout = ms(800);
+    settings.limits.min_query_delay = ms(1);
+    settings.limits.poll_interval = ms(20);
+    settings.limits.initial_backoff = ms(5);
+    settings.limits.max_backoff = ms(20);
+    settings.limits.token_poll_interval = ms(10);
     settings
 }
 
@@ -41,8 +41,8 @@
 struct Told(mpsc::Receiver<EngineEvent>);
 
 impl Told {
-    async fn next(&mut self) -> Telling {
-        let notice = timeout(PATIENCE, self.0.recv())
+    async fn next(&mut self) -> SourceUpdate {
+        let notice = timeout(WAIT_TIMEOUT, self.0.recv())
             .await
             .expect("nothing is told");
         match notice.expect("the watch goes on") {
@@ -52,25 +52,25 @@
     }
 
     async fn rows(&mut self) -> Vec<Row> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             match self.next().await {
-                Telling::Whole(rows) => return rows,
+                SourceUpdate::Snapshot(rows) => return rows,
                 other => assert!(Instant::now() < until, "{other:?} for long"),
             }
         }
     }
 
     async fn lost(&mut self) {
-        let until = Instant::now() + PATIENCE;
-        while !matches!(self.next().await, Telling::Lost) {
+        let until = Instant::now() + WAIT_TIMEOUT;
+        while !matches!(self.next().await, SourceUpdate::Unavailable) {
             assert!(Instant::now() < until, "never lost");
         }
     }
 }
 
-fn words(rows: &[Row]) -> Vec<(&str, Word)> {
-    rows.iter().map(|row| (&*row.uid, row.word)).collect()
+fn words(rows: &[Row]) -> Vec<(&str, ReportedStatus)> {
+    rows.iter().map(|row| (&*row.uid, row.status)).collect()
 }
 
 /// Runs a watch beside a test.
@@ -81,7 +81,7 @@
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (to, told) = mpsc::channel(64);
-        let task = watch(Rc::new(settings), None, "main".into(), to);
+        let task = watch_service(Rc::new(settings), None, "main".into(), to);
         let task = tokio::task::spawn_local(task);
         test(Told(told)).await;
         task.abort();
@@ -94,9 +94,9 @@
     watched(settings(&consul), async |mut told: Told| {
         let rows = told.rows().await;
         let ready = [
-            ("s-1", Word::Ready),
-            ("s-2", Word::Ready),
-            ("s-3", Word::Ready),
+            ("s-1", ReportedStatus::Ready),
+            ("s-2", ReportedStatus::Ready),
+            ("s-3", ReportedStatus::Ready),
         ];
         assert_eq!(words(&rows), ready);
         assert_eq!(rows[0].instance.as_ref().unwrap().endpoint, at(1));
@@ -105,26 +105,29 @@
             Some("dc1")
         );
         consul.set_check(&["s-2"], Check::Critical);
-        assert_eq!(told.rows().await[1].word, Word::Failing);
-        consul.alter(&["s-2"], |i| {
+        assert_eq!(told.rows().await[1].status, ReportedStatus::Failing);
+        consul.update_instances(&["s-2"], |i| {
             (i.check, i.maintenance) = (Check::Critical, Maintenance::Service);
         });
-        assert_eq!(told.rows().await[1].word, Word::Draining);
-        consul.alter(&["s-2"], |i| i.maintenance = Maintenance::Node);
-        assert_eq!(told.rows().await[1].word, Word::Draining);
+        assert_eq!(told.rows().await[1].status, ReportedStatus::Draining);
+        consul.update_instances(&["s-2"], |i| i.maintenance = Maintenance::Node);
+        assert_eq!(told.rows().await[1].status, ReportedStatus::Draining);
         consul.deregister(&["s-2"]);
         assert_eq!(
             words(&told.rows().await),
-            [("s-1", Word::Ready), ("s-3", Word::Ready)]
+            [
+                ("s-1", ReportedStatus::Ready),
+                ("s-3", ReportedStatus::Ready)
+            ]
         );
         // Nothing new for a while is told as that, and no list is read again for it.
-        while !matches!(told.next().await, Telling::Same) {}
-        let calls = consul.calls(2);
-        assert!(calls[0].1.query("index").is_none());
-        assert_eq!(calls[1].1.query("index"), Some("13"));
-        assert_eq!(calls[1].1.query("wait"), Some("300ms"));
+        while !matches!(told.next().await, SourceUpdate::Unchanged) {}
+        let calls = consul.wait_for_requests(2);
+        assert!(calls[0].1.query_param("index").is_none());
+        assert_eq!(calls[1].1.query_param("index"), Some("13"));
+        assert_eq!(calls[1].1.query_param("wait"), Some("300ms"));
         assert_eq!(
-            consul.most_open(),
+            consul.max_open_connections(),
             1,
             "one call at a time, on one connection"
         );
@@ -135,31 +138,31 @@
 fn every_way_to_fail_is_a_loss_that_leaves_nothing_half_told_and_ends() {
     let consul = three();
     let mut settings = settings(&consul);
-    settings.limits.rows = 100;
+    settings.limits.max_rows = 100;
     watched(settings, async |mut told: Told| {
         told.rows().await;
         for mood in [
-            Mood::Silent,
-            Mood::Resets,
-            Mood::TooMany,
-            Mood::Fails,
-            Mood::HalfBody,
-            Mood::Stalls,
-            Mood::Endless,
-            Mood::Garbles,
+            ConsulMode::Silent,
+            ConsulMode::Resets,
+            ConsulMode::TooMany,
+            ConsulMode::Fails,
+            ConsulMode::HalfBody,
+            ConsulMode::Stalls,
+            ConsulMode::Endless,
+            ConsulMode::Garbles,
         ] {
             let start = Instant::now();
-            consul.set_mood(mood);
+            consul.set_mode(mood);
             // With the index as it was, no body would be read.
             consul.set_check(&["s-1"], Check::Critical);
             told.lost().await;
             assert!(start.elapsed() < Duration::from_secs(3), "{mood:?}");
             let told_in_mood = told.next().await;
             assert!(
-                matches!(told_in_mood, Telling::Lost),
+                matches!(told_in_mood, SourceUpdate::Unavailable),
                 "{mood:?}: {told_in_mood:?}"
             );
-            consul.set_mood(Mood::Works);
+            consul.set_mode(ConsulMode::Works);
             consul.set_check(&["s-1"], Check::Passing);
             assert_eq!(told.rows().await.len(), 3, "{mood:?}");
         }
@@ -171,19 +174,19 @@
     let consul = three();
     watched(settings(&consul), async |mut told: Told| {
         told.rows().await;
-        for mood in [Mood::Old(60_000), Mood::NoLeader] {
-            consul.set_mood(mood);
-            consul.alter(&["s-3"], |i| i.maintenance = Maintenance::Service);
+        for mood in [ConsulMode::Old(60_000), ConsulMode::NoLeader] {
+            consul.set_mode(mood);
+            consul.update_instances(&["s-3"], |i| i.maintenance = Maintenance::Service);
             loop {
-                if let Telling::Stale(rows) = told.next().await {
+                if let SourceUpdate::StaleSnapshot(rows) = told.next().await {
                     // The old list is from before the drain.
-                    let drained = rows[2].word == Word::Draining;
-                    assert_eq!(drained, mood == Mood::NoLeader);
+                    let drained = rows[2].status == ReportedStatus::Draining;
+                    assert_eq!(drained, mood == ConsulMode::NoLeader);
                     break;
                 }
             }
-            consul.set_mood(Mood::Works);
-            consul.alter(&["s-3"], |i| i.maintenance = Maintenance::None);
+            consul.set_mode(ConsulMode::Works);
+            consul.update_instances(&["s-3"], |i| i.maintenance = Maintenance::None);
             told.rows().await;
         }
     });
@@ -196,22 +199,22 @@
         told.rows().await;
         consul.reset_index();
         consul.set_check(&["s-1"], Check::Critical);
-        while told.rows().await[0].word != Word::Failing {}
-        for mood in [Mood::IndexZero, Mood::NoIndex] {
-            consul.set_mood(mood);
+        while told.rows().await[0].status != ReportedStatus::Failing {}
+        for mood in [ConsulMode::IndexZero, ConsulMode::NoIndex] {
+            consul.set_mode(mood);
             told.rows().await;
-            let before = consul.call_count();
+            let before = consul.request_count();
             let start = Instant::now();
             for _ in 0..5 {
                 told.rows().await;
             }
-            let calls = consul.call_count() - before;
+            let calls = consul.request_count() - before;
             assert!(calls <= 7, "{calls} calls for 5 lists");
             assert!(
                 start.elapsed() >= Duration::from_millis(80),
                 "polled, not looped"
             );
-            consul.set_mood(Mood::Works);
+            consul.set_mode(ConsulMode::Works);
         }
     });
 }
@@ -219,7 +222,7 @@
 #[test]
 fn a_token_replaced_in_the_middle_of_a_call_is_used_at_once_and_never_shown() {
     let consul = three();
-    consul.want_token(Some("old-token"));
+    consul.require_token(Some("old-token"));
     let path = std::env::temp_dir().join(format!("violetwind-consul-{}", std::process::id()));
     let replace = |text: &str| {
         let new = path.with_extension("new");
@@ -228,29 +231,29 @@
     };
     replace("old-token\n");
     let mut settings = settings(&consul);
-    settings.limits.wait = Duration::from_secs(3600);
+    settings.limits.blocking_wait = Duration::from_secs(3600);
     settings.token_file = Some(path.clone());
     watched(settings, async |mut told: Told| {
         told.rows().await;
         // The call for changes is out, and would be for an hour.
-        while consul.call_count() < 2 {
+        while consul.request_count() < 2 {
             tokio::task::yield_now().await;
         }
-        consul.want_token(Some("new-token"));
+        consul.require_token(Some("new-token"));
         // A file half written or gone changes nothing.
         replace("");
         std::fs::remove_file(&path).unwrap();
         replace("new-token\n");
         let calls = tokio::task::spawn_blocking({
             let consul = consul.clone();
-            move || consul.calls(3)
+            move || consul.wait_for_requests(3)
         });
         let calls = calls.await.unwrap();
         assert_eq!(calls[2].1.header("x-consul-token"), Some("new-token"));
         consul.set_check(&["s-1"], Check::Critical);
-        assert_eq!(told.rows().await[0].word, Word::Failing);
+        assert_eq!(told.rows().await[0].status, ReportedStatus::Failing);
         // One that is refused is a loss like any other.
-        consul.want_token(Some("another"));
+        consul.require_token(Some("another"));
         consul.set_check(&["s-1"], Check::Passing);
         told.lost().await;
     });
@@ -279,9 +282,9 @@
     consul.register_all([full, tagged, named, long]);
     let mut settings = settings(&consul);
     settings.rules.identity = Identity::NodeAndId;
-    settings.rules.kind = Field::Tag("model=".into());
-    settings.rules.group = Field::Meta("rack".into());
-    settings.rules.boot_ms = Field::Meta("boot".into());
+    settings.rules.kind = FieldSource::TagPrefix("model=".into());
+    settings.rules.group = FieldSource::Meta("rack".into());
+    settings.rules.boot_ms = FieldSource::Meta("boot".into());
     settings.rules.drain_tag = Some("leaving".into());
     settings.rules.zones = [("dc1".to_string(), "a".to_string())].into();
     for api in [Api::Health, Api::Catalog] {
@@ -299,8 +302,14 @@
             );
             assert_eq!((one.cell, one.born), (7, Some(1_700_000_000_000)));
             // Without checks nothing warns.
-            assert_eq!(one.size, Some(if api == Api::Health { 3.0 } else { 10.0 }));
-            assert_eq!((rows[0].word, rows[1].word), (Word::Ready, Word::Draining));
+            assert_eq!(
+                one.weight,
+                Some(if api == Api::Health { 3.0 } else { 10.0 })
+            );
+            assert_eq!(
+                (rows[0].status, rows[1].status),
+                (ReportedStatus::Ready, ReportedStatus::Draining)
+            );
             // A name is never looked up; the server is listed all the same.
             assert!(rows[2].instance.is_none());
         });
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -16,18 +16,22 @@
     Action, AdmissionMode, Allowance, Entry, Event, GiveUpReason, ListKind, Outcome, Report,
     RequestId, Seconds, ServerId, Settings, Status,
 };
-use violetwind_catalogue::{Instance, Telling, Word};
+use violetwind_catalogue::{Instance, ReportedStatus, SourceUpdate};
 use violetwind_common::{NameTable, ServerRow, server_id};
-use violetwind_service::{Bans, Change, Kept, Machines, Millis, Outs, taking};
+use violetwind_service::{
+    Bans, ChangeOutcome, MachineMap, MachinesOut, Millis, OperatorChange, admission_during_drain,
+};
 
 mod machines;
 
 use crate::clock::{Clock, monotonic_us};
 use crate::limits::Limits;
-use crate::members::SourceSet;
-use crate::spread::MoveSchedule;
+use crate::messages::{
+    ConnectionCommand, EngineEvent, ListedServer, OperatorReply, UnlistedServers,
+};
+use crate::move_schedule::MoveSchedule;
+use crate::sources::SourceSet;
 use crate::start_times::{ListContext, StartTimes};
-use crate::words::{ConnectionCommand, EngineEvent, ListedServer, OperatorReply, UnlistedServers};
 
 /// The name under which the list of the last run is weighed.
 const LAST_RUN: &str = "last run";
@@ -74,7 +78,7 @@
     pub bans: Bans,
     pub has_left: bool,
     /// Which machine each server is on, for orders that take machines out.
-    pub machines: Machines,
+    pub machines: MachineMap,
 }
 
 pub struct Engine<P> {
@@ -98,7 +102,7 @@
     last_rows: HashMap<ServerId, ServerRow>,
     service: violetwind_service::Limits,
     bans: Bans,
-    outs: Outs,
+    outs: MachinesOut,
     cold_for: Seconds,
     /// Since when operators empty the proxy, what it takes, and when that changes.
     left_at: Option<Instant>,
@@ -121,7 +125,7 @@
 impl<P: ProbeSender> Engine<P> {
     pub fn new(setup: EngineConfig, clock: Clock, probes: P) -> Self {
         Self {
-            outs: Outs::new(setup.machines),
+            outs: MachinesOut::new(setup.machines),
             cold_for: setup.settings.cold_for,
             balancer: Balancer::new(setup.settings, setup.seed),
             names: setup.names,
@@ -140,7 +144,7 @@
             service: setup.service_limits,
             bans: setup
                 .bans
-                .taken_over((clock.seconds_at(clock.start()) * 1e3) as Millis),
+                .with_times_clamped((clock.seconds_at(clock.start()) * 1e3) as Millis),
             left_at: setup.has_left.then(|| clock.start()),
             taking: AdmissionMode::All,
             next_stage: None,
@@ -178,7 +182,7 @@
                     Some(notice) => {
                         let listed = match &notice {
                             EngineEvent::ServerList(..) => true,
-                            EngineEvent::SourceUpdate(_, telling) => telling.completes(),
+                            EngineEvent::SourceUpdate(_, telling) => telling.completes_snapshot(),
                             _ => false,
                         };
                         self.handle_event(Instant::now(), notice);
@@ -210,7 +214,10 @@
         let last: Rc<str> = LAST_RUN.into();
         self.handle_event(now, EngineEvent::Sources(vec![last.clone()]));
         let rows = known.into_iter().filter_map(to_catalogue_row).collect();
-        self.handle_event(now, EngineEvent::SourceUpdate(last, Telling::Whole(rows)));
+        self.handle_event(
+            now,
+            EngineEvent::SourceUpdate(last, SourceUpdate::Snapshot(rows)),
+        );
     }
 
     /// When it wants to be woken.
@@ -258,13 +265,15 @@
     }
 
     /// Puts starts of servers by the monotonic clock in place of those in Unix time.
-    fn resolve_starts(&mut self, source: &Rc<str>, telling: &mut Telling) {
+    fn resolve_starts(&mut self, source: &Rc<str>, telling: &mut SourceUpdate) {
         let reading = self.reading(source);
-        let completes = telling.completes();
+        let completes = telling.completes_snapshot();
         let rows = match telling {
-            Telling::Whole(rows) | Telling::Changes(rows) | Telling::Stale(rows) => rows,
-            Telling::Part { rows, .. } => rows,
-            Telling::Same | Telling::Lost => return,
+            SourceUpdate::Snapshot(rows)
+            | SourceUpdate::Delta(rows)
+            | SourceUpdate::StaleSnapshot(rows) => rows,
+            SourceUpdate::SnapshotPart { rows, .. } => rows,
+            SourceUpdate::Unchanged | SourceUpdate::Unavailable => return,
         };
         for row in rows {
             let Some(instance) = &mut row.instance else {
@@ -500,31 +509,37 @@
     }
 
     /// Carries out an operator's word: once this returns, it is in force.
-    fn change(&mut self, change: Change, binding: UnlistedServers) -> OperatorReply {
+    fn change(&mut self, change: OperatorChange, binding: UnlistedServers) -> OperatorReply {
         let now = (self.clock.seconds_at(self.now) * 1e3) as Millis;
         let kept = match &change {
-            Change::Leave | Change::Join if self.ending => return OperatorReply::Ending,
-            Change::Leave => self.leave(),
-            Change::Join => self.join(),
-            Change::Offline(uid) | Change::Online(uid)
+            OperatorChange::Leave | OperatorChange::Join if self.ending => {
+                return OperatorReply::Ending;
+            }
+            OperatorChange::Leave => self.leave(),
+            OperatorChange::Join => self.join(),
+            OperatorChange::Offline(uid) | OperatorChange::Online(uid)
                 if binding == UnlistedServers::Reject && !self.named(uid) =>
             {
                 return OperatorReply::Unknown;
             }
-            Change::Offline(uid) => {
-                self.outs.word(uid, false);
-                self.bans.put_out(uid, now, &self.service)
+            OperatorChange::Offline(uid) => {
+                self.outs.set_override(uid, false);
+                self.bans.ban(uid, now, &self.service)
             }
-            Change::Online(uid) => {
-                let opened = self.outs.word(uid, true);
-                self.outs.note(uid, now, &self.service);
-                match self.bans.call_back(uid, now, &self.service) {
-                    Kept::Same if opened => Kept::Changed,
+            OperatorChange::Online(uid) => {
+                let opened = self.outs.set_override(uid, true);
+                self.outs.record_transition(uid, now, &self.service);
+                match self.bans.unban(uid, now, &self.service) {
+                    ChangeOutcome::Same if opened => ChangeOutcome::Changed,
                     kept => kept,
                 }
             }
         };
-        if let (Kept::Changed, Change::Offline(uid) | Change::Online(uid)) = (kept, &change) {
+        if let (
+            ChangeOutcome::Changed,
+            OperatorChange::Offline(uid) | OperatorChange::Online(uid),
+        ) = (kept, &change)
+        {
             self.resend_row(uid);
         }
         info!(
@@ -534,16 +549,16 @@
             "an operator's word"
         );
         match kept {
-            Kept::Changed => OperatorReply::Changed(self.bans.clone()),
-            Kept::Same => OperatorReply::Same(self.bans.clone()),
-            Kept::Full => OperatorReply::Full,
+            ChangeOutcome::Changed => OperatorReply::Changed(self.bans.clone()),
+            ChangeOutcome::Same => OperatorReply::Same(self.bans.clone()),
+            ChangeOutcome::Full => OperatorReply::Full,
         }
     }
 
     /// Whether any list has named a server, or it is out.
     fn named(&self, uid: &str) -> bool {
         let address = self.addresses.get(&server_id(uid));
-        self.bans.is_out(uid) || address.is_some_and(|(known, _)| known == uid)
+        self.bans.is_banned(uid) || address.is_some_and(|(known, _)| known == uid)
     }
 
     /// Tells the module of a server anew, as the operators' word on it has changed.
@@ -585,30 +600,31 @@
             row.status = Status::Draining;
         }
         let listed = row.started_at.map(|born| (born * 1e3) as Millis);
-        let born = self.outs.born(uid, self.bans.born(uid, listed));
+        let born = self.outs.started_at(uid, self.bans.started_at(uid, listed));
         if born != listed {
             row.started_at = born.map(|ms| ms as f64 / 1e3);
         }
     }
 
-    fn leave(&mut self) -> Kept {
+    fn leave(&mut self) -> ChangeOutcome {
         if self.left_at.is_some() {
-            return Kept::Same;
+            return ChangeOutcome::Same;
         }
         self.left_at = Some(self.now);
-        let connections = self.leave_within(self.service.leave_serve..self.service.leave_moved);
+        let connections =
+            self.leave_within(self.service.drain_move_start..self.service.drain_move_end);
         info!(connections, "left: clients are moved");
         self.stage();
-        Kept::Changed
+        ChangeOutcome::Changed
     }
 
-    fn join(&mut self) -> Kept {
+    fn join(&mut self) -> ChangeOutcome {
         if self.left_at.take().is_none() {
-            return Kept::Same;
+            return ChangeOutcome::Same;
         }
         (self.leaving, self.next_stage) = (None, None);
         self.set_taking(AdmissionMode::All);
-        Kept::Changed
+        ChangeOutcome::Changed
     }
 
     /// What a proxy that is emptied takes now.
@@ -616,7 +632,7 @@
         let Some(at) = self.left_at.filter(|_| !self.last) else {
             return;
         };
-        let (now_taken, next) = taking(self.now - at, &self.service);
+        let (now_taken, next) = admission_during_drain(self.now - at, &self.service);
         self.next_stage = next.map(|after| at + after);
         self.set_taking(now_taken);
     }
@@ -917,17 +933,17 @@
 pub fn to_catalogue_row(listed: ListedServer) -> Option<violetwind_catalogue::Row> {
     let row = listed.row;
     let word = match row.status {
-        Status::Up => Word::Ready,
-        Status::Suspected => Word::Failing,
-        Status::Draining => Word::Draining,
-        Status::Gone => Word::Left,
+        Status::Up => ReportedStatus::Ready,
+        Status::Suspected => ReportedStatus::Failing,
+        Status::Draining => ReportedStatus::Draining,
+        Status::Gone => ReportedStatus::Left,
     };
     let instance = listed.endpoint.map(|endpoint| Instance {
         endpoint,
         zone: row.zone.map(Into::into),
         kind: row.kind.map(Into::into),
         cell: row.cell,
-        size: row.rating,
+        weight: row.rating,
         born: row
             .started_at
             .filter(|at| *at > 0.0)
@@ -935,9 +951,9 @@
         epoch: 0,
     });
     // Only what has left needs no address.
-    (instance.is_some() || word == Word::Left).then(|| violetwind_catalogue::Row {
+    (instance.is_some() || word == ReportedStatus::Left).then(|| violetwind_catalogue::Row {
         uid: listed.uid.into(),
-        word,
+        status: word,
         instance,
     })
 }
--- a/crates/engine/src/engine/machines.rs
+++ b/crates/engine/src/engine/machines.rs
@@ -7,12 +7,12 @@
 use violetwind_service::Millis;
 
 use super::{Engine, ProbeSender};
-use crate::words::{MachinesSnapshot, ObservedMachine, ObservedServer};
+use crate::messages::{MachinesSnapshot, ObservedMachine, ObservedServer};
 
 impl<P: ProbeSender> Engine<P> {
     /// Whether an operator or an order keeps a server out.
     pub(super) fn is_kept_out(&self, uid: &str) -> bool {
-        self.bans.is_out(uid) || self.outs.is_out(uid)
+        self.bans.is_banned(uid) || self.outs.is_out(uid)
     }
 
     fn now_ms(&self) -> Millis {
@@ -22,7 +22,8 @@
     /// A server that a list names while its machine is out went out with it.
     pub(super) fn record_if_out(&mut self, uid: &str) {
         if self.outs.is_out(uid) {
-            self.outs.note(uid, self.now_ms(), &self.service);
+            self.outs
+                .record_transition(uid, self.now_ms(), &self.service);
         }
     }
 
@@ -35,7 +36,7 @@
             .collect();
         let was: BTreeSet<&String> = uids.iter().filter(|uid| self.outs.is_out(uid)).collect();
         let names: Vec<String> = machines.keys().cloned().collect();
-        self.outs.set(machines);
+        self.outs.replace_machines(machines);
         let changed = uids
             .iter()
             .filter(|uid| was.contains(uid) != self.outs.is_out(uid));
@@ -49,7 +50,8 @@
             "machines that orders have out"
         );
         for uid in changed {
-            self.outs.note(&uid, self.now_ms(), &self.service);
+            self.outs
+                .record_transition(&uid, self.now_ms(), &self.service);
             self.resend_row(&uid);
         }
     }
@@ -98,8 +100,8 @@
                 up,
                 warm: up && warm,
                 draining: row.status == Status::Draining,
-                banned: self.bans.is_out(uid),
-                opened: self.outs.is_opened(uid),
+                banned: self.bans.is_banned(uid),
+                opened: self.outs.is_overridden(uid),
             });
         }
         looked
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -7,15 +7,15 @@
 mod clock;
 mod engine;
 mod limits;
-mod members;
-mod spread;
+mod messages;
+mod move_schedule;
+mod sources;
 pub mod start_times;
-mod words;
 
 pub use clock::{Clock, monotonic_us};
 pub use engine::{Engine, EngineConfig, ProbeSender, to_catalogue_row};
 pub use limits::Limits;
-pub use words::{
+pub use messages::{
     ConnectionCommand, EngineEvent, ListedServer, MachinesSnapshot, ObservedMachine,
     ObservedServer, OperatorReply, UnlistedServers,
 };
--- a/crates/engine/src/words.rs
+++ b/crates/engine/src/messages.rs
@@ -12,9 +12,9 @@
     Allowance, Ended, ListKind, Outcome, QuotaKind, QuotaUsage, Report, Request, RequestId,
     Seconds, ServerId, Settings,
 };
-use violetwind_catalogue::Telling;
+use violetwind_catalogue::SourceUpdate;
 use violetwind_common::{NameTable, ServerRow};
-use violetwind_service::{Bans, Change};
+use violetwind_service::{Bans, OperatorChange};
 
 /// One row of a list with what the module does not need.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     /// The sources that count from now on, by name, those that go before others first.
     Sources(Vec<Rc<str>>),
     /// What one of them says.
-    SourceUpdate(Rc<str>, Telling),
+    SourceUpdate(Rc<str>, SourceUpdate),
     /// A client's request, with the way to its connection.
     Request(Request, mpsc::Sender<ConnectionCommand>),
     /// One that stood at this server before the start, and the word that it is up there again.
@@ -64,7 +64,11 @@
     Settings(Box<Settings>, NameTable),
     /// An operator's word; the answer comes once it is in force. One that another process of this proxy has
     /// taken is binding here whether or not a list has named the server.
-    OperatorChange(Change, UnlistedServers, oneshot::Sender<OperatorReply>),
+    OperatorChange(
+        OperatorChange,
+        UnlistedServers,
+        oneshot::Sender<OperatorReply>,
+    ),
     /// Parts of what several proxies share, each until a moment; answered with what is used of all of them.
     Allowances(
         Vec<(QuotaKind, Allowance, Instant)>,
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/sources.rs
@@ -5,10 +5,12 @@
 
 use tracing::{info, warn};
 use violetwind_balancer::api::{Seconds, ServerId, Status};
-use violetwind_catalogue::{Belief, Catalogue, Counts, Fact, Limits, Millis, SourceId, Telling};
+use violetwind_catalogue::{
+    Catalogue, Counts, EffectiveStatus, Limits, Millis, SourceId, SourceUpdate, StatusChange,
+};
 use violetwind_common::{ServerRow, server_id};
 
-use crate::words::ListedServer;
+use crate::messages::ListedServer;
 
 /// A source that is silent is told of after this, and again each time that has doubled.
 const SILENT_FROM: Millis = 10_000;
@@ -41,7 +43,7 @@
     }
 
     pub fn absent_for(&self) -> Millis {
-        self.catalogue.limits().absent_for
+        self.catalogue.limits().absence_timeout
     }
 
     /// The sources that count from now on; words of others stand until these have spoken.
@@ -66,17 +68,22 @@
         let old = self.sources.extract_if(.., |name, _| !names.contains(name));
         for (name, named) in old.collect::<Vec<_>>() {
             info!(%name, "a source is let go once all others have spoken");
-            facts.extend(self.catalogue.retire(now, named.id));
+            facts.extend(self.catalogue.retire_source(now, named.id));
         }
         self.rows(facts)
     }
 
     /// What a source says; one that is not among the sources is not heard.
-    pub fn apply_update(&mut self, now: Millis, name: &str, telling: Telling) -> Vec<ListedServer> {
+    pub fn apply_update(
+        &mut self,
+        now: Millis,
+        name: &str,
+        telling: SourceUpdate,
+    ) -> Vec<ListedServer> {
         let Some(named) = self.sources.get(name) else {
             return Vec::new();
         };
-        let facts = self.catalogue.tell(now, named.id, telling);
+        let facts = self.catalogue.apply_update(now, named.id, telling);
         self.notes(now);
         self.rows(facts)
     }
@@ -87,22 +94,22 @@
         uid: &str,
         answered: bool,
     ) -> Vec<ListedServer> {
-        let facts = self.catalogue.heard_of(now, uid, answered);
+        let facts = self.catalogue.record_liveness(now, uid, answered);
         self.rows(facts)
     }
 
     pub fn next_wakeup(&self) -> Option<Millis> {
-        self.catalogue.next_wake()
+        self.catalogue.next_tick()
     }
 
     pub fn handle_wakeup(&mut self, now: Millis) -> Vec<ListedServer> {
-        let facts = self.catalogue.wake(now);
+        let facts = self.catalogue.tick(now);
         self.notes(now);
         self.rows(facts)
     }
 
     pub fn is_known(&self, uid: &str) -> bool {
-        self.catalogue.knows(uid)
+        self.catalogue.contains(uid)
     }
 
     /// Tells the log of sources that are silent or doubted, and of what found no room.
@@ -111,11 +118,13 @@
             let Some(named) = self.sources.get_mut(source.name) else {
                 continue;
             };
-            let silent = source.lost_since.map(|at| now.saturating_sub(at));
+            let silent = source.unavailable_since.map(|at| now.saturating_sub(at));
             match silent {
                 Some(silent) if silent >= named.next_note => {
                     named.next_note = silent.saturating_mul(2);
-                    let age = source.answered.map(|at| now.saturating_sub(at) / 1000);
+                    let age = source
+                        .last_answer_at
+                        .map(|at| now.saturating_sub(at) / 1000);
                     warn!(
                         source = source.name,
                         silent_s = silent / 1000,
@@ -129,12 +138,12 @@
                 }
                 _ => {}
             }
-            let doubted = source.doubted_since.is_some();
+            let doubted = source.distrusted_since.is_some();
             if std::mem::replace(&mut named.doubted, doubted) != doubted {
                 match doubted {
                     true => warn!(
                         source = source.name,
-                        listed = source.listed,
+                        listed = source.listed_servers,
                         "a source lost too much at once and is doubted"
                     ),
                     false => info!(source = source.name, "a source is trusted again"),
@@ -153,10 +162,12 @@
     }
 
     /// Facts as rows of a list of changes. The log names the first few that are no longer simply ready.
-    fn rows(&self, facts: Vec<Fact>) -> Vec<ListedServer> {
-        let doubtful = facts.iter().filter(|fact| fact.belief != Belief::Ready);
+    fn rows(&self, facts: Vec<StatusChange>) -> Vec<ListedServer> {
+        let doubtful = facts
+            .iter()
+            .filter(|fact| fact.status != EffectiveStatus::Ready);
         for fact in doubtful.clone().take(NAMED) {
-            info!(uid = &*fact.uid, belief = ?fact.belief, why = %fact.why, "a server");
+            info!(uid = &*fact.uid, belief = ?fact.status, why = %fact.reason, "a server");
         }
         let more = doubtful.count().saturating_sub(NAMED);
         if more > 0 {
@@ -166,7 +177,7 @@
     }
 }
 
-fn row(fact: Fact) -> ListedServer {
+fn row(fact: StatusChange) -> ListedServer {
     let instance = fact.instance;
     let server: ServerId = server_id(&fact.uid);
     ListedServer {
@@ -174,16 +185,16 @@
         row: ServerRow {
             server,
             cell: instance.cell,
-            status: match fact.belief {
-                Belief::Ready => Status::Up,
-                Belief::Suspected => Status::Suspected,
-                Belief::Draining => Status::Draining,
-                Belief::Gone => Status::Gone,
+            status: match fact.status {
+                EffectiveStatus::Ready => Status::Up,
+                EffectiveStatus::Suspected => Status::Suspected,
+                EffectiveStatus::Draining => Status::Draining,
+                EffectiveStatus::Gone => Status::Gone,
             },
             kind: instance.kind.map(String::from),
             zone: instance.zone.map(String::from),
             started_at: fact.born.map(|ms| ms as Seconds / 1e3),
-            rating: instance.size,
+            rating: instance.weight,
         },
         uid: fact.uid.into(),
     }
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -13,7 +13,7 @@
     Clock, ConnectionCommand, Engine, EngineConfig, EngineEvent, Limits, ListedServer,
     OperatorReply, ProbeSender, UnlistedServers,
 };
-use violetwind_service::{Bans, Change};
+use violetwind_service::{Bans, OperatorChange};
 
 pub const START_UNIX_SECONDS: Seconds = 1.7e9;
 
@@ -114,7 +114,7 @@
             service_limits: violetwind_service::Limits::default(),
             bans: Bans::default(),
             has_left: false,
-            machines: violetwind_service::Machines::default(),
+            machines: violetwind_service::MachineMap::default(),
         };
         let mut engine = Engine::new(setup, Clock::simulated(start, START_UNIX_SECONDS), NoProbes);
         let rows = uids
@@ -146,7 +146,7 @@
         self.engine.handle_event(self.now, notice);
     }
 
-    pub fn apply_change(&mut self, change: Change) -> OperatorReply {
+    pub fn apply_change(&mut self, change: OperatorChange) -> OperatorReply {
         let (reply, mut answer) = oneshot::channel();
         self.handle_event(EngineEvent::OperatorChange(
             change,
