--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -14,13 +14,13 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use violetwind_balancer::api::*;
-use violetwind_catalogue::{Instance, Row, Telling, Word};
+use violetwind_catalogue::{Instance, ReportedStatus, Row, SourceUpdate};
 use violetwind_common::{NameTable, server_id};
 use violetwind_engine::{
     Clock, ConnectionCommand, Engine, EngineConfig, EngineEvent, Limits, OperatorReply,
     ProbeSender, UnlistedServers,
 };
-use violetwind_service::Change;
+use violetwind_service::OperatorChange;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -92,7 +92,7 @@
             service_limits: violetwind_service::Limits::default(),
             bans: violetwind_service::Bans::default(),
             has_left: false,
-            machines: violetwind_service::Machines::default(),
+            machines: violetwind_service::MachineMap::default(),
         };
         let clock = Clock::simulated(start, 1.7e9);
         let mut world = Self {
@@ -108,7 +108,7 @@
         world.engine.start(start, Vec::new());
         world.sources(sources);
         for source in sources {
-            world.tell(source, world.list(|_| Some(Word::Ready)));
+            world.tell(source, world.list(|_| Some(ReportedStatus::Ready)));
         }
         world
     }
@@ -118,24 +118,24 @@
         self.take(EngineEvent::Sources(names));
     }
 
-    fn list(&self, word: impl Fn(usize) -> Option<Word>) -> Telling {
+    fn list(&self, word: impl Fn(usize) -> Option<ReportedStatus>) -> SourceUpdate {
         let rows = self.names.iter().enumerate();
-        Telling::Whole(
+        SourceUpdate::Snapshot(
             rows.filter_map(|(n, _)| Some(self.row(n, word(n)?)))
                 .collect(),
         )
     }
 
-    fn row(&self, n: usize, word: Word) -> Row {
+    fn row(&self, n: usize, word: ReportedStatus) -> Row {
         Row {
             uid: self.names[n].as_str().into(),
-            word,
+            status: word,
             instance: Some(Instance {
                 endpoint: ([127, 0, 0, 1], 1000 + n as u16).into(),
                 zone: None,
                 kind: None,
                 cell: 0,
-                size: None,
+                weight: None,
                 born: None,
                 epoch: 0,
             }),
@@ -146,7 +146,7 @@
         server_id(&self.names[n])
     }
 
-    fn tell(&mut self, source: &str, telling: Telling) {
+    fn tell(&mut self, source: &str, telling: SourceUpdate) {
         self.take(EngineEvent::SourceUpdate(source.into(), telling));
     }
 
@@ -262,9 +262,12 @@
 fn a_list_without_half_of_the_servers_for_two_seconds_moves_nobody() {
     let mut world = World::new(6, &["one"]);
     world.open_many(300);
-    world.tell("one", world.list(|n| (n < 3).then_some(Word::Ready)));
+    world.tell(
+        "one",
+        world.list(|n| (n < 3).then_some(ReportedStatus::Ready)),
+    );
     world.pass(ms(2000));
-    world.tell("one", world.list(|_| Some(Word::Ready)));
+    world.tell("one", world.list(|_| Some(ReportedStatus::Ready)));
     world.pass(ms(60_000));
     assert_eq!(world.moved(), 0);
 }
@@ -274,10 +277,16 @@
     let mut world = World::new(6, &["one"]);
     world.open_many(60);
     for round in 0..9 {
-        let half = |n| Some(if n < 3 { Word::Failing } else { Word::Ready });
+        let half = |n| {
+            Some(if n < 3 {
+                ReportedStatus::Failing
+            } else {
+                ReportedStatus::Ready
+            })
+        };
         world.tell("one", world.list(half));
         world.pass(ms(2000));
-        world.tell("one", world.list(|_| Some(Word::Ready)));
+        world.tell("one", world.list(|_| Some(ReportedStatus::Ready)));
         world.open(1000 + round);
         world.pass(ms(18_000));
     }
@@ -292,7 +301,10 @@
     world.open_many(300);
     let lost = world.now;
     world.dead.insert(world.id(0));
-    world.tell("one", world.list(|n| (n > 2).then_some(Word::Ready)));
+    world.tell(
+        "one",
+        world.list(|n| (n > 2).then_some(ReportedStatus::Ready)),
+    );
     world.pass(ms(3000));
     assert_eq!(world.moved(), world.on(0), "nobody but those of the dead");
     let late = lost + ms(3000);
@@ -307,13 +319,18 @@
 #[test]
 fn nothing_new_goes_to_a_suspect_while_others_have_room_and_to_suspects_alone_it_does() {
     let mut world = World::new(4, &["one"]);
-    world.tell("one", Telling::Changes(vec![world.row(0, Word::Failing)]));
+    world.tell(
+        "one",
+        SourceUpdate::Delta(vec![world.row(0, ReportedStatus::Failing)]),
+    );
     world.pass(ms(100));
     world.open_many(40);
     assert_eq!(world.on(0), 0);
     // The others drain: the suspect is all there is.
-    let rows = (1..4).map(|n| world.row(n, Word::Draining)).collect();
-    world.tell("one", Telling::Changes(rows));
+    let rows = (1..4)
+        .map(|n| world.row(n, ReportedStatus::Draining))
+        .collect();
+    world.tell("one", SourceUpdate::Delta(rows));
     world.pass(ms(5000));
     world.open(100);
     world.pass(ms(1000));
@@ -339,12 +356,15 @@
         .collect();
     assert!(!out.is_empty());
     let told = world.now;
-    world.tell("two", Telling::Changes(vec![world.row(1, Word::Draining)]));
+    world.tell(
+        "two",
+        SourceUpdate::Delta(vec![world.row(1, ReportedStatus::Draining)]),
+    );
     for (id, client) in &world.clients {
         assert_eq!(client.recalled, out.contains(id), "{id}");
     }
     for round in 0..30 {
-        world.tell("one", world.list(|_| Some(Word::Ready)));
+        world.tell("one", world.list(|_| Some(ReportedStatus::Ready)));
         world.open(200 + round);
         world.pass(ms(100));
     }
@@ -367,13 +387,13 @@
     world.open_many(30);
     let old = world.on(2);
     assert!(old > 0);
-    let mut row = world.row(2, Word::Ready);
+    let mut row = world.row(2, ReportedStatus::Ready);
     row.instance.as_mut().unwrap().endpoint.set_port(9999);
-    let gone = world.list(|n| (n != 2).then_some(Word::Ready));
+    let gone = world.list(|n| (n != 2).then_some(ReportedStatus::Ready));
     world.tell("one", gone);
     world.pass(ms(200));
     let told = world.now;
-    world.tell("one", Telling::Changes(vec![row]));
+    world.tell("one", SourceUpdate::Delta(vec![row]));
     world.pass(ms(59_000));
     assert_eq!(world.moved(), 0);
     world.open(500);
@@ -392,7 +412,7 @@
     let mut world = World::new(4, &["one"]);
     world.open_many(20);
     for second in 0..3600 {
-        world.tell("one", Telling::Lost);
+        world.tell("one", SourceUpdate::Unavailable);
         world.pass(ms(1000));
         if second % 600 == 0 {
             world.open(1000 + second);
@@ -410,7 +430,7 @@
     world.pass(ms(500));
     world.open(100);
     world.pass(ms(500));
-    world.tell("consul", world.list(|_| Some(Word::Ready)));
+    world.tell("consul", world.list(|_| Some(ReportedStatus::Ready)));
     world.open(101);
     world.pass(ms(120_000));
     assert_eq!(world.moved(), 0);
@@ -420,8 +440,8 @@
 #[derive(Clone, Debug)]
 enum Step {
     Open,
-    Word(usize, u8, Word),
-    Whole(usize, Vec<Option<Word>>),
+    Word(usize, u8, ReportedStatus),
+    Whole(usize, Vec<Option<ReportedStatus>>),
     Lost(usize),
     Dies(u8),
     Lives(u8),
@@ -430,12 +450,12 @@
     Pass(u64),
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn word() -> impl Strategy<Value = ReportedStatus> {
     prop_oneof![
-        4 => Just(Word::Ready),
-        2 => Just(Word::Failing),
-        1 => Just(Word::Draining),
-        1 => Just(Word::Left)
+        4 => Just(ReportedStatus::Ready),
+        2 => Just(ReportedStatus::Failing),
+        1 => Just(ReportedStatus::Draining),
+        1 => Just(ReportedStatus::Left)
     ]
 }
 
@@ -474,12 +494,12 @@
         let mut opened: BTreeMap<RequestId, Instant> = BTreeMap::new();
         for (at, step) in steps.iter().enumerate() {
             let sent = world.sent.len();
-            let mut note = |source: usize, n: usize, word: Word| {
+            let mut note = |source: usize, n: usize, word: ReportedStatus| {
                 let by = drained.entry(n).or_default();
                 match word {
-                    Word::Draining => drop(by.insert(source)),
-                    Word::Ready | Word::Failing => drop(by.remove(&source)),
-                    Word::Left => {}
+                    ReportedStatus::Draining => drop(by.insert(source)),
+                    ReportedStatus::Ready | ReportedStatus::Failing => drop(by.remove(&source)),
+                    ReportedStatus::Left => {}
                 }
             };
             match step {
@@ -490,7 +510,7 @@
                 Step::Word(s, n, w) => {
                     note(*s, usize::from(*n), *w);
                     let row = world.row(usize::from(*n), *w);
-                    world.tell(names[*s], Telling::Changes(vec![row]));
+                    world.tell(names[*s], SourceUpdate::Delta(vec![row]));
                 }
                 Step::Whole(s, words) => {
                     for (n, word) in words.iter().enumerate() {
@@ -500,7 +520,7 @@
                     }
                     world.tell(names[*s], world.list(|n| words[n]));
                 }
-                Step::Lost(s) => world.tell(names[*s], Telling::Lost),
+                Step::Lost(s) => world.tell(names[*s], SourceUpdate::Unavailable),
                 Step::Dies(n) => drop(world.dead.insert(world.id(usize::from(*n)))),
                 Step::Lives(n) => drop(world.dead.remove(&world.id(usize::from(*n)))),
                 Step::Ends(n) | Step::Leaves(n) => {
@@ -554,15 +574,18 @@
         ));
         answer.try_recv().expect("in force at once")
     };
-    let unknown = Change::Offline("nobody".into());
+    let unknown = OperatorChange::Offline("nobody".into());
     assert_eq!(say(&mut world, unknown), OperatorReply::Unknown);
-    let out = Change::Offline("s-0".into());
+    let out = OperatorChange::Offline("s-0".into());
     assert!(matches!(say(&mut world, out), OperatorReply::Changed(_)));
     let from = world.sent.len();
-    world.tell("consul", world.list(|_| Some(Word::Ready)));
-    world.tell("consul", world.list(|n| (n > 0).then_some(Word::Ready)));
+    world.tell("consul", world.list(|_| Some(ReportedStatus::Ready)));
+    world.tell(
+        "consul",
+        world.list(|n| (n > 0).then_some(ReportedStatus::Ready)),
+    );
     world.sources(&["registry"]);
-    world.tell("registry", world.list(|_| Some(Word::Ready)));
+    world.tell("registry", world.list(|_| Some(ReportedStatus::Ready)));
     for id in 1000..1030 {
         world.open(id);
         world.pass(ms(50));
@@ -573,7 +596,7 @@
             .iter()
             .all(|(_, server)| *server != banned)
     );
-    let back = Change::Online("s-0".into());
+    let back = OperatorChange::Online("s-0".into());
     assert!(matches!(say(&mut world, back), OperatorReply::Changed(_)));
     for id in 2000..2030 {
         world.open(id);
--- a/crates/engine/tests/service.rs
+++ b/crates/engine/tests/service.rs
@@ -9,18 +9,18 @@
 use violetwind_balancer::api::*;
 use violetwind_common::NameTable;
 use violetwind_engine::{ConnectionCommand, EngineEvent, OperatorReply};
-use violetwind_service::Change;
+use violetwind_service::OperatorChange;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn out(uid: &str) -> Change {
-    Change::Offline(uid.into())
+fn out(uid: &str) -> OperatorChange {
+    OperatorChange::Offline(uid.into())
 }
 
-fn back(uid: &str) -> Change {
-    Change::Online(uid.into())
+fn back(uid: &str) -> OperatorChange {
+    OperatorChange::Online(uid.into())
 }
 
 #[test]
@@ -145,11 +145,11 @@
     clients.iter().for_each(|id| world.mark_up(*id));
     let waits = world.request_default_class();
     assert!(matches!(
-        world.apply_change(Change::Leave),
+        world.apply_change(OperatorChange::Leave),
         OperatorReply::Changed(_)
     ));
     assert!(matches!(
-        world.apply_change(Change::Leave),
+        world.apply_change(OperatorChange::Leave),
         OperatorReply::Same(_)
     ));
     // The front has not stopped yet.
@@ -190,13 +190,13 @@
     let clients: Vec<RequestId> = (0..40).map(|_| world.request_default_class()).collect();
     clients.iter().for_each(|id| world.mark_up(*id));
     assert!(matches!(
-        world.apply_change(Change::Join),
+        world.apply_change(OperatorChange::Join),
         OperatorReply::Same(_)
     ));
-    world.apply_change(Change::Leave);
+    world.apply_change(OperatorChange::Leave);
     world.advance(ms(1500));
     assert!(matches!(
-        world.apply_change(Change::Join),
+        world.apply_change(OperatorChange::Join),
         OperatorReply::Changed(_)
     ));
     let moved = clients.iter().filter(|id| world.is_moved(**id)).count();
@@ -213,7 +213,7 @@
 #[test]
 fn a_ban_holds_in_a_left_proxy_and_an_end_takes_no_words() {
     let mut world = EngineHarness::new(&["a"]);
-    world.apply_change(Change::Leave);
+    world.apply_change(OperatorChange::Leave);
     let waits = world.request_default_class();
     world.apply_change(out("a"));
     assert!(matches!(
@@ -221,7 +221,10 @@
         Some(ConnectionCommand::Recall)
     ));
     world.handle_event(EngineEvent::Shutdown(ms(1000)..ms(2000)));
-    assert_eq!(world.apply_change(Change::Join), OperatorReply::Ending);
+    assert_eq!(
+        world.apply_change(OperatorChange::Join),
+        OperatorReply::Ending
+    );
     assert!(matches!(
         world.apply_change(back("a")),
         OperatorReply::Changed(_)
--- a/crates/faults/src/calls.rs
+++ b/crates/faults/src/calls.rs
@@ -38,7 +38,7 @@
 
 /// What a call on a descriptor meets; sockets and files are told apart by the rule's path.
 fn meet(call: &str, fd: c_int) -> Option<Effect> {
-    rules::in_force()?.meet(call, || path_of(fd))
+    rules::current()?.select_effect(call, || path_of(fd))
 }
 
 /// Defines a wrapper: the name, its arguments, and what comes before the C library's own code. That part may end the
@@ -138,7 +138,7 @@
 
 wrap!(rename(from: *const c_char, to: *const c_char) -> c_int,
 |own: unsafe extern "C" fn(*const c_char, *const c_char) -> c_int| {
-    let effect = rules::in_force().and_then(|rules| rules.meet("rename", || text_of(to)));
+    let effect = rules::current().and_then(|rules| rules.select_effect("rename", || text_of(to)));
     if let Some(Effect::Fail(error)) = effect {
         set_errno(error);
         return -1;
@@ -150,7 +150,7 @@
 // The mode counts only where a file is made; it is passed on in any case.
 wrap!(open64(path: *const c_char, flags: c_int, mode: libc::mode_t) -> c_int,
 |own: unsafe extern "C" fn(*const c_char, c_int, libc::mode_t) -> c_int| {
-    let effect = rules::in_force().and_then(|rules| rules.meet("open", || text_of(path)));
+    let effect = rules::current().and_then(|rules| rules.select_effect("open", || text_of(path)));
     if let Some(Effect::Fail(error)) = effect {
         set_errno(error);
         return -1;
@@ -163,7 +163,7 @@
 |own: unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int| {
     // SAFETY: the arguments are passed on as they came.
     let result = unsafe { own(clock, time) };
-    let step = rules::in_force().map_or(0, |rules| rules.clock_step);
+    let step = rules::current().map_or(0, |rules| rules.clock_step_nanos);
     if result == 0 && clock == libc::CLOCK_REALTIME && step != 0 {
         // SAFETY: the call has succeeded, so the caller's structure is there and filled.
         let time = unsafe { &mut *time };
--- a/crates/faults/src/rules.rs
+++ b/crates/faults/src/rules.rs
@@ -29,21 +29,21 @@
     rules: Vec<Rule>,
     seed: u64,
     /// Added to the wall clock, in nanoseconds.
-    pub clock_step: i64,
+    pub clock_step_nanos: i64,
 }
 
 static IN_FORCE: AtomicPtr<Rules> = AtomicPtr::new(std::ptr::null_mut());
 static CALLS: AtomicU64 = AtomicU64::new(0);
 
 /// The rules that hold now.
-pub fn in_force() -> Option<&'static Rules> {
+pub fn current() -> Option<&'static Rules> {
     let rules = IN_FORCE.load(Ordering::Acquire);
     // SAFETY: the pointer is null or came from `Box::into_raw` in `set`, and is never freed.
     unsafe { rules.as_ref() }
 }
 
 /// Puts rules in force. Old ones are leaked: another thread may be reading them.
-pub fn set(rules: Rules) {
+pub fn install(rules: Rules) {
     IN_FORCE.store(Box::into_raw(Box::new(rules)), Ordering::Release);
 }
 
@@ -65,7 +65,7 @@
             [] => {}
             [first, ..] if first.starts_with('#') => {}
             ["seed", seed] => rules.seed = seed.parse().ok()?,
-            ["clock", step] => rules.clock_step = step.parse::<i64>().ok()? * 1_000_000,
+            ["clock", step] => rules.clock_step_nanos = step.parse::<i64>().ok()? * 1_000_000,
             [kind, call, what, per_mille, path @ ..] => rules.rules.push(Rule {
                 call: call.to_string(),
                 effect: effect(kind, what)?,
@@ -110,7 +110,7 @@
 
 impl Rules {
     /// What a call meets; the first rule that applies counts. `path` is asked only where a rule wants to know.
-    pub fn meet(&self, call: &str, path: impl Fn() -> Option<String>) -> Option<Effect> {
+    pub fn select_effect(&self, call: &str, path: impl Fn() -> Option<String>) -> Option<Effect> {
         for rule in self.rules.iter().filter(|rule| rule.call == call) {
             let on_path = |wanted: &String| path().is_some_and(|path| path.contains(wanted));
             if rule.path.as_ref().is_none_or(on_path) && self.draw() < rule.per_mille {
--- a/crates/faults/src/watch.rs
+++ b/crates/faults/src/watch.rs
@@ -39,7 +39,7 @@
         eprintln!("faults: {}: not understood", path.display());
         std::process::abort();
     };
-    rules::set(parsed);
+    rules::install(parsed);
     let first = text.lines().next().unwrap_or_default();
     // Written aside and renamed: a test never reads half of it.
     let (new, done) = (path.with_extension("new"), path.with_extension("seen"));
--- a/crates/fleet/src/budget/divide.rs
+++ b/crates/fleet/src/budget/allocator.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use super::{Need, Shares};
-use crate::words::{Name, SessionId};
+use super::{BudgetShares, Need};
+use crate::messages::{Name, SessionId};
 
 /// What a leader knows of needs. Nothing of it outlives the leader: members tell the next one anew.
 #[derive(Clone, Debug, Default)]
-pub struct Divider {
+pub struct ShareAllocator {
     needs: BTreeMap<Name, BTreeMap<SessionId, (u64, u64)>>,
     /// What members are asked to lower their shares to.
     lower: BTreeMap<SessionId, BTreeMap<Name, u64>>,
@@ -16,40 +16,40 @@
 }
 
 /// A share that is to grow: budget, session, units, the version that it stands on.
-pub type Raise = (Name, SessionId, u64, u64);
+pub type ShareRaise = (Name, SessionId, u64, u64);
 
-impl Divider {
+impl ShareAllocator {
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    pub fn need(&mut self, session: SessionId, needs: &[Need]) {
+    pub fn update_needs(&mut self, session: SessionId, needs: &[Need]) {
         for need in needs {
             let known = self.needs.entry(need.budget.clone()).or_default();
-            let told = (need.busy, need.wants);
+            let told = (need.in_use, need.wanted);
             let before = match told {
                 (0, 0) => known.remove(&session),
                 _ => known.insert(session, told),
             };
             if before != Some(told) {
-                self.touch(&need.budget);
+                self.mark_changed(&need.budget);
             }
         }
     }
 
-    pub fn touch(&mut self, budget: &str) {
+    pub fn mark_changed(&mut self, budget: &str) {
         if !self.changed.iter().any(|known| known == budget) {
             self.changed.push(budget.to_string());
         }
     }
 
-    pub fn touch_all(&mut self) {
+    pub fn mark_all_changed(&mut self) {
         let names: Vec<Name> = self.needs.keys().cloned().collect();
-        names.iter().for_each(|budget| self.touch(budget));
+        names.iter().for_each(|budget| self.mark_changed(budget));
     }
 
     /// Sessions that have ended need nothing.
-    pub fn keep(&mut self, is_there: impl Fn(SessionId) -> bool) {
+    pub fn retain_sessions(&mut self, is_there: impl Fn(SessionId) -> bool) {
         let mut changed = Vec::new();
         for (budget, of) in &mut self.needs {
             let before = of.len();
@@ -59,20 +59,20 @@
             }
         }
         self.lower.retain(|session, _| is_there(*session));
-        changed.iter().for_each(|budget| self.touch(budget));
+        changed.iter().for_each(|budget| self.mark_changed(budget));
     }
 
-    pub fn lower(&self, session: SessionId) -> Vec<(Name, u64)> {
+    pub fn lower_targets(&self, session: SessionId) -> Vec<(Name, u64)> {
         let of = self.lower.get(&session).into_iter().flatten();
         of.map(|(budget, to)| (budget.clone(), *to)).collect()
     }
 
     /// Divides what has changed. Says whose shares are to grow, and who is to be asked to lower its own.
-    pub fn divide(
+    pub fn allocate(
         &mut self,
-        budgets: &BTreeMap<Name, Shares>,
+        budgets: &BTreeMap<Name, BudgetShares>,
         weight: impl Fn(SessionId) -> u64,
-    ) -> (Vec<Raise>, Vec<SessionId>) {
+    ) -> (Vec<ShareRaise>, Vec<SessionId>) {
         let (mut raises, mut asked) = (Vec::new(), Vec::new());
         for name in std::mem::take(&mut self.changed) {
             for of in self.lower.values_mut() {
@@ -106,7 +106,7 @@
             };
             let mut free = budget.free();
             // More is out than there is since the whole was lowered: it is not given out again.
-            let mut short = budget.given().saturating_sub(budget.pool());
+            let mut short = budget.allocated().saturating_sub(budget.pool());
             // Who lacks something comes before anybody's room ahead.
             let mut raised: BTreeMap<SessionId, u64> = BTreeMap::new();
             for aims in [|real: u64, _: u64| real, |_, target| target] {
--- a/crates/fleet/src/budget/meter.rs
+++ b/crates/fleet/src/budget/meter.rs
@@ -4,18 +4,18 @@
 
 use violetwind_consensus::Millis;
 
-use super::{Def, Kind, Need, Share};
+use super::{BudgetDefinition, BudgetKind, Need, Share};
 use crate::limits::Limits;
-use crate::words::Name;
+use crate::messages::Name;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    Yes,
+pub enum Acquisition {
+    Granted,
     /// The budget has none left here; worth asking again after so long.
-    No {
-        again: Millis,
+    Denied {
+        retry_after: Millis,
     },
-    Unknown,
+    UnknownBudget,
 }
 
 /// What whoever counts a budget elsewhere in this process is told: so much until a moment of this member's clock,
@@ -61,7 +61,7 @@
 
 #[derive(Clone, Debug)]
 struct Meter {
-    def: Def,
+    def: BudgetDefinition,
     /// From then on the floor may be used: what a process before this one used of a rate is forgotten.
     floor_from: Millis,
     share: Share,
@@ -80,7 +80,7 @@
 impl Meter {
     /// A rate's window by this member's clock, which may run fast.
     fn window(&self, limits: &Limits) -> Millis {
-        self.def.window + (self.def.window * limits.drift_permille).div_ceil(1000) + 1
+        self.def.window + (self.def.window * limits.max_clock_drift_permille).div_ceil(1000) + 1
     }
 
     fn forget(&mut self, now: Millis, limits: &Limits) {
@@ -89,8 +89,8 @@
             self.used.pop_front();
         }
         let span = match self.def.kind {
-            Kind::Held => limits.renew / 2,
-            Kind::Rate => window,
+            BudgetKind::Concurrent => limits.renew_interval / 2,
+            BudgetKind::Rate => window,
         };
         while self.denied.front().is_some_and(|at| now >= *at + span) {
             self.denied.pop_front();
@@ -102,8 +102,8 @@
             return outside.busy;
         }
         match self.def.kind {
-            Kind::Held => self.held,
-            Kind::Rate => self.used.len() as u64,
+            BudgetKind::Concurrent => self.held,
+            BudgetKind::Rate => self.used.len() as u64,
         }
     }
 
@@ -151,8 +151,13 @@
 
 impl Meters {
     /// `begun` is when this process began; `after_another` that one of the same name may just have ended.
-    pub fn new(defs: &[Def], outside: &BTreeSet<Name>, begun: Millis, limits: &Limits) -> Self {
-        let meter = |def: &Def| {
+    pub fn new(
+        defs: &[BudgetDefinition],
+        outside: &BTreeSet<Name>,
+        begun: Millis,
+        limits: &Limits,
+    ) -> Self {
+        let meter = |def: &BudgetDefinition| {
             let mut meter = Meter {
                 def: def.clone(),
                 floor_from: begun,
@@ -165,7 +170,7 @@
                 denied: VecDeque::new(),
                 outside: outside.contains(&def.name).then(Outside::default),
             };
-            if def.kind == Kind::Rate {
+            if def.kind == BudgetKind::Rate {
                 meter.floor_from = begun + meter.window(limits);
             }
             (def.name.clone(), meter)
@@ -181,44 +186,58 @@
     }
 
     /// One unit, if it may be used now; `leased` is whether the session's lease counts.
-    pub fn take(&mut self, budget: &str, now: Millis, leased: bool, limits: &Limits) -> Taken {
+    pub fn acquire(
+        &mut self,
+        budget: &str,
+        now: Millis,
+        leased: bool,
+        limits: &Limits,
+    ) -> Acquisition {
         let meter = self
             .meters
             .get_mut(budget)
             .filter(|meter| meter.outside.is_none());
         let Some(meter) = meter else {
-            return Taken::Unknown;
+            return Acquisition::UnknownBudget;
         };
         meter.forget(now, limits);
         if meter.busy() < meter.allowed(now, leased) {
             match meter.def.kind {
-                Kind::Held => meter.held += 1,
-                Kind::Rate => meter.used.push_back(now),
+                BudgetKind::Concurrent => meter.held += 1,
+                BudgetKind::Rate => meter.used.push_back(now),
             }
-            return Taken::Yes;
+            return Acquisition::Granted;
         }
-        if (meter.denied.len() as u64) < meter.def.whole {
+        if (meter.denied.len() as u64) < meter.def.total {
             meter.denied.push_back(now);
         }
         let window = meter.window(limits);
         let again = match (meter.def.kind, meter.used.front()) {
-            (Kind::Rate, Some(first)) => (first + window).saturating_sub(now).min(limits.renew),
-            _ => limits.renew,
+            (BudgetKind::Rate, Some(first)) => (first + window)
+                .saturating_sub(now)
+                .min(limits.renew_interval),
+            _ => limits.renew_interval,
         };
-        Taken::No {
-            again: again.max(1),
+        Acquisition::Denied {
+            retry_after: again.max(1),
         }
     }
 
     /// What whoever counts elsewhere is to be told: a number, and the part. `end` is the end of the lease, as far as
     /// shares count by it.
-    pub fn parts(&mut self, now: Millis, end: Millis, limits: &Limits) -> Vec<(Name, u64, Part)> {
+    pub fn changed_parts(
+        &mut self,
+        now: Millis,
+        end: Millis,
+        limits: &Limits,
+    ) -> Vec<(Name, u64, Part)> {
         let mut parts = Vec::new();
         for (name, meter) in &mut self.meters {
             let (floor, usable, window) = (meter.floor(now), meter.usable(), meter.def.window);
             // By answers too: on a busy machine, or over a slow link, they come late, and so does what they announce.
             let open = meter.short.is_some_and(|short| {
-                now >= short.since + limits.exchange && short.answers >= limits.hopeless_answers
+                now >= short.since + limits.unmet_need_timeout
+                    && short.answers >= limits.unmet_need_min_answers
             });
             let all = meter.share.units >= meter.def.pool();
             let hopeful = now < end && !open && !all && meter.target.is_none();
@@ -246,16 +265,23 @@
     }
 
     /// What is used elsewhere, once the word of that number was in force there.
-    pub fn heard(&mut self, budget: &str, seq: u64, busy: u64, denied: u64, now: Millis) {
+    pub fn record_external_usage(
+        &mut self,
+        budget: &str,
+        seq: u64,
+        busy: u64,
+        denied: u64,
+        now: Millis,
+    ) {
         if let Some(meter) = self.meters.get_mut(budget)
             && let Some(outside) = &mut meter.outside
         {
             outside.heard = outside.heard.max(seq);
             outside.busy = busy;
-            let more = denied.saturating_sub(outside.denied).min(meter.def.whole);
+            let more = denied.saturating_sub(outside.denied).min(meter.def.total);
             outside.denied = denied;
             for _ in 0..more {
-                if (meter.denied.len() as u64) < meter.def.whole {
+                if (meter.denied.len() as u64) < meter.def.total {
                     meter.denied.push_back(now);
                 }
             }
@@ -263,19 +289,19 @@
     }
 
     /// Whether all that is said of what is in use holds.
-    pub fn settled(&self) -> bool {
+    pub fn is_usage_confirmed(&self) -> bool {
         self.meters.values().all(Meter::settled)
     }
 
     /// A held unit is not in use any more.
-    pub fn give(&mut self, budget: &str) {
+    pub fn release(&mut self, budget: &str) {
         if let Some(meter) = self.meters.get_mut(budget) {
             meter.held = meter.held.saturating_sub(1);
         }
     }
 
     /// In use now, and allowed now.
-    pub fn shown(
+    pub fn usage(
         &mut self,
         budget: &str,
         now: Millis,
@@ -292,15 +318,15 @@
     }
 
     /// Whether somebody was turned away whom a larger share would serve.
-    pub fn pressed(&self) -> bool {
+    pub fn has_unreported_need(&self) -> bool {
         self.meters.iter().any(|(name, meter)| {
-            let told = self.told.get(name).map_or(0, |told| told.wants);
+            let told = self.told.get(name).map_or(0, |told| told.wanted);
             !meter.denied.is_empty() && told <= meter.share.units
         })
     }
 
     /// What is in use beyond floors, for a session that begins or ends.
-    pub fn uses(&mut self, now: Millis, limits: &Limits) -> Vec<(Name, u64)> {
+    pub fn units_in_use(&mut self, now: Millis, limits: &Limits) -> Vec<(Name, u64)> {
         let each = self.meters.iter_mut().map(|(name, meter)| {
             meter.forget(now, limits);
             (name.clone(), meter.beyond(now))
@@ -309,7 +335,7 @@
     }
 
     /// What the leader of `term` does not know yet, some of it at a time.
-    pub fn needs(&mut self, now: Millis, term: u64, limits: &Limits) -> Vec<Need> {
+    pub fn next_needs(&mut self, now: Millis, term: u64, limits: &Limits) -> Vec<Need> {
         if term != self.told_term {
             self.told.clear();
             self.told_term = term;
@@ -322,8 +348,8 @@
             let wants = (busy + denied).min(meter.def.pool());
             let need = Need {
                 budget: name.clone(),
-                busy,
-                wants,
+                in_use: busy,
+                wanted: wants,
             };
             let known = self.told.get(name);
             // It goes with a renewal that is due anyway.
@@ -333,7 +359,7 @@
             }
             self.told.insert(name.clone(), need.clone());
             needs.push(need);
-            if needs.len() >= limits.needs {
+            if needs.len() >= limits.max_needs_per_renewal {
                 break;
             }
         }
@@ -341,10 +367,10 @@
     }
 
     /// The leader has answered a renewal: which needs that it knows it has left open, of those that it had met before.
-    pub fn answered(&mut self, now: Millis, limits: &Limits) -> Vec<NeedLeftOpen> {
+    pub fn update_unmet_needs(&mut self, now: Millis, limits: &Limits) -> Vec<NeedLeftOpen> {
         let mut left_open = Vec::new();
         for (name, meter) in &mut self.meters {
-            let wanted = self.told.get(name).map_or(0, |told| told.wants);
+            let wanted = self.told.get(name).map_or(0, |told| told.wanted);
             let units = meter.share.units;
             meter.short = match meter.short {
                 None if wanted > units => {
@@ -359,7 +385,7 @@
                         answers: 1,
                     })
                 }
-                Some(short) if now >= short.since + limits.hopeless => None,
+                Some(short) if now >= short.since + limits.unmet_need_cooldown => None,
                 Some(short) => Some(Short {
                     answers: short.answers.saturating_add(1),
                     ..short
@@ -370,12 +396,12 @@
         left_open
     }
 
-    pub fn have(&self) -> u64 {
+    pub fn shares_version(&self) -> u64 {
         self.have
     }
 
     /// Shares as the log has them for this session.
-    pub fn shares(&mut self, version: u64, shares: &[(Name, Share)]) {
+    pub fn set_shares(&mut self, version: u64, shares: &[(Name, Share)]) {
         if version < self.have {
             return;
         }
@@ -391,7 +417,7 @@
     }
 
     /// The session is over: only floors are left.
-    pub fn lapse(&mut self) {
+    pub fn clear_shares(&mut self) {
         self.have = 0;
         self.told.clear();
         for meter in self.meters.values_mut() {
@@ -403,7 +429,7 @@
     }
 
     /// What the leader wishes shares to go down to: no more is used from now on.
-    pub fn lower(&mut self, targets: &[(Name, u64)]) {
+    pub fn set_lower_targets(&mut self, targets: &[(Name, u64)]) {
         for (name, meter) in &mut self.meters {
             let target = targets.iter().find(|(budget, _)| budget == name);
             let target = target.map(|(_, to)| *to);
@@ -417,7 +443,7 @@
     }
 
     /// The share as the log had it after a word of this member.
-    pub fn now(&mut self, budget: &str, share: Share) {
+    pub fn update_share(&mut self, budget: &str, share: Share) {
         if let Some(meter) = self.meters.get_mut(budget) {
             let known = meter.share;
             let newer = share.version > known.version;
@@ -429,7 +455,7 @@
 
     /// What can be lowered now: down to the target, or to what is in use, and below the target where less is wanted;
     /// with the version that it stands on, and what is wanted. A word that `is_out` is not said again.
-    pub fn lowered(
+    pub fn next_share_to_lower(
         &mut self,
         now: Millis,
         limits: &Limits,
@@ -455,12 +481,12 @@
                     let budget = name.clone();
                     let need = Need {
                         budget,
-                        busy,
-                        wants,
+                        in_use: busy,
+                        wanted: wants,
                     };
                     // The word may come late, or never: the next renewal tells it again.
                     let again = Need {
-                        busy: u64::MAX,
+                        in_use: u64::MAX,
                         ..need.clone()
                     };
                     self.told.insert(name.clone(), again);
--- a/crates/fleet/src/budget/mod.rs
+++ b/crates/fleet/src/budget/mod.rs
@@ -9,61 +9,61 @@
 //!   whole window; of units that are held until the same process says what it still uses, another process
 //!   of that name has begun, or staff say that the machine is gone.
 
-mod divide;
+mod allocator;
 mod meter;
 mod shares;
 
 use serde::{Deserialize, Serialize};
 use violetwind_consensus::Millis;
 
-pub use divide::Divider;
-pub use meter::{Meters, NeedLeftOpen, Part, Taken};
-pub use shares::{Share, Shares, Stranded};
+pub use allocator::ShareAllocator;
+pub use meter::{Acquisition, Meters, NeedLeftOpen, Part};
+pub use shares::{BudgetShares, Share, StrandedUnits};
 
-use crate::words::Name;
+use crate::messages::Name;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum BudgetKind {
     /// So many at once.
-    Held,
+    Concurrent,
     /// So many in any span of the window's length.
     Rate,
 }
 
 /// A budget as one file has it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Def {
+pub struct BudgetDefinition {
     pub name: Name,
-    pub kind: Kind,
-    pub whole: u64,
+    pub kind: BudgetKind,
+    pub total: u64,
     /// What each member may use without asking.
     pub floor: u64,
     /// Of a rate.
     pub window: Millis,
     /// Members that there may be at most; their floors are set aside.
-    pub members: u64,
+    pub max_members: u64,
     /// Of two files the one with the larger number is in force.
     pub version: u64,
 }
 
-impl Def {
+impl BudgetDefinition {
     /// What can be divided beyond the floors.
     pub fn pool(&self) -> u64 {
-        self.whole
-            .saturating_sub(self.floor.saturating_mul(self.members))
+        self.total
+            .saturating_sub(self.floor.saturating_mul(self.max_members))
     }
 
     /// # Errors
     /// Floors that exceed the whole, or a rate without a window.
-    pub fn check(&self) -> Result<(), String> {
-        let floors = self.floor.saturating_mul(self.members);
-        if floors > self.whole {
-            let (floor, members, whole) = (self.floor, self.members, self.whole);
+    pub fn validate(&self) -> Result<(), String> {
+        let floors = self.floor.saturating_mul(self.max_members);
+        if floors > self.total {
+            let (floor, members, whole) = (self.floor, self.max_members, self.total);
             return Err(format!(
                 "floors of {floor} for {members} members are more than the whole, {whole}"
             ));
         }
-        if self.kind == Kind::Rate && self.window == 0 {
+        if self.kind == BudgetKind::Rate && self.window == 0 {
             return Err("a rate needs a window".into());
         }
         Ok(())
@@ -75,7 +75,7 @@
 pub struct Need {
     pub budget: Name,
     /// In use, or used within the window.
-    pub busy: u64,
+    pub in_use: u64,
     /// What it would use if it could.
-    pub wants: u64,
+    pub wanted: u64,
 }
--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -3,11 +3,11 @@
 use violetwind_consensus::{Millis, NodeId, Term};
 
 use crate::budget::NeedLeftOpen;
-use crate::words::{Name, Number};
+use crate::messages::{Name, Number};
 
 /// Why something is not held any more, or was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum LossReason {
     /// The lease could not be renewed: nobody that leads has answered since then.
     NotRenewed {
         since: Millis,
@@ -29,7 +29,7 @@
     Refused(String),
 }
 
-impl std::fmt::Display for Why {
+impl std::fmt::Display for LossReason {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
             Self::NotRenewed { since } => write!(out, "nobody that leads answers since {since} ms"),
@@ -53,14 +53,14 @@
     Lost {
         duty: Name,
         fence: Number,
-        why: Why,
+        why: LossReason,
     },
     /// A session begins; without one nothing is held.
     Session {
         number: Number,
     },
     NoSession {
-        why: Why,
+        why: LossReason,
     },
     /// The leader has answered a renewal and left a need open that it had been told of.
     NeedLeftOpen {
@@ -95,7 +95,7 @@
     /// Sessions that a leader has ended.
     Ended {
         name: Name,
-        why: Why,
+        why: LossReason,
     },
     /// The log has something that this program can't read: it votes, and settles nothing.
     Halted {
--- a/crates/fleet/src/formation.rs
+++ b/crates/fleet/src/formation.rs
@@ -6,7 +6,7 @@
 
 use violetwind_consensus::{Member, Members, NodeId};
 
-use crate::words::{Form, Name};
+use crate::messages::{FormationStatus, Name};
 
 #[derive(Clone, Debug)]
 pub struct Formation {
@@ -18,16 +18,16 @@
     /// On its way there.
     agreeing: bool,
     forming: bool,
-    heard: BTreeMap<Name, Form>,
+    heard: BTreeMap<Name, FormationStatus>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum FormationStep {
     Wait,
     /// To be put on disk.
-    Agree(Members),
+    RecordAgreed(Members),
     /// All have agreed: to be put on disk, then to begin.
-    Form,
+    RecordFormed,
 }
 
 impl Formation {
@@ -44,41 +44,41 @@
         }
     }
 
-    pub fn form(&self) -> Form {
-        Form {
+    pub fn status(&self) -> FormationStatus {
+        FormationStatus {
             id: self.id,
-            heard: self
+            known_ids: self
                 .heard
                 .iter()
                 .map(|(name, form)| (name.clone(), form.id))
                 .collect(),
-            agreed: self.agreed.clone(),
-            formed: false,
+            agreed_members: self.agreed.clone(),
+            is_formed: false,
         }
     }
 
-    pub fn hear(&mut self, from: Name, form: Form) {
+    pub fn receive_status(&mut self, from: Name, form: FormationStatus) {
         if self.voters.contains(&from) {
             self.heard.insert(from, form);
         }
     }
 
     /// What is agreed is on disk.
-    pub fn agreed(&mut self, members: Members) {
+    pub fn mark_agreed(&mut self, members: Members) {
         (self.agreed, self.agreeing) = (Some(members), false);
     }
 
-    pub fn step(&mut self) -> Step {
+    pub fn next_step(&mut self) -> FormationStep {
         let others = || self.voters.iter().filter(|name| **name != self.me);
         if self.agreeing || self.forming || others().any(|name| !self.heard.contains_key(name)) {
-            return Step::Wait;
+            return FormationStep::Wait;
         }
         let member = |name: &Name, id| {
             (
                 id,
                 Member {
                     name: name.clone(),
-                    votes: true,
+                    is_voter: true,
                 },
             )
         };
@@ -93,31 +93,35 @@
                 // same directories: one that was emptied a moment ago would hold everybody up for good.
                 let free = |name: &Name| {
                     let form = &self.heard[name];
-                    let same =
-                        |id: NodeId, of: &Name| id == form.id || form.heard.get(of) == Some(&id);
+                    let same = |id: NodeId, of: &Name| {
+                        id == form.id || form.known_ids.get(of) == Some(&id)
+                    };
                     let alike = all.0.iter().all(|(id, member)| same(*id, &member.name));
-                    let open = form.agreed.as_ref().is_none_or(|agreed| *agreed == all);
-                    !form.formed && alike && open
+                    let open = form
+                        .agreed_members
+                        .as_ref()
+                        .is_none_or(|agreed| *agreed == all);
+                    !form.is_formed && alike && open
                 };
                 if !others().all(free) || all.0.len() != self.voters.len() {
-                    return Step::Wait;
+                    return FormationStep::Wait;
                 }
                 self.agreeing = true;
-                Step::Agree(all)
+                FormationStep::RecordAgreed(all)
             }
             Some(agreed) => {
-                let agrees = |name: &Name| self.heard[name].agreed.as_ref() == Some(agreed);
+                let agrees = |name: &Name| self.heard[name].agreed_members.as_ref() == Some(agreed);
                 if !others().all(agrees) {
-                    return Step::Wait;
+                    return FormationStep::Wait;
                 }
                 self.forming = true;
-                Step::Form
+                FormationStep::RecordFormed
             }
         }
     }
 
     /// Why there is no fleet yet, in a few words.
-    pub fn waits_for(&self) -> String {
+    pub fn pending_reason(&self) -> String {
         let others = || self.voters.iter().filter(|name| **name != self.me);
         let silent: Vec<_> = others()
             .filter(|name| !self.heard.contains_key(*name))
@@ -127,24 +131,24 @@
         }
         let mine = self.agreed.as_ref();
         let differ = |name: &&Name| {
-            let theirs = self.heard[*name].agreed.as_ref();
+            let theirs = self.heard[*name].agreed_members.as_ref();
             theirs.is_some() && mine.is_some() && theirs != mine
         };
         let differ: Vec<_> = others().filter(differ).collect();
         if !differ.is_empty() {
             return format!("not formed: {differ:?} agreed to another list of directories");
         }
-        if self.heard.values().any(|form| form.formed) {
+        if self.heard.values().any(|form| form.is_formed) {
             return "the fleet was formed with another directory of this name: let it in".into();
         }
         "being formed".into()
     }
 
     /// Whether a fleet exists that was formed without this directory.
-    pub fn stranger(&self) -> bool {
+    pub fn is_stranger(&self) -> bool {
         self.heard.values().any(|form| {
             let names = |members: &Members| members.0.contains_key(&self.id);
-            form.formed && !form.agreed.as_ref().is_some_and(names)
+            form.is_formed && !form.agreed_members.as_ref().is_some_and(names)
         })
     }
 }
--- a/crates/fleet/src/grantor.rs
+++ b/crates/fleet/src/leases.rs
@@ -6,7 +6,7 @@
 use violetwind_consensus::Millis;
 
 use crate::limits::Limits;
-use crate::words::SessionId;
+use crate::messages::SessionId;
 
 #[derive(Clone, Debug)]
 struct Lease {
@@ -17,13 +17,13 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Grantor {
+pub struct LeaseTable {
     leases: BTreeMap<SessionId, Lease>,
 }
 
-impl Grantor {
+impl LeaseTable {
     /// A leader begins: whatever those before it granted, each of these may count on a whole lease from now.
-    pub fn begin(
+    pub fn start_term(
         &mut self,
         sessions: impl Iterator<Item = SessionId>,
         now: Millis,
@@ -33,13 +33,13 @@
         sessions.for_each(|session| self.grant(session, now, limits));
     }
 
-    pub fn end(&mut self) {
+    pub fn clear(&mut self) {
         self.leases.clear();
     }
 
     /// Counted from now, after what was granted was confirmed.
     pub fn grant(&mut self, session: SessionId, now: Millis, limits: &Limits) {
-        let until = now + limits.granted();
+        let until = now + limits.granted_lease_duration();
         let lease = self.leases.entry(session);
         let lease = lease.or_insert(Lease {
             until,
@@ -50,18 +50,18 @@
     }
 
     /// Whether a session may be renewed.
-    pub fn renewable(&self, session: SessionId) -> bool {
+    pub fn is_renewable(&self, session: SessionId) -> bool {
         self.leases
             .get(&session)
             .is_some_and(|lease| !lease.closing)
     }
 
-    pub fn renewed(&self, session: SessionId) -> Option<Millis> {
+    pub fn last_renewed_at(&self, session: SessionId) -> Option<Millis> {
         self.leases.get(&session).map(|lease| lease.renewed)
     }
 
     /// Sessions whose leases are over and whose end is not on its way.
-    pub fn over(&self, now: Millis) -> Vec<SessionId> {
+    pub fn expired_sessions(&self, now: Millis) -> Vec<SessionId> {
         let over = self
             .leases
             .iter()
@@ -70,7 +70,7 @@
     }
 
     /// Sessions that were not heard for so long.
-    pub fn silent(&self, now: Millis, least: Millis) -> Vec<SessionId> {
+    pub fn silent_sessions(&self, now: Millis, least: Millis) -> Vec<SessionId> {
         let silent = self
             .leases
             .iter()
@@ -78,14 +78,14 @@
         silent.map(|(id, _)| *id).collect()
     }
 
-    pub fn close(&mut self, session: SessionId) {
+    pub fn mark_closing(&mut self, session: SessionId) {
         if let Some(lease) = self.leases.get_mut(&session) {
             lease.closing = true;
         }
     }
 
     /// Keeps only sessions that there are.
-    pub fn keep(&mut self, is_there: impl Fn(SessionId) -> bool) {
+    pub fn retain_sessions(&mut self, is_there: impl Fn(SessionId) -> bool) {
         self.leases.retain(|id, _| is_there(*id));
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -24,20 +24,21 @@
 mod events;
 mod fencing;
 mod formation;
-mod grantor;
-mod holder;
+mod leases;
 mod limits;
 mod member;
+mod messages;
+mod session_client;
 mod state;
-mod words;
-pub mod work;
+pub mod work_orders;
 
-pub use events::{Event, Why};
-pub use fencing::Gate;
-pub use limits::{Caps, Limits, Unsound};
+pub use events::{Event, LossReason};
+pub use fencing::FenceGuard;
+pub use limits::{Limits, LimitsError, StateLimits};
 pub use member::{Config, Member};
-pub use state::{Command, Effect, State};
-pub use words::{
-    Answer, Ask, Call, DutyView, Form, Input, MemberView, Name, Number, Order, Output, Peer,
-    Record, Saved, SessionId, Told, View,
+pub use messages::{
+    DutyView, FleetAction, FleetView, FormationStatus, Input, LeaderReply, LeaderRequest,
+    MemberRecord, MemberView, Name, Number, OperatorAnswer, OperatorCall, Output, PeerMessage,
+    SavedState, SessionId,
 };
+pub use state::{Command, Effect, State};
--- a/crates/fleet/src/member/work.rs
+++ b/crates/fleet/src/member/work_orders.rs
@@ -2,26 +2,28 @@
 //! duty of conducting.
 
 use violetwind_workorders::{
-    Belief, Change as WorkChange, Facts, Machine, Member as WorkMember, Next, Orders, Phase,
-    Report, Step, Why, plan,
+    FailureReason, Machine, MachineAvailability, MachineReport, Member as WorkMember, Phase,
+    PlannedSteps, PlannerInput, Step, WorkOrderChange as WorkChange, WorkOrders, plan_steps,
 };
 
 use super::{
-    Ask, BTreeMap, BTreeSet, Command, Member, Millis, Name, Number, Order, Output, SessionId,
-    State, Told,
+    BTreeMap, BTreeSet, Command, FleetAction, LeaderReply, LeaderRequest, Member, Millis, Name,
+    Number, Output, SessionId, State,
 };
 use crate::limits::Limits;
-use crate::work::{DUTY, Known, List, Local, Serving, WorkView};
+use crate::work_orders::{
+    CoordinatorUpdate, LocalWorkStatus, MachineList, ServingMember, WORK_DUTY, WorkView,
+};
 
 /// Numbers of asks about work have this bit, those of calls and the holder's have not.
-pub(super) const WORK: Number = 1 << 62;
+pub(super) const WORK_REQUEST_BIT: Number = 1 << 62;
 
 /// The part of a member that takes part in work on machines.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Hand {
-    local: Option<Local>,
+pub(super) struct WorkParticipant {
+    local: Option<LocalWorkStatus>,
     /// The list as it was last heard, for the proxy that has not taken it yet.
-    list: (Number, List),
+    list: (Number, MachineList),
     next: Number,
     ask_at: Millis,
     conduct: Conductor,
@@ -34,7 +36,7 @@
     fence: Number,
     ask_at: Millis,
     version: Number,
-    orders: Orders,
+    orders: WorkOrders,
     /// When each version of a place was first seen here.
     since: BTreeMap<Number, Millis>,
     /// Machines that the sources have not told for so long.
@@ -50,25 +52,25 @@
 #[derive(Clone, Debug, Default)]
 struct Said {
     number: Number,
-    reports: BTreeMap<Name, Report>,
+    reports: BTreeMap<Name, MachineReport>,
     shut: BTreeSet<Name>,
 }
 
 /// What a leader has been told by members, and by whoever conducts.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Board {
+pub(super) struct WorkReports {
     reports: BTreeMap<SessionId, Said>,
     /// Sessions whose word that they serve is on its way into the log.
     serving: BTreeSet<SessionId>,
     why: BTreeMap<Name, String>,
 }
 
-impl Board {
+impl WorkReports {
     pub(super) fn clear(&mut self) {
         *self = Self::default();
     }
 
-    pub(super) fn keep(&mut self, is_there: impl Fn(SessionId) -> bool) {
+    pub(super) fn retain_sessions(&mut self, is_there: impl Fn(SessionId) -> bool) {
         self.reports.retain(|id, _| is_there(*id));
         self.serving.retain(|id| is_there(*id));
     }
@@ -76,10 +78,14 @@
 
 impl Member {
     /// What the proxy says of machines here.
-    pub(super) fn local(&mut self, local: Local) {
-        let Some(hand) = &mut self.hand else { return };
+    pub(super) fn update_local_work(&mut self, local: LocalWorkStatus) {
+        let Some(hand) = &mut self.work_participant else {
+            return;
+        };
         let fresh = hand.local.as_ref().is_none_or(|known| {
-            known.reports != local.reports || known.heard != local.heard || known.shut != local.shut
+            known.reports != local.reports
+                || known.list_version != local.list_version
+                || known.closed_machines != local.closed_machines
         });
         if fresh {
             hand.ask_at = hand.ask_at.min(self.now);
@@ -88,26 +94,33 @@
     }
 
     /// Asks that are due: what is out, and what whoever conducts has to know.
-    pub(super) fn ask_work(&mut self) {
+    pub(super) fn send_work_requests(&mut self) {
         let (now, limits) = (self.now, self.config.limits.clone());
-        let session = self.holder.session();
-        let held = self.holder.holds(DUTY, now, &limits);
-        let Some(hand) = &mut self.hand else { return };
+        let session = self.session_client.session();
+        let held = self.session_client.held_fence(WORK_DUTY, now, &limits);
+        let Some(hand) = &mut self.work_participant else {
+            return;
+        };
         let (Some(session), Some(local)) = (session, hand.local.clone()) else {
             return;
         };
         let mut asks = Vec::new();
         if now >= hand.ask_at {
             let busy = !hand.list.1.is_empty();
-            hand.ask_at = now + if busy { limits.work } else { limits.renew };
-            let ask = match local.serves_nobody {
+            hand.ask_at = now
+                + if busy {
+                    limits.work_poll_interval
+                } else {
+                    limits.renew_interval
+                };
+            let ask = match local.has_stopped_serving {
                 true if hand.off => None,
-                true => Some(Ask::Off { session }),
-                false => Some(Ask::Work {
+                true => Some(LeaderRequest::StopServing { session }),
+                false => Some(LeaderRequest::ReportWork {
                     session,
-                    have: local.heard,
+                    known_version: local.list_version,
                     reports: local.reports.into_iter().collect(),
-                    shut: local.shut.into_iter().collect(),
+                    closed_machines: local.closed_machines.into_iter().collect(),
                 }),
             };
             asks.extend(ask);
@@ -124,12 +137,17 @@
                 }
                 if now >= hand.conduct.ask_at {
                     let busy = !hand.conduct.orders.orders().is_empty();
-                    hand.conduct.ask_at = now + if busy { limits.work } else { limits.renew };
-                    asks.push(Ask::Conduct {
+                    hand.conduct.ask_at = now
+                        + if busy {
+                            limits.work_poll_interval
+                        } else {
+                            limits.renew_interval
+                        };
+                    asks.push(LeaderRequest::PollAsCoordinator {
                         session,
                         fence,
-                        have: hand.conduct.version,
-                        why: hand.conduct.why.clone(),
+                        known_version: hand.conduct.version,
+                        wait_reasons: hand.conduct.why.clone(),
                     });
                 }
             }
@@ -139,50 +157,63 @@
         }
     }
 
-    fn send_work(&mut self, ask: Ask) {
-        let Some(hand) = &mut self.hand else { return };
+    fn send_work(&mut self, ask: LeaderRequest) {
+        let Some(hand) = &mut self.work_participant else {
+            return;
+        };
         hand.next += 1;
-        let number = WORK | hand.next;
-        if let Some(to) = self.compass.target() {
-            self.send_ask(to, number, ask);
+        let number = WORK_REQUEST_BIT | hand.next;
+        if let Some(to) = self.leader_locator.request_target() {
+            self.send_request(to, number, ask);
         }
     }
 
     /// An answer about work.
-    pub(super) fn told_work(&mut self, told: Told) {
+    pub(super) fn handle_work_reply(&mut self, told: LeaderReply) {
         let now = self.now;
-        let Some(hand) = &mut self.hand else { return };
+        let Some(hand) = &mut self.work_participant else {
+            return;
+        };
         match told {
-            Told::Work {
+            LeaderReply::MachineList {
                 version,
                 list: Some(list),
             } if version >= hand.list.0 => {
                 hand.list = (version, list.clone());
-                self.out.push(Output::Work(version, list));
+                self.outputs.push(Output::MachineList(version, list));
             }
-            Told::Conduct(known) => self.conduct(known),
+            LeaderReply::CoordinatorUpdate(known) => self.conduct(known),
             // It is as the log has it now; what follows is planned on that.
-            Told::Done | Told::Refused(_) => {
-                hand.conduct.ask_at = hand.conduct.ask_at.min(now + self.config.limits.work / 8);
+            LeaderReply::Done | LeaderReply::Refused(_) => {
+                hand.conduct.ask_at = hand
+                    .conduct
+                    .ask_at
+                    .min(now + self.config.limits.work_poll_interval / 8);
             }
-            Told::NobodyServed => {
+            LeaderReply::ServingStopped => {
                 hand.off = true;
-                self.holder.set_waits(false);
+                self.session_client.set_leave_after_drain(false);
+            }
+            LeaderReply::RetryLater(_) => {
+                hand.ask_at = hand
+                    .ask_at
+                    .min(now + self.config.limits.work_poll_interval / 4)
             }
-            Told::Later(_) => hand.ask_at = hand.ask_at.min(now + self.config.limits.work / 4),
             _ => {}
         }
     }
 
     /// Plans upon what the leader knows, and proposes what may be done now.
-    fn conduct(&mut self, known: Known) {
+    fn conduct(&mut self, known: CoordinatorUpdate) {
         let (now, limits, node) = (
             self.now,
             self.config.limits.clone(),
             self.config.node.clone(),
         );
-        let held = self.holder.holds(DUTY, now, &limits);
-        let Some(hand) = &mut self.hand else { return };
+        let held = self.session_client.held_fence(WORK_DUTY, now, &limits);
+        let Some(hand) = &mut self.work_participant else {
+            return;
+        };
         let (Some((fence, _)), Some(local)) = (held, &hand.local) else {
             return;
         };
@@ -213,9 +244,11 @@
         let mut proposals = Vec::new();
         let machines = machines(&mut conductor.missing, orders, local, now, &limits);
         // No sooner than a moment after the last time: sources swing.
-        if machines != *orders.machines() && now >= conductor.told_machines_at + limits.renew {
+        if machines != *orders.machines()
+            && now >= conductor.told_machines_at + limits.renew_interval
+        {
             conductor.told_machines_at = now;
-            proposals.push(WorkChange::Machines(machines));
+            proposals.push(WorkChange::SetMachines(machines));
         }
         let own_turn = |machine: &Name| {
             let machine = orders.machines().get(machine);
@@ -226,14 +259,17 @@
             orders,
             local,
             &known.members,
-            known.crowd,
-            known.shut,
+            known.client_counts,
+            known.closed_machines,
             |version| now - conductor.since.get(&version).copied().unwrap_or(now),
         );
-        let Next { steps, mut why } = plan(orders, &facts);
+        let PlannedSteps {
+            steps,
+            wait_reasons: mut why,
+        } = plan_steps(orders, &facts);
         let mut hand_on = false;
         for (order, machine, version, step) in steps {
-            if step == Step::Out && known.others && own_turn(&machine) {
+            if step == Step::TakeOut && known.has_other_candidates && own_turn(&machine) {
                 hand_on = true;
                 why.push((
                     machine,
@@ -252,57 +288,67 @@
         conductor.why = why;
         let again = conductor
             .handed_on
-            .is_none_or(|at| now >= at + limits.lease);
+            .is_none_or(|at| now >= at + limits.lease_duration);
         let hand_on = hand_on && again;
         if hand_on {
             conductor.handed_on = Some(now);
         }
-        let Some(session) = self.holder.session() else {
+        let Some(session) = self.session_client.session() else {
             return;
         };
         for change in proposals {
-            self.send_work(Ask::Propose {
+            self.send_work(LeaderRequest::ProposeWorkChange {
                 session,
                 fence,
-                roster: known.roster,
+                roster_version: known.roster_version,
                 change,
             });
         }
         if hand_on {
-            let (duty, to) = (DUTY.to_string(), None);
-            self.send_work(Ask::Order(Order::HandOn { duty, to }));
+            let (duty, to) = (WORK_DUTY.to_string(), None);
+            self.send_work(LeaderRequest::FleetAction(FleetAction::HandOffDuty {
+                duty,
+                preferred_holder: to,
+            }));
         }
     }
 
     /// The leader's answers; `None` where the ask is not about work, or goes into the log.
-    pub(super) fn asked_work(&mut self, from: &Name, number: Number, ask: &Ask) -> Option<Told> {
+    pub(super) fn handle_work_request(
+        &mut self,
+        from: &Name,
+        number: Number,
+        ask: &LeaderRequest,
+    ) -> Option<LeaderReply> {
         let running = self.running_mut()?;
-        let (state, board) = (&running.state, &mut running.board);
+        let (state, board) = (&running.state, &mut running.work_reports);
         let work = state.work();
         let own = |session: &SessionId| {
             let known = state.sessions().get(session);
             known.is_some_and(|known| known.name == *from)
         };
         match ask {
-            Ask::Work { session, .. } | Ask::Off { session } | Ask::Conduct { session, .. }
+            LeaderRequest::ReportWork { session, .. }
+            | LeaderRequest::StopServing { session }
+            | LeaderRequest::PollAsCoordinator { session, .. }
                 if !own(session) =>
             {
-                Some(Told::Gone)
+                Some(LeaderReply::SessionNotFound)
             }
-            Ask::Work {
+            LeaderRequest::ReportWork {
                 session,
-                have,
+                known_version: have,
                 reports,
-                shut,
+                closed_machines: shut,
             } => {
                 if work.serving.get(from) != Some(session) {
                     // It is told what is out once the log has that it has to confirm.
                     let new = board.serving.insert(*session);
-                    let serve = Command::Serve { session: *session };
+                    let serve = Command::StartServing { session: *session };
                     if new && running.node.propose(serve.encode()).is_err() {
-                        running.board.serving.remove(session);
+                        running.work_reports.serving.remove(session);
                     }
-                    return Some(Told::Later(
+                    return Some(LeaderReply::RetryLater(
                         "it has to be known first that it serves".into(),
                     ));
                 }
@@ -314,64 +360,73 @@
                         shut: shut.iter().cloned().collect(),
                     };
                 }
-                let list = (*have != work.version).then(|| Belief::list(&work.orders));
-                Some(Told::Work {
+                let list = (*have != work.version)
+                    .then(|| MachineAvailability::list_machines(&work.orders));
+                Some(LeaderReply::MachineList {
                     version: work.version,
                     list,
                 })
             }
-            Ask::Conduct {
+            LeaderRequest::PollAsCoordinator {
                 session,
                 fence,
-                have,
-                why,
+                known_version: have,
+                wait_reasons: why,
             } => {
-                let duty = state.duties().get(DUTY);
+                let duty = state.duties().get(WORK_DUTY);
                 if duty.and_then(|duty| duty.holder) != Some((*session, *fence)) {
-                    return Some(Told::Later("another conducts".into()));
+                    return Some(LeaderReply::RetryLater("another conducts".into()));
                 }
                 board.why = why.iter().cloned().collect();
-                Some(Told::Conduct(board.known(state, *session, *have)))
+                Some(LeaderReply::CoordinatorUpdate(
+                    board.known(state, *session, *have),
+                ))
             }
             _ => None,
         }
     }
 
     /// What goes into the log of what was asked; `Err` where it needs not, or can't.
-    pub(super) fn work_command(&self, from: &Name, ask: &Ask) -> Result<Command, Box<Told>> {
-        let state = self.state().ok_or(Box::new(Told::NotLeader(None)))?;
+    pub(super) fn work_command(
+        &self,
+        from: &Name,
+        ask: &LeaderRequest,
+    ) -> Result<Command, Box<LeaderReply>> {
+        let state = self.state().ok_or(Box::new(LeaderReply::NotLeader(None)))?;
         match ask {
-            Ask::Off { session } => Ok(Command::Off { session: *session }),
-            Ask::Propose {
+            LeaderRequest::StopServing { session } => {
+                Ok(Command::StopServing { session: *session })
+            }
+            LeaderRequest::ProposeWorkChange {
                 session,
                 fence,
-                roster,
+                roster_version: roster,
                 change,
             } => {
                 let known = state.sessions().get(session);
                 if known.is_none_or(|known| known.name != *from) {
-                    return Err(Told::Gone.into());
+                    return Err(LeaderReply::SessionNotFound.into());
                 }
-                Ok(Command::Work {
+                Ok(Command::ChangeWorkOrders {
                     changes: vec![change.clone()],
-                    by: Some((*session, *fence)),
-                    roster: *roster,
+                    coordinator: Some((*session, *fence)),
+                    roster_version: *roster,
                 })
             }
-            Ask::Staff(staff) => {
+            LeaderRequest::WorkAction(staff) => {
                 let changes = staff
-                    .changes(&state.work().orders)
-                    .map_err(|why| Box::new(Told::Refused(why)))?;
+                    .to_changes(&state.work().orders)
+                    .map_err(|why| Box::new(LeaderReply::Refused(why)))?;
                 if changes.is_empty() {
-                    return Err(Told::Done.into());
+                    return Err(LeaderReply::Done.into());
                 }
-                Ok(Command::Work {
+                Ok(Command::ChangeWorkOrders {
                     changes,
-                    by: None,
-                    roster: state.work().roster,
+                    coordinator: None,
+                    roster_version: state.work().roster_version,
                 })
             }
-            _ => Err(Told::Later("no such ask".into()).into()),
+            _ => Err(LeaderReply::RetryLater("no such ask".into()).into()),
         }
     }
 
@@ -379,26 +434,31 @@
     pub(super) fn work_view(&self) -> Option<WorkView> {
         let running = self.running()?;
         let state = &running.state;
-        let duty = state.duties().get(DUTY).and_then(|duty| duty.holder);
+        let duty = state.duties().get(WORK_DUTY).and_then(|duty| duty.holder);
         let conductor = duty.and_then(|(id, _)| state.sessions().get(&id));
         let conductor = conductor.map(|known| known.name.clone());
-        let reports = running.board.reports.values();
+        let reports = running.work_reports.reports.values();
         let shut = reports.flat_map(|said| said.shut.iter().cloned());
-        let why = &running.board.why;
-        Some(WorkView::of(state.work(), conductor, why, shut.collect()))
+        let why = &running.work_reports.why;
+        Some(WorkView::from_state(
+            state.work(),
+            conductor,
+            why,
+            shut.collect(),
+        ))
     }
 
     /// What is out as this member goes by, without a leader.
-    pub(super) fn work_alone(&self, why: String) -> WorkView {
-        let list = self.hand.as_ref().map(|hand| &hand.list.1);
-        WorkView::alone(list.unwrap_or(&List::new()), why)
+    pub(super) fn work_view_without_leader(&self, why: String) -> WorkView {
+        let list = self.work_participant.as_ref().map(|hand| &hand.list.1);
+        WorkView::without_leader(list.unwrap_or(&MachineList::new()), why)
     }
 }
 
-impl Board {
-    fn known(&self, state: &State, asker: SessionId, have: Number) -> Known {
+impl WorkReports {
+    fn known(&self, state: &State, asker: SessionId, have: Number) -> CoordinatorUpdate {
         let work = state.work();
-        let out = work.orders.out();
+        let out = work.orders.machines_out();
         let mut crowd: BTreeMap<&Name, u64> = BTreeMap::new();
         let mut shut: BTreeSet<&Name> = BTreeSet::new();
         let mut members = Vec::new();
@@ -417,20 +477,20 @@
             }
             members.push((name.clone(), live, of_out));
         }
-        Known {
+        CoordinatorUpdate {
             version: work.version,
             orders: (have != work.version).then(|| work.orders.clone()),
-            roster: work.roster,
+            roster_version: work.roster_version,
             members,
-            crowd: crowd
+            client_counts: crowd
                 .into_iter()
                 .map(|(name, sum)| (name.clone(), sum))
                 .collect(),
-            shut: shut.into_iter().cloned().collect(),
-            others: state
+            closed_machines: shut.into_iter().cloned().collect(),
+            has_other_candidates: state
                 .sessions()
                 .iter()
-                .any(|(id, known)| *id != asker && known.wants.contains(DUTY)),
+                .any(|(id, known)| *id != asker && known.wanted_duties.contains(WORK_DUTY)),
         }
     }
 }
@@ -438,8 +498,8 @@
 /// The machines as the sources tell them; one that they have forgotten stays for a while, and counts as lost.
 fn machines(
     missing: &mut BTreeMap<Name, Millis>,
-    orders: &Orders,
-    local: &Local,
+    orders: &WorkOrders,
+    local: &LocalWorkStatus,
     now: Millis,
     limits: &Limits,
 ) -> BTreeMap<Name, Machine> {
@@ -450,7 +510,7 @@
             continue;
         }
         let since = *missing.entry(name.clone()).or_insert(now);
-        if now < since + limits.forgotten {
+        if now < since + limits.machine_expiry {
             machines.insert(name.clone(), machine.clone());
         }
     }
@@ -458,14 +518,14 @@
 }
 
 fn facts(
-    orders: &Orders,
-    local: &Local,
-    members: &[Serving],
+    orders: &WorkOrders,
+    local: &LocalWorkStatus,
+    members: &[ServingMember],
     crowd: Vec<(Name, u64)>,
     shut: Vec<Name>,
     since: impl Fn(Number) -> Millis,
-) -> Facts {
-    let out = orders.out();
+) -> PlannerInput {
+    let out = orders.machines_out();
     // One whose own machine was told as empty has confirmed that it serves nobody; it may be gone with its machine.
     let worked_on = |proxy: &Name| {
         let on = orders
@@ -474,7 +534,10 @@
             .find(|(_, machine)| matches!(&machine.proxy, Some((name, _)) if name == proxy));
         let place = on.and_then(|(name, _)| out.get(name));
         place.is_some_and(|(_, place)| {
-            matches!(place.phase, Phase::Empty | Phase::Failed(Why::NeverWorked))
+            matches!(
+                place.phase,
+                Phase::Drained | Phase::Failed(FailureReason::NeverWorked)
+            )
         })
     };
     let members = members
@@ -487,17 +550,20 @@
     });
     let mut dead: BTreeSet<Name> = shut.into_iter().collect();
     let lost = orders.machines().keys();
-    dead.extend(lost.filter(|name| !local.up.contains(*name)).cloned());
+    dead.extend(
+        lost.filter(|name| !local.up_machines.contains(*name))
+            .cloned(),
+    );
     let places = orders
         .orders()
         .values()
         .flat_map(|(_, places)| places.values());
-    Facts {
+    PlannerInput {
         members: members.collect(),
-        wall: local.wall,
-        dead,
-        crowd: crowd.into_iter().collect(),
-        since: places
+        unix_time_ms: local.unix_time_ms,
+        unavailable: dead,
+        client_counts: crowd.into_iter().collect(),
+        version_ages: places
             .map(|place| (place.version, since(place.version)))
             .collect(),
     }
--- a/crates/fleet/src/words.rs
+++ b/crates/fleet/src/messages.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use violetwind_consensus::{Members, Message, Millis, NodeId, Term, Write};
-use violetwind_workorders::{Change, Report};
+use violetwind_consensus::{DurableWrite, Members, Message, Millis, NodeId, Term};
+use violetwind_workorders::{MachineReport, WorkOrderChange};
 
-use crate::budget::{Def, Need, Part, Share};
+use crate::budget::{BudgetDefinition, Need, Part, Share};
 use crate::events::Event;
-use crate::work::{Known, List, Local, Staff, WorkView};
+use crate::work_orders::{CoordinatorUpdate, LocalWorkStatus, MachineList, WorkAction, WorkView};
 
 /// Of a member or a duty.
 pub type Name = String;
@@ -18,184 +18,184 @@
 
 /// A frame between two members. Names of the sender stand in the link's first frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Peer {
-    Form(Form),
+pub enum PeerMessage {
+    Formation(FormationStatus),
     /// Between two directories: one that has come in the place of another is not spoken to.
-    Log {
+    Consensus {
         from: NodeId,
         to: NodeId,
         message: Message,
     },
-    Ask(Number, Ask),
-    Told(Number, Told),
+    Request(Number, LeaderRequest),
+    Reply(Number, LeaderReply),
     /// There is news of a session. What is said of shares is committed, so it counts for as long as the lease that
     /// the receiver has; it may ask again `at_once`.
-    Nudge {
+    SessionUpdate {
         session: SessionId,
-        at: u64,
-        shares: SharesOf,
-        lower: Vec<(Name, u64)>,
-        at_once: bool,
+        applied_index: u64,
+        shares: VersionedShares,
+        lower_targets: Vec<(Name, u64)>,
+        renew_now: bool,
     },
 }
 
 /// Where a voter stands before there is a fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Form {
+pub struct FormationStatus {
     pub id: NodeId,
     /// The directories of the other voters, as it has heard of them.
-    pub heard: BTreeMap<Name, NodeId>,
+    pub known_ids: BTreeMap<Name, NodeId>,
     /// The members that it has on disk as the first ones.
-    pub agreed: Option<Members>,
+    pub agreed_members: Option<Members>,
     /// It has seen all of them agree.
-    pub formed: bool,
+    pub is_formed: bool,
 }
 
 /// What any member asks of the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum LeaderRequest {
     /// A session; `nonce` is new with each that is wanted. `replaces` is one of the same process, which has
     /// stopped all that it held by it.
     Join {
         nonce: Number,
-        wants: Vec<Name>,
-        replaces: Option<SessionId>,
+        wanted_duties: Vec<Name>,
+        replaced_session: Option<SessionId>,
         /// The same for as long as the process runs.
-        process: Number,
+        incarnation: Number,
         /// The last number that the log had given when it was told: whoever has died since can't know it.
-        seen: Number,
+        last_seen_number: Number,
         weight: u64,
-        budgets: Vec<Def>,
-        uses: Vec<(Name, u64)>,
+        budgets: Vec<BudgetDefinition>,
+        units_in_use: Vec<(Name, u64)>,
     },
     /// `have` is the version of the list of shares that the asker has.
     Renew {
         session: SessionId,
         needs: Vec<Need>,
-        have: u64,
+        known_version: u64,
     },
     /// The asker uses no more than this from now on, and needs so much now.
-    Lower {
+    LowerShare {
         session: SessionId,
         need: Need,
-        to: u64,
-        version: u64,
+        units: u64,
+        share_version: u64,
     },
     /// The asker ends, and has stopped what its duties are.
-    Retire {
+    BeginLeave {
         session: SessionId,
     },
     /// The asker has stopped; `to` is whom operators want next.
-    Release {
+    ReleaseDuty {
         session: SessionId,
         duty: Name,
         fence: Number,
-        to: Option<Name>,
+        preferred_holder: Option<Name>,
     },
     /// The asker has stopped all and goes.
     Leave {
         session: SessionId,
-        uses: Vec<(Name, u64)>,
+        units_in_use: Vec<(Name, u64)>,
     },
-    View,
-    Order(Order),
+    FleetView,
+    FleetAction(FleetAction),
     /// What the asker confirms of machines in orders; `have` is the version of the list that it goes by.
-    Work {
+    ReportWork {
         session: SessionId,
-        have: Number,
-        reports: Vec<(Name, Report)>,
-        shut: Vec<Name>,
+        known_version: Number,
+        reports: Vec<(Name, MachineReport)>,
+        closed_machines: Vec<Name>,
     },
     /// The asker serves nobody any more, and will not.
-    Off {
+    StopServing {
         session: SessionId,
     },
     /// What whoever conducts has to know; and what each machine waits for.
-    Conduct {
+    PollAsCoordinator {
         session: SessionId,
         fence: Number,
-        have: Number,
-        why: Vec<(Name, String)>,
+        known_version: Number,
+        wait_reasons: Vec<(Name, String)>,
     },
     /// A change of the orders by whoever conducts, upon who had to confirm it.
-    Propose {
+    ProposeWorkChange {
         session: SessionId,
         fence: Number,
-        roster: Number,
-        change: Change,
+        roster_version: Number,
+        change: WorkOrderChange,
     },
-    Staff(Staff),
+    WorkAction(WorkAction),
     WorkView,
 }
 
 /// What operators want of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Order {
-    HandOn {
+pub enum FleetAction {
+    HandOffDuty {
         duty: Name,
-        to: Option<Name>,
+        preferred_holder: Option<Name>,
     },
-    LetIn {
+    AdmitMember {
         node: Name,
     },
     /// Its machine is gone, and what it held of budgets with it.
-    Gone {
+    DeclareMemberLost {
         node: Name,
     },
-    PutOut {
+    EvictMember {
         node: Name,
     },
 }
 
 /// The version of the list, and the shares that a session has.
-pub type SharesOf = (u64, Vec<(Name, Share)>);
+pub type VersionedShares = (u64, Vec<(Name, Share)>);
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum LeaderReply {
     NotLeader(Option<Name>),
     /// Not now, for a reason that passes: ask again.
-    Later(String),
+    RetryLater(String),
     /// The lease counts from when this was asked; what is held is as the log had it at `at`.
     Joined {
         session: SessionId,
-        at: u64,
-        held: Vec<(Name, Number)>,
-        shares: SharesOf,
+        applied_index: u64,
+        held_duties: Vec<(Name, Number)>,
+        shares: VersionedShares,
     },
     /// What the session holds, and what it is to give up for whom.
     Renewed {
-        at: u64,
-        held: Vec<(Name, Number)>,
-        give_up: Vec<(Name, Option<Name>)>,
+        applied_index: u64,
+        held_duties: Vec<(Name, Number)>,
+        duties_to_release: Vec<(Name, Option<Name>)>,
         /// None where the asker has them.
-        shares: Option<SharesOf>,
+        shares: Option<VersionedShares>,
         /// Shares that it is to lower, and to what.
-        lower: Vec<(Name, u64)>,
+        lower_targets: Vec<(Name, u64)>,
         /// The leader's term: another leader knows of no needs.
         term: Term,
     },
     /// Something of this name has begun or ended since what the asker has seen; it is to ask with this.
-    Unseen(Number),
+    JoinOutdated(Number),
     /// A share as it is after the asker has lowered it.
-    Lowered(Share),
+    ShareLowered(Share),
     /// There is no such session.
-    Gone,
+    SessionNotFound,
     Done,
     Refused(String),
-    View(View),
+    FleetView(FleetView),
     /// The list of machines in orders, where the asker has another.
-    Work {
+    MachineList {
         version: Number,
-        list: Option<List>,
+        list: Option<MachineList>,
     },
-    Conduct(Known),
+    CoordinatorUpdate(CoordinatorUpdate),
     WorkView(WorkView),
     /// The log has it that the asker serves nobody.
-    NobodyServed,
+    ServingStopped,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct View {
+pub struct FleetView {
     pub node: Name,
     pub leader: Option<Name>,
     pub term: Term,
@@ -245,24 +245,24 @@
 
 /// One record of a member's directory, in the order in which they were written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Record {
+pub enum MemberRecord {
     /// The first members, as this voter agrees to them.
     Agreed(Members),
     /// The fleet is formed, or this directory was let into one.
     Formed,
-    Write(Write),
+    Write(DurableWrite),
 }
 
 /// What a member's directory holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct SavedState {
     pub id: NodeId,
-    pub agreed: Option<Members>,
-    pub formed: bool,
-    pub disk: violetwind_consensus::Disk,
+    pub agreed_members: Option<Members>,
+    pub is_formed: bool,
+    pub consensus_state: violetwind_consensus::DurableState,
 }
 
-impl Saved {
+impl SavedState {
     pub fn new(id: NodeId) -> Self {
         Self {
             id,
@@ -274,17 +274,20 @@
     ///
     /// # Errors
     /// A record that does not follow from those before it.
-    pub fn apply(&mut self, record: Record) -> Result<(), String> {
+    pub fn apply(&mut self, record: MemberRecord) -> Result<(), String> {
         match record {
-            Record::Agreed(_) if self.agreed.is_some() => return Err("agreed twice".into()),
-            Record::Agreed(members) => self.agreed = Some(members),
-            Record::Formed => {
-                self.formed = true;
-                if let Some(members) = &self.agreed {
-                    self.disk = violetwind_consensus::Disk::genesis(members.clone());
+            MemberRecord::Agreed(_) if self.agreed_members.is_some() => {
+                return Err("agreed twice".into());
+            }
+            MemberRecord::Agreed(members) => self.agreed_members = Some(members),
+            MemberRecord::Formed => {
+                self.is_formed = true;
+                if let Some(members) = &self.agreed_members {
+                    self.consensus_state =
+                        violetwind_consensus::DurableState::bootstrap(members.clone());
                 }
             }
-            Record::Write(write) => self.disk.apply(write)?,
+            MemberRecord::Write(write) => self.consensus_state.apply(write)?,
         }
         Ok(())
     }
@@ -292,50 +295,50 @@
 
 /// What operators and their programs call for at one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
-    View,
-    Order(Order),
+pub enum OperatorCall {
+    FleetView,
+    FleetAction(FleetAction),
     /// A program that `token` names works on a duty while it is held here.
-    Hold {
+    HoldDuty {
         duty: Name,
         token: Name,
     },
     /// That program has ended.
-    Done {
+    EndHold {
         duty: Name,
         token: Name,
     },
     /// One unit of a budget; of one that is held it is given back with the same token, or after `within`. Where
     /// there is none it waits no longer than `wait`.
-    Take {
+    AcquireUnit {
         budget: Name,
         token: Name,
-        within: Millis,
-        wait: Millis,
+        hold_timeout: Millis,
+        max_wait: Millis,
     },
-    Give {
+    ReleaseUnit {
         budget: Name,
         token: Name,
     },
-    Staff(Staff),
+    WorkAction(WorkAction),
     WorkView,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
-    View(View),
+pub enum OperatorAnswer {
+    FleetView(FleetView),
     WorkView(WorkView),
     Done,
     /// Held from before the call for so long, and not longer unless it is asked again.
     Held {
         fence: Number,
-        left: Millis,
+        remaining: Millis,
     },
     NotHeld(String),
-    Taken,
+    UnitAcquired,
     /// No unit: worth asking again after so long.
     NoUnit {
-        again: Millis,
+        retry_after: Millis,
     },
     Refused(String),
 }
@@ -344,39 +347,39 @@
 pub enum Input {
     Tick,
     /// A link to a member is up; `id` is its directory's, where it has one.
-    Met(Name, Option<NodeId>),
-    Peer(Name, Peer),
+    PeerConnected(Name, Option<NodeId>),
+    PeerMessage(Name, PeerMessage),
     /// Records up to this number are on disk.
-    Saved(Number),
+    RecordsSaved(Number),
     /// Answered by [`Output::Answer`] with the same number.
-    Call(Number, Call),
+    Call(Number, OperatorCall),
     /// What is used of a budget that is counted elsewhere in this process, once the part of that number was in force
     /// there; and how often it was too small, since the start.
-    Used {
+    ExternalUsage {
         budget: Name,
-        part: Number,
-        busy: u64,
+        part_number: Number,
+        in_use: u64,
         denied: u64,
     },
     /// What is so here of machines that are worked on.
-    Work(Local),
+    LocalWorkStatus(LocalWorkStatus),
     /// Hand everything on, then end: [`Output::Ended`].
     Quit,
     /// The same of a process that has no successor: where it takes part in work it stays until it serves nobody, if that
     /// comes soon.
-    End,
+    QuitAfterDrain,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    Send(Name, Peer),
+    Send(Name, PeerMessage),
     /// To be synced, in order; answered with [`Input::Saved`].
-    Save(Number, Record),
-    Answer(Number, Answer),
+    SaveRecord(Number, MemberRecord),
+    Answer(Number, OperatorAnswer),
     /// A part for whoever counts that budget elsewhere in this process; answered with [`Input::Used`].
     Part(Name, Number, Part),
     /// The list of machines in orders, of that version, to go by.
-    Work(Number, List),
+    MachineList(Number, MachineList),
     Event(Event),
     Ended,
 }
--- a/crates/fleet/src/holder.rs
+++ b/crates/fleet/src/session_client.rs
@@ -5,10 +5,10 @@
 
 use violetwind_consensus::Millis;
 
-use crate::budget::{Def, Kind, Meters, Part, Taken};
-use crate::events::{Event, Why};
+use crate::budget::{Acquisition, BudgetDefinition, BudgetKind, Meters, Part};
+use crate::events::{Event, LossReason};
 use crate::limits::Limits;
-use crate::words::{Ask, Name, Number, SessionId, SharesOf, Told};
+use crate::messages::{LeaderReply, LeaderRequest, Name, Number, SessionId, VersionedShares};
 
 /// Asks whose answers may still come, and words about lowered shares among them: a thousand budgets that shrink at
 /// once must not push the renewal out whose answer keeps the lease.
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct SessionClient {
     wants: Vec<Name>,
     nonce: Number,
     /// The same for as long as the process runs.
@@ -58,7 +58,7 @@
     seen: Number,
     /// It has said what it uses and that it leaves: no share counts from then on.
     leaves: bool,
-    budgets: Vec<Def>,
+    budgets: Vec<BudgetDefinition>,
     meters: Meters,
     /// The last leader's term.
     term: u64,
@@ -86,16 +86,16 @@
     /// It leaves once the log has it that this process serves nobody, if that comes soon.
     waits: bool,
     left: bool,
-    no_session: Option<Why>,
+    no_session: Option<LossReason>,
     /// That nobody leads has been told.
     alone: bool,
 }
 
-impl Holder {
+impl SessionClient {
     /// `nonce` is another one with each process.
     pub fn new(
         wants: Vec<Name>,
-        budgets: Vec<Def>,
+        budgets: Vec<BudgetDefinition>,
         outside: &BTreeSet<Name>,
         nonce: Number,
         now: Millis,
@@ -141,26 +141,28 @@
             .map(|session| session.id)
     }
 
-    pub fn set_waits(&mut self, waits: bool) {
+    pub fn set_leave_after_drain(&mut self, waits: bool) {
         self.waits = waits;
     }
 
-    pub fn left(&self) -> bool {
+    pub fn has_left(&self) -> bool {
         self.left
     }
 
-    pub fn answered(&self) -> Millis {
+    pub fn last_answered_at(&self) -> Millis {
         self.answered
     }
 
     /// Until when all that is held is held.
     fn end(&self, limits: &Limits) -> Millis {
         let session = self.session.as_ref().filter(|session| !session.lapsed);
-        session.map_or(0, |session| session.until.saturating_sub(limits.margin))
+        session.map_or(0, |session| {
+            session.until.saturating_sub(limits.lease_margin)
+        })
     }
 
     /// The fencing number of a duty that is held now, and for how long at least.
-    pub fn holds(&self, duty: &str, now: Millis, limits: &Limits) -> Option<(Number, Millis)> {
+    pub fn held_fence(&self, duty: &str, now: Millis, limits: &Limits) -> Option<(Number, Millis)> {
         let fence = *self.held.get(duty)?;
         let left = self.end(limits).checked_sub(now).filter(|left| *left > 0)?;
         Some((fence, left))
@@ -171,49 +173,57 @@
     }
 
     /// One unit of a budget, if it may be used now.
-    pub fn take(&mut self, budget: &str, now: Millis, limits: &Limits) -> Taken {
+    pub fn acquire_unit(&mut self, budget: &str, now: Millis, limits: &Limits) -> Acquisition {
         let leased = self.leased(now, limits);
-        let taken = self.meters.take(budget, now, leased, limits);
-        if matches!(taken, Taken::No { .. }) {
+        let taken = self.meters.acquire(budget, now, leased, limits);
+        if matches!(taken, Acquisition::Denied { .. }) {
             self.press(now, limits);
         }
         taken
     }
 
     /// What whoever counts budgets elsewhere in this process is to be told.
-    pub fn parts(&mut self, now: Millis, limits: &Limits) -> Vec<(Name, u64, Part)> {
+    pub fn changed_parts(&mut self, now: Millis, limits: &Limits) -> Vec<(Name, u64, Part)> {
         let end = if self.leaves { 0 } else { self.end(limits) };
-        self.meters.parts(now, end, limits)
+        self.meters.changed_parts(now, end, limits)
     }
 
-    pub fn heard(
+    pub fn record_external_usage(
         &mut self,
         (budget, seq, busy, denied): (&str, u64, u64, u64),
         now: Millis,
         limits: &Limits,
     ) {
-        self.meters.heard(budget, seq, busy, denied, now);
+        self.meters
+            .record_external_usage(budget, seq, busy, denied, now);
         self.press(now, limits);
     }
 
     /// Somebody waits: the leader is told sooner, but not again and again.
     fn press(&mut self, now: Millis, limits: &Limits) {
-        if self.meters.pressed() {
-            self.ask_at = self.ask_at.min(now.max(self.renewed_at + limits.renew / 8));
+        if self.meters.has_unreported_need() {
+            self.ask_at = self
+                .ask_at
+                .min(now.max(self.renewed_at + limits.renew_interval / 8));
         }
     }
 
-    pub fn give(&mut self, budget: &str) {
-        self.meters.give(budget);
+    pub fn release_unit(&mut self, budget: &str) {
+        self.meters.release(budget);
     }
 
     /// In use and allowed now, of a budget that the file has.
-    pub fn used(&mut self, budget: &str, now: Millis, limits: &Limits) -> Option<(u64, u64)> {
+    pub fn budget_usage(
+        &mut self,
+        budget: &str,
+        now: Millis,
+        limits: &Limits,
+    ) -> Option<(u64, u64)> {
         let leased = self.leased(now, limits);
-        self.meters.shown(budget, now, leased, limits)
+        self.meters.usage(budget, now, leased, limits)
     }
 
-    pub fn budgets(&self) -> &[Def] {
+    pub fn budgets(&self) -> &[BudgetDefinition] {
         &self.budgets
     }
 
@@ -221,14 +231,14 @@
     ///
     /// # Errors
     /// Not held here, or another program works on it.
-    pub fn hold(
+    pub fn hold_duty(
         &mut self,
         duty: &str,
         token: &str,
         now: Millis,
         limits: &Limits,
     ) -> Result<(Number, Millis), String> {
-        let Some((fence, left)) = self.holds(duty, now, limits) else {
+        let Some((fence, left)) = self.held_fence(duty, now, limits) else {
             return Err(match self.wants.iter().any(|name| name == duty) {
                 true => "not held here".into(),
                 false => "this member has no such duty".into(),
@@ -249,7 +259,7 @@
     }
 
     /// That program has ended.
-    pub fn done(&mut self, duty: &str, token: &str) {
+    pub fn end_hold(&mut self, duty: &str, token: &str) {
         self.holds
             .retain(|name, hold| name != duty || hold.token != token);
     }
@@ -259,8 +269,8 @@
         if self.quits.is_some() {
             return;
         }
-        self.quits = Some(now + limits.quit);
-        self.lose_all(&Why::Ending, events);
+        self.quits = Some(now + limits.handoff_timeout);
+        self.lose_all(&LossReason::Ending, events);
         self.ask_at = now;
         if self.session.is_none() {
             self.left = true;
@@ -268,26 +278,32 @@
     }
 
     /// News is at the leader.
-    pub fn nudge(&mut self, now: Millis) {
+    pub fn renew_now(&mut self, now: Millis) {
         self.ask_at = self.ask_at.min(now);
         self.out.retain(|(_, _, what)| *what != What::Renew);
     }
 
     /// Shares as the log has them, and what they are to go down to.
-    pub fn news(&mut self, session: SessionId, at: u64, shares: &SharesOf, lower: &[(Name, u64)]) {
+    pub fn apply_session_update(
+        &mut self,
+        session: SessionId,
+        at: u64,
+        shares: &VersionedShares,
+        lower: &[(Name, u64)],
+    ) {
         let known = self.session.as_ref();
         let counts = known.is_some_and(|known| known.id == session && !known.lapsed);
         if counts && !self.leaves {
-            self.meters.shares(shares.0, &shares.1);
+            self.meters.set_shares(shares.0, &shares.1);
             if at >= self.at {
-                self.meters.lower(lower);
+                self.meters.set_lower_targets(lower);
             }
         }
     }
 
     /// The leader was found: it is asked at once, but two that take each other for it are not asked in turns.
-    pub fn hurry(&mut self, now: Millis, limits: &Limits) {
-        if now >= self.hurried + limits.again {
+    pub fn request_soon(&mut self, now: Millis, limits: &Limits) {
+        if now >= self.hurried + limits.retry_delay {
             self.hurried = now;
             self.ask_at = self.ask_at.min(now);
         }
@@ -299,9 +315,9 @@
         self.ticked = now;
         let end = self.end(limits);
         if now >= end && self.session.as_ref().is_some_and(|session| !session.lapsed) {
-            let why = match stalled > limits.margin {
-                true => Why::Stalled { by: now - end },
-                false => Why::NotRenewed {
+            let why = match stalled > limits.lease_margin {
+                true => LossReason::Stalled { by: now - end },
+                false => LossReason::NotRenewed {
                     since: now.saturating_sub(self.answered),
                 },
             };
@@ -310,21 +326,21 @@
                 session.lapsed = true;
             }
             self.giving.clear();
-            self.meters.lapse();
+            self.meters.clear_shares();
             self.renounce(now);
         }
         self.press(now, limits);
         self.holds.retain(|_, hold| now < hold.until);
-        let waits = if self.waits { limits.off } else { 0 };
+        let waits = if self.waits { limits.drain_timeout } else { 0 };
         if self.quits.is_some_and(|until| now >= until + waits) {
             self.left = true;
         }
         let since = now.saturating_sub(self.answered);
-        if since >= limits.lease && !self.alone {
+        if since >= limits.lease_duration && !self.alone {
             self.alone = true;
             events.push(Event::NoLeader { since });
         }
-        let patience = limits.renew / 2;
+        let patience = limits.renew_interval / 2;
         let late = |(number, at, _): &(Number, Millis, What)| {
             *number > self.heard.max(self.missed) && now >= *at + patience
         };
@@ -343,7 +359,7 @@
         self.out.clear();
     }
 
-    fn lose_all(&mut self, why: &Why, events: &mut Vec<Event>) {
+    fn lose_all(&mut self, why: &LossReason, events: &mut Vec<Event>) {
         for (duty, fence) in std::mem::take(&mut self.held) {
             self.given.insert(duty.clone(), fence);
             events.push(Event::Lost {
@@ -355,7 +371,11 @@
     }
 
     /// What is to be asked now, if anything.
-    pub fn ask(&mut self, now: Millis, limits: &Limits) -> Option<(Number, Ask)> {
+    pub fn next_request(
+        &mut self,
+        now: Millis,
+        limits: &Limits,
+    ) -> Option<(Number, LeaderRequest)> {
         if self.left {
             return None;
         }
@@ -363,7 +383,7 @@
         let released = |duty: &&Name| !self.holds.contains_key(*duty);
         let release = self.giving.keys().find(released).cloned();
         let session = self.session.clone();
-        let patience = limits.renew / 2;
+        let patience = limits.renew_interval / 2;
         let lately = self.out.iter().filter(|(_, at, _)| now < *at + patience);
         let out: Vec<What> = lately.map(|(.., what)| what.clone()).collect();
         let asked = |what: &What| out.contains(what);
@@ -375,7 +395,7 @@
         let lowered = match &session {
             Some(session) if !session.lapsed && lowers < LOWERS => {
                 let is_out = |budget: &Name| asked(&What::Lower(budget.clone()));
-                self.meters.lowered(now, limits, is_out)
+                self.meters.next_share_to_lower(now, limits, is_out)
             }
             _ => None,
         };
@@ -386,23 +406,23 @@
                     true => {
                         // From here on no share counts; then what is in use is what is said.
                         if !std::mem::replace(&mut self.leaves, true) {
-                            self.meters.lapse();
+                            self.meters.clear_shares();
                         }
-                        if !self.meters.settled() {
+                        if !self.meters.is_usage_confirmed() {
                             return None;
                         }
-                        let uses = self.meters.uses(now, limits);
+                        let uses = self.meters.units_in_use(now, limits);
                         (
                             What::Leave,
-                            Ask::Leave {
+                            LeaderRequest::Leave {
                                 session: session.id,
-                                uses,
+                                units_in_use: uses,
                             },
                         )
                     }
                     false => (
                         What::Retire,
-                        Ask::Retire {
+                        LeaderRequest::BeginLeave {
                             session: session.id,
                         },
                     ),
@@ -420,11 +440,11 @@
                 if !asked(&What::Release(duty.clone(), self.giving[&duty].fence)) =>
             {
                 let giving = &self.giving[&duty];
-                let ask = Ask::Release {
+                let ask = LeaderRequest::ReleaseDuty {
                     session: session.id,
                     duty: duty.clone(),
                     fence: giving.fence,
-                    to: giving.to.clone(),
+                    preferred_holder: giving.to.clone(),
                 };
                 (What::Release(duty, giving.fence), ask)
             }
@@ -432,40 +452,40 @@
                 let (need, to, version) = lowered.expect("just seen");
                 (
                     What::Lower(need.budget.clone()),
-                    Ask::Lower {
+                    LeaderRequest::LowerShare {
                         session: session.id,
                         need,
-                        to,
-                        version,
+                        units: to,
+                        share_version: version,
                     },
                 )
             }
             _ if now < self.ask_at => return None,
             (Some(session), _) if !session.lapsed => {
-                self.ask_at = now + limits.renew;
+                self.ask_at = now + limits.renew_interval;
                 self.renewed_at = now;
                 (
                     What::Renew,
-                    Ask::Renew {
+                    LeaderRequest::Renew {
                         session: session.id,
-                        needs: self.meters.needs(now, self.term, limits),
-                        have: self.meters.have(),
+                        needs: self.meters.next_needs(now, self.term, limits),
+                        known_version: self.meters.shares_version(),
                     },
                 )
             }
             // What is said of use has to hold: whoever counts elsewhere knows by then that no share counts.
-            _ if !self.meters.settled() => return None,
+            _ if !self.meters.is_usage_confirmed() => return None,
             (session, _) => {
-                self.ask_at = now + limits.renew;
-                let ask = Ask::Join {
+                self.ask_at = now + limits.renew_interval;
+                let ask = LeaderRequest::Join {
                     nonce: self.nonce,
-                    wants: self.wants.clone(),
-                    replaces: session.map(|session| session.id),
-                    process: self.process,
-                    seen: self.seen,
+                    wanted_duties: self.wants.clone(),
+                    replaced_session: session.map(|session| session.id),
+                    incarnation: self.process,
+                    last_seen_number: self.seen,
                     weight: limits.weight,
                     budgets: self.budgets.clone(),
-                    uses: self.meters.uses(now, limits),
+                    units_in_use: self.meters.units_in_use(now, limits),
                 };
                 (What::Join, ask)
             }
@@ -479,10 +499,10 @@
     }
 
     /// An answer. `false` for one that does not count any more.
-    pub fn told(
+    pub fn handle_reply(
         &mut self,
         number: Number,
-        told: &Told,
+        told: &LeaderReply,
         now: Millis,
         limits: &Limits,
         events: &mut Vec<Event>,
@@ -494,14 +514,14 @@
         match (what, told) {
             (
                 What::Join,
-                Told::Joined {
+                LeaderReply::Joined {
                     session,
-                    at,
-                    held,
+                    applied_index: at,
+                    held_duties: held,
                     shares,
                 },
             ) => {
-                let until = asked + limits.lease;
+                let until = asked + limits.lease_duration;
                 match &mut self.session {
                     // Asked for more than once.
                     Some(known) if known.id == *session && !known.lapsed => {
@@ -516,79 +536,83 @@
                         self.giving.clear();
                         self.no_session = None;
                         self.at = 0;
-                        self.meters.lapse();
+                        self.meters.clear_shares();
                         self.seen = self.seen.max(*session);
                         events.push(Event::Session { number: *session });
                     }
                 }
                 self.renewed(*at, now, held, &[], limits, events);
                 if !self.leaves {
-                    self.meters.shares(shares.0, &shares.1);
+                    self.meters.set_shares(shares.0, &shares.1);
                 }
             }
             (
                 What::Renew,
-                Told::Renewed {
-                    at,
-                    held,
-                    give_up,
+                LeaderReply::Renewed {
+                    applied_index: at,
+                    held_duties: held,
+                    duties_to_release: give_up,
                     shares,
-                    lower,
+                    lower_targets: lower,
                     term,
                 },
             ) => {
                 let Some(session) = self.session.as_mut().filter(|session| !session.lapsed) else {
                     return false;
                 };
-                session.until = session.until.max(asked + limits.lease);
+                session.until = session.until.max(asked + limits.lease_duration);
                 if let Some((version, shares)) = shares
                     && !self.leaves
                 {
-                    self.meters.shares(*version, shares);
+                    self.meters.set_shares(*version, shares);
                 }
                 if *at >= self.at {
-                    self.meters.lower(lower);
+                    self.meters.set_lower_targets(lower);
                     self.term = *term;
                 }
                 let took = now.saturating_sub(asked);
                 let term = *term;
-                for need in self.meters.answered(now, limits) {
+                for need in self.meters.update_unmet_needs(now, limits) {
                     events.push(Event::NeedLeftOpen { need, term, took });
                 }
                 self.renewed(*at, now, held, give_up, limits, events);
             }
-            (What::Renew, Told::Gone) => {
-                self.lose_all(&Why::SessionOver, events);
+            (What::Renew, LeaderReply::SessionNotFound) => {
+                self.lose_all(&LossReason::SessionOver, events);
                 self.giving.clear();
-                self.meters.lapse();
+                self.meters.clear_shares();
                 self.session = None;
-                self.no_session(Why::SessionOver, events);
+                self.no_session(LossReason::SessionOver, events);
                 self.renounce(now);
             }
             // The word may be about a holding before the one that is given up now.
-            (What::Release(duty, fence), Told::Done) => {
+            (What::Release(duty, fence), LeaderReply::Done) => {
                 self.giving
                     .retain(|name, giving| *name != duty || giving.fence != fence);
             }
             // Once it has said what it uses and that it leaves, no share counts again.
-            (What::Lower(_), Told::Lowered(_)) if self.leaves => {}
-            (What::Lower(budget), Told::Lowered(share)) => self.meters.now(&budget, *share),
-            (What::Retire, Told::Done) => self.retired = true,
-            (What::Leave | What::Retire, Told::Done | Told::Gone) => self.left = true,
-            (What::Join, Told::Unseen(seen)) => {
+            (What::Lower(_), LeaderReply::ShareLowered(_)) if self.leaves => {}
+            (What::Lower(budget), LeaderReply::ShareLowered(share)) => {
+                self.meters.update_share(&budget, *share)
+            }
+            (What::Retire, LeaderReply::Done) => self.retired = true,
+            (What::Leave | What::Retire, LeaderReply::Done | LeaderReply::SessionNotFound) => {
+                self.left = true
+            }
+            (What::Join, LeaderReply::JoinOutdated(seen)) => {
                 self.seen = self.seen.max(*seen);
                 self.ask_at = now;
             }
-            (What::Join, Told::Refused(why)) => {
-                self.no_session(Why::Refused(why.clone()), events);
-                self.ask_at = now + limits.lease;
+            (What::Join, LeaderReply::Refused(why)) => {
+                self.no_session(LossReason::Refused(why.clone()), events);
+                self.ask_at = now + limits.lease_duration;
             }
-            (What::Join, Told::Later(_)) => {
-                self.no_session(Why::NameInUse, events);
-                self.ask_at = now + limits.again;
+            (What::Join, LeaderReply::RetryLater(_)) => {
+                self.no_session(LossReason::NameInUse, events);
+                self.ask_at = now + limits.retry_delay;
             }
-            (_, Told::NotLeader(_) | Told::Later(_)) => {
-                self.ask_at = now + limits.again;
+            (_, LeaderReply::NotLeader(_) | LeaderReply::RetryLater(_)) => {
+                self.ask_at = now + limits.retry_delay;
                 return false;
             }
             _ => {}
@@ -610,19 +634,21 @@
         if self.waits {
             return false;
         }
-        let soon = self.quits.is_some_and(|until| now + limits.again >= until);
+        let soon = self
+            .quits
+            .is_some_and(|until| now + limits.retry_delay >= until);
         let held = |name: &Name| {
             let def = self.budgets.iter().find(|def| def.name == *name);
-            def.is_some_and(|def| def.kind == Kind::Held)
+            def.is_some_and(|def| def.kind == BudgetKind::Concurrent)
         };
         soon || !self
             .meters
-            .uses(now, limits)
+            .units_in_use(now, limits)
             .iter()
             .any(|(name, _)| held(name))
     }
 
-    fn no_session(&mut self, why: Why, events: &mut Vec<Event>) {
+    fn no_session(&mut self, why: LossReason, events: &mut Vec<Event>) {
         if self.no_session.as_ref() != Some(&why) {
             self.no_session = Some(why.clone());
             events.push(Event::NoSession { why });
@@ -652,7 +678,7 @@
                 events.push(Event::Lost {
                     duty,
                     fence,
-                    why: Why::SessionOver,
+                    why: LossReason::SessionOver,
                 });
             }
         }
@@ -679,7 +705,7 @@
                 events.push(Event::Lost {
                     duty: duty.clone(),
                     fence,
-                    why: Why::HandedOn,
+                    why: LossReason::HandedOn,
                 });
             }
         }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -5,12 +5,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use violetwind_workorders::Change;
+use violetwind_workorders::WorkOrderChange;
 
-use crate::budget::{Def, Share, Shares};
-use crate::limits::Caps;
-use crate::words::{Name, Number, SessionId};
-use crate::work::{DUTY, Work};
+use crate::budget::{BudgetDefinition, BudgetShares, Share};
+use crate::limits::StateLimits;
+use crate::messages::{Name, Number, SessionId};
+use crate::work_orders::{WORK_DUTY, WorkState};
 
 /// The first byte of every command and snapshot: the oldest version that has all of it, so that members of
 /// the first go on reading for as long as there is no work.
@@ -23,83 +23,83 @@
     Join {
         name: Name,
         nonce: Number,
-        wants: Vec<Name>,
-        replaces: Option<SessionId>,
-        process: Number,
-        seen: Number,
+        wanted_duties: Vec<Name>,
+        replaced_session: Option<SessionId>,
+        incarnation: Number,
+        last_seen_number: Number,
         /// Of what is divided it gets so much more than one of weight 1.
         weight: u64,
-        budgets: Vec<Def>,
+        budgets: Vec<BudgetDefinition>,
         /// In use beyond floors of what this process had before.
-        uses: Vec<(Name, u64)>,
+        units_in_use: Vec<(Name, u64)>,
     },
     /// The session of a process that ends: it is given no duty any more, and what it has goes to others.
-    Retire {
+    BeginLeave {
         session: SessionId,
     },
     /// A process has stopped all; `uses` is what is still in use of its shares.
     Leave {
         session: SessionId,
-        uses: Vec<(Name, u64)>,
+        units_in_use: Vec<(Name, u64)>,
     },
     /// Shares that grow: budget, session, units, and the version that it stands on.
-    Raise {
+    RaiseShares {
         changes: Vec<(Name, SessionId, u64, u64)>,
     },
     /// The session's member has stopped using more than this.
-    Lower {
+    LowerShare {
         session: SessionId,
         budget: Name,
-        to: u64,
-        version: u64,
+        units: u64,
+        share_version: u64,
     },
     /// Stranded units that are not in use any more.
-    Free {
+    ReleaseStranded {
         stranded: Vec<(Name, Number)>,
     },
     /// The machine of a member is gone, and its connections with it.
-    Gone {
+    DeclareMemberLost {
         name: Name,
     },
     /// Ends sessions: given up by their own processes, or leases that a leader has counted to their end.
     /// Duties do not go to those in `avoid`, which are silent, if there is anybody else.
-    Close {
+    CloseSessions {
         sessions: Vec<SessionId>,
-        avoid: Vec<SessionId>,
+        avoided_sessions: Vec<SessionId>,
     },
     /// The holder itself has stopped.
-    Release {
+    ReleaseDuty {
         session: SessionId,
         duty: Name,
         fence: Number,
-        to: Option<Name>,
+        preferred_holder: Option<Name>,
     },
     /// The holder is to be asked to stop.
-    HandOn {
+    HandOffDuty {
         duty: Name,
-        to: Option<Name>,
+        preferred_holder: Option<Name>,
     },
     /// Sessions of this name are not renewed, and no new one begins.
-    Bar {
+    BlockMember {
         name: Name,
     },
-    Unbar {
+    UnblockMember {
         name: Name,
     },
     /// The session's proxy goes by the list of what is out from now on, and has to confirm.
-    Serve {
+    StartServing {
         session: SessionId,
     },
     /// The session's proxy serves nobody any more.
-    Off {
+    StopServing {
         session: SessionId,
     },
     /// Changes of the orders for work, by staff or by whoever conducts with that fencing number; `roster` is who had to
     /// confirm them.
-    Work {
-        changes: Vec<Change>,
-        by: Option<(SessionId, Number)>,
-        roster: Number,
+    ChangeWorkOrders {
+        changes: Vec<WorkOrderChange>,
+        coordinator: Option<(SessionId, Number)>,
+        roster_version: Number,
     },
 }
 
@@ -108,31 +108,31 @@
     Done,
     Joined(SessionId),
     /// A word from before the last session of that name, said by a process that may be gone.
-    Unseen(Number),
+    JoinOutdated(Number),
     /// Another session of that name has to end first.
     NameInUse,
     Refused(&'static str),
     /// What stands against a change of orders.
-    Against(String),
+    WorkRefused(String),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Session {
     pub name: Name,
     pub nonce: Number,
-    pub wants: BTreeSet<Name>,
-    pub process: Number,
+    pub wanted_duties: BTreeSet<Name>,
+    pub incarnation: Number,
     pub weight: u64,
     /// Of its budgets.
     file: u64,
     /// Grows with each change of its shares.
-    pub shares: u64,
+    pub shares_version: u64,
 }
 
 /// The budgets as some members' files have them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct File {
-    defs: Vec<Def>,
+    defs: Vec<BudgetDefinition>,
     sessions: u64,
 }
 
@@ -140,7 +140,7 @@
 pub struct Duty {
     pub holder: Option<(SessionId, Number)>,
     /// Operators want it handed on, to somebody or to anybody.
-    pub asked: Option<Option<Name>>,
+    pub requested_handoff: Option<Option<Name>>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -150,14 +150,14 @@
     sessions: BTreeMap<SessionId, Session>,
     duties: BTreeMap<Name, Duty>,
     barred: BTreeSet<Name>,
-    budgets: BTreeMap<Name, Shares>,
+    budgets: BTreeMap<Name, BudgetShares>,
     files: BTreeMap<u64, File>,
     /// The last number when a session of a name last began or ended; the largest of those forgotten.
     changed: BTreeMap<Name, Number>,
     forgotten: Number,
     /// Behind the rest in a snapshot, where there is any.
     #[serde(skip)]
-    work: Work,
+    work: WorkState,
 }
 
 fn encode<T: Serialize>(version: u8, what: &T) -> Vec<u8> {
@@ -181,7 +181,7 @@
     pub fn encode(&self) -> Vec<u8> {
         let work = matches!(
             self,
-            Self::Serve { .. } | Self::Off { .. } | Self::Work { .. }
+            Self::StartServing { .. } | Self::StopServing { .. } | Self::ChangeWorkOrders { .. }
         );
         encode(if work { WORK } else { VERSION }, self)
     }
@@ -215,7 +215,7 @@
     }
 
     /// Orders for work on machines.
-    pub fn work(&self) -> &Work {
+    pub fn work(&self) -> &WorkState {
         &self.work
     }
 
@@ -227,13 +227,16 @@
         &self.duties
     }
 
-    pub fn budgets(&self) -> &BTreeMap<Name, Shares> {
+    pub fn budgets(&self) -> &BTreeMap<Name, BudgetShares> {
         &self.budgets
     }
 
     /// The shares of a session, and the version of the list.
     pub fn shares(&self, session: SessionId) -> (u64, Vec<(Name, Share)>) {
-        let version = self.sessions.get(&session).map_or(0, |known| known.shares);
+        let version = self
+            .sessions
+            .get(&session)
+            .map_or(0, |known| known.shares_version);
         let shares = self
             .budgets
             .iter()
@@ -242,23 +245,23 @@
     }
 
     /// Whether a session counts a budget the way that is in force.
-    pub fn fits(&self, session: SessionId, budget: &str) -> bool {
+    pub fn matches_definition(&self, session: SessionId, budget: &str) -> bool {
         let file = self
             .sessions
             .get(&session)
             .and_then(|known| self.files.get(&known.file));
         let own = file.and_then(|file| file.defs.iter().find(|def| def.name == budget));
-        let in_force = self.budgets.get(budget).map(Shares::def);
+        let in_force = self.budgets.get(budget).map(BudgetShares::definition);
         own.zip(in_force).is_some_and(|(own, in_force)| {
             (own.kind, own.window) == (in_force.kind, in_force.window)
         })
     }
 
-    pub fn barred(&self) -> &BTreeSet<Name> {
+    pub fn blocked_members(&self) -> &BTreeSet<Name> {
         &self.barred
     }
 
-    pub fn session_of(&self, name: &str) -> Option<(SessionId, &Session)> {
+    pub fn session_by_name(&self, name: &str) -> Option<(SessionId, &Session)> {
         let mut of = self
             .sessions
             .iter()
@@ -267,7 +270,7 @@
     }
 
     /// The duties of a session with their fencing numbers.
-    pub fn held(&self, session: SessionId) -> Vec<(Name, Number)> {
+    pub fn held_duties(&self, session: SessionId) -> Vec<(Name, Number)> {
         let held = self.duties.iter().filter_map(|(name, duty)| {
             let (holder, fence) = duty.holder?;
             (holder == session).then(|| (name.clone(), fence))
@@ -276,10 +279,10 @@
     }
 
     /// The duties that a session is to give up, and for whom.
-    pub fn give_up(&self, session: SessionId) -> Vec<(Name, Option<Name>)> {
+    pub fn duties_to_release(&self, session: SessionId) -> Vec<(Name, Option<Name>)> {
         let asked = self.duties.iter().filter_map(|(name, duty)| {
             let (holder, _) = duty.holder?;
-            (holder == session).then_some((name.clone(), duty.asked.clone()?))
+            (holder == session).then_some((name.clone(), duty.requested_handoff.clone()?))
         });
         asked.collect()
     }
@@ -289,13 +292,13 @@
             Command::Join {
                 name,
                 nonce,
-                wants,
-                replaces,
-                process,
-                seen,
+                wanted_duties: wants,
+                replaced_session: replaces,
+                incarnation: process,
+                last_seen_number: seen,
                 weight,
                 budgets,
-                uses,
+                units_in_use: uses,
             } => self.join(Wanted {
                 name,
                 nonce,
@@ -307,62 +310,68 @@
                 budgets,
                 uses,
             }),
-            Command::Retire { session } => {
+            Command::BeginLeave { session } => {
                 if let Some(known) = self.sessions.get_mut(&session) {
-                    known.wants.clear();
+                    known.wanted_duties.clear();
                 }
                 self.free_duties(&[session], &[]);
                 Effect::Done
             }
-            Command::Leave { session, uses } => {
+            Command::Leave {
+                session,
+                units_in_use: uses,
+            } => {
                 self.end(session, Some(&uses));
                 self.free_duties(&[session], &[]);
                 self.forget();
                 Effect::Done
             }
-            Command::Raise { changes } => {
+            Command::RaiseShares { changes } => {
                 for (budget, session, to, version) in changes {
-                    if self.fits(session, &budget)
+                    if self.matches_definition(session, &budget)
                         && let Some(shares) = self.budgets.get_mut(&budget)
-                        && shares.raise(session, to, version)
+                        && shares.raise_share(session, to, version)
                     {
                         self.changed(session);
                     }
                 }
                 Effect::Done
             }
-            Command::Lower {
+            Command::LowerShare {
                 session,
                 budget,
-                to,
-                version,
+                units: to,
+                share_version: version,
             } => {
                 let shares = self.budgets.get_mut(&budget);
-                if shares.is_some_and(|shares| shares.lower(session, to, version)) {
+                if shares.is_some_and(|shares| shares.lower_share(session, to, version)) {
                     self.changed(session);
                 }
                 Effect::Done
             }
-            Command::Free { stranded } => {
+            Command::ReleaseStranded { stranded } => {
                 for (budget, number) in stranded {
                     if let Some(shares) = self.budgets.get_mut(&budget) {
-                        shares.release(number);
+                        shares.release_stranded(number);
                     }
                 }
                 self.forget();
                 Effect::Done
             }
-            Command::Gone { name } => {
-                if self.session_of(&name).is_some() {
+            Command::DeclareMemberLost { name } => {
+                if self.session_by_name(&name).is_some() {
                     return Effect::Refused("it has a session");
                 }
                 self.budgets
                     .values_mut()
-                    .for_each(|shares| shares.gone(&name));
-                self.work.serves_nobody(&name);
+                    .for_each(|shares| shares.mark_member_gone(&name));
+                self.work.stop_serving(&name);
                 Effect::Done
             }
-            Command::Close { sessions, avoid } => {
+            Command::CloseSessions {
+                sessions,
+                avoided_sessions: avoid,
+            } => {
                 for id in &sessions {
                     self.end(*id, None);
                 }
@@ -370,11 +379,11 @@
                 self.forget();
                 Effect::Done
             }
-            Command::Release {
+            Command::ReleaseDuty {
                 session,
                 duty,
                 fence,
-                to,
+                preferred_holder: to,
             } => {
                 let Some(known) = self.duties.get_mut(&duty) else {
                     return Effect::Done;
@@ -383,14 +392,18 @@
                 if known.holder != Some((session, fence)) {
                     return Effect::Done;
                 }
-                (known.holder, known.asked) = (None, None);
+                (known.holder, known.requested_handoff) = (None, None);
                 self.assign(&duty, to.as_deref(), &[session]);
                 Effect::Done
             }
-            Command::HandOn { duty, to } => {
+            Command::HandOffDuty {
+                duty,
+                preferred_holder: to,
+            } => {
                 let wanted = to.as_deref();
                 let able = |session: &Session| {
-                    session.wants.contains(&duty) && wanted.is_none_or(|to| session.name == to)
+                    session.wanted_duties.contains(&duty)
+                        && wanted.is_none_or(|to| session.name == to)
                 };
                 let able = self.sessions.values().any(able);
                 match self.duties.get_mut(&duty) {
@@ -403,56 +416,60 @@
                         let stays =
                             holder.is_some_and(|session| Some(&session.name) == to.as_ref());
                         if !stays && holder.is_some() {
-                            known.asked = Some(to);
+                            known.requested_handoff = Some(to);
                         }
                         Effect::Done
                     }
                 }
             }
-            Command::Bar { name } => {
-                if self.barred.len() >= Caps::BARRED && !self.barred.contains(&name) {
+            Command::BlockMember { name } => {
+                if self.barred.len() >= StateLimits::MAX_BLOCKED_MEMBERS
+                    && !self.barred.contains(&name)
+                {
                     return Effect::Refused("too many members are out");
                 }
                 self.barred.insert(name);
                 Effect::Done
             }
-            Command::Unbar { name } => {
+            Command::UnblockMember { name } => {
                 self.barred.remove(&name);
                 Effect::Done
             }
-            Command::Serve { session } => {
+            Command::StartServing { session } => {
                 if let Some(known) = self.sessions.get(&session) {
-                    self.work.serves(known.name.clone(), session);
+                    self.work.start_serving(known.name.clone(), session);
                 }
                 Effect::Done
             }
-            Command::Off { session } => {
+            Command::StopServing { session } => {
                 if let Some(known) = self.sessions.get(&session) {
-                    self.work.serves_nobody(&known.name);
+                    self.work.stop_serving(&known.name);
                 }
                 Effect::Done
             }
-            Command::Work {
+            Command::ChangeWorkOrders {
                 changes,
-                by,
-                roster,
+                coordinator: by,
+                roster_version: roster,
             } => {
                 // A conductor that was stopped with a step in hand has a successor by now.
-                let holder = self.duties.get(DUTY).and_then(|duty| duty.holder);
+                let holder = self.duties.get(WORK_DUTY).and_then(|duty| duty.holder);
                 if by.is_some() && by != holder {
-                    return Effect::Against("another conducts".into());
+                    return Effect::WorkRefused("another conducts".into());
                 }
-                let conducts = |change: &Change| match change {
-                    Change::Machines(_) => by.is_some(),
-                    Change::Step { fence, .. } => *fence == by.map(|(_, fence)| fence),
-                    Change::Plan(_) | Change::Pause(..) | Change::Cancel(_) => by.is_none(),
+                let conducts = |change: &WorkOrderChange| match change {
+                    WorkOrderChange::SetMachines(_) => by.is_some(),
+                    WorkOrderChange::Step { fence, .. } => *fence == by.map(|(_, fence)| fence),
+                    WorkOrderChange::AddOrder(_)
+                    | WorkOrderChange::SetPaused(..)
+                    | WorkOrderChange::Cancel(_) => by.is_none(),
                 };
                 for change in changes {
                     if !conducts(&change) {
-                        return Effect::Against("not by whoever conducts".into());
+                        return Effect::WorkRefused("not by whoever conducts".into());
                     }
                     if let Err(why) = self.work.apply(change, roster) {
-                        return Effect::Against(why.to_string());
+                        return Effect::WorkRefused(why.to_string());
                     }
                 }
                 Effect::Done
@@ -475,45 +492,47 @@
         if self.barred.contains(&name) {
             return Effect::Refused("put out by operators");
         }
-        let long = |name: &Name| name.len() > Caps::NAME;
+        let long = |name: &Name| name.len() > StateLimits::MAX_NAME_BYTES;
         if long(&name) || wants.iter().any(long) || budgets.iter().any(|def| long(&def.name)) {
             return Effect::Refused("a name is too long");
         }
-        if budgets.iter().any(|def| def.check().is_err()) {
+        if budgets.iter().any(|def| def.validate().is_err()) {
             return Effect::Refused(
                 "a budget's floors are more than its whole, or it has no window",
             );
         }
-        match self.session_of(&name) {
+        match self.session_by_name(&name) {
             Some((id, session)) if session.nonce == nonce => return Effect::Joined(id),
-            _ if seen < self.unseen(&name) => return Effect::Unseen(self.unseen(&name)),
+            _ if seen < self.required_last_seen_number(&name) => {
+                return Effect::JoinOutdated(self.required_last_seen_number(&name));
+            }
             Some((id, _)) if replaces == Some(id) => {
-                self.apply(Command::Close {
+                self.apply(Command::CloseSessions {
                     sessions: vec![id],
-                    avoid: Vec::new(),
+                    avoided_sessions: Vec::new(),
                 });
             }
             Some(_) => return Effect::NameInUse,
             None => {}
         }
-        if self.sessions.len() >= Caps::SESSIONS {
+        if self.sessions.len() >= StateLimits::MAX_SESSIONS {
             return Effect::Refused("too many sessions");
         }
         let new = wants
             .iter()
             .filter(|duty| !self.duties.contains_key(*duty))
             .count();
-        if self.duties.len() + new > Caps::DUTIES {
+        if self.duties.len() + new > StateLimits::MAX_DUTIES {
             return Effect::Refused("too many duties");
         }
         let new = budgets
             .iter()
             .filter(|def| !self.budgets.contains_key(&def.name))
             .count();
-        if self.budgets.len() + new > Caps::BUDGETS {
+        if self.budgets.len() + new > StateLimits::MAX_BUDGETS {
             return Effect::Refused("too many budgets");
         }
-        self.work.begun(&name);
+        self.work.record_process_start(&name);
         self.last += 1;
         let id = self.last;
         let wants: BTreeSet<Name> = wants.into_iter().collect();
@@ -523,14 +542,14 @@
         for def in &budgets {
             let shares = self.budgets.entry(def.name.clone());
             shares
-                .or_insert_with(|| Shares::new(def.clone()))
-                .define(def);
+                .or_insert_with(|| BudgetShares::new(def.clone()))
+                .merge_definition(def);
         }
         let members = self.sessions.len() as u64 + 1;
         for (budget, shares) in &mut self.budgets {
-            shares.peopled(members);
+            shares.raise_max_members(members);
             let of = uses.iter().find(|(name, _)| name == budget);
-            shares.rejoin(id, (&name, process), of.map_or(0, |(_, uses)| *uses));
+            shares.restore_share(id, (&name, process), of.map_or(0, |(_, uses)| *uses));
         }
         self.changed.insert(name.clone(), id);
         let file = digest(&budgets);
@@ -543,11 +562,11 @@
         let session = Session {
             name,
             nonce,
-            wants,
-            process,
-            weight: weight.clamp(1, Caps::WEIGHT),
+            wanted_duties: wants,
+            incarnation: process,
+            weight: weight.clamp(1, StateLimits::MAX_WEIGHT),
             file,
-            shares: 1,
+            shares_version: 1,
         };
         self.sessions.insert(id, session);
         for duty in wanted {
@@ -560,13 +579,13 @@
 
     /// What a process must have seen to have a session of this name: what was said before the last one began or
     /// ended may have been said by a process that is gone.
-    pub fn unseen(&self, name: &str) -> Number {
+    pub fn required_last_seen_number(&self, name: &str) -> Number {
         self.changed.get(name).copied().unwrap_or(self.forgotten)
     }
 
     fn changed(&mut self, session: SessionId) {
         if let Some(known) = self.sessions.get_mut(&session) {
-            known.shares += 1;
+            known.shares_version += 1;
         }
     }
 
@@ -580,7 +599,7 @@
         }
         self.last += 1;
         self.changed.insert(session.name.clone(), self.last);
-        if self.changed.len() > 2 * Caps::SESSIONS {
+        if self.changed.len() > 2 * StateLimits::MAX_SESSIONS {
             let oldest = self.changed.iter().min_by_key(|(_, at)| **at);
             if let Some((name, at)) = oldest.map(|(name, at)| (name.clone(), *at)) {
                 self.changed.remove(&name);
@@ -593,9 +612,9 @@
                 of.map_or(0, |(_, uses)| *uses)
             };
             self.last += 1;
-            shares.strand(
+            shares.strand_share(
                 id,
-                (&session.name, session.process),
+                (&session.name, session.incarnation),
                 uses.map(of),
                 self.last,
             );
@@ -610,7 +629,7 @@
                 .is_some_and(|(holder, _)| sessions.contains(&holder))
             {
                 duty.holder = None;
-                let to = duty.asked.take().flatten();
+                let to = duty.requested_handoff.take().flatten();
                 free.push((name.clone(), to));
             }
         }
@@ -629,7 +648,7 @@
         let able = self
             .sessions
             .iter()
-            .filter(|(_, session)| session.wants.contains(duty));
+            .filter(|(_, session)| session.wanted_duties.contains(duty));
         let best = able.min_by_key(|(id, session)| {
             let wanted = to.is_some_and(|to| session.name == to);
             (!wanted, avoid.contains(id), count(**id), **id)
@@ -651,13 +670,13 @@
             duty.holder.is_some()
                 || sessions
                     .values()
-                    .any(|session| session.wants.contains(name))
+                    .any(|session| session.wanted_duties.contains(name))
         });
         self.files.retain(|_, file| file.sessions > 0);
         let files = &self.files;
         self.budgets.retain(|name, shares| {
             let known = |file: &File| file.defs.iter().any(|def| def.name == *name);
-            !shares.idle() || files.values().any(known)
+            !shares.is_idle() || files.values().any(known)
         });
     }
 }
@@ -670,12 +689,12 @@
     process: Number,
     seen: Number,
     weight: u64,
-    budgets: Vec<Def>,
+    budgets: Vec<BudgetDefinition>,
     uses: Vec<(Name, u64)>,
 }
 
 /// Tells files apart; the same at every member, whatever its program was built with.
-fn digest(defs: &[Def]) -> u64 {
+fn digest(defs: &[BudgetDefinition]) -> u64 {
     let bytes = encode(VERSION, &defs);
     let fold = |sum: u64, byte: &u8| (sum ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, fold)
--- a/crates/fleet/tests/cases.rs
+++ b/crates/fleet/tests/cases.rs
@@ -1,12 +1,14 @@
 //! The hard cases by name, each alone.
 
-use violetwind_fleet::{Answer, Call, Gate, Limits, Order, Unsound, View};
-use violetwind_storm::fleet::{World, name};
+use violetwind_fleet::{
+    FenceGuard, FleetAction, FleetView, Limits, LimitsError, OperatorAnswer, OperatorCall,
+};
+use violetwind_storm::fleet::{World, node_name};
 
 fn settled(seed: u64, voters: usize, others: usize) -> World {
     let mut world = World::new(seed, voters, others);
-    world.run(4000);
-    assert_eq!(world.wrong, None, "seed {seed}");
+    world.run_for(4000);
+    assert_eq!(world.violation, None, "seed {seed}");
     for duty in &world.duties {
         assert!(world.holder(duty).is_some(), "seed {seed}: {duty}");
     }
@@ -15,25 +17,25 @@
 
 /// Runs until a duty is held by another; how long it was held by nobody at most.
 fn handed_on(world: &mut World, duty: &str, from: &str, within: u64) -> u64 {
-    world.longest_free = 0;
+    world.longest_unheld = 0;
     let until = world.now + within;
     while world.now < until && world.holder(duty).is_none_or(|holder| holder == from) {
         world.step();
     }
-    assert_eq!(world.wrong, None);
+    assert_eq!(world.violation, None);
     let holder = world.holder(duty);
     assert!(
         holder.as_ref().is_some_and(|holder| holder != from),
         "{duty}: {holder:?} after {within} ms"
     );
-    world.longest_free
+    world.longest_unheld
 }
 
-fn view(world: &mut World, at: &str) -> View {
-    let number = world.call(at, violetwind_fleet::Call::View);
+fn view(world: &mut World, at: &str) -> FleetView {
+    let number = world.submit_call(at, violetwind_fleet::OperatorCall::FleetView);
     for _ in 0..400 {
         if let Some(answer) = world.answers.remove(&number) {
-            let Answer::View(view) = answer else {
+            let OperatorAnswer::FleetView(view) = answer else {
                 panic!("{answer:?}");
             };
             return view;
@@ -43,12 +45,12 @@
     panic!("no answer");
 }
 
-fn order(world: &mut World, at: &str, order: Order) -> Answer {
-    let mut number = world.order(at, order.clone());
+fn order(world: &mut World, at: &str, order: FleetAction) -> OperatorAnswer {
+    let mut number = world.submit_order(at, order.clone());
     for _ in 0..400 {
         match world.answers.remove(&number) {
-            Some(Answer::Refused(why)) if why.starts_with("not done yet") => {
-                number = world.order(at, order.clone());
+            Some(OperatorAnswer::Refused(why)) if why.starts_with("not done yet") => {
+                number = world.submit_order(at, order.clone());
             }
             Some(answer) => return answer,
             None => world.step(),
@@ -63,13 +65,13 @@
         for (voters, others) in [(3, 0), (3, 3), (5, 0)] {
             let mut world = settled(seed, voters, others);
             let holder = world.holder("export").unwrap();
-            world.kill(&holder);
+            world.kill_process(&holder);
             let limits = Limits::default();
             handed_on(
                 &mut world,
                 "export",
                 &holder,
-                limits.granted() + 2 * limits.log.election + 200,
+                limits.granted_lease_duration() + 2 * limits.consensus.election_timeout + 200,
             );
         }
     }
@@ -80,26 +82,26 @@
     for seed in 0..20 {
         let mut world = settled(seed, 3, 2);
         let holder = world.holder("export").unwrap();
-        world.quit(&holder);
+        world.shut_down_process(&holder);
         let free = handed_on(&mut world, "export", &holder, 500);
         assert!(free <= 300, "seed {seed}: {free} ms");
         // The leader too: it hands on what it holds, and then the lead.
-        world.start(&holder);
-        world.run(2000);
+        world.start_process(&holder);
+        world.run_for(2000);
         let leader = world.leader().unwrap();
-        world.longest_free = 0;
-        world.quit(&leader);
-        world.run(2500);
+        world.longest_unheld = 0;
+        world.shut_down_process(&leader);
+        world.run_for(2500);
         assert!(
-            world.longest_free <= 300,
+            world.longest_unheld <= 300,
             "seed {seed}: {} ms",
-            world.longest_free
+            world.longest_unheld
         );
         assert!(
             world.leader().is_some_and(|now| now != leader),
             "seed {seed}"
         );
-        assert_eq!(world.wrong, None);
+        assert_eq!(world.violation, None);
     }
 }
 
@@ -108,35 +110,35 @@
     for seed in 0..10 {
         let mut world = settled(seed, 3, 2);
         let holder = world.holder("sweep").unwrap();
-        let to = (0..5).map(name).find(|to| *to != holder).unwrap();
-        world.longest_free = 0;
-        let wanted = Order::HandOn {
+        let to = (0..5).map(node_name).find(|to| *to != holder).unwrap();
+        world.longest_unheld = 0;
+        let wanted = FleetAction::HandOffDuty {
             duty: "sweep".into(),
-            to: Some(to.clone()),
+            preferred_holder: Some(to.clone()),
         };
-        assert_eq!(order(&mut world, "node-4", wanted), Answer::Done);
-        world.run(500);
+        assert_eq!(order(&mut world, "node-4", wanted), OperatorAnswer::Done);
+        world.run_for(500);
         assert_eq!(world.holder("sweep"), Some(to), "seed {seed}");
         assert!(
-            world.longest_free <= 300,
+            world.longest_unheld <= 300,
             "seed {seed}: {} ms",
-            world.longest_free
+            world.longest_unheld
         );
-        let nobody = Order::HandOn {
+        let nobody = FleetAction::HandOffDuty {
             duty: "sweep".into(),
-            to: Some("node-9".into()),
+            preferred_holder: Some("node-9".into()),
         };
         assert!(matches!(
             order(&mut world, "node-1", nobody),
-            Answer::Refused(_)
+            OperatorAnswer::Refused(_)
         ));
-        let unknown = Order::HandOn {
+        let unknown = FleetAction::HandOffDuty {
             duty: "dust".into(),
-            to: None,
+            preferred_holder: None,
         };
         assert!(matches!(
             order(&mut world, "node-1", unknown),
-            Answer::Refused(_)
+            OperatorAnswer::Refused(_)
         ));
     }
 }
@@ -146,14 +148,14 @@
     for seed in 0..20 {
         let mut world = settled(seed, 3, 2);
         let holder = world.holder("export").unwrap();
-        let lease = world.limits.lease;
-        world.hosts.get_mut(&holder).unwrap().stopped = world.now + 3 * lease;
+        let lease = world.limits.lease_duration;
+        world.hosts.get_mut(&holder).unwrap().stopped_until = world.now + 3 * lease;
         handed_on(&mut world, "export", &holder, 2 * lease);
-        world.run(3 * lease);
-        assert_eq!(world.wrong, None, "seed {seed}");
+        world.run_for(3 * lease);
+        assert_eq!(world.violation, None, "seed {seed}");
         assert!(
             world
-                .told
+                .event_log
                 .iter()
                 .any(|line| line.contains(&holder) && line.contains("Stalled"))
         );
@@ -166,17 +168,20 @@
         for kind in 0..4 {
             let mut world = settled(seed, 3, 2);
             let holder = world.holder("export").unwrap();
-            let rest: Vec<_> = (0..5).map(name).filter(|name| *name != holder).collect();
+            let rest: Vec<_> = (0..5)
+                .map(node_name)
+                .filter(|name| *name != holder)
+                .collect();
             let leader = vec![world.leader().unwrap()];
             let one = vec![holder.clone()];
             match kind {
-                0 => world.part(&one, &rest, true),
-                1 => world.part(&one, &rest, false),
-                2 => world.part(&rest, &one, false),
-                _ => world.part(&one, &leader, true),
+                0 => world.cut_links(&one, &rest, true),
+                1 => world.cut_links(&one, &rest, false),
+                2 => world.cut_links(&rest, &one, false),
+                _ => world.cut_links(&one, &leader, true),
             }
-            world.run(8000);
-            assert_eq!(world.wrong, None, "seed {seed}, kind {kind}");
+            world.run_for(8000);
+            assert_eq!(world.violation, None, "seed {seed}, kind {kind}");
             if holder != leader[0] || kind < 3 {
                 assert!(
                     world
@@ -185,8 +190,8 @@
                     "seed {seed}, kind {kind}"
                 );
             }
-            world.heal();
-            assert_eq!(world.wrong, None, "seed {seed}, kind {kind}");
+            world.heal_and_check();
+            assert_eq!(world.violation, None, "seed {seed}, kind {kind}");
         }
     }
 }
@@ -195,23 +200,23 @@
 fn without_a_majority_nobody_holds_and_the_view_says_why() {
     for seed in 0..10 {
         let mut world = settled(seed, 5, 0);
-        let names: Vec<_> = (0..5).map(name).collect();
-        world.part(&names[..2], &names[2..], true);
-        world.run(5000);
+        let names: Vec<_> = (0..5).map(node_name).collect();
+        world.cut_links(&names[..2], &names[2..], true);
+        world.run_for(5000);
         // The larger half goes on.
         let holder = world.holder("export").expect("three of five");
         assert!(names[2..].contains(&holder), "seed {seed}");
-        world.part(&names[2..4], &names[4..], true);
-        world.run(5000);
+        world.cut_links(&names[2..4], &names[4..], true);
+        world.run_for(5000);
         assert_eq!(
-            (world.holder("export"), world.wrong.clone()),
+            (world.holder("export"), world.violation.clone()),
             (None, None),
             "seed {seed}"
         );
         let view = view(&mut world, "node-0");
         assert!(!view.majority && view.why.is_some_and(|why| why.contains("answered for")));
-        world.heal();
-        assert_eq!(world.wrong, None, "seed {seed}");
+        world.heal_and_check();
+        assert_eq!(world.violation, None, "seed {seed}");
     }
 }
 
@@ -221,17 +226,17 @@
         let mut world = settled(seed, 3, 3);
         for _ in 0..3 {
             for at in 0..6 {
-                world.kill(&name(at));
-                world.hosts.get_mut(&name(at)).unwrap().back = Some(world.now + 20);
+                world.kill_process(&node_name(at));
+                world.hosts.get_mut(&node_name(at)).unwrap().restart_at = Some(world.now + 20);
             }
-            world.run(6000);
+            world.run_for(6000);
             assert!(
                 world.holder("export").is_some() && world.holder("sweep").is_some(),
                 "seed {seed}"
             );
         }
         // Fencing is checked by the world; snapshots were taken on the way.
-        assert_eq!(world.wrong, None, "seed {seed}");
+        assert_eq!(world.violation, None, "seed {seed}");
     }
 }
 
@@ -239,18 +244,18 @@
 fn a_rolling_restart_leaves_no_duty_free_for_longer_than_300_ms() {
     for seed in 0..10 {
         let mut world = settled(seed, 3, 0);
-        world.longest_free = 0;
+        world.longest_unheld = 0;
         for at in 0..3 {
-            world.quit(&name(at));
-            world.run(300);
-            world.start(&name(at));
-            world.run(2000);
+            world.shut_down_process(&node_name(at));
+            world.run_for(300);
+            world.start_process(&node_name(at));
+            world.run_for(2000);
         }
-        assert_eq!(world.wrong, None, "seed {seed}");
+        assert_eq!(world.violation, None, "seed {seed}");
         assert!(
-            world.longest_free <= 300,
+            world.longest_unheld <= 300,
             "seed {seed}: {} ms",
-            world.longest_free
+            world.longest_unheld
         );
     }
 }
@@ -260,13 +265,13 @@
     for seed in 0..10 {
         let mut world = settled(seed, 3, 0);
         let lost = (0..3)
-            .map(name)
+            .map(node_name)
             .find(|name| Some(name) != world.leader().as_ref())
             .unwrap();
-        world.empty(&lost);
-        world.start(&lost);
-        world.run(5000);
-        let member = |view: &View| {
+        world.wipe_directory(&lost);
+        world.start_process(&lost);
+        world.run_for(5000);
+        let member = |view: &FleetView| {
             view.members
                 .iter()
                 .find(|member| member.node == lost)
@@ -277,30 +282,38 @@
         assert_eq!(member(&seen).state, "stranger", "seed {seed}");
         assert!(
             world
-                .told
+                .event_log
                 .iter()
                 .any(|line| line.contains(&lost) && line.contains("Stranger"))
         );
         assert_eq!(
-            world.hosts[&lost].member.as_ref().unwrap().log(),
+            world.hosts[&lost]
+                .member
+                .as_ref()
+                .unwrap()
+                .consensus_status(),
             None,
             "it has no vote"
         );
         assert_eq!(
-            order(&mut world, "node-0", Order::LetIn { node: lost.clone() }),
-            Answer::Done
+            order(
+                &mut world,
+                "node-0",
+                FleetAction::AdmitMember { node: lost.clone() }
+            ),
+            OperatorAnswer::Done
         );
-        world.run(1000);
+        world.run_for(1000);
         assert!(member(&view(&mut world, "node-1")).votes, "seed {seed}");
         // With it there is a majority without one of the others.
         let other = (0..3)
-            .map(name)
+            .map(node_name)
             .find(|name| *name != lost && Some(name) != world.leader().as_ref())
             .unwrap();
-        world.kill(&other);
-        world.run(5000);
+        world.kill_process(&other);
+        world.run_for(5000);
         assert!(
-            world.holder("export").is_some() && world.wrong.is_none(),
+            world.holder("export").is_some() && world.violation.is_none(),
             "seed {seed}"
         );
     }
@@ -311,12 +324,16 @@
     for seed in 0..10 {
         let mut world = settled(seed, 3, 1);
         let out = world.holder("export").unwrap();
-        let at = (0..4).map(name).find(|name| *name != out).unwrap();
+        let at = (0..4).map(node_name).find(|name| *name != out).unwrap();
         assert_eq!(
-            order(&mut world, &at, Order::PutOut { node: out.clone() }),
-            Answer::Done
+            order(
+                &mut world,
+                &at,
+                FleetAction::EvictMember { node: out.clone() }
+            ),
+            OperatorAnswer::Done
         );
-        world.run(8000);
+        world.run_for(8000);
         assert!(
             world.holder("export").is_some_and(|holder| holder != out),
             "seed {seed}"
@@ -333,11 +350,15 @@
             "seed {seed}"
         );
         assert_eq!(
-            order(&mut world, &at, Order::LetIn { node: out.clone() }),
-            Answer::Done
+            order(
+                &mut world,
+                &at,
+                FleetAction::AdmitMember { node: out.clone() }
+            ),
+            OperatorAnswer::Done
         );
-        world.run(5000);
-        assert_eq!(world.wrong, None, "seed {seed}");
+        world.run_for(5000);
+        assert_eq!(world.violation, None, "seed {seed}");
         let seen = view(&mut world, &at);
         let member = seen
             .members
@@ -351,8 +372,8 @@
 #[test]
 fn a_fleet_is_formed_by_all_its_voters_or_not_at_all() {
     let mut world = World::new(5, 3, 1);
-    world.kill("node-2");
-    world.run(5000);
+    world.kill_process("node-2");
+    world.run_for(5000);
     assert_eq!(world.leader(), None);
     assert!(
         view(&mut world, "node-0")
@@ -360,16 +381,16 @@
             .is_some_and(|why| why.contains("node-2"))
     );
     // Emptied in the middle of it.
-    world.empty("node-1");
-    world.start("node-1");
-    world.start("node-2");
-    world.run(5000);
+    world.wipe_directory("node-1");
+    world.start_process("node-1");
+    world.start_process("node-2");
+    world.run_for(5000);
     assert!(
         world.leader().is_some() && world.holder("export").is_some(),
         "{:?}",
         view(&mut world, "node-0")
     );
-    assert_eq!(world.wrong, None);
+    assert_eq!(world.violation, None);
 }
 
 #[test]
@@ -377,8 +398,8 @@
     let mut world = settled(3, 3, 1);
     let begun = world.now;
     // The first is killed and its successor is there at once: its session still counts.
-    world.kill("node-3");
-    world.start("node-3");
+    world.kill_process("node-3");
+    world.start_process("node-3");
     while world.hosts["node-3"]
         .member
         .as_ref()
@@ -389,16 +410,21 @@
         world.step();
         assert!(world.now < begun + 6000);
     }
-    let lease = world.limits.lease;
+    let lease = world.limits.lease_duration;
     assert!(world.now - begun > lease / 2, "{} ms", world.now - begun);
-    assert!(world.told.iter().any(|line| line.contains("NameInUse")));
-    assert_eq!(world.wrong, None);
+    assert!(
+        world
+            .event_log
+            .iter()
+            .any(|line| line.contains("NameInUse"))
+    );
+    assert_eq!(world.violation, None);
 }
 
 #[test]
 fn three_hundred_sessions_on_three_voters() {
     let mut world = World::new(1, 3, 297);
-    world.run(6000);
+    world.run_for(6000);
     let at = world.leader().unwrap();
     let sessions = world.hosts[&at]
         .member
@@ -408,54 +434,57 @@
         .unwrap()
         .sessions()
         .len();
-    assert_eq!((sessions, world.wrong.clone()), (300, None));
-    let before = world.frames;
-    world.run(10_000);
-    let each = (world.frames - before) as f64 / 10.0 / 300.0;
+    assert_eq!((sessions, world.violation.clone()), (300, None));
+    let before = world.frames_sent;
+    world.run_for(10_000);
+    let each = (world.frames_sent - before) as f64 / 10.0 / 300.0;
     println!("{each:.1} frames a second and member");
     assert!(each < 8.0, "{each}");
     let holder = world.holder("export").unwrap();
-    world.kill(&holder);
+    world.kill_process(&holder);
     let limits = Limits::default();
     handed_on(
         &mut world,
         "export",
         &holder,
-        limits.granted() + 2 * limits.log.election + 200,
+        limits.granted_lease_duration() + 2 * limits.consensus.election_timeout + 200,
     );
 }
 
 #[test]
 fn a_gate_lets_nobody_pass_who_was_succeeded() {
-    let mut gate = Gate::default();
-    assert!(gate.pass(3) && gate.pass(3) && gate.pass(8));
-    assert!(!gate.pass(3) && !gate.pass(7) && gate.pass(8));
+    let mut gate = FenceGuard::default();
+    assert!(gate.admit(3) && gate.admit(3) && gate.admit(8));
+    assert!(!gate.admit(3) && !gate.admit(7) && gate.admit(8));
 }
 
 #[test]
 fn times_that_can_not_work_are_told() {
-    assert_eq!(Limits::with(2000, 500).check(), Ok(()));
+    assert_eq!(Limits::with_timeouts(2000, 500).validate(), Ok(()));
     assert_eq!(
-        Limits::with(1000, 500).check(),
-        Err(Unsound::LeaseTooShort { least: 1500 })
+        Limits::with_timeouts(1000, 500).validate(),
+        Err(LimitsError::LeaseTooShort { min_lease: 1500 })
     );
     let tight = Limits {
-        margin: 1500,
+        lease_margin: 1500,
         ..Limits::default()
     };
-    assert_eq!(tight.check(), Err(Unsound::MarginTooLong { most: 1000 }));
+    assert_eq!(
+        tight.validate(),
+        Err(LimitsError::MarginTooLong { max_margin: 1000 })
+    );
 }
 
 #[test]
 fn a_member_that_can_not_read_its_log_says_so_and_settles_nothing() {
-    use violetwind_consensus::{Disk, Member as Voter, Members, NodeId, Snapshot};
-    use violetwind_fleet::{Config, Event, Input, Member, Output, Saved};
+    use violetwind_consensus::{DurableState, Member as Voter, Members, NodeId, Snapshot};
+    use violetwind_fleet::{Config, Event, Input, Member, Output, SavedState};
     let members = Members(
         [(
             NodeId(7),
             Voter {
-                name: name(0),
-                votes: true,
+                name: node_name(0),
+                is_voter: true,
             },
         )]
         .into(),
@@ -466,23 +495,23 @@
         members,
         data: vec![9, 1, 2],
     };
-    let disk = Disk {
+    let disk = DurableState {
         term: 1,
         snapshot: Some(snapshot),
-        ..Disk::default()
+        ..DurableState::default()
     };
-    let saved = Saved {
-        formed: true,
-        disk,
-        ..Saved::new(NodeId(7))
+    let saved = SavedState {
+        is_formed: true,
+        consensus_state: disk,
+        ..SavedState::new(NodeId(7))
     };
     let config = Config {
-        work: false,
-        node: name(0),
-        peers: [(name(0), true)].into(),
+        work_enabled: false,
+        node: node_name(0),
+        peers: [(node_name(0), true)].into(),
         duties: vec!["export".into()],
         budgets: Vec::new(),
-        outside: Default::default(),
+        external_budgets: Default::default(),
         limits: Limits::default(),
     };
     let mut member = Member::new(config, Some(saved), 1, 1000);
@@ -496,16 +525,20 @@
                     assert!(why.contains("version 9"), "{why}");
                     halted += 1;
                 }
-                Output::Save(number, _) => saves.push(number),
+                Output::SaveRecord(number, _) => saves.push(number),
                 _ => {}
             }
         }
         saves
             .into_iter()
-            .for_each(|number| drop(member.handle(now, Input::Saved(number))));
+            .for_each(|number| drop(member.handle(now, Input::RecordsSaved(number))));
     }
     assert_eq!(
-        (halted, member.session(), member.holds("export", 12_000)),
+        (
+            halted,
+            member.session(),
+            member.held_fence("export", 12_000)
+        ),
         (1, None, None)
     );
 }
@@ -515,13 +548,16 @@
 #[test]
 fn who_is_put_out_stays_in_sight() {
     let mut world = World::new(5, 3, 1);
-    world.run(4000);
-    let node = name(3);
-    world.order(&name(0), Order::PutOut { node: node.clone() });
-    world.run(8000);
-    let seen = world.call(&name(0), Call::View);
-    world.run(500);
-    let Some(Answer::View(view)) = world.answers.get(&seen) else {
+    world.run_for(4000);
+    let node = node_name(3);
+    world.submit_order(
+        &node_name(0),
+        FleetAction::EvictMember { node: node.clone() },
+    );
+    world.run_for(8000);
+    let seen = world.submit_call(&node_name(0), OperatorCall::FleetView);
+    world.run_for(500);
+    let Some(OperatorAnswer::FleetView(view)) = world.answers.get(&seen) else {
         panic!("{:?}", world.answers.get(&seen))
     };
     let member = view.members.iter().find(|member| member.node == node);
@@ -538,17 +574,21 @@
 fn a_leader_that_others_have_followed_answers_no_order_by_its_own_books() {
     for seed in 0..10 {
         let mut world = settled(seed, 3, 1);
-        let node = name(3);
+        let node = node_name(3);
         let old = world.leader().expect("a leader");
-        let at = (0..3).map(name).find(|name| *name != old).unwrap();
-        world.hosts.get_mut(&old).unwrap().stopped = world.now + 6000;
-        world.run(3000);
-        let put_out = Order::PutOut { node: node.clone() };
-        assert_eq!(order(&mut world, &at, put_out), Answer::Done, "seed {seed}");
-        let number = world.order(&old, Order::LetIn { node: node.clone() });
-        world.hosts.get_mut(&old).unwrap().stopped = 0;
-        world.run(1000);
-        let done = world.answers.get(&number) == Some(&Answer::Done);
+        let at = (0..3).map(node_name).find(|name| *name != old).unwrap();
+        world.hosts.get_mut(&old).unwrap().stopped_until = world.now + 6000;
+        world.run_for(3000);
+        let put_out = FleetAction::EvictMember { node: node.clone() };
+        assert_eq!(
+            order(&mut world, &at, put_out),
+            OperatorAnswer::Done,
+            "seed {seed}"
+        );
+        let number = world.submit_order(&old, FleetAction::AdmitMember { node: node.clone() });
+        world.hosts.get_mut(&old).unwrap().stopped_until = 0;
+        world.run_for(1000);
+        let done = world.answers.get(&number) == Some(&OperatorAnswer::Done);
         let seen = view(&mut world, &at);
         let mut members = seen.members.into_iter();
         let member = members.find(|member| member.node == node).unwrap();
--- a/crates/fleet/tests/lowered_wholes.rs
+++ b/crates/fleet/tests/lowered_wholes.rs
@@ -3,8 +3,8 @@
 //!
 //! `VIOLETWIND_SEEDS=1500 cargo test --release -p violetwind-fleet --test lowered_wholes` plays more seeds than CI does.
 
-use violetwind_fleet::budget::{Def, Kind};
-use violetwind_storm::fleet::{Planted, World, name};
+use violetwind_fleet::budget::{BudgetDefinition, BudgetKind};
+use violetwind_storm::fleet::{InjectedBug, World, node_name};
 
 const MEMBERS: usize = 5;
 const WHOLE: u64 = 60;
@@ -13,14 +13,14 @@
 const FALLS_WITHIN: u64 = 15_000;
 const SEEDS_IN_CI: u64 = 40;
 
-fn held(whole: u64, version: u64) -> Def {
-    Def {
+fn held(whole: u64, version: u64) -> BudgetDefinition {
+    BudgetDefinition {
         name: "tenant".into(),
-        kind: Kind::Held,
-        whole,
+        kind: BudgetKind::Concurrent,
+        total: whole,
         floor: 1,
         window: 0,
-        members: MEMBERS as u64,
+        max_members: MEMBERS as u64,
         version,
     }
 }
@@ -47,50 +47,52 @@
     let leader = world.leader()?;
     let state = world.hosts[&leader].member.as_ref()?.state()?;
     let budget = state.budgets().get("tenant")?;
-    let whole = budget.def().whole;
+    let whole = budget.definition().total;
     let floors = whole.saturating_sub(budget.pool());
-    Some((whole, floors + budget.given()))
+    Some((whole, floors + budget.allocated()))
 }
 
 fn press_all(world: &mut World) {
-    world.press = (0..MEMBERS).map(|at| (name(at), 0.2)).collect();
+    world.demand = (0..MEMBERS).map(|at| (node_name(at), 0.2)).collect();
 }
 
 /// A member comes back with a file that lowers the whole, before, in the middle of, or after other troubles; then links are
 /// up and files stay. How long it takes until no more is given out than the whole.
 fn lower(seed: u64) -> Result<u64, String> {
     let mut draw = Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    let mut world = World::with_budgets(seed, 3, 2, Planted::Nothing, vec![held(WHOLE, 1)]);
+    let mut world = World::with_budgets(seed, 3, 2, InjectedBug::Nothing, vec![held(WHOLE, 1)]);
     if seed % 2 == 1 {
-        world = world.counted_outside(&["tenant"]);
+        world = world.with_external_budgets(&["tenant"]);
     }
     press_all(&mut world);
-    world.run(4000);
+    world.run_for(4000);
     if !draw.one_in(3) {
-        world.trouble(draw.below(4000));
+        world.run_random_faults(draw.below(4000));
         press_all(&mut world);
     }
-    world.run(draw.below(700));
-    let lowers = name(draw.below(MEMBERS as u64) as usize);
-    world.files.insert(lowers.clone(), vec![held(LOWERED, 2)]);
-    world.kill(&lowers);
+    world.run_for(draw.below(700));
+    let lowers = node_name(draw.below(MEMBERS as u64) as usize);
+    world
+        .budget_overrides
+        .insert(lowers.clone(), vec![held(LOWERED, 2)]);
+    world.kill_process(&lowers);
     let away = [0, draw.below(200), draw.below(3000)][draw.below(3) as usize];
-    world.run(away);
-    world.start(&lowers);
+    world.run_for(away);
+    world.start_process(&lowers);
     if draw.one_in(2) {
-        world.trouble(draw.below(3000));
+        world.run_random_faults(draw.below(3000));
         press_all(&mut world);
     } else if draw.one_in(2) {
-        world.run(draw.below(300));
+        world.run_for(draw.below(300));
         if let Some(leader) = world.leader() {
-            world.kill(&leader);
-            world.run(draw.below(100));
-            world.start(&leader);
+            world.kill_process(&leader);
+            world.run_for(draw.below(100));
+            world.start_process(&leader);
         }
     }
     let from = world.now;
     loop {
-        if let Some(wrong) = &world.wrong {
+        if let Some(wrong) = &world.violation {
             return Err(wrong.clone());
         }
         let given = given_out(&world);
--- a/crates/fleet/tests/seeds.rs
+++ b/crates/fleet/tests/seeds.rs
@@ -1,13 +1,13 @@
 //! Members under thousands of seeds of faults, and errors planted in the host that the books have to find.
 
-use violetwind_storm::fleet::{Planted, World};
+use violetwind_storm::fleet::{InjectedBug, World};
 
-fn play(seed: u64, voters: usize, others: usize, planted: Planted) -> World {
-    let mut world = World::planted(seed, voters, others, planted);
-    world.run(4000);
+fn play(seed: u64, voters: usize, others: usize, planted: InjectedBug) -> World {
+    let mut world = World::with_injected_bug(seed, voters, others, planted);
+    world.run_for(4000);
     for _ in 0..2 {
-        if world.wrong.is_none() {
-            world.trouble(12_000);
+        if world.violation.is_none() {
+            world.run_random_faults(12_000);
         }
     }
     world
@@ -17,12 +17,17 @@
     let mut sums = [0; 4];
     for seed in seeds {
         let (voters, others) = [(3, 0), (3, 3), (5, 2), (1, 2)][seed as usize % 4];
-        let world = play(seed, voters, others, Planted::Nothing);
+        let world = play(seed, voters, others, InjectedBug::Nothing);
         assert_eq!(
-            world.wrong, None,
+            world.violation, None,
             "seed {seed}, {voters} voters and {others} others"
         );
-        let counts = [world.leads, world.gained, world.lost, world.frames as usize];
+        let counts = [
+            world.elections_won,
+            world.duties_gained,
+            world.duties_lost,
+            world.frames_sent as usize,
+        ];
         sums.iter_mut()
             .zip(counts)
             .for_each(|(sum, count)| *sum += count);
@@ -73,12 +78,12 @@
 #[test]
 fn planted_errors_are_found() {
     for planted in [
-        Planted::LongerLease,
-        Planted::WildClocks,
-        Planted::AckBeforeSync,
-        Planted::DeafProgram,
+        InjectedBug::LongerLease,
+        InjectedBug::WildClocks,
+        InjectedBug::AckBeforeSync,
+        InjectedBug::DeafProgram,
     ] {
-        let found = (0..300).find_map(|seed| Some((seed, play(seed, 3, 2, planted).wrong?)));
+        let found = (0..300).find_map(|seed| Some((seed, play(seed, 3, 2, planted).violation?)));
         let (seed, what) = found.unwrap_or_else(|| panic!("{planted:?} is not found"));
         println!("{planted:?}: seed {seed}, {what}");
     }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -4,34 +4,34 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use crate::model::{Outcome, PolicyKind, run};
+use crate::model::{Outcome, PolicyKind, simulate};
 use crate::scenario::Scenario;
 use crate::stats::Estimate;
 
 /// One side of a comparison.
 #[derive(Clone, Debug)]
-pub struct Side {
+pub struct Variant {
     pub scenario: Scenario,
     pub policy: PolicyKind,
 }
 
 /// The three figures of service, in this order everywhere.
-pub const FIGURES: [&str; 3] = ["whole run", "worst 10 s", "worst class"];
+pub const SERVICE_METRICS: [&str; 3] = ["whole run", "worst 10 s", "worst class"];
 
-pub fn figures(outcome: &Outcome) -> [f64; 3] {
+pub fn service_metrics(outcome: &Outcome) -> [f64; 3] {
     [outcome.service, outcome.worst_stretch, outcome.worst_class]
 }
 
 /// Seeds that are played before an early stop is thought of.
 const LEAST: usize = 5;
 
-pub fn threads(asked: Option<usize>) -> usize {
+pub fn thread_count(asked: Option<usize>) -> usize {
     let there = std::thread::available_parallelism().map_or(1, NonZeroUsize::get);
     asked.unwrap_or(there).clamp(1, 64)
 }
 
 /// Plays each side with each seed, `threads` at a time; outcomes come in the order of the seeds.
-pub fn play(sides: &[Side], seeds: &[u64], threads: usize) -> Vec<Vec<Outcome>> {
+pub fn run_variants(sides: &[Variant], seeds: &[u64], threads: usize) -> Vec<Vec<Outcome>> {
     let jobs: Vec<(usize, usize)> = (0..seeds.len())
         .flat_map(|seed| (0..sides.len()).map(move |side| (side, seed)))
         .collect();
@@ -42,7 +42,7 @@
             scope.spawn(|| {
                 while let Some(&(side, seed)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let at = &sides[side];
-                    let outcome = run(&at.scenario, at.policy, seeds[seed]);
+                    let outcome = simulate(&at.scenario, at.policy, seeds[seed]);
                     done.lock().expect("no panic").push((side, seed, outcome));
                 }
             });
@@ -60,16 +60,22 @@
 /// The paired difference of two sides, figure by figure.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    pub sides: [[Estimate; 3]; 2],
+    pub estimates: [[Estimate; 3]; 2],
     /// The second less the first.
     pub difference: [Estimate; 3],
-    pub seeds: usize,
-    pub breaches: [usize; 2],
-    pub moves: [f64; 2],
+    pub seed_count: usize,
+    pub breach_counts: [usize; 2],
+    pub mean_moves: [f64; 2],
 }
 
 /// Plays seeds in batches until every interval is as fine as wanted, or all are played.
-pub fn compare(a: &Side, b: &Side, seeds: &[u64], precision: f64, threads: usize) -> Comparison {
+pub fn compare_variants(
+    a: &Variant,
+    b: &Variant,
+    seeds: &[u64],
+    precision: f64,
+    threads: usize,
+) -> Comparison {
     let sides = [a.clone(), b.clone()];
     let mut outcomes: [Vec<Outcome>; 2] = Default::default();
     let mut played = 0;
@@ -77,7 +83,10 @@
         let batch = seeds[played..].iter().take(threads.max(LEAST));
         let batch: Vec<u64> = batch.copied().collect();
         played += batch.len();
-        for (all, more) in outcomes.iter_mut().zip(play(&sides, &batch, threads)) {
+        for (all, more) in outcomes
+            .iter_mut()
+            .zip(run_variants(&sides, &batch, threads))
+        {
             all.extend(more);
         }
         let comparison = weigh(&outcomes);
@@ -90,24 +99,27 @@
 
 fn weigh(outcomes: &[Vec<Outcome>; 2]) -> Comparison {
     let column = |side: usize, figure: usize| -> Vec<f64> {
-        outcomes[side].iter().map(|o| figures(o)[figure]).collect()
+        outcomes[side]
+            .iter()
+            .map(|o| service_metrics(o)[figure])
+            .collect()
     };
-    let side = |side| [0, 1, 2].map(|figure| Estimate::of(&column(side, figure)));
+    let side = |side| [0, 1, 2].map(|figure| Estimate::from_samples(&column(side, figure)));
     let difference = [0, 1, 2].map(|figure| {
         let pairs = column(1, figure).into_iter().zip(column(0, figure));
         let pairs: Vec<f64> = pairs.map(|(b, a)| b - a).collect();
-        Estimate::of(&pairs)
+        Estimate::from_samples(&pairs)
     });
     let sum = |side: usize, of: fn(&Outcome) -> f64| -> f64 {
         let all = &outcomes[side];
         all.iter().map(of).sum::<f64>() / all.len().max(1) as f64
     };
     Comparison {
-        sides: [side(0), side(1)],
+        estimates: [side(0), side(1)],
         difference,
-        seeds: outcomes[0].len(),
-        breaches: [0, 1].map(|s| outcomes[s].iter().map(|o| o.breach_count).sum()),
-        moves: [0, 1].map(|s| sum(s, |o| o.moves as f64)),
+        seed_count: outcomes[0].len(),
+        breach_counts: [0, 1].map(|s| outcomes[s].iter().map(|o| o.breach_count).sum()),
+        mean_moves: [0, 1].map(|s| sum(s, |o| o.moves as f64)),
     }
 }
 
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -12,8 +12,8 @@
 
 use serde_json::json;
 use violetwind_standins::consul::{Check, Consul, Instance, Maintenance};
-use violetwind_standins::unused;
-use violetwind_standins::worker::{Fault, Worker};
+use violetwind_standins::echo_server::{EchoServer, Fault};
+use violetwind_standins::unused_addr;
 
 /// Nothing new reaches a server this long after the proxies can know of its drain: the time that Consul
 /// takes to tell them, and the rule's 300 ms.
@@ -23,14 +23,14 @@
 const LATE: Duration = Duration::from_millis(300);
 
 #[derive(Clone, Debug)]
-pub struct Plan {
-    pub proxy: PathBuf,
+pub struct FleetOptions {
+    pub proxy_program: PathBuf,
     pub proxies: usize,
     pub servers: usize,
     pub clients: usize,
     pub seconds: f64,
     /// Print a line a second.
-    pub live: bool,
+    pub print_progress: bool,
 }
 
 /// What clients saw, counted by themselves.
@@ -69,7 +69,7 @@
 }
 
 impl Report {
-    pub fn sound(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.lost == 0 && self.twice == 0 && self.late_at_drained == 0 && self.harmed_by_flap == 0
     }
 }
@@ -96,13 +96,13 @@
         fleet: usize,
         consul: SocketAddr,
     ) -> std::io::Result<Self> {
-        let addr = unused();
+        let addr = unused_addr();
         let name = format!("violetwind-fleet-{}-{number}", std::process::id());
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir)?;
         let config = json!({
             "name": format!("n{number}"), "listen": addr.to_string(),
-            "discovery": unused().to_string(), "seed": format!("{:016x}", 0x8c1f + number),
+            "discovery": unused_addr().to_string(), "seed": format!("{:016x}", 0x8c1f + number),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"rev": 0, "all": true, "targets": []},
             "settings": {
@@ -153,18 +153,18 @@
 }
 
 /// Plays a small day: a flap of half the checks, a drain, a death; each by a part of the time.
-pub fn run(plan: &Plan) -> Result<Report, String> {
+pub fn run_fleet(plan: &FleetOptions) -> Result<Report, String> {
     let told = |error: std::io::Error| error.to_string();
     let consul = Consul::start("agenda");
     let room = (3 * plan.clients / plan.servers.max(1)).max(8);
     let mut workers = Vec::new();
     for n in 0..plan.servers.max(3) {
-        workers.push(Worker::start(&format!("s-{n}"), room).map_err(told)?);
+        workers.push(EchoServer::start(&format!("s-{n}"), room).map_err(told)?);
     }
     consul.register_all(workers.iter().map(|w| Instance::new(&w.uid, w.addr)));
     let mut proxies = Vec::new();
     for n in 0..plan.proxies.max(1) {
-        let program = &plan.proxy;
+        let program = &plan.proxy_program;
         let proxy = Proxy::start(program, n, plan.proxies.max(1), consul.addr);
         proxies.push(proxy.map_err(|error| format!("{}: {error}", program.display()))?);
     }
@@ -200,13 +200,18 @@
     })
 }
 
-fn script(plan: &Plan, consul: &Consul, workers: &[Worker], seen: &Seen) -> (u64, usize) {
+fn script(
+    plan: &FleetOptions,
+    consul: &Consul,
+    workers: &[EchoServer],
+    seen: &Seen,
+) -> (u64, usize) {
     let start = Instant::now();
     let part = |part: f64| Duration::from_secs_f64(plan.seconds * part);
     let wait = |until: Duration| {
         let mut shown = Instant::now();
         while start.elapsed() < until {
-            if plan.live && shown.elapsed() >= Duration::from_secs(1) {
+            if plan.print_progress && shown.elapsed() >= Duration::from_secs(1) {
                 shown = Instant::now();
                 show(start, workers, seen);
             }
@@ -214,7 +219,7 @@
         }
     };
     let say = |what: &str| {
-        if plan.live {
+        if plan.print_progress {
             println!("{:5.1} s  {what}", start.elapsed().as_secs_f64());
         }
     };
@@ -234,22 +239,25 @@
     let harmed = harm() - before;
     let drained = &workers[0];
     say("s-0 drains");
-    consul.alter(&[&drained.uid], |i| i.maintenance = Maintenance::Service);
+    consul.update_instances(&[&drained.uid], |i| i.maintenance = Maintenance::Service);
     let told = Instant::now();
     wait(part(0.7));
-    let late = drained.opened_after(told + DRAIN);
+    let late = drained.count_opens_after(told + DRAIN);
     let dead = &workers[1];
     say("s-1 dies");
     dead.set_fault(Fault::Silent);
-    dead.reset_all();
+    dead.reset_connections();
     consul.set_check(&[&dead.uid], Check::Critical);
     wait(part(1.0));
     (harmed, late)
 }
 
-fn show(start: Instant, workers: &[Worker], seen: &Seen) {
+fn show(start: Instant, workers: &[EchoServer], seen: &Seen) {
     let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    let open: Vec<String> = workers.iter().map(|w| format!("{:3}", w.open())).collect();
+    let open: Vec<String> = workers
+        .iter()
+        .map(|w| format!("{:3}", w.open_connections()))
+        .collect();
     println!(
         "{:5.1} s  up {:4}  asked {:5}  refused {:4}  failed {:3}  moved {:4}  cut {:3}  lost {}  servers {}",
         start.elapsed().as_secs_f64(),
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -4,12 +4,12 @@
 
 pub mod experiment;
 pub mod fleet;
-pub mod hunt;
 pub mod model;
 pub mod replay;
 pub mod report;
 pub mod scenario;
+pub mod scenario_search;
 pub mod soak;
 pub mod stats;
 pub mod storm;
-pub mod storm_real;
+pub mod storm_processes;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -6,18 +6,20 @@
 
 use clap::{Args, Parser, Subcommand};
 use serde_json::json;
-use violetwind_lab::experiment::{self, FIGURES, Side, figures, play, score, threads};
+use violetwind_lab::experiment::{
+    self, SERVICE_METRICS, Variant, run_variants, score, service_metrics, thread_count,
+};
 use violetwind_lab::fleet;
-use violetwind_lab::hunt::{Quarry, hunt};
 use violetwind_lab::model::{Outcome, PolicyKind, WorkOutcome};
 use violetwind_lab::replay::Recording;
-use violetwind_lab::report::{self, Played};
+use violetwind_lab::report::{self, PolicyOutcomes};
 use violetwind_lab::scenario::Scenario;
-use violetwind_lab::soak::{Soak, soak};
+use violetwind_lab::scenario_search::{SearchTarget, search_scenarios};
+use violetwind_lab::soak::{SoakArgs, run_soak};
 use violetwind_lab::stats::Estimate;
-use violetwind_lab::{storm, storm_real};
-use violetwind_storm::fleet::Planted;
-use violetwind_storm::script::{Script, Shape};
+use violetwind_lab::{storm, storm_processes};
+use violetwind_storm::fleet::InjectedBug;
+use violetwind_storm::script::{Script, ScriptParameters};
 
 /// The fleet lab: whole fleets in simulated time, on the real decision module.
 #[derive(Debug, Parser)]
@@ -123,7 +125,7 @@
         seconds: f64,
         /// Plant an error, by name.
         #[arg(long, value_parser = planted)]
-        planted: Option<Planted>,
+        planted: Option<InjectedBug>,
         #[arg(long)]
         threads: Option<usize>,
         /// Findings go there as scripts, one a file.
@@ -146,7 +148,7 @@
     },
     /// One real proxy a seed in traffic and troubles that the seed draws; each request is judged by the operators' clauses.
     /// Exit 1 where one was broken.
-    Soak(Soak),
+    Soak(SoakArgs),
     /// One value over a grid.
     Sweep {
         #[command(flatten)]
@@ -196,10 +198,10 @@
     replay_rate: f64,
 }
 
-fn planted(text: &str) -> Result<Planted, String> {
-    let found = Planted::NAMES.iter().find(|(name, _)| *name == text);
+fn planted(text: &str) -> Result<InjectedBug, String> {
+    let found = InjectedBug::NAMES.iter().find(|(name, _)| *name == text);
     found.map(|(_, planted)| *planted).ok_or_else(|| {
-        let names: Vec<&str> = Planted::NAMES.iter().map(|(name, _)| *name).collect();
+        let names: Vec<&str> = InjectedBug::NAMES.iter().map(|(name, _)| *name).collect();
         format!("expected one of {}", names.join(", "))
     })
 }
@@ -238,10 +240,10 @@
             "{name}: {} clients, {} repeats of refused ones, {} left out when recorded, end: {:?}",
             recording.clients.len(),
             recording.repeats,
-            recording.left,
+            recording.omitted,
             recording.end
         );
-        for (class, requests) in &recording.unknown {
+        for (class, requests) in &recording.unknown_classes {
             eprintln!(
                 "{name}: the scenario has no class `{class}`: {requests} requests passed over"
             );
@@ -251,7 +253,7 @@
             return Err(ExitCode::FAILURE);
         }
         let clients = recording.scaled(self.replay_times, self.replay_rate, 1);
-        scenario.replayed = Some(std::sync::Arc::new(clients));
+        scenario.recorded_clients = Some(std::sync::Arc::new(clients));
         Ok(scenario)
     }
 
@@ -306,12 +308,12 @@
             policy_b,
             precision,
         } => {
-            let a = Side {
+            let a = Variant {
                 scenario: common.read(&set_a)?,
                 policy: policy_a,
             };
             let second = b.as_ref().unwrap_or(&common.scenario);
-            let b = Side {
+            let b = Variant {
                 scenario: common.replayed(load(second, &[&common.set[..], &set_b].concat())?)?,
                 policy: policy_b,
             };
@@ -325,20 +327,20 @@
             clients,
             seconds,
         } => {
-            let plan = fleet::Plan {
-                proxy: proxy_program(proxy),
+            let plan = fleet::FleetOptions {
+                proxy_program: proxy_program(proxy),
                 proxies: proxies.into(),
                 servers: servers.into(),
                 clients: clients.into(),
                 seconds: seconds.into(),
-                live: true,
+                print_progress: true,
             };
-            let report = fleet::run(&plan).map_err(|error| {
+            let report = fleet::run_fleet(&plan).map_err(|error| {
                 eprintln!("{error}");
                 ExitCode::FAILURE
             })?;
             println!("{report:#?}");
-            Ok(match report.sound() {
+            Ok(match report.passed() {
                 true => ExitCode::SUCCESS,
                 false => ExitCode::FAILURE,
             })
@@ -349,27 +351,27 @@
             most,
         } => {
             let base = common.read(&[])?;
-            let Some(found) = hunt(&base, policy, common.seeds, most) else {
+            let Some(found) = search_scenarios(&base, policy, common.seeds, most) else {
                 println!("nothing in {most} scenarios");
                 return Ok(ExitCode::SUCCESS);
             };
             println!(
                 "# {:?}, policy {}, seed {}: found after {} scenarios, shrunk {} times",
-                found.quarry,
+                found.target,
                 policy.name(),
                 found.seed,
-                found.runs,
-                found.shrinks
+                found.scenarios_tried,
+                found.shrink_steps
             );
             print!("{}", found.scenario.to_toml());
-            Ok(match found.quarry {
-                Quarry::Broken(_) => ExitCode::FAILURE,
-                Quarry::Loss(_) => ExitCode::SUCCESS,
+            Ok(match found.target {
+                SearchTarget::Broken(_) => ExitCode::FAILURE,
+                SearchTarget::Loss(_) => ExitCode::SUCCESS,
             })
         }
         Command::Soak(asked) => {
             let program = proxy_program(asked.proxy.clone());
-            Ok(match soak(&asked, &program) {
+            Ok(match run_soak(&asked, &program) {
                 true => ExitCode::SUCCESS,
                 false => ExitCode::FAILURE,
             })
@@ -393,12 +395,12 @@
             json,
         } => {
             let planted = planted.unwrap_or_default();
-            let shape = Shape {
+            let shape = ScriptParameters {
                 voters: voters.into(),
-                others: others.into(),
+                non_voters: others.into(),
                 machines: machines.into(),
-                budgets: !no_budgets,
-                lasts: (seconds.clamp(0.1, 1e6) * 1e3) as u64,
+                has_budgets: !no_budgets,
+                fault_duration: (seconds.clamp(0.1, 1e6) * 1e3) as u64,
             };
             let told = |what: String| {
                 eprintln!("{what}");
@@ -415,14 +417,16 @@
                 }
             };
             if let Some(path) = &write {
-                let script = script.clone().unwrap_or_else(|| Script::draw(first, shape));
+                let script = script
+                    .clone()
+                    .unwrap_or_else(|| Script::generate(first, shape));
                 std::fs::write(path, script.to_toml())
                     .map_err(|error| told(format!("{}: {error}", path.display())))?;
             }
             if real {
-                let script = script.unwrap_or_else(|| Script::draw(first, shape));
+                let script = script.unwrap_or_else(|| Script::generate(first, shape));
                 let program = proxy_program(proxy);
-                let played = storm_real::play(&script, &program);
+                let played = storm_processes::play_on_processes(&script, &program);
                 println!("{played:#?}");
                 return Ok(if played.wrong.is_empty() {
                     ExitCode::SUCCESS
@@ -432,9 +436,9 @@
             }
             if let Some(script) = script {
                 let wrong = match &report {
-                    Some(page) => storm::report(&script, planted, page)
+                    Some(page) => storm::write_script_report(&script, planted, page)
                         .map_err(|error| told(format!("{}: {error}", page.display())))?,
-                    None => script.play(planted, 0).wrong,
+                    None => script.run(planted, 0).violation,
                 };
                 println!("{}", wrong.as_deref().unwrap_or("no promise broken"));
                 return Ok(if wrong.is_some() {
@@ -444,12 +448,12 @@
                 });
             }
             let begun = Instant::now();
-            let played = storm::campaign(first, seeds, shape, planted, threads(asked));
+            let played = storm::run_campaign(first, seeds, shape, planted, thread_count(asked));
             if let Some(page) = &report {
-                storm::report(&Script::draw(first, shape), planted, page)
+                storm::write_script_report(&Script::generate(first, shape), planted, page)
                     .map_err(|error| told(format!("{}: {error}", page.display())))?;
             }
-            let members = (shape.voters + shape.others) as f64;
+            let members = (shape.voters + shape.non_voters) as f64;
             let took = begun.elapsed().as_secs_f64();
             if json {
                 println!("{:#}", played.to_json());
@@ -457,35 +461,35 @@
                 println!(
                     "{} seeds, {} simulated s, {} faults, {} times a leader, {} duties gained, {} frames, {} machines worked on, \
                      {} units taken; {} seeds broke a promise; {took:.1} s, {:.0} node-seconds a second",
-                    played.seeds,
-                    played.millis / 1000,
+                    played.seed_count,
+                    played.simulated_ms / 1000,
                     played.faults,
-                    played.leads,
-                    played.gained,
+                    played.elections_won,
+                    played.duties_gained,
                     played.frames,
-                    played.done,
-                    played.taken,
-                    played.broken,
-                    played.millis as f64 / 1e3 * members / took
+                    played.machines_done,
+                    played.units_taken,
+                    played.failed_seeds,
+                    played.simulated_ms as f64 / 1e3 * members / took
                 );
             }
             for finding in &played.findings {
-                let seed = finding.drawn.seed;
+                let seed = finding.original.seed;
                 eprintln!(
                     "seed {seed}: {}; {} of {} faults are left after {} plays",
-                    finding.wrong,
-                    finding.least.faults.len(),
-                    finding.drawn.faults.len(),
-                    finding.plays
+                    finding.violation,
+                    finding.minimised.faults.len(),
+                    finding.original.faults.len(),
+                    finding.shrink_plays
                 );
                 if let Some(dir) = &findings {
                     let path = dir.join(format!("storm-{seed}.toml"));
                     let written = std::fs::create_dir_all(dir)
-                        .and_then(|()| std::fs::write(&path, finding.least.to_toml()));
+                        .and_then(|()| std::fs::write(&path, finding.minimised.to_toml()));
                     written.map_err(|error| told(format!("{}: {error}", path.display())))?;
                 }
             }
-            Ok(if played.broken > 0 {
+            Ok(if played.failed_seeds > 0 {
                 ExitCode::FAILURE
             } else {
                 ExitCode::SUCCESS
@@ -499,10 +503,10 @@
         } => {
             for value in values {
                 let scenario = common.read(&[format!("{key}={value}")])?;
-                let side = Side { scenario, policy };
-                let outcomes = play(&[side], &common.seeds(), threads(common.threads));
+                let side = Variant { scenario, policy };
+                let outcomes = run_variants(&[side], &common.seeds(), thread_count(common.threads));
                 print!("{key} = {value:<10}");
-                for (figure, name) in FIGURES.iter().enumerate() {
+                for (figure, name) in SERVICE_METRICS.iter().enumerate() {
                     print!("  {name} {}", shown(&estimate(&outcomes[0], figure)));
                 }
                 println!();
@@ -515,9 +519,9 @@
 fn estimate(outcomes: &[Outcome], figure: usize) -> Estimate {
     let column: Vec<f64> = outcomes
         .iter()
-        .map(|outcome| figures(outcome)[figure])
+        .map(|outcome| service_metrics(outcome)[figure])
         .collect();
-    Estimate::of(&column)
+    Estimate::from_samples(&column)
 }
 
 fn shown(estimate: &Estimate) -> String {
@@ -538,17 +542,17 @@
     common: &Common,
     report: Option<&Path>,
 ) -> ExitCode {
-    let side = |policy| Side {
+    let side = |policy| Variant {
         scenario: scenario.clone(),
         policy,
     };
     let sides = [
         side(policy),
         side(PolicyKind::Random),
-        side(PolicyKind::Bound),
+        side(PolicyKind::UpperBound),
     ];
     let start = Instant::now();
-    let outcomes = play(&sides, &common.seeds(), threads(common.threads));
+    let outcomes = run_variants(&sides, &common.seeds(), thread_count(common.threads));
     let took = start.elapsed().as_secs_f64();
     let own = &outcomes[0];
     if let Some(path) = report
@@ -578,7 +582,7 @@
             "random",
             "bound"
         );
-        for (n, name) in FIGURES.iter().enumerate() {
+        for (n, name) in SERVICE_METRICS.iter().enumerate() {
             let estimate = estimate(own, n);
             let (random, bound) = (plain(1, n), plain(2, n));
             let score = score(estimate.mean, random, bound);
@@ -642,7 +646,7 @@
 ) -> serde_json::Value {
     let own = &outcomes[0];
     let plain = |side: usize, figure| estimate(&outcomes[side], figure).mean;
-    let figures: serde_json::Map<String, serde_json::Value> = FIGURES
+    let figures: serde_json::Map<String, serde_json::Value> = SERVICE_METRICS
         .iter()
         .enumerate()
         .map(|(n, name)| {
@@ -670,39 +674,43 @@
 ) -> Result<(), Box<dyn std::error::Error>> {
     let names = [policy.name(), "random", "bound"];
     let played = names.iter().zip(outcomes);
-    let played: Vec<Played<'_>> = played
-        .map(|(name, outcomes)| Played { name, outcomes })
+    let played: Vec<PolicyOutcomes<'_>> = played
+        .map(|(name, outcomes)| PolicyOutcomes { name, outcomes })
         .collect();
-    std::fs::write(path, report::html(scenario, &played)?)?;
-    let csv = report::csv(scenario, &outcomes[0]);
+    std::fs::write(path, report::render_html(scenario, &played)?)?;
+    let csv = report::render_csv(scenario, &outcomes[0]);
     std::fs::write(path.with_extension("csv"), csv)?;
     let summary = format!("{:#}\n", summary(scenario, policy, outcomes));
     std::fs::write(path.with_extension("json"), summary)?;
     Ok(())
 }
 
-fn compare(a: &Side, b: &Side, precision: f64, common: &Common) {
+fn compare(a: &Variant, b: &Variant, precision: f64, common: &Common) {
     let seeds = common.seeds();
-    let comparison = experiment::compare(a, b, &seeds, precision, threads(common.threads));
+    let comparison =
+        experiment::compare_variants(a, b, &seeds, precision, thread_count(common.threads));
     if common.json {
-        let rows: Vec<_> = FIGURES
+        let rows: Vec<_> = SERVICE_METRICS
             .iter()
             .enumerate()
             .map(|(n, name)| {
                 let difference = comparison.difference[n];
-                json!({"figure": name, "a": comparison.sides[0][n].mean,
-                       "b": comparison.sides[1][n].mean, "difference": difference.mean,
-                       "half": difference.half, "seeds_needed": difference.seeds_for(precision)})
+                json!({"figure": name, "a": comparison.estimates[0][n].mean,
+                       "b": comparison.estimates[1][n].mean, "difference": difference.mean,
+                       "half": difference.half, "seeds_needed": difference.seeds_needed(precision)})
             })
             .collect();
-        println!("{:#}", json!({"seeds": comparison.seeds, "figures": rows}));
+        println!(
+            "{:#}",
+            json!({"seeds": comparison.seed_count, "figures": rows})
+        );
         return;
     }
-    println!("{} seeds, the same for both", comparison.seeds);
+    println!("{} seeds, the same for both", comparison.seed_count);
     println!("{:<12} {:>9} {:>9}  difference of b", "service", "a", "b");
-    for (n, name) in FIGURES.iter().enumerate() {
+    for (n, name) in SERVICE_METRICS.iter().enumerate() {
         let difference = comparison.difference[n];
-        let [one, two] = [0, 1].map(|side| comparison.sides[side][n].mean);
+        let [one, two] = [0, 1].map(|side| comparison.estimates[side][n].mean);
         let verdict = match difference.excludes_zero() {
             true if difference.mean > 0.0 => "better".to_string(),
             true => "worse".to_string(),
@@ -710,7 +718,7 @@
             false if difference.mean == 0.0 => "none".to_string(),
             false => format!(
                 "unsure, about {} seeds",
-                difference.seeds_for(difference.mean.abs())
+                difference.seeds_needed(difference.mean.abs())
             ),
         };
         println!(
@@ -720,6 +728,9 @@
     }
     println!(
         "moves a run {:.0} and {:.0}, broken rules {} and {}",
-        comparison.moves[0], comparison.moves[1], comparison.breaches[0], comparison.breaches[1]
+        comparison.mean_moves[0],
+        comparison.mean_moves[1],
+        comparison.breach_counts[0],
+        comparison.breach_counts[1]
     );
 }
