--- a/crates/lab/src/model/budgets.rs
+++ b/crates/lab/src/model/budgets.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use violetwind_balancer::api::{Allowance, QuotaKind, QuotaUsage, Seconds};
-use violetwind_fleet::budget::{Def, Divider, Kind, Meters, Part, Shares};
+use violetwind_fleet::budget::{
+    BudgetDefinition, BudgetKind, BudgetShares, Meters, Part, ShareAllocator,
+};
 use violetwind_fleet::{Limits, Name, Number, SessionId};
 
 use crate::scenario::{Budget, Scenario};
@@ -23,11 +25,11 @@
     known: Vec<(Name, violetwind_fleet::budget::Share)>,
 }
 
-pub struct Budgets {
-    divided: Vec<(Budget, Def)>,
+pub struct BudgetModel {
+    divided: Vec<(Budget, BudgetDefinition)>,
     limits: Limits,
-    shares: BTreeMap<Name, Shares>,
-    divider: Divider,
+    shares: BTreeMap<Name, BudgetShares>,
+    divider: ShareAllocator,
     members: Vec<Member>,
     next: Number,
     /// When what sessions left behind may be given again.
@@ -35,36 +37,36 @@
 }
 
 /// What a proxy is told, by its number.
-pub type Told = (usize, QuotaKind, Allowance);
+pub type AllowanceUpdate = (usize, QuotaKind, Allowance);
 
 fn ms(secs: Seconds) -> u64 {
     (secs * 1e3) as u64
 }
 
-impl Budgets {
+impl BudgetModel {
     pub fn new(set: &Scenario) -> Self {
         let members = set.proxies as u64;
-        let def = |budget: &Budget| Def {
-            name: format!("{:?}", budget.of),
-            kind: Kind::Rate,
-            whole: budget.whole,
+        let def = |budget: &Budget| BudgetDefinition {
+            name: format!("{:?}", budget.quota_kind),
+            kind: BudgetKind::Rate,
+            total: budget.total,
             floor: budget.floor,
             window: ms(budget.window),
-            members,
+            max_members: members,
             version: 1,
         };
-        let divided = set.budgets.iter().filter(|budget| budget.divided);
+        let divided = set.budgets.iter().filter(|budget| budget.divided_by_need);
         let divided: Vec<_> = divided
             .map(|budget| (budget.clone(), def(budget)))
             .collect();
         let shares = divided
             .iter()
-            .map(|(_, def)| (def.name.clone(), Shares::new(def.clone())));
+            .map(|(_, def)| (def.name.clone(), BudgetShares::new(def.clone())));
         let mut budgets = Self {
             shares: shares.collect(),
             divided,
             limits: Limits::default(),
-            divider: Divider::default(),
+            divider: ShareAllocator::default(),
             members: Vec::new(),
             next: 0,
             due: Vec::new(),
@@ -77,10 +79,10 @@
     }
 
     /// What proxies have from their start, before any exchange: fixed parts that sum to the whole, or floors.
-    pub fn first(&self, set: &Scenario, proxy: usize) -> Vec<(QuotaKind, Allowance)> {
+    pub fn initial_allowances(&self, set: &Scenario, proxy: usize) -> Vec<(QuotaKind, Allowance)> {
         let fixed = |budget: &Budget| {
-            let (whole, proxies) = (budget.whole, set.proxies as u64);
-            let units = match budget.divided {
+            let (whole, proxies) = (budget.total, set.proxies as u64);
+            let units = match budget.divided_by_need {
                 true => 0,
                 false => whole / proxies + u64::from((proxy as u64) < whole % proxies),
             };
@@ -92,13 +94,13 @@
                 whole,
                 wait: 0.0,
             };
-            (budget.of, allowance)
+            (budget.quota_kind, allowance)
         };
         // Cold servers have the module's own division where no other is asked for.
         let counted = set
             .budgets
             .iter()
-            .filter(|b| b.divided || b.of != QuotaKind::Cold);
+            .filter(|b| b.divided_by_need || b.quota_kind != QuotaKind::Cold);
         counted.map(fixed).collect()
     }
 
@@ -108,7 +110,7 @@
 
     fn member(&mut self, now: Seconds) -> Member {
         self.next += 1;
-        let defs: Vec<Def> = self.divided.iter().map(|(_, def)| def.clone()).collect();
+        let defs: Vec<BudgetDefinition> = self.divided.iter().map(|(_, def)| def.clone()).collect();
         let outside: BTreeSet<Name> = defs.iter().map(|def| def.name.clone()).collect();
         Member {
             session: self.next,
@@ -121,7 +123,7 @@
     }
 
     /// A proxy's process is gone: what it had stays aside for a window.
-    pub fn restarted(&mut self, now: Seconds, proxy: usize) {
+    pub fn handle_proxy_restart(&mut self, now: Seconds, proxy: usize) {
         if self.is_empty() {
             return;
         }
@@ -130,33 +132,35 @@
         for (_, def) in &self.divided {
             let shares = self.shares.get_mut(&def.name).expect("made for each");
             self.next += 1;
-            shares.strand(
+            shares.strand_share(
                 old.session,
                 (&proxy.to_string(), old.process),
                 None,
                 self.next,
             );
-            let window = def.window + 2 * (def.window * self.limits.drift_permille).div_ceil(1000);
+            let window =
+                def.window + 2 * (def.window * self.limits.max_clock_drift_permille).div_ceil(1000);
             self.due
                 .push((ms(now) + window + 1, def.name.clone(), self.next));
-            self.divider.touch(&def.name);
+            self.divider.mark_changed(&def.name);
         }
         let sessions: BTreeSet<SessionId> = self.members.iter().map(|m| m.session).collect();
-        self.divider.keep(|session| sessions.contains(&session));
+        self.divider
+            .retain_sessions(|session| sessions.contains(&session));
     }
 
     /// All tell what they use and need, and are told their parts.
-    pub fn exchange(
+    pub fn run_exchange(
         &mut self,
         now: Seconds,
         mut uses: impl FnMut(usize) -> Vec<QuotaUsage>,
-    ) -> Vec<Told> {
+    ) -> Vec<AllowanceUpdate> {
         let (at, limits) = (ms(now), self.limits.clone());
         let due = self.due.extract_if(.., |(due, ..)| *due <= at);
         for (_, name, number) in due.collect::<Vec<_>>() {
             if let Some(shares) = self.shares.get_mut(&name) {
-                shares.release(number);
-                self.divider.touch(&name);
+                shares.release_stranded(number);
+                self.divider.mark_changed(&name);
             }
         }
         for (proxy, member) in self.members.iter_mut().enumerate() {
@@ -164,30 +168,38 @@
                 let of = self
                     .divided
                     .iter()
-                    .find(|(budget, _)| budget.of == used.quota);
+                    .find(|(budget, _)| budget.quota_kind == used.quota);
                 if let Some((_, def)) = of {
                     let word = member.words.get(&def.name).copied().unwrap_or(0);
-                    member
-                        .meters
-                        .heard(&def.name, word, used.in_use, used.denied, at);
+                    member.meters.record_external_usage(
+                        &def.name,
+                        word,
+                        used.in_use,
+                        used.denied,
+                        at,
+                    );
                 }
             }
-            let needs = member.meters.needs(at, 1, &limits);
-            self.divider.need(member.session, &needs);
-            while let Some((need, to, version)) = member.meters.lowered(at, &limits, |_| false) {
+            let needs = member.meters.next_needs(at, 1, &limits);
+            self.divider.update_needs(member.session, &needs);
+            while let Some((need, to, version)) =
+                member.meters.next_share_to_lower(at, &limits, |_| false)
+            {
                 let (session, name) = (member.session, need.budget.clone());
-                self.divider.need(session, &[need]);
+                self.divider.update_needs(session, &[need]);
                 let shares = self.shares.get_mut(&name).expect("made for each");
-                if shares.lower(member.session, to, version) {
-                    self.divider.touch(&name);
+                if shares.lower_share(member.session, to, version) {
+                    self.divider.mark_changed(&name);
                 }
-                member.meters.now(&name, shares.share(member.session));
+                member
+                    .meters
+                    .update_share(&name, shares.share(member.session));
             }
         }
-        let (raises, _) = self.divider.divide(&self.shares, |_| 1);
+        let (raises, _) = self.divider.allocate(&self.shares, |_| 1);
         for (name, session, units, version) in raises {
             let shares = self.shares.get_mut(&name).expect("made for each");
-            shares.raise(session, units, version);
+            shares.raise_share(session, units, version);
         }
         let mut told = Vec::new();
         for (proxy, member) in self.members.iter_mut().enumerate() {
@@ -198,15 +210,17 @@
             let mine: Vec<_> = mine.collect();
             if mine != member.known {
                 member.version += 1;
-                member.meters.shares(member.version, &mine);
+                member.meters.set_shares(member.version, &mine);
                 member.known = mine;
             }
-            member.meters.lower(&self.divider.lower(member.session));
-            for (name, word, part) in member.meters.parts(at, FOR_EVER, &limits) {
+            member
+                .meters
+                .set_lower_targets(&self.divider.lower_targets(member.session));
+            for (name, word, part) in member.meters.changed_parts(at, FOR_EVER, &limits) {
                 let of = self.divided.iter().find(|(_, def)| def.name == name);
                 let Some((budget, _)) = of else { continue };
                 member.words.insert(name, word);
-                told.push((proxy, budget.of, allowance(budget, part)));
+                told.push((proxy, budget.quota_kind, allowance(budget, part)));
             }
         }
         told
@@ -219,7 +233,7 @@
         until: if part.until > 0 { f64::INFINITY } else { 0.0 },
         after: part.after,
         span: part.span as f64 / 1e3,
-        whole: budget.whole,
+        whole: budget.total,
         // Nothing that a client would wait for is a budget here.
         wait: 0.0,
     }
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -5,8 +5,8 @@
 mod policy;
 mod rules;
 mod server;
-mod world;
+mod simulation;
 
-pub use policy::{Policy, PolicyKind, Truth};
+pub use policy::{GroundTruth, Policy, PolicyKind};
 pub use rules::{Breach, Rule};
-pub use world::{Outcome, WorkOutcome, run};
+pub use simulation::{Outcome, WorkOutcome, simulate};
--- a/crates/lab/src/model/policy.rs
+++ b/crates/lab/src/model/policy.rs
@@ -8,16 +8,16 @@
 
 /// The true state of the servers, for the bound.
 #[derive(Debug, Default)]
-pub struct Truth {
+pub struct GroundTruth {
     /// The load over capacity at which a server serves most.
-    pub best_fill: f64,
+    pub optimal_utilisation: f64,
     /// Load over capacity, and the capacity; a server that takes nothing has no entry.
     pub servers: Vec<Option<(f64, f64)>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
-    Module,
+    Balancer,
     /// The module, whose moves are not carried out.
     NoMoves,
     Random,
@@ -26,21 +26,21 @@
     TwoChoices,
     /// Random, with a fault planted for tests of the lab itself: it goes on with what it had chosen for a
     /// while, whatever list comes.
-    Deaf,
+    IgnoresUpdates,
     /// Sees the true state at no cost and without delay: an upper bound for placement.
-    Bound,
+    UpperBound,
 }
 
 impl PolicyKind {
     pub const NAMES: [(&'static str, Self); 8] = [
-        ("module", Self::Module),
+        ("module", Self::Balancer),
         ("no-moves", Self::NoMoves),
         ("random", Self::Random),
         ("round-robin", Self::RoundRobin),
         ("least-connections", Self::LeastConnections),
         ("two-choices", Self::TwoChoices),
-        ("deaf", Self::Deaf),
-        ("bound", Self::Bound),
+        ("deaf", Self::IgnoresUpdates),
+        ("bound", Self::UpperBound),
     ];
 
     pub fn name(self) -> &'static str {
@@ -52,32 +52,32 @@
 /// One proxy's policy.
 #[derive(Debug)]
 pub enum Policy {
-    Module(Box<Balancer>, bool),
+    Balancer(Box<Balancer>, bool),
     Baseline(Box<Baseline>),
 }
 
 impl Policy {
     pub fn new(kind: PolicyKind, settings: &Settings, seed: u64) -> Self {
         match kind {
-            PolicyKind::Module | PolicyKind::NoMoves => {
-                let moves = kind == PolicyKind::Module;
-                Self::Module(Box::new(Balancer::new(settings.clone(), seed)), moves)
+            PolicyKind::Balancer | PolicyKind::NoMoves => {
+                let moves = kind == PolicyKind::Balancer;
+                Self::Balancer(Box::new(Balancer::new(settings.clone(), seed)), moves)
             }
             _ => Self::Baseline(Box::new(Baseline::new(kind, settings, seed))),
         }
     }
 
     /// What is used of budgets; baselines know none.
-    pub fn uses(&mut self, now: f64) -> Vec<QuotaUsage> {
+    pub fn quota_usage(&mut self, now: f64) -> Vec<QuotaUsage> {
         match self {
-            Self::Module(balancer, _) => balancer.quota_usage(now),
+            Self::Balancer(balancer, _) => balancer.quota_usage(now),
             Self::Baseline(_) => Vec::new(),
         }
     }
 
-    pub fn handle(&mut self, now: f64, event: Event, truth: &Truth, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: f64, event: Event, truth: &GroundTruth, out: &mut Vec<Action>) {
         match self {
-            Self::Module(balancer, moves) => {
+            Self::Balancer(balancer, moves) => {
                 balancer.handle_event(now, event, out);
                 if !*moves {
                     out.retain(|action| !matches!(action, Action::Move(_)));
@@ -133,7 +133,7 @@
         }
     }
 
-    fn handle(&mut self, now: Seconds, event: Event, truth: &Truth, out: &mut Vec<Action>) {
+    fn handle(&mut self, now: Seconds, event: Event, truth: &GroundTruth, out: &mut Vec<Action>) {
         match event {
             Event::Servers(kind, entries) => {
                 if matches!(kind, ListKind::Replace | ListKind::Restored) {
@@ -141,13 +141,13 @@
                         .values_mut()
                         .for_each(|server| server.0 = false);
                 }
-                let deaf = self.kind == PolicyKind::Deaf && kind == ListKind::Update;
+                let deaf = self.kind == PolicyKind::IgnoresUpdates && kind == ListKind::Update;
                 for entry in entries.into_iter().filter(|_| !deaf) {
                     let up = entry.status == Status::Up;
                     self.servers.entry(entry.server).or_default().0 = up;
                 }
             }
-            Event::Start if self.kind == PolicyKind::Bound => out.push(Action::Timer(LOOK, 0)),
+            Event::Start if self.kind == PolicyKind::UpperBound => out.push(Action::Timer(LOOK, 0)),
             Event::Timer(_) => {
                 self.relieve(truth, out);
                 out.push(Action::Timer(LOOK, 0));
@@ -205,7 +205,7 @@
         }
     }
 
-    fn place(&mut self, now: Seconds, id: RequestId, truth: &Truth, out: &mut Vec<Action>) {
+    fn place(&mut self, now: Seconds, id: RequestId, truth: &GroundTruth, out: &mut Vec<Action>) {
         let Some(waiting) = self.requests.get(&id) else {
             return;
         };
@@ -239,14 +239,15 @@
 
     /// The bound's moves: off each server that is too full the connection that is worth least for its
     /// load, while another has room for it, or where there is more than any order of work can serve.
-    fn relieve(&mut self, truth: &Truth, out: &mut Vec<Action>) {
+    fn relieve(&mut self, truth: &GroundTruth, out: &mut Vec<Action>) {
         let known = truth.servers.iter().flatten().map(|server| server.0);
         let lowest = known.fold(f64::INFINITY, f64::min);
-        let room = lowest < truth.best_fill - UNDER;
+        let room = lowest < truth.optimal_utilisation - UNDER;
         let mut least: BTreeMap<ServerId, (f64, RequestId)> = BTreeMap::new();
         for (&id, &server) in &self.on {
             let figure = truth.servers.get(server as usize).copied().flatten();
-            let Some((figure, _)) = figure.filter(|f| f.0 > truth.best_fill + OVER) else {
+            let Some((figure, _)) = figure.filter(|f| f.0 > truth.optimal_utilisation + OVER)
+            else {
                 continue;
             };
             let Some(&(worth, load)) = self.loads.get(&id) else {
@@ -260,7 +261,7 @@
         out.extend(least.into_values().map(|(_, id)| Action::Move(id)));
     }
 
-    fn choose(&mut self, id: RequestId, truth: &Truth) -> Option<ServerId> {
+    fn choose(&mut self, id: RequestId, truth: &GroundTruth) -> Option<ServerId> {
         let tried = &self.requests[&id].tried;
         let free = |(id, server): &(&ServerId, &(bool, usize))| server.0 && !tried.contains(id);
         let open = self.servers.iter().filter(free);
@@ -279,13 +280,13 @@
                 let (one, two) = (any(), any());
                 if one.1 <= two.1 { one.0 } else { two.0 }
             }
-            PolicyKind::Bound => {
+            PolicyKind::UpperBound => {
                 let figure = |id: ServerId| truth.servers.get(id as usize).copied().flatten();
                 let known = open
                     .iter()
                     .filter_map(|(id, _)| Some((*id, figure(*id)?.0)));
                 let best = known.min_by(|a, b| a.1.total_cmp(&b.1))?;
-                return (best.1 < truth.best_fill).then_some(best.0);
+                return (best.1 < truth.optimal_utilisation).then_some(best.0);
             }
             _ => any().0,
         })
--- a/crates/lab/src/model/rules.rs
+++ b/crates/lab/src/model/rules.rs
@@ -47,7 +47,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Rules {
+pub struct RuleChecker {
     requests: HashMap<u64, Request>,
     /// When each proxy was told that a server drains.
     drains: HashMap<(usize, u32), f64>,
@@ -57,15 +57,15 @@
     wholes: Vec<(QuotaKind, usize, f64)>,
     used: BTreeMap<(QuotaKind, Option<u32>), VecDeque<f64>>,
     pub breaches: Vec<Breach>,
-    pub count: usize,
+    pub breach_count: usize,
 }
 
-impl Rules {
+impl RuleChecker {
     pub fn new(budgets: &[Budget]) -> Self {
         let kept = budgets
             .iter()
-            .filter(|b| b.divided || b.of != QuotaKind::Cold);
-        let wholes = kept.map(|b| (b.of, b.whole as usize, b.window));
+            .filter(|b| b.divided_by_need || b.quota_kind != QuotaKind::Cold);
+        let wholes = kept.map(|b| (b.quota_kind, b.total as usize, b.window));
         Self {
             wholes: wholes.collect(),
             ..Self::default()
@@ -73,7 +73,7 @@
     }
 
     /// One more of what a budget may be of was used, at a server where each has its own count.
-    pub fn used(&mut self, now: f64, matter: QuotaKind, server: Option<u32>) {
+    pub fn record_use(&mut self, now: f64, matter: QuotaKind, server: Option<u32>) {
         let of = self.wholes.iter().find(|(of, ..)| *of == matter);
         let Some((_, whole, window)) = of.copied() else {
             return;
@@ -91,13 +91,13 @@
     }
 
     fn breach(&mut self, rule: Rule, at: f64, what: String) {
-        self.count += 1;
+        self.breach_count += 1;
         if self.breaches.len() < KEPT {
             self.breaches.push(Breach { rule, at, what });
         }
     }
 
-    pub fn asked(&mut self, id: u64, deadline: f64, effect: Idempotency) {
+    pub fn record_request(&mut self, id: u64, deadline: f64, effect: Idempotency) {
         let request = Request {
             deadline,
             answers: 0,
@@ -107,7 +107,7 @@
         self.requests.insert(id, request);
     }
 
-    pub fn answered(&mut self, now: f64, id: u64) {
+    pub fn record_answer(&mut self, now: f64, id: u64) {
         let Some(request) = self.requests.get_mut(&id) else {
             return self.breach(
                 Rule::Lost,
@@ -133,14 +133,14 @@
     }
 
     /// The client gave up itself, or its proxy is gone: nothing is owed.
-    pub fn excused(&mut self, id: u64) {
+    pub fn excuse_request(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.answers = request.answers.max(1);
         }
     }
 
     /// A server did what was asked.
-    pub fn ran(&mut self, now: f64, id: u64) {
+    pub fn record_execution(&mut self, now: f64, id: u64) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -151,7 +151,7 @@
         }
     }
 
-    pub fn drain_told(&mut self, now: f64, proxy: usize, server: u32, drains: bool) {
+    pub fn record_drain_notice(&mut self, now: f64, proxy: usize, server: u32, drains: bool) {
         match drains {
             true => drop(self.drains.entry((proxy, server)).or_insert(now)),
             false => drop(self.drains.remove(&(proxy, server))),
@@ -159,16 +159,16 @@
     }
 
     /// Whether a proxy has been told that a server drains.
-    pub fn drains(&self, proxy: usize, server: u32) -> bool {
+    pub fn knows_drain(&self, proxy: usize, server: u32) -> bool {
         self.drains.contains_key(&(proxy, server))
     }
 
     /// A proxy that starts anew has been told nothing.
-    pub fn proxy_forgets(&mut self, proxy: usize) {
+    pub fn forget_proxy_drains(&mut self, proxy: usize) {
         self.drains.retain(|(of, _), _| *of != proxy);
     }
 
-    pub fn sent(&mut self, now: f64, proxy: usize, server: u32) {
+    pub fn record_send(&mut self, now: f64, proxy: usize, server: u32) {
         if let Some(told) = self.drains.get(&(proxy, server))
             && now > told + DRAIN + SLACK
         {
@@ -180,7 +180,7 @@
     }
 
     /// What a server is asked for over what it can do now, while it is cold.
-    pub fn cold_load(&mut self, now: f64, server: u32, cold: bool, load: f64) {
+    pub fn record_cold_load(&mut self, now: f64, server: u32, cold: bool, load: f64) {
         if !cold || load <= FALL_MULTIPLE {
             self.over.remove(&server);
             return;
@@ -195,7 +195,7 @@
     }
 
     /// The end of the run: what is due by then and has no answer.
-    pub fn end(&mut self, now: f64) {
+    pub fn finish(&mut self, now: f64) {
         let due = |request: &Request| request.answers == 0 && request.deadline + SLACK < now;
         let mut lost: Vec<u64> = self
             .requests
--- a/crates/lab/src/model/world.rs
+++ b/crates/lab/src/model/simulation.rs
@@ -1,7 +1,7 @@
 //! The fleet: clients, proxies that run a policy, servers, and what goes wrong.
 
-mod shift;
 mod troubles;
+mod work_orders;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap};
@@ -12,20 +12,20 @@
 use rand_pcg::Pcg64Mcg;
 use violetwind_balancer::api::*;
 
-use super::budgets::Budgets;
-use super::policy::{Policy, PolicyKind, Truth};
-use super::rules::{Breach, Rules};
-use super::server::{Life, Server};
-use crate::replay::Recorded;
+use super::budgets::BudgetModel;
+use super::policy::{GroundTruth, Policy, PolicyKind};
+use super::rules::{Breach, RuleChecker};
+use super::server::{Server, ServerState};
+use crate::replay::RecordedClient;
 use crate::scenario::Scenario;
 
-use shift::Shift;
-pub use shift::WorkOutcome;
+pub use work_orders::WorkOutcome;
+use work_orders::WorkRun;
 
 /// A probe that is not answered is given up after this, and a server that brings nothing back is silent
 /// to those who are on it after this.
 const PROBE: f64 = 0.3;
-const SILENT: f64 = 4.0;
+const SILENCE_TIMEOUT: f64 = 4.0;
 /// Clients of a draining server move over such a time from such a time on.
 const DRAIN_WAIT: f64 = 0.7;
 const DRAIN_SPAN: f64 = 0.8;
@@ -65,11 +65,11 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum State {
+enum ClientState {
     /// Between two tries, or not there any more.
-    Away,
-    Asking(RequestId),
-    Up(RequestId, ServerId),
+    Disconnected,
+    Requesting(RequestId),
+    Connected(RequestId, ServerId),
 }
 
 #[derive(Debug)]
@@ -80,52 +80,52 @@
     zone: usize,
     load: f64,
     until: f64,
-    state: State,
+    state: ClientState,
     tries: usize,
     wants: bool,
 }
 
 #[derive(Debug)]
-struct Asked {
+struct ActiveRequest {
     client: usize,
     proxy: usize,
     at: f64,
     attempt: u32,
-    out: Option<ServerId>,
+    attempt_server: Option<ServerId>,
 }
 
 struct Proxy {
     zone: usize,
     policy: Policy,
     /// Counts its processes.
-    process: u32,
+    incarnation: u32,
     requests: BTreeSet<RequestId>,
 }
 
 #[derive(Clone, Debug)]
-enum Step {
-    Arrive,
-    Come(usize),
-    Leave(usize),
-    Change(usize, u32),
-    GiveUp(RequestId),
+enum SimEvent {
+    ClientArrival,
+    SendRequest(usize),
+    ClientDeparture(usize),
+    LoadChange(usize, u32),
+    ClientTimeout(RequestId),
     Timer(usize, u32, u64),
-    Arrived(RequestId, u32, ServerId),
-    Done(RequestId, u32, ServerId, u32),
-    TimeOut(RequestId, u32),
-    Ended(RequestId, u32, ServerId, Ending),
-    Probed(usize, u32, ServerId, Ending, Report),
-    Told(usize, ServerId, Status, Option<f64>),
-    Move(RequestId),
-    Silent(RequestId),
-    Look,
-    Exchange,
-    Begins(usize),
-    Ends(usize),
-    Restart(ServerId, bool),
-    Stop(ServerId),
+    AttemptArrival(RequestId, u32, ServerId),
+    SetupDone(RequestId, u32, ServerId, u32),
+    AttemptTimeout(RequestId, u32),
+    AttemptEnded(RequestId, u32, ServerId, Ending),
+    ProbeResult(usize, u32, ServerId, Ending, Report),
+    ListUpdate(usize, ServerId, Status, Option<f64>),
+    MoveClient(RequestId),
+    SilenceTimeout(RequestId),
+    Sample,
+    BudgetExchange,
+    TroubleStart(usize),
+    TroubleEnd(usize),
+    RestartServer(ServerId, bool),
+    StopServer(ServerId),
     /// Whoever conducts work looks again.
-    Conduct,
+    RunCoordinator,
 }
 
 type Ending = violetwind_balancer::api::Outcome;
@@ -134,7 +134,7 @@
 struct Due {
     at: u64,
     number: u64,
-    event: Step,
+    event: SimEvent,
 }
 
 impl PartialEq for Due {
@@ -154,31 +154,31 @@
     }
 }
 
-struct World<'a> {
-    set: &'a Scenario,
-    kind: PolicyKind,
+struct Simulation<'a> {
+    scenario: &'a Scenario,
+    policy_kind: PolicyKind,
     seed: u64,
     now: f64,
     heap: BinaryHeap<Reverse<Due>>,
     number: u64,
     arrivals: Pcg64Mcg,
     noise: Pcg64Mcg,
-    chance: Pcg64Mcg,
+    fault_rng: Pcg64Mcg,
     proxies: Vec<Proxy>,
     settings: Vec<Settings>,
     servers: Vec<Server>,
-    on: Vec<BTreeSet<RequestId>>,
+    connections_by_server: Vec<BTreeSet<RequestId>>,
     clients: Vec<Client>,
-    asked: HashMap<RequestId, Asked>,
+    requests: HashMap<RequestId, ActiveRequest>,
     next_id: RequestId,
-    truth: Truth,
-    rules: Rules,
-    budgets: Budgets,
-    shift: Option<Shift>,
+    truth: GroundTruth,
+    rules: RuleChecker,
+    budgets: BudgetModel,
+    work_run: Option<WorkRun>,
     cold_peak: f64,
-    rate: f64,
-    heavy: Option<(f64, f64, f64)>,
-    cut: Option<usize>,
+    arrival_rate: f64,
+    heavy_load: Option<(f64, f64, f64)>,
+    isolated_zone: Option<usize>,
     list_silent_until: f64,
     store_free: f64,
     /// Worth that is wanted now, by class, and since when that holds.
@@ -205,13 +205,13 @@
 }
 
 /// A stream of its own for each purpose.
-fn stream(seed: u64, purpose: u64) -> Pcg64Mcg {
+fn rng_stream(seed: u64, purpose: u64) -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ purpose)
 }
 
 /// Plays a scenario with a seed.
-pub fn run(set: &Scenario, kind: PolicyKind, seed: u64) -> Outcome {
-    let mut world = World::new(set, kind, seed);
+pub fn simulate(set: &Scenario, kind: PolicyKind, seed: u64) -> Outcome {
+    let mut world = Simulation::new(set, kind, seed);
     world.begin();
     while let Some(Reverse(entry)) = world.heap.pop() {
         let at = entry.at as f64 / 1e9;
@@ -225,57 +225,60 @@
     world.end()
 }
 
-impl<'a> World<'a> {
-    fn new(set: &'a Scenario, kind: PolicyKind, seed: u64) -> Self {
-        let mut machines = stream(seed, 1);
-        let servers: Vec<Server> = (0..set.servers)
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario, policy_kind: PolicyKind, seed: u64) -> Self {
+        let mut machines = rng_stream(seed, 1);
+        let servers: Vec<Server> = (0..scenario.servers)
             .map(|n| {
-                let differs = 1.0 + set.server.spread * machines.random_range(-1.0..=1.0);
+                let differs =
+                    1.0 + scenario.server.capacity_spread * machines.random_range(-1.0..=1.0);
                 Server::new(
-                    n % set.zones,
-                    set.server.capacity * differs,
-                    set.classes.len(),
+                    n % scenario.zones,
+                    scenario.server.capacity * differs,
+                    scenario.classes.len(),
                 )
             })
             .collect();
-        let settings: Vec<Settings> = (0..set.proxies).map(|n| settings(set, n)).collect();
+        let settings: Vec<Settings> = (0..scenario.proxies)
+            .map(|n| settings(scenario, n))
+            .collect();
         let proxies = settings.iter().enumerate().map(|(n, settings)| Proxy {
-            zone: n % set.zones,
-            policy: Policy::new(kind, settings, seed ^ (n as u64) << 20),
-            process: 0,
+            zone: n % scenario.zones,
+            policy: Policy::new(policy_kind, settings, seed ^ (n as u64) << 20),
+            incarnation: 0,
             requests: BTreeSet::new(),
         });
-        let seconds = set.seconds.ceil() as usize + 1;
+        let seconds = scenario.seconds.ceil() as usize + 1;
         Self {
-            kind,
+            policy_kind,
             seed,
             now: 0.0,
             heap: BinaryHeap::new(),
             number: 0,
-            arrivals: stream(seed, 2),
-            noise: stream(seed, 3),
-            chance: stream(seed, 4),
+            arrivals: rng_stream(seed, 2),
+            noise: rng_stream(seed, 3),
+            fault_rng: rng_stream(seed, 4),
             proxies: proxies.collect(),
             settings,
-            on: vec![BTreeSet::new(); servers.len()],
+            connections_by_server: vec![BTreeSet::new(); servers.len()],
             servers,
             clients: Vec::new(),
-            asked: HashMap::new(),
+            requests: HashMap::new(),
             next_id: 0,
-            truth: Truth::default(),
-            rules: Rules::new(&set.budgets),
-            budgets: Budgets::new(set),
-            shift: None,
+            truth: GroundTruth::default(),
+            rules: RuleChecker::new(&scenario.budgets),
+            budgets: BudgetModel::new(scenario),
+            work_run: None,
             cold_peak: 0.0,
-            rate: set.rate(),
-            heavy: None,
-            cut: None,
+            arrival_rate: scenario.arrival_rate(),
+            heavy_load: None,
+            isolated_zone: None,
             list_silent_until: 0.0,
             store_free: 0.0,
-            wanting: vec![0.0; set.classes.len()],
+            wanting: vec![0.0; scenario.classes.len()],
             wanting_since: 0.0,
-            served: vec![vec![0.0; set.classes.len()]; seconds],
-            wanted: vec![vec![0.0; set.classes.len()]; seconds],
+            served: vec![vec![0.0; scenario.classes.len()]; seconds],
+            wanted: vec![vec![0.0; scenario.classes.len()]; seconds],
             setups: Histogram::new_with_bounds(1, 600_000_000, 2).expect("sound bounds"),
             spread: (0.0, 0.0),
             counts: Counts {
@@ -285,11 +288,11 @@
                 ..Counts::default()
             },
             actions: Vec::new(),
-            set,
+            scenario,
         }
     }
 
-    fn at(&mut self, at: f64, event: Step) {
+    fn at(&mut self, at: f64, event: SimEvent) {
         self.number += 1;
         let entry = Due {
             at: (at.max(self.now) * 1e9) as u64,
@@ -299,7 +302,7 @@
         self.heap.push(Reverse(entry));
     }
 
-    fn after(&mut self, span: f64, event: Step) {
+    fn schedule_after(&mut self, span: f64, event: SimEvent) {
         self.at(self.now + span.max(0.0), event);
     }
 
@@ -307,49 +310,63 @@
         for proxy in 0..self.proxies.len() {
             self.start_proxy(proxy);
         }
-        match self.set.replayed.clone() {
+        match self.scenario.recorded_clients.clone() {
             Some(replayed) => self.replay(&replayed),
             None => self.make_up(),
         }
-        self.after(0.0, Step::Look);
+        self.schedule_after(0.0, SimEvent::Sample);
         if !self.budgets.is_empty() {
-            self.after(self.set.exchange, Step::Exchange);
+            self.schedule_after(self.scenario.exchange_interval, SimEvent::BudgetExchange);
         }
-        if let Some(work) = &self.set.work {
-            self.at(work.at, Step::Conduct);
+        if let Some(work) = &self.scenario.work {
+            self.at(work.start_at, SimEvent::RunCoordinator);
         }
-        for (n, trouble) in self.set.troubles.iter().enumerate() {
-            self.at(trouble.at, Step::Begins(n));
-            self.at(trouble.at + trouble.lasts, Step::Ends(n));
+        for (n, trouble) in self.scenario.troubles.iter().enumerate() {
+            self.at(trouble.at, SimEvent::TroubleStart(n));
+            self.at(trouble.at + trouble.lasts, SimEvent::TroubleEnd(n));
         }
     }
 
     /// Clients as they were recorded; what the recording does not know is drawn as for made-up ones.
-    fn replay(&mut self, replayed: &[Recorded]) {
-        for recorded in replayed.iter().filter(|r| r.at < self.set.seconds) {
-            let n = self.new_client(recorded.at);
+    fn replay(&mut self, replayed: &[RecordedClient]) {
+        for recorded in replayed
+            .iter()
+            .filter(|r| r.arrived_at < self.scenario.seconds)
+        {
+            let n = self.new_client(recorded.arrived_at);
             let client = &mut self.clients[n];
             client.class = recorded.class;
-            client.tenant = recorded.tenant.filter(|t| *t < self.set.demand.tenants);
-            client.group = recorded.group.filter(|_| self.set.demand.groups > 0);
+            client.tenant = recorded
+                .tenant
+                .filter(|t| *t < self.scenario.demand.tenants);
+            client.group = recorded.group.filter(|_| self.scenario.demand.groups > 0);
             client.load = recorded.load.unwrap_or(client.load);
-            if let Some(hold) = recorded.hold {
-                client.until = recorded.at + hold.max(0.1);
+            if let Some(hold) = recorded.held_for {
+                client.until = recorded.arrived_at + hold.max(0.1);
             }
-            self.at(recorded.at, Step::Come(n));
+            self.at(recorded.arrived_at, SimEvent::SendRequest(n));
         }
     }
 
     fn make_up(&mut self) {
         // Those who would be there already come one after the other.
-        let shares: f64 = self.set.classes.iter().map(|class| class.share).sum();
-        let hold = self.set.classes.iter().map(|c| c.share / shares * c.hold);
-        let there = (self.rate * hold.sum::<f64>()) as usize;
-        let within = self.set.warm_up.clamp(1.0, 10.0);
+        let shares: f64 = self
+            .scenario
+            .classes
+            .iter()
+            .map(|class| class.arrival_share)
+            .sum();
+        let hold = self
+            .scenario
+            .classes
+            .iter()
+            .map(|c| c.arrival_share / shares * c.mean_hold_time);
+        let there = (self.arrival_rate * hold.sum::<f64>()) as usize;
+        let within = self.scenario.warm_up.clamp(1.0, 10.0);
         for _ in 0..there {
             let at = self.arrivals.random_range(0.0..within);
             let client = self.new_client(at);
-            self.at(at, Step::Come(client));
+            self.at(at, SimEvent::SendRequest(client));
         }
         self.next_arrival();
     }
@@ -358,23 +375,23 @@
         let (now, proxies) = (self.now, &mut self.proxies);
         let told = self
             .budgets
-            .exchange(now, |proxy| proxies[proxy].policy.uses(now));
+            .run_exchange(now, |proxy| proxies[proxy].policy.quota_usage(now));
         for (proxy, matter, allowance) in told {
-            self.tell(proxy, Event::Allowance(matter, allowance));
+            self.deliver_event(proxy, Event::Allowance(matter, allowance));
         }
-        self.after(self.set.exchange, Step::Exchange);
+        self.schedule_after(self.scenario.exchange_interval, SimEvent::BudgetExchange);
     }
 
     fn start_proxy(&mut self, proxy: usize) {
-        for (matter, allowance) in self.budgets.first(self.set, proxy) {
-            self.tell(proxy, Event::Allowance(matter, allowance));
+        for (matter, allowance) in self.budgets.initial_allowances(self.scenario, proxy) {
+            self.deliver_event(proxy, Event::Allowance(matter, allowance));
         }
-        self.tell(proxy, Event::Start);
+        self.deliver_event(proxy, Event::Start);
         let entries = (0..self.servers.len())
-            .filter(|&n| self.servers[n].life == Life::Up)
-            .map(|n| self.entry(n as ServerId, Status::Up, self.servers[n].born))
+            .filter(|&n| self.servers[n].state == ServerState::Up)
+            .map(|n| self.entry(n as ServerId, Status::Up, self.servers[n].started_at))
             .collect();
-        self.tell(proxy, Event::Servers(ListKind::Replace, entries));
+        self.deliver_event(proxy, Event::Servers(ListKind::Replace, entries));
     }
 
     fn entry(&self, server: ServerId, status: Status, born: Option<f64>) -> Entry {
@@ -389,54 +406,63 @@
         }
     }
 
-    fn step(&mut self, event: Step) {
+    fn step(&mut self, event: SimEvent) {
         match event {
-            Step::Arrive => {
+            SimEvent::ClientArrival => {
                 let client = self.new_client(self.now);
                 self.come(client);
                 self.next_arrival();
             }
-            Step::Come(client) => self.come(client),
-            Step::Leave(client) => self.leave(client),
-            Step::Change(client, times) => self.change(client, times),
-            Step::GiveUp(id) => self.give_up(id),
-            Step::Timer(proxy, process, token) => {
-                if self.proxies[proxy].process == process {
-                    self.tell(proxy, Event::Timer(token));
+            SimEvent::SendRequest(client) => self.come(client),
+            SimEvent::ClientDeparture(client) => self.leave(client),
+            SimEvent::LoadChange(client, times) => self.change(client, times),
+            SimEvent::ClientTimeout(id) => self.give_up(id),
+            SimEvent::Timer(proxy, process, token) => {
+                if self.proxies[proxy].incarnation == process {
+                    self.deliver_event(proxy, Event::Timer(token));
                 }
             }
-            Step::Arrived(id, attempt, server) => self.arrived(id, attempt, server),
-            Step::Done(id, attempt, server, process) => self.done(id, attempt, server, process),
-            Step::TimeOut(id, attempt) => {
-                let out = self.asked.get(&id).filter(|asked| asked.attempt == attempt);
-                if let Some(server) = out.and_then(|asked| asked.out) {
+            SimEvent::AttemptArrival(id, attempt, server) => self.arrived(id, attempt, server),
+            SimEvent::SetupDone(id, attempt, server, process) => {
+                self.done(id, attempt, server, process)
+            }
+            SimEvent::AttemptTimeout(id, attempt) => {
+                let out = self
+                    .requests
+                    .get(&id)
+                    .filter(|asked| asked.attempt == attempt);
+                if let Some(server) = out.and_then(|asked| asked.attempt_server) {
                     self.ended(id, attempt, server, Ending::TimedOut);
                 }
             }
-            Step::Ended(id, attempt, server, outcome) => self.ended(id, attempt, server, outcome),
-            Step::Probed(proxy, process, server, outcome, report) => {
-                if self.proxies[proxy].process == process {
-                    self.tell(proxy, Event::Probed(server, outcome, report));
+            SimEvent::AttemptEnded(id, attempt, server, outcome) => {
+                self.ended(id, attempt, server, outcome)
+            }
+            SimEvent::ProbeResult(proxy, process, server, outcome, report) => {
+                if self.proxies[proxy].incarnation == process {
+                    self.deliver_event(proxy, Event::Probed(server, outcome, report));
                 }
             }
-            Step::Told(proxy, server, status, born) => self.told(proxy, server, status, born),
-            Step::Move(id) => self.move_away(id),
-            Step::Silent(id) => {
+            SimEvent::ListUpdate(proxy, server, status, born) => {
+                self.told(proxy, server, status, born)
+            }
+            SimEvent::MoveClient(id) => self.move_away(id),
+            SimEvent::SilenceTimeout(id) => {
                 if let Some((proxy, server)) = self.up_on(id)
                     && !self.reaches(proxy, server)
                 {
                     let silent = Event::Probed(server, Ending::TimedOut, Report::default());
-                    self.tell(proxy, silent);
+                    self.deliver_event(proxy, silent);
                     self.move_away(id);
                 }
             }
-            Step::Look => self.look(),
-            Step::Exchange => self.exchange(),
-            Step::Begins(n) => self.begins(n),
-            Step::Ends(n) => self.ends(n),
-            Step::Restart(server, cold) => self.restart(server, cold),
-            Step::Stop(server) => self.stop(server, Life::Down),
-            Step::Conduct => self.conduct(),
+            SimEvent::Sample => self.look(),
+            SimEvent::BudgetExchange => self.exchange(),
+            SimEvent::TroubleStart(n) => self.start_trouble(n),
+            SimEvent::TroubleEnd(n) => self.end_trouble(n),
+            SimEvent::RestartServer(server, cold) => self.restart_server(server, cold),
+            SimEvent::StopServer(server) => self.stop_server(server, ServerState::Down),
+            SimEvent::RunCoordinator => self.run_coordinator(),
         }
     }
 
@@ -444,17 +470,17 @@
 
     fn next_arrival(&mut self) {
         let gap: f64 = Exp1.sample(&mut self.arrivals);
-        self.after(gap / self.rate.max(1e-9), Step::Arrive);
+        self.schedule_after(gap / self.arrival_rate.max(1e-9), SimEvent::ClientArrival);
     }
 
     /// A client with all that chance gives it, drawn in one go so that every policy meets the same.
     fn new_client(&mut self, at: f64) -> usize {
-        let set = self.set;
+        let set = self.scenario;
         let rng = &mut self.arrivals;
-        let shares: f64 = set.classes.iter().map(|class| class.share).sum();
+        let shares: f64 = set.classes.iter().map(|class| class.arrival_share).sum();
         let mut pick = rng.random_range(0.0..1.0) * shares;
         let class = set.classes.iter().position(|class| {
-            pick -= class.share;
+            pick -= class.arrival_share;
             pick < 0.0
         });
         let class = class.unwrap_or(set.classes.len() - 1);
@@ -469,7 +495,7 @@
             rng.random_range(0..set.zones),
         );
         let (tenant, group) = (rng.random::<u32>() as usize, rng.random::<u32>() as usize);
-        let heavy = self.heavy.filter(|(share, _, _)| heavy < *share);
+        let heavy = self.heavy_load.filter(|(share, _, _)| heavy < *share);
         let times = heavy.map_or(1.0, |(_, from, to)| from + times * (to - from));
         self.clients.push(Client {
             class,
@@ -477,8 +503,8 @@
             group: (set.demand.groups > 0).then(|| (group % set.demand.groups) as u64),
             zone,
             load: load * times,
-            until: at + (hold * of.hold).max(0.5),
-            state: State::Away,
+            until: at + (hold * of.mean_hold_time).max(0.5),
+            state: ClientState::Disconnected,
             tries: 0,
             wants: false,
         });
@@ -487,18 +513,18 @@
 
     /// Chance of a client's own, the same whatever happened to others.
     fn own(&self, client: usize, purpose: u64) -> f64 {
-        let mut rng = stream(self.seed ^ (client as u64) << 24, 100 + purpose);
+        let mut rng = rng_stream(self.seed ^ (client as u64) << 24, 100 + purpose);
         rng.random_range(0.0..1.0)
     }
 
     fn worth(&self, client: usize) -> f64 {
-        self.set.classes[self.clients[client].class].worth
+        self.scenario.classes[self.clients[client].class].worth
     }
 
     fn come(&mut self, n: usize) {
         let now = self.now;
         let client = &mut self.clients[n];
-        if client.state != State::Away || now >= client.until {
+        if client.state != ClientState::Disconnected || now >= client.until {
             return;
         }
         let first = !std::mem::replace(&mut client.wants, true);
@@ -506,20 +532,25 @@
         client.tries += 1;
         if first {
             self.want(class, self.worth(n));
-            self.at(until, Step::Leave(n));
-            self.after(self.set.demand.change, Step::Change(n, 0));
+            self.at(until, SimEvent::ClientDeparture(n));
+            self.schedule_after(
+                self.scenario.demand.load_change_interval,
+                SimEvent::LoadChange(n, 0),
+            );
         }
         // The front deals clients out among the proxies of their zone.
-        let of_zone = self.set.proxies.div_ceil(self.set.zones);
-        let at = self.own(n, tries as u64).powf(1.0 + self.set.demand.skew);
+        let of_zone = self.scenario.proxies.div_ceil(self.scenario.zones);
+        let at = self
+            .own(n, tries as u64)
+            .powf(1.0 + self.scenario.demand.skew);
         let turn = (at * of_zone as f64) as usize;
-        let proxy = (turn * self.set.zones + zone) % self.set.proxies;
+        let proxy = (turn * self.scenario.zones + zone) % self.scenario.proxies;
         let id = self.next_id;
         self.next_id += 1;
         self.counts.requests += 1;
-        let patience = self.set.classes[class].deadline;
+        let patience = self.scenario.classes[class].deadline;
         let client = &mut self.clients[n];
-        client.state = State::Asking(id);
+        client.state = ClientState::Requesting(id);
         let request = Request {
             id,
             class,
@@ -529,41 +560,41 @@
             patience,
             again: tries > 0,
         };
-        let asked = Asked {
+        let asked = ActiveRequest {
             client: n,
             proxy,
             at: now,
             attempt: 0,
-            out: None,
+            attempt_server: None,
         };
-        self.asked.insert(id, asked);
+        self.requests.insert(id, asked);
         self.proxies[proxy].requests.insert(id);
         self.rules
-            .asked(id, now + patience, self.set.classes[class].effect);
-        self.after(patience + 0.1, Step::GiveUp(id));
-        self.tell(proxy, Event::Request(request));
+            .record_request(id, now + patience, self.scenario.classes[class].effect);
+        self.schedule_after(patience + 0.1, SimEvent::ClientTimeout(id));
+        self.deliver_event(proxy, Event::Request(request));
     }
 
     /// Comes again after such a time, or gives up for good.
-    fn again(&mut self, n: usize, after: f64) {
+    fn schedule_retry(&mut self, n: usize, after: f64) {
         let client = &mut self.clients[n];
-        client.state = State::Away;
+        client.state = ClientState::Disconnected;
         let tries = client.tries;
-        if tries <= self.set.demand.retries {
+        if tries <= self.scenario.demand.max_retries {
             let wait = after * (0.75 + 0.5 * self.own(n, 1000 + tries as u64));
-            self.after(wait, Step::Come(n));
+            self.schedule_after(wait, SimEvent::SendRequest(n));
         }
     }
 
     fn give_up(&mut self, id: RequestId) {
-        let Some(asked) = self.asked.get(&id) else {
+        let Some(asked) = self.requests.get(&id) else {
             return;
         };
         let (n, proxy) = (asked.client, asked.proxy);
-        if self.clients[n].state == State::Asking(id) {
-            self.forget(id);
-            self.tell(proxy, Event::Gone(id));
-            self.again(n, self.set.demand.retry);
+        if self.clients[n].state == ClientState::Requesting(id) {
+            self.remove_request(id);
+            self.deliver_event(proxy, Event::Gone(id));
+            self.schedule_retry(n, self.scenario.demand.retry_delay);
         }
     }
 
@@ -571,20 +602,20 @@
         let class = self.clients[n].class;
         self.want(class, -self.worth(n));
         match self.clients[n].state {
-            State::Away => {}
-            State::Asking(id) => {
-                let proxy = self.asked[&id].proxy;
-                self.rules.excused(id);
-                self.forget(id);
-                self.tell(proxy, Event::Gone(id));
+            ClientState::Disconnected => {}
+            ClientState::Requesting(id) => {
+                let proxy = self.requests[&id].proxy;
+                self.rules.excuse_request(id);
+                self.remove_request(id);
+                self.deliver_event(proxy, Event::Gone(id));
             }
-            State::Up(id, _) => {
-                let proxy = self.asked[&id].proxy;
-                self.part(id);
-                self.tell(proxy, Event::Gone(id));
+            ClientState::Connected(id, _) => {
+                let proxy = self.requests[&id].proxy;
+                self.disconnect_client(id);
+                self.deliver_event(proxy, Event::Gone(id));
             }
         }
-        self.clients[n].state = State::Away;
+        self.clients[n].state = ClientState::Disconnected;
     }
 
     fn change(&mut self, n: usize, times: u32) {
@@ -600,48 +631,51 @@
             old / by
         };
         self.clients[n].load = load;
-        self.after(self.set.demand.change, Step::Change(n, times + 1));
-        if let State::Up(id, server) = self.clients[n].state {
-            self.account(server);
+        self.schedule_after(
+            self.scenario.demand.load_change_interval,
+            SimEvent::LoadChange(n, times + 1),
+        );
+        if let ClientState::Connected(id, server) = self.clients[n].state {
+            self.accrue_service(server);
             let server = &mut self.servers[server as usize];
             server.load = (server.load + load - old).max(0.0);
-            let proxy = self.asked[&id].proxy;
-            self.tell(proxy, Event::LoadNote(id, load));
+            let proxy = self.requests[&id].proxy;
+            self.deliver_event(proxy, Event::LoadNote(id, load));
         }
     }
 
-    fn forget(&mut self, id: RequestId) -> Option<Asked> {
-        let asked = self.asked.remove(&id)?;
+    fn remove_request(&mut self, id: RequestId) -> Option<ActiveRequest> {
+        let asked = self.requests.remove(&id)?;
         self.proxies[asked.proxy].requests.remove(&id);
         Some(asked)
     }
 
     /// Takes a connection off its server.
-    fn part(&mut self, id: RequestId) -> Option<(usize, usize, ServerId)> {
-        let asked = self.forget(id)?;
-        let State::Up(_, server) = self.clients[asked.client].state else {
+    fn disconnect_client(&mut self, id: RequestId) -> Option<(usize, usize, ServerId)> {
+        let asked = self.remove_request(id)?;
+        let ClientState::Connected(_, server) = self.clients[asked.client].state else {
             return None;
         };
-        self.account(server);
+        self.accrue_service(server);
         let (client, worth) = (&self.clients[asked.client], self.worth(asked.client));
         let place = &mut self.servers[server as usize];
-        place.leave(client.class, worth, client.load, client.group);
-        self.on[server as usize].remove(&id);
-        self.clients[asked.client].state = State::Away;
+        place.remove_connection(client.class, worth, client.load, client.group);
+        self.connections_by_server[server as usize].remove(&id);
+        self.clients[asked.client].state = ClientState::Disconnected;
         Some((asked.client, asked.proxy, server))
     }
 
     fn up_on(&self, id: RequestId) -> Option<(usize, ServerId)> {
-        let asked = self.asked.get(&id)?;
+        let asked = self.requests.get(&id)?;
         match self.clients[asked.client].state {
-            State::Up(_, server) => Some((asked.proxy, server)),
+            ClientState::Connected(_, server) => Some((asked.proxy, server)),
             _ => None,
         }
     }
 
     /// The proxy moves a client: it comes again soon.
     fn move_away(&mut self, id: RequestId) {
-        let Some((n, proxy, server)) = self.part(id) else {
+        let Some((n, proxy, server)) = self.disconnect_client(id) else {
             return;
         };
         self.counts.moves += 1;
@@ -649,7 +683,7 @@
         self.last(id, proxy, server, Ending::Cancelled);
         // It was served: that it comes again is not a retry that wears it out.
         self.clients[n].tries = 1;
-        self.again(n, 0.1);
+        self.schedule_retry(n, 0.1);
     }
 
     fn last(&mut self, id: RequestId, proxy: usize, server: ServerId, outcome: Ending) {
@@ -660,13 +694,14 @@
             last: true,
             report: Report::default(),
         };
-        self.tell(proxy, Event::Outcome(ended));
+        self.deliver_event(proxy, Event::Outcome(ended));
     }
 
     // Proxies.
 
-    fn tell(&mut self, proxy: usize, event: Event) {
-        if self.kind == PolicyKind::Bound && matches!(event, Event::Request(_) | Event::Outcome(_))
+    fn deliver_event(&mut self, proxy: usize, event: Event) {
+        if self.policy_kind == PolicyKind::UpperBound
+            && matches!(event, Event::Request(_) | Event::Outcome(_))
         {
             self.see_truth(proxy);
         }
@@ -680,35 +715,43 @@
     }
 
     fn see_truth(&mut self, proxy: usize) {
-        let (now, set) = (self.now, &self.set.server);
+        let (now, set) = (self.now, &self.scenario.server);
         let sees = |n: usize| {
             let server = &self.servers[n];
-            let takes = server.life == Life::Up
-                && !server.failing
-                && server.connections + server.setups < set.connections
+            let takes = server.state == ServerState::Up
+                && !server.is_failing
+                && server.connections + server.pending_setups < set.max_connections
                 && self.reaches(proxy, n as ServerId);
-            let waits = (server.busy_until - now).max(0.0);
-            takes.then(|| (server.figure(now, set) + waits, server.can(now, set)))
+            let waits = (server.setups_done_at - now).max(0.0);
+            takes.then(|| {
+                (
+                    server.utilisation(now, set) + waits,
+                    server.current_capacity(now, set),
+                )
+            })
         };
         let servers = (0..self.servers.len()).map(sees).collect();
-        let best_fill = best_fill(set.slack);
-        self.truth = Truth { best_fill, servers };
+        let best_fill = best_fill(set.max_slowdown);
+        self.truth = GroundTruth {
+            optimal_utilisation: best_fill,
+            servers,
+        };
     }
 
     fn reaches(&self, proxy: usize, server: ServerId) -> bool {
         let (from, to) = (self.proxies[proxy].zone, &self.servers[server as usize]);
         let cut = self
-            .cut
+            .isolated_zone
             .is_some_and(|zone| (from == zone) != (to.zone == zone));
-        !cut && to.life != Life::Dark
+        !cut && to.state != ServerState::Unreachable
     }
 
     fn trip(&self, proxy: usize, server: ServerId) -> f64 {
         let near = self.proxies[proxy].zone == self.servers[server as usize].zone;
         if near {
-            self.set.network.near
+            self.scenario.network.same_zone_rtt
         } else {
-            self.set.network.far
+            self.scenario.network.cross_zone_rtt
         }
     }
 
@@ -716,169 +759,196 @@
         match action {
             Action::Send(id, server, timeout, _) => self.send(proxy, id, server, timeout),
             Action::Refuse(id, wait) => {
-                let Some(asked) = self.forget(id) else { return };
-                self.rules.answered(self.now, id);
+                let Some(asked) = self.remove_request(id) else {
+                    return;
+                };
+                self.rules.record_answer(self.now, id);
                 self.counts.refused += 1;
                 self.counts.refused_by_second[self.now as usize] += 1.0;
-                self.again(asked.client, wait.unwrap_or(self.set.demand.retry));
+                self.schedule_retry(
+                    asked.client,
+                    wait.unwrap_or(self.scenario.demand.retry_delay),
+                );
             }
             Action::Fail(id) => {
-                let Some(asked) = self.forget(id) else { return };
-                self.rules.answered(self.now, id);
+                let Some(asked) = self.remove_request(id) else {
+                    return;
+                };
+                self.rules.record_answer(self.now, id);
                 self.counts.failed += 1;
-                self.again(asked.client, self.set.demand.retry);
+                self.schedule_retry(asked.client, self.scenario.demand.retry_delay);
             }
             Action::Move(id) => {
                 if self.up_on(id).is_some() {
-                    self.rules.used(self.now, QuotaKind::Moves, None);
+                    self.rules.record_use(self.now, QuotaKind::Moves, None);
                     // Not within the module's own call.
-                    self.after(self.set.network.near, Step::Move(id));
+                    self.schedule_after(
+                        self.scenario.network.same_zone_rtt,
+                        SimEvent::MoveClient(id),
+                    );
                 }
             }
             Action::Cancel(id, _) => {
                 let out = self
-                    .asked
+                    .requests
                     .get(&id)
-                    .and_then(|asked| Some((asked.attempt, asked.out?)));
+                    .and_then(|asked| Some((asked.attempt, asked.attempt_server?)));
                 if let Some((attempt, server)) = out {
-                    self.after(0.0, Step::Ended(id, attempt, server, Ending::Cancelled));
+                    self.schedule_after(
+                        0.0,
+                        SimEvent::AttemptEnded(id, attempt, server, Ending::Cancelled),
+                    );
                 }
             }
             Action::Probe(server) => self.probe(proxy, server),
             Action::Subscribe => {}
             Action::Timer(after, token) => {
-                let process = self.proxies[proxy].process;
-                self.after(after, Step::Timer(proxy, process, token));
+                let process = self.proxies[proxy].incarnation;
+                self.schedule_after(after, SimEvent::Timer(proxy, process, token));
             }
         }
     }
 
     fn probe(&mut self, proxy: usize, server: ServerId) {
         self.counts.probes += 1;
-        self.rules.used(self.now, QuotaKind::Probes, None);
-        let process = self.proxies[proxy].process;
+        self.rules.record_use(self.now, QuotaKind::Probes, None);
+        let process = self.proxies[proxy].incarnation;
         let trip = self.trip(proxy, server);
         let place = &self.servers[server as usize];
         let (after, outcome, report) = if !self.reaches(proxy, server) {
             (PROBE, Ending::ConnectFailed, Report::default())
-        } else if !place.reachable() {
+        } else if !place.is_running() {
             (trip, Ending::ConnectFailed, Report::default())
         } else {
             let report = Report {
-                load: Some(place.told.0),
-                connections: Some(place.told.1),
+                load: Some(place.reported.0),
+                connections: Some(place.reported.1),
                 ..Report::default()
             };
             // A server far past what it can do answers late, or not in time.
-            let slow = 0.02 * (place.figure(self.now, &self.set.server) - 1.0).max(0.0);
+            let slow = 0.02 * (place.utilisation(self.now, &self.scenario.server) - 1.0).max(0.0);
             match trip + slow < PROBE {
                 true => (trip + slow, Ending::Ok, report),
                 false => (PROBE, Ending::TimedOut, Report::default()),
             }
         };
-        self.after(after, Step::Probed(proxy, process, server, outcome, report));
+        self.schedule_after(
+            after,
+            SimEvent::ProbeResult(proxy, process, server, outcome, report),
+        );
     }
 
     fn send(&mut self, proxy: usize, id: RequestId, server: ServerId, timeout: f64) {
         let trip = self.trip(proxy, server);
-        let Some(asked) = self.asked.get_mut(&id) else {
+        let Some(asked) = self.requests.get_mut(&id) else {
             return;
         };
         asked.attempt += 1;
-        asked.out = Some(server);
+        asked.attempt_server = Some(server);
         let attempt = asked.attempt;
         if attempt > 1 {
-            self.rules.used(self.now, QuotaKind::Further, None);
+            self.rules.record_use(self.now, QuotaKind::Further, None);
         }
         // Every proxy has heard by then that it is cold.
         let place = &self.servers[server as usize];
-        let told = place
-            .born
-            .map_or(0.0, |born| born + 1.5 * self.set.lists.delay);
-        if place.warmth(self.now, &self.set.server) < 1.0 && self.now > told {
-            self.rules.used(self.now, QuotaKind::Cold, Some(server));
+        let told = place.started_at.map_or(0.0, |born| {
+            born + 1.5 * self.scenario.list_timing.propagation_delay
+        });
+        if place.slow_start_progress(self.now, &self.scenario.server) < 1.0 && self.now > told {
+            self.rules
+                .record_use(self.now, QuotaKind::Cold, Some(server));
         }
-        self.after(timeout, Step::TimeOut(id, attempt));
+        self.schedule_after(timeout, SimEvent::AttemptTimeout(id, attempt));
         if !self.reaches(proxy, server) {
-            let after = self.set.network.connect.min(timeout);
-            let failed = Step::Ended(id, attempt, server, Ending::ConnectFailed);
-            return self.after(after, failed);
+            let after = self.scenario.network.connect_timeout.min(timeout);
+            let failed = SimEvent::AttemptEnded(id, attempt, server, Ending::ConnectFailed);
+            return self.schedule_after(after, failed);
         }
-        self.after(1.5 * trip, Step::Arrived(id, attempt, server));
+        self.schedule_after(1.5 * trip, SimEvent::AttemptArrival(id, attempt, server));
     }
 
     /// The line of an attempt has come to its server.
     fn arrived(&mut self, id: RequestId, attempt: u32, server: ServerId) {
-        let Some(asked) = self.asked.get(&id).filter(|asked| asked.attempt == attempt) else {
+        let Some(asked) = self
+            .requests
+            .get(&id)
+            .filter(|asked| asked.attempt == attempt)
+        else {
             return;
         };
-        if asked.out.is_none() {
+        if asked.attempt_server.is_none() {
             return;
         }
         let (proxy, trip) = (asked.proxy, self.trip(asked.proxy, server));
-        self.rules.sent(self.now, proxy, server);
-        let (now, set) = (self.now, &self.set.server);
+        self.rules.record_send(self.now, proxy, server);
+        let (now, set) = (self.now, &self.scenario.server);
         let place = &mut self.servers[server as usize];
-        let full = place.connections + place.setups >= set.connections
-            || place.setups >= set.queue
-            || place.life == Life::Draining;
+        let full = place.connections + place.pending_setups >= set.max_connections
+            || place.pending_setups >= set.max_pending_setups
+            || place.state == ServerState::Draining;
         let outcome = match () {
-            () if !place.reachable() => Some(Ending::ConnectFailed),
-            () if place.failing => Some(Ending::Error),
+            () if !place.is_running() => Some(Ending::ConnectFailed),
+            () if place.is_failing => Some(Ending::Error),
             () if full => Some(Ending::Full),
             () => None,
         };
         if let Some(outcome) = outcome {
-            return self.after(0.5 * trip, Step::Ended(id, attempt, server, outcome));
+            return self.schedule_after(
+                0.5 * trip,
+                SimEvent::AttemptEnded(id, attempt, server, outcome),
+            );
         }
-        place.setups += 1;
-        let mut took = place.setup_time(now, set);
-        let process = place.process;
-        if set.store_rate > 0.0 {
-            self.store_free = self.store_free.max(now) + 1.0 / set.store_rate;
+        place.pending_setups += 1;
+        let mut took = place.enqueue_setup(now, set);
+        let process = place.incarnation;
+        if set.store_setups_per_s > 0.0 {
+            self.store_free = self.store_free.max(now) + 1.0 / set.store_setups_per_s;
             took = took.max(self.store_free - now);
         }
-        self.after(took + 0.5 * trip, Step::Done(id, attempt, server, process));
+        self.schedule_after(
+            took + 0.5 * trip,
+            SimEvent::SetupDone(id, attempt, server, process),
+        );
     }
 
     /// An attempt is out no longer, if it still was: its client, its proxy, and when it was asked for.
     fn take_out(&mut self, id: RequestId, attempt: u32) -> Option<(usize, usize, f64)> {
-        let asked = self.asked.get_mut(&id)?;
+        let asked = self.requests.get_mut(&id)?;
         if asked.attempt != attempt {
             return None;
         }
-        asked.out.take()?;
+        asked.attempt_server.take()?;
         Some((asked.client, asked.proxy, asked.at))
     }
 
     /// A set-up is done: the effect is there, wanted or not.
     fn done(&mut self, id: RequestId, attempt: u32, server: ServerId, process: u32) {
         let place = &mut self.servers[server as usize];
-        if place.process != process || !place.reachable() {
+        if place.incarnation != process || !place.is_running() {
             return;
         }
-        place.setups -= 1;
-        self.rules.ran(self.now, id);
+        place.pending_setups -= 1;
+        self.rules.record_execution(self.now, id);
         let Some((n, proxy, at)) = self.take_out(id, attempt) else {
             return;
         };
-        self.rules.answered(self.now, id);
+        self.rules.record_answer(self.now, id);
         let micros = ((self.now - at) * 1e6) as u64;
         self.setups.saturating_record(micros.max(1));
-        self.account(server);
+        self.accrue_service(server);
         let (client, worth) = (&self.clients[n], self.worth(n));
         let (class, load, group) = (client.class, client.load, client.group);
-        self.servers[server as usize].join(class, worth, load, group);
-        self.on[server as usize].insert(id);
+        self.servers[server as usize].add_connection(class, worth, load, group);
+        self.connections_by_server[server as usize].insert(id);
         let client = &mut self.clients[n];
-        client.state = State::Up(id, server);
+        client.state = ClientState::Connected(id, server);
         client.tries = 1;
         // It was on its way when the server was told to drain: it is moved with the others.
-        if self.rules.drains(proxy, server) {
-            self.after(DRAIN_WAIT, Step::Move(id));
+        if self.rules.knows_drain(proxy, server) {
+            self.schedule_after(DRAIN_WAIT, SimEvent::MoveClient(id));
         }
-        self.tell(proxy, Event::Begun(id, server));
-        self.tell(proxy, Event::LoadNote(id, load));
+        self.deliver_event(proxy, Event::Begun(id, server));
+        self.deliver_event(proxy, Event::LoadNote(id, load));
     }
 
     /// An attempt ended in some other way.
@@ -893,7 +963,7 @@
             last: false,
             report: Report::default(),
         };
-        self.tell(proxy, Event::Outcome(ended));
+        self.deliver_event(proxy, Event::Outcome(ended));
     }
 
     /// A proxy hears of a server from the list.
@@ -901,17 +971,22 @@
         if self.now < self.list_silent_until {
             // Past it by more than the clock's nanosecond, or it would come too early for good.
             let later = self.list_silent_until + 1e-6;
-            return self.at(later, Step::Told(proxy, server, status, born));
+            return self.at(later, SimEvent::ListUpdate(proxy, server, status, born));
         }
         let drains = status != Status::Up;
-        self.rules.drain_told(self.now, proxy, server, drains);
+        self.rules
+            .record_drain_notice(self.now, proxy, server, drains);
         let entry = self.entry(server, status, born);
-        self.tell(proxy, Event::Servers(ListKind::Update, vec![entry]));
+        self.deliver_event(proxy, Event::Servers(ListKind::Update, vec![entry]));
         if drains {
-            let here: Vec<RequestId> = self.on[server as usize]
+            let here: Vec<RequestId> = self.connections_by_server[server as usize]
                 .iter()
                 .copied()
-                .filter(|id| self.asked.get(id).is_some_and(|asked| asked.proxy == proxy))
+                .filter(|id| {
+                    self.requests
+                        .get(id)
+                        .is_some_and(|asked| asked.proxy == proxy)
+                })
                 .collect();
             let wait = if status == Status::Gone {
                 0.0
@@ -920,79 +995,89 @@
             };
             let each = DRAIN_SPAN / here.len().max(1) as f64;
             for (n, id) in here.into_iter().enumerate() {
-                self.after(wait + each * n as f64, Step::Move(id));
+                self.schedule_after(wait + each * n as f64, SimEvent::MoveClient(id));
             }
         }
     }
 
     // Servers.
 
-    fn tell_all(&mut self, server: ServerId, status: Status) {
-        let born = self.servers[server as usize].born;
+    fn announce_status(&mut self, server: ServerId, status: Status) {
+        let born = self.servers[server as usize].started_at;
         for proxy in 0..self.proxies.len() {
-            let late = self.set.lists.delay * self.chance.random_range(0.5..1.5);
-            self.after(late, Step::Told(proxy, server, status, born));
+            let late =
+                self.scenario.list_timing.propagation_delay * self.fault_rng.random_range(0.5..1.5);
+            self.schedule_after(late, SimEvent::ListUpdate(proxy, server, status, born));
         }
     }
 
     /// Its process ends, or its machine goes dark: connections are reset, or fall silent.
-    fn stop(&mut self, server: ServerId, life: Life) {
-        self.account(server);
-        self.servers[server as usize].life = life;
-        let up: Vec<RequestId> = self.on[server as usize].iter().copied().collect();
+    fn stop_server(&mut self, server: ServerId, life: ServerState) {
+        self.accrue_service(server);
+        self.servers[server as usize].state = life;
+        let up: Vec<RequestId> = self.connections_by_server[server as usize]
+            .iter()
+            .copied()
+            .collect();
         let mut out: Vec<(RequestId, u32)> = Vec::new();
         for proxy in &self.proxies {
             let asked = proxy
                 .requests
                 .iter()
-                .filter_map(|id| Some((*id, self.asked.get(id)?)));
-            let here = asked.filter(|(_, asked)| asked.out == Some(server));
+                .filter_map(|id| Some((*id, self.requests.get(id)?)));
+            let here = asked.filter(|(_, asked)| asked.attempt_server == Some(server));
             out.extend(here.map(|(id, asked)| (id, asked.attempt)));
         }
-        if life == Life::Dark {
+        if life == ServerState::Unreachable {
             for id in up {
-                self.after(SILENT, Step::Silent(id));
+                self.schedule_after(SILENCE_TIMEOUT, SimEvent::SilenceTimeout(id));
             }
             return;
         }
         for id in up {
-            if let Some((n, proxy, server)) = self.part(id) {
+            if let Some((n, proxy, server)) = self.disconnect_client(id) {
                 self.last(id, proxy, server, Ending::Reset);
-                self.again(n, 0.3);
+                self.schedule_retry(n, 0.3);
             }
         }
         for (id, attempt) in out {
-            self.after(0.001, Step::Ended(id, attempt, server, Ending::Reset));
+            self.schedule_after(
+                0.001,
+                SimEvent::AttemptEnded(id, attempt, server, Ending::Reset),
+            );
         }
     }
 
-    fn restart(&mut self, server: ServerId, cold: bool) {
-        self.account(server);
-        let up: Vec<RequestId> = self.on[server as usize].iter().copied().collect();
+    fn restart_server(&mut self, server: ServerId, cold: bool) {
+        self.accrue_service(server);
+        let up: Vec<RequestId> = self.connections_by_server[server as usize]
+            .iter()
+            .copied()
+            .collect();
         for id in up {
             // A machine that comes back resets what it does not know.
-            if let Some((n, proxy, server)) = self.part(id) {
+            if let Some((n, proxy, server)) = self.disconnect_client(id) {
                 self.last(id, proxy, server, Ending::Reset);
-                self.again(n, 0.3);
+                self.schedule_retry(n, 0.3);
             }
         }
         self.servers[server as usize].restart(self.now, cold);
-        self.tell_all(server, Status::Up);
+        self.announce_status(server, Status::Up);
     }
 
     /// Adds what a server has done since it was last looked at.
-    fn account(&mut self, server: ServerId) {
-        let (now, set) = (self.now, &self.set.server);
+    fn accrue_service(&mut self, server: ServerId) {
+        let (now, set) = (self.now, &self.scenario.server);
         let place = &mut self.servers[server as usize];
-        let span = now - place.since;
+        let span = now - place.accounted_until;
         if span <= 0.0 {
             return;
         }
-        let second = place.since as usize;
-        place.since = now;
-        let quality = place.quality(now, set);
+        let second = place.accounted_until as usize;
+        place.accounted_until = now;
+        let quality = place.on_time_ratio(now, set);
         if let Some(served) = self.served.get_mut(second) {
-            for (sum, worth) in served.iter_mut().zip(&place.worth) {
+            for (sum, worth) in served.iter_mut().zip(&place.worth_by_class) {
                 *sum += worth * quality * span;
             }
         }
@@ -1012,28 +1097,30 @@
 
     /// Every so often: what servers tell, what they have done, and whether a cold one is pushed over.
     fn look(&mut self) {
-        let set = self.set;
+        let set = self.scenario;
         self.want(0, 0.0);
         let (mut sum, mut squares, mut up) = (0.0, 0.0, 0.0);
         let (mut low, mut high) = (f64::INFINITY, 0.0_f64);
         for n in 0..self.servers.len() {
-            self.account(n as ServerId);
+            self.accrue_service(n as ServerId);
             let wrong: f64 = StandardNormal.sample(&mut self.noise);
             let place = &mut self.servers[n];
-            let figure = place.figure(self.now, &set.server);
+            let figure = place.utilisation(self.now, &set.server);
             let noisy = (figure * (1.0 + set.server.report_noise * wrong)).max(0.0);
             // Told late: what is heard now is of the time before, drawn to the present by its age.
-            let part = (set.server.report_every
-                / (set.server.report_every + set.server.report_delay))
+            let part = (set.server.report_interval
+                / (set.server.report_interval + set.server.report_delay))
                 .clamp(0.0, 1.0);
-            place.told.0 += part * (noisy - place.told.0);
-            place.told.1 = place.connections as f64;
-            let cold = place.life == Life::Up && place.warmth(self.now, &set.server) < 1.0;
-            self.rules.cold_load(self.now, n as u32, cold, figure);
+            place.reported.0 += part * (noisy - place.reported.0);
+            place.reported.1 = place.connections as f64;
+            let cold = place.state == ServerState::Up
+                && place.slow_start_progress(self.now, &set.server) < 1.0;
+            self.rules
+                .record_cold_load(self.now, n as u32, cold, figure);
             if cold && self.now >= set.warm_up {
                 self.cold_peak = self.cold_peak.max(figure);
             }
-            if place.life == Life::Up {
+            if place.state == ServerState::Up {
                 (sum, squares, up) = (sum + figure, squares + figure * figure, up + 1.0);
                 (low, high) = (low.min(figure), high.max(figure));
             }
@@ -1047,17 +1134,17 @@
             self.spread.0 += variance.sqrt() / mean;
             self.spread.1 += 1.0;
         }
-        self.after(set.server.report_every, Step::Look);
+        self.schedule_after(set.server.report_interval, SimEvent::Sample);
     }
 
     fn end(mut self) -> Outcome {
         self.want(0, 0.0);
         for server in 0..self.servers.len() {
-            self.account(server as ServerId);
+            self.accrue_service(server as ServerId);
         }
-        self.rules.end(self.now);
-        let counted = self.set.warm_up as usize..self.set.seconds as usize;
-        let classes = self.set.classes.len();
+        self.rules.finish(self.now);
+        let counted = self.scenario.warm_up as usize..self.scenario.seconds as usize;
+        let classes = self.scenario.classes.len();
         let part = |seconds: std::ops::Range<usize>, class: Option<usize>| {
             let sum = |table: &Vec<Vec<f64>>| -> f64 {
                 let rows = table[seconds.clone()].iter();
@@ -1093,16 +1180,16 @@
             probes: self.counts.probes,
             setup_ms: [quantile(0.5), quantile(0.99), quantile(0.999)],
             spread: self.spread.0 / self.spread.1.max(1.0),
-            series: (0..self.set.seconds as usize)
+            series: (0..self.scenario.seconds as usize)
                 .map(|s| part(s..s + 1, None))
                 .collect(),
             band: self.counts.band,
             moves_by_second: self.counts.moves_by_second,
             refused_by_second: self.counts.refused_by_second,
             breaches: self.rules.breaches,
-            breach_count: self.rules.count,
+            breach_count: self.rules.breach_count,
             cold_peak: self.cold_peak,
-            work: self.shift.map(Shift::end),
+            work: self.work_run.map(WorkRun::into_outcome),
         }
     }
 }
@@ -1123,7 +1210,7 @@
         effect: class.effect,
         scope: DedupScope::All,
         window: 30.0,
-        aim: class.aim,
+        aim: class.setup_target,
         worth: class.worth,
     };
     Settings {
@@ -1141,8 +1228,8 @@
         may_cancel: true,
         must_ask: false,
         ask_within: 10.0,
-        cold_from: set.server.cold_from,
-        cold_for: set.server.cold_for,
+        cold_from: set.server.slow_start_min_share,
+        cold_for: set.server.slow_start_window,
         fall_multiple: 3.0,
         fall_for: 1.5,
         groups: set.demand.groups > 0,
--- a/crates/lab/src/model/world/shift.rs
+++ b/crates/lab/src/model/simulation/work_orders.rs
@@ -5,13 +5,13 @@
 
 use violetwind_balancer::api::{ServerId, Status};
 use violetwind_workorders::{
-    Bounds, Change, Facts, Machine, Member, Name, Number, Order, Orders, Phase, Report, Spans,
-    Spare, Step as Move, plan,
+    Bounds, FailureTolerance, Machine, MachineReport, Member, Name, Number, Phase, PhaseTimeouts,
+    PlannerInput, Step as Move, WorkOrder, WorkOrderChange, WorkOrders, plan_steps,
 };
 
-use super::super::server::Life;
-use super::{Step, World};
-use crate::scenario::Work;
+use super::super::server::ServerState;
+use super::{SimEvent, Simulation};
+use crate::scenario::WorkSettings;
 
 /// What became of the orders.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,16 +24,16 @@
     pub done: usize,
 }
 
-pub(super) struct Shift {
-    orders: Orders,
+pub(super) struct WorkRun {
+    orders: WorkOrders,
     /// When each place has had its version, and when every proxy has heard of it.
     since: BTreeMap<Number, f64>,
     begun: f64,
     outcome: WorkOutcome,
 }
 
-impl Shift {
-    pub(super) fn end(self) -> WorkOutcome {
+impl WorkRun {
+    pub(super) fn into_outcome(self) -> WorkOutcome {
         self.outcome
     }
 }
@@ -42,9 +42,9 @@
     name.trim_start_matches("m-").parse().expect("named here")
 }
 
-impl World<'_> {
-    fn begin_work(&self, work: &Work) -> Shift {
-        let mut orders = Orders::default();
+impl Simulation<'_> {
+    fn begin_work(&self, work: &WorkSettings) -> WorkRun {
+        let mut orders = WorkOrders::default();
         let name = |at: usize| format!("m-{at:05}");
         let machines = self.servers.iter().enumerate().map(|(at, server)| {
             let machine = Machine {
@@ -53,7 +53,7 @@
                     name: name(at),
                     kind: "all".into(),
                     cell: 0,
-                    room: (self.set.server.capacity * 1000.0) as u64,
+                    room: (self.scenario.server.capacity * 1000.0) as u64,
                 }],
                 proxy: None,
             };
@@ -62,40 +62,42 @@
         let machines: BTreeMap<Name, Machine> = machines.collect();
         let names: Vec<Name> = machines.keys().cloned().collect();
         orders
-            .apply(Change::Machines(machines))
+            .apply(WorkOrderChange::SetMachines(machines))
             .expect("within limits");
-        let each = if work.batch == 0 {
+        let each = if work.machines_per_order == 0 {
             names.len()
         } else {
-            work.batch
+            work.machines_per_order
         };
         for part in names.chunks(each) {
-            let order = Order {
+            let order = WorkOrder {
                 name: "work".into(),
                 machines: part.iter().cloned().collect(),
                 bounds: Bounds {
-                    most: work.most,
-                    zone_most: work.zone_most,
-                    floor: (work.floor * 1000.0).round() as u32,
-                    spare: if work.spare {
-                        Spare::Machine
+                    max_out: work.max_out,
+                    max_out_per_zone: work.max_out_per_zone,
+                    min_capacity_permille: (work.min_capacity_share * 1000.0).round() as u32,
+                    failure_tolerance: if work.keep_spare_machine {
+                        FailureTolerance::Machine
                     } else {
-                        Spare::Nothing
+                        FailureTolerance::Nothing
                     },
                 },
-                spans: Spans {
-                    leave: u64::MAX,
-                    work: u64::MAX,
-                    back: u64::MAX,
+                timeouts: PhaseTimeouts {
+                    drain_timeout: u64::MAX,
+                    work_timeout: u64::MAX,
+                    return_timeout: u64::MAX,
                 },
                 not_before: 0,
-                wait: true,
+                waits_for_done: true,
                 paused: false,
                 cancelled: false,
             };
-            orders.apply(Change::Plan(order)).expect("sound bounds");
+            orders
+                .apply(WorkOrderChange::AddOrder(order))
+                .expect("sound bounds");
         }
-        Shift {
+        WorkRun {
             orders,
             since: BTreeMap::new(),
             begun: self.now,
@@ -111,52 +113,60 @@
     /// Clients and attempts at a server, over all proxies.
     fn there(&self, server: ServerId) -> usize {
         let out = self
-            .asked
+            .requests
             .values()
-            .filter(|asked| asked.out == Some(server));
-        self.on[server as usize].len() + out.count()
+            .filter(|asked| asked.attempt_server == Some(server));
+        self.connections_by_server[server as usize].len() + out.count()
     }
 
     /// Whoever conducts looks, and takes the steps that may be taken.
-    pub(super) fn conduct(&mut self) {
-        let Some(work) = self.set.work.clone() else {
+    pub(super) fn run_coordinator(&mut self) {
+        let Some(work) = self.scenario.work.clone() else {
             return;
         };
-        let mut shift = self.shift.take().unwrap_or_else(|| self.begin_work(&work));
+        let mut shift = self
+            .work_run
+            .take()
+            .unwrap_or_else(|| self.begin_work(&work));
         self.look_at_work(&mut shift, &work);
         let running = !shift.orders.orders().is_empty();
         if !running {
             shift.outcome.took.get_or_insert(self.now - shift.begun);
         }
-        self.shift = Some(shift);
+        self.work_run = Some(shift);
         if running {
-            self.after(work.every, Step::Conduct);
+            self.schedule_after(work.check_interval, SimEvent::RunCoordinator);
         }
     }
 
-    fn look_at_work(&mut self, shift: &mut Shift, work: &Work) {
-        let (now, late) = (self.now, 1.5 * self.set.lists.delay);
+    fn look_at_work(&mut self, shift: &mut WorkRun, work: &WorkSettings) {
+        let (now, late) = (self.now, 1.5 * self.scenario.list_timing.propagation_delay);
         let mut reports = BTreeMap::new();
         let mut jobs = Vec::new();
         for (order, (_, places)) in shift.orders.orders() {
-            for (name, place) in places.iter().filter(|(_, place)| !place.phase.ended()) {
+            for (name, place) in places
+                .iter()
+                .filter(|(_, place)| !place.phase.is_terminal())
+            {
                 let server = number(name);
                 let since = *shift.since.entry(place.version).or_insert(now);
                 let heard = now >= since + late;
                 let closes = matches!(
                     place.phase,
-                    Phase::Leaving | Phase::Empty | Phase::Failed(_)
+                    Phase::Draining | Phase::Drained | Phase::Failed(_)
                 );
-                let report = Report {
+                let report = MachineReport {
                     // Until all have heard, somebody goes by what was.
                     version: if heard { place.version } else { 0 },
                     clients: self.there(server) as u64,
                     closed: closes,
-                    warm: self.servers[server as usize].life == Life::Up
-                        && self.servers[server as usize].warmth(now, &self.set.server) >= 1.0,
+                    warm: self.servers[server as usize].state == ServerState::Up
+                        && self.servers[server as usize]
+                            .slow_start_progress(now, &self.scenario.server)
+                            >= 1.0,
                 };
                 reports.insert(name.clone(), report);
-                if place.phase == Phase::Empty && now >= since + work.job {
+                if place.phase == Phase::Drained && now >= since + work.job_duration {
                     jobs.push((*order, name.clone(), place.version));
                 }
             }
@@ -165,21 +175,21 @@
             live: true,
             reports,
         };
-        let facts = Facts {
+        let facts = PlannerInput {
             members: [("proxies".to_string(), all)].into(),
-            ..Facts::default()
+            ..PlannerInput::default()
         };
-        let next = plan(&shift.orders, &facts);
+        let next = plan_steps(&shift.orders, &facts);
         let steps = next
             .steps
             .into_iter()
             .map(|(order, name, version, step)| (order, name, version, step, Some(1)));
         let jobs = jobs
             .into_iter()
-            .map(|(order, name, version)| (order, name, version, Move::Worked, None));
+            .map(|(order, name, version)| (order, name, version, Move::CompleteWork, None));
         for (order, machine, version, step, fence) in steps.chain(jobs) {
             let server = number(&machine);
-            let change = Change::Step {
+            let change = WorkOrderChange::Step {
                 order,
                 machine,
                 version,
@@ -190,18 +200,18 @@
                 continue;
             }
             match step {
-                Move::Out => {
-                    shift.outcome.moved += self.on[server as usize].len();
-                    self.tell_all(server, Status::Draining);
+                Move::TakeOut => {
+                    shift.outcome.moved += self.connections_by_server[server as usize].len();
+                    self.announce_status(server, Status::Draining);
                 }
                 // Its process ends with the work, and comes back cold.
-                Move::Worked => self.restart(server, true),
-                Move::Empty => self.stop(server, Life::Down),
-                Move::Back => shift.outcome.done += 1,
+                Move::CompleteWork => self.restart_server(server, true),
+                Move::MarkDrained => self.stop_server(server, ServerState::Down),
+                Move::CompleteReturn => shift.outcome.done += 1,
                 _ => {}
             }
         }
-        let out = shift.orders.out().len();
+        let out = shift.orders.machines_out().len();
         shift.outcome.most_out = shift.outcome.most_out.max(out);
     }
 }
--- a/crates/lab/src/replay.rs
+++ b/crates/lab/src/replay.rs
@@ -3,35 +3,35 @@
 use std::collections::BTreeMap;
 use std::io::Read;
 
-use violetwind_record::{Answer, End, Reader, Record, Request};
+use violetwind_record::{Answer, Reader, Record, RecordingEnd, Request};
 
 use crate::scenario::Scenario;
 
 /// A client as it was recorded.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Recorded {
+pub struct RecordedClient {
     /// Seconds after the first one.
-    pub at: f64,
+    pub arrived_at: f64,
     pub class: usize,
     pub tenant: Option<usize>,
     pub group: Option<u64>,
     /// Work a second; none where it was never told.
     pub load: Option<f64>,
     /// How long it was held; none for one that never was up.
-    pub hold: Option<f64>,
+    pub held_for: Option<f64>,
 }
 
 /// What came of reading a recording.
 #[derive(Clone, Debug)]
 pub struct Recording {
-    pub clients: Vec<Recorded>,
-    pub end: End,
+    pub clients: Vec<RecordedClient>,
+    pub end: RecordingEnd,
     /// Requests that the recorder itself left out.
-    pub left: u64,
+    pub omitted: u64,
     /// Repeats of clients that were refused before, which the model makes by itself.
     pub repeats: u64,
     /// Classes of the recording that the scenario does not have, with their requests.
-    pub unknown: BTreeMap<String, u64>,
+    pub unknown_classes: BTreeMap<String, u64>,
 }
 
 /// A refused request of the same class, tenant and group within so many seconds is one that comes again.
@@ -46,19 +46,19 @@
             match record {
                 Record::Start { classes, .. } => names = classes,
                 Record::Request(request) => requests.push(request),
-                Record::Left(more) => left += more,
+                Record::Dropped(more) => left += more,
             }
         }
-        let end = reader.end().unwrap_or(End::Whole);
+        let end = reader.end().unwrap_or(RecordingEnd::Whole);
         // They were written in the order of their ends.
         requests.sort_by_key(|request| request.at_us);
         let first = requests.first().map_or(0, |request| request.at_us);
         let mut recording = Self {
             clients: Vec::new(),
             end,
-            left,
+            omitted: left,
             repeats: 0,
-            unknown: BTreeMap::new(),
+            unknown_classes: BTreeMap::new(),
         };
         let mut refused: BTreeMap<(u16, Option<u16>, Option<u64>), f64> = BTreeMap::new();
         for request in requests {
@@ -66,7 +66,7 @@
             let name = name.unwrap_or_else(|| format!("number {}", request.class));
             let known = scenario.classes.iter().position(|class| class.name == name);
             let Some(class) = known else {
-                *recording.unknown.entry(name).or_default() += 1;
+                *recording.unknown_classes.entry(name).or_default() += 1;
                 continue;
             };
             let at = (request.at_us - first) as f64 / 1e6;
@@ -88,7 +88,7 @@
     }
 
     /// As many times the clients, `rate` times as fast, drawn by a seed: whole copies, and a part of one.
-    pub fn scaled(&self, times: f64, rate: f64, seed: u64) -> Vec<Recorded> {
+    pub fn scaled(&self, times: f64, rate: f64, seed: u64) -> Vec<RecordedClient> {
         use rand::{Rng, SeedableRng};
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
         let mut clients = Vec::new();
@@ -103,23 +103,23 @@
                 } else {
                     rng.random_range(0.0..1.0)
                 };
-                client.at = (client.at + beside) / rate;
+                client.arrived_at = (client.arrived_at + beside) / rate;
                 clients.push(client);
             }
         }
-        clients.sort_by(|a, b| a.at.total_cmp(&b.at));
+        clients.sort_by(|a, b| a.arrived_at.total_cmp(&b.arrived_at));
         clients
     }
 }
 
-fn client(at: f64, class: usize, request: &Request) -> Recorded {
+fn client(at: f64, class: usize, request: &Request) -> RecordedClient {
     let up = request.answer == Answer::Up;
-    Recorded {
-        at,
+    RecordedClient {
+        arrived_at: at,
         class,
         tenant: request.tenant.map(usize::from),
         group: request.group,
         load: request.load.map(|load| f64::from(load) / 1e6),
-        hold: up.then_some(request.held_ms as f64 / 1e3),
+        held_for: up.then_some(request.connected_ms as f64 / 1e3),
     }
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -4,7 +4,7 @@
 
 use plotters::prelude::*;
 
-use crate::experiment::{FIGURES, figures, score};
+use crate::experiment::{SERVICE_METRICS, score, service_metrics};
 use crate::model::Outcome;
 use crate::scenario::Scenario;
 use crate::stats::Estimate;
@@ -17,7 +17,7 @@
 ];
 
 /// One policy's outcomes, a seed each.
-pub struct Played<'a> {
+pub struct PolicyOutcomes<'a> {
     pub name: &'a str,
     pub outcomes: &'a [Outcome],
 }
@@ -78,7 +78,7 @@
 }
 
 /// The page. The first of `played` is what is looked at, the second and third are random and the bound.
-pub fn html(scenario: &Scenario, played: &[Played<'_>]) -> Result<String, Failure> {
+pub fn render_html(scenario: &Scenario, played: &[PolicyOutcomes<'_>]) -> Result<String, Failure> {
     let seconds = scenario.seconds as usize;
     let own = played[0].outcomes;
     let mut page = String::new();
@@ -98,10 +98,10 @@
         write!(page, "<th>{}</th>", escaped(one.name))?;
     }
     write!(page, "<th>score</th></tr>")?;
-    for (n, name) in FIGURES.iter().enumerate() {
-        let column = |one: &Played<'_>| -> Estimate {
-            let column: Vec<f64> = one.outcomes.iter().map(|o| figures(o)[n]).collect();
-            Estimate::of(&column)
+    for (n, name) in SERVICE_METRICS.iter().enumerate() {
+        let column = |one: &PolicyOutcomes<'_>| -> Estimate {
+            let column: Vec<f64> = one.outcomes.iter().map(|o| service_metrics(o)[n]).collect();
+            Estimate::from_samples(&column)
         };
         write!(page, "<tr><td>{name}</td>")?;
         for one in played {
@@ -172,7 +172,7 @@
 }
 
 /// The series as CSV: a row a second, means over seeds.
-pub fn csv(scenario: &Scenario, own: &[Outcome]) -> String {
+pub fn render_csv(scenario: &Scenario, own: &[Outcome]) -> String {
     let seconds = scenario.seconds as usize;
     let mut out = String::from("second,service,load_low,load_mean,load_high,moves,refused\n");
     let at = |series: &[f64], n: usize| series.get(n).copied().unwrap_or(0.0);
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/scenario_search.rs
@@ -3,25 +3,25 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::model::{Outcome, PolicyKind, Rule, run};
-use crate::scenario::{Kind, Scenario, Trouble};
+use crate::model::{Outcome, PolicyKind, Rule, simulate};
+use crate::scenario::{Scenario, Trouble, TroubleKind};
 
 /// What a hunt is after.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Quarry {
+pub enum SearchTarget {
     Broken(Rule),
     /// Service lost to the bound, at least so much.
     Loss(f64),
 }
 
 #[derive(Clone, Debug)]
-pub struct Found {
-    pub quarry: Quarry,
+pub struct SearchResult {
+    pub target: SearchTarget,
     pub scenario: Scenario,
     pub seed: u64,
     /// Runs until it was found, and until it was as small as it gets.
-    pub runs: usize,
-    pub shrinks: usize,
+    pub scenarios_tried: usize,
+    pub shrink_steps: usize,
 }
 
 /// Scenarios that are played at a time.
@@ -31,7 +31,12 @@
 
 /// Plays up to so many scenarios made from `base` by chance. Returns the first that breaks a rule, else
 /// the one that loses most to the bound.
-pub fn hunt(base: &Scenario, policy: PolicyKind, seed: u64, most: usize) -> Option<Found> {
+pub fn search_scenarios(
+    base: &Scenario,
+    policy: PolicyKind,
+    seed: u64,
+    most: usize,
+) -> Option<SearchResult> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut worst: Option<(f64, Scenario, u64)> = None;
     let mut played = 0;
@@ -43,8 +48,8 @@
         for ((scenario, seed), (own, bound)) in batch.iter().zip(side_by_side(&batch, policy)) {
             played += 1;
             if let Some(breach) = own.breaches.first() {
-                let quarry = Quarry::Broken(breach.rule);
-                return Some(shrink(scenario, policy, *seed, quarry, played));
+                let quarry = SearchTarget::Broken(breach.rule);
+                return Some(shrink_scenario(scenario, policy, *seed, quarry, played));
             }
             let loss = bound.service - own.service;
             if worst.as_ref().is_none_or(|(least, ..)| loss > *least) {
@@ -54,11 +59,11 @@
     }
     let (loss, scenario, seed) = worst.filter(|(loss, ..)| *loss > 0.0)?;
     // Four fifths of the loss must stay while it is made smaller.
-    Some(shrink(
+    Some(shrink_scenario(
         &scenario,
         policy,
         seed,
-        Quarry::Loss(0.8 * loss),
+        SearchTarget::Loss(0.8 * loss),
         most,
     ))
 }
@@ -68,8 +73,8 @@
     std::thread::scope(|scope| {
         let played = batch.iter().map(|(scenario, seed)| {
             scope.spawn(|| {
-                let own = run(scenario, policy, *seed);
-                (own, run(scenario, PolicyKind::Bound, *seed))
+                let own = simulate(scenario, policy, *seed);
+                (own, simulate(scenario, PolicyKind::UpperBound, *seed))
             })
         });
         let played: Vec<_> = played.collect();
@@ -80,8 +85,8 @@
 
 fn vary(base: &Scenario, rng: &mut Pcg64Mcg) -> Scenario {
     let mut scenario = base.clone();
-    scenario.demand.fill *= rng.random_range(0.5..1.3);
-    scenario.lists.delay *= rng.random_range(0.2..4.0);
+    scenario.demand.offered_load *= rng.random_range(0.5..1.3);
+    scenario.list_timing.propagation_delay *= rng.random_range(0.2..4.0);
     scenario.server.report_delay *= rng.random_range(0.2..4.0);
     scenario.troubles = (0..rng.random_range(1..=MOST_TROUBLES))
         .map(|_| trouble(base, rng))
@@ -89,15 +94,15 @@
     // Bursts multiply: more than one at a time is no day that anybody has.
     let mut bursts = 0;
     scenario.troubles.retain(|trouble| {
-        bursts += usize::from(trouble.kind == Kind::Burst);
-        trouble.kind != Kind::Burst || bursts == 1
+        bursts += usize::from(trouble.kind == TroubleKind::Burst);
+        trouble.kind != TroubleKind::Burst || bursts == 1
     });
     scenario
 }
 
 fn trouble(base: &Scenario, rng: &mut Pcg64Mcg) -> Trouble {
-    let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
-    let (from, to) = kind.usual();
+    let kind = TroubleKind::ALL[rng.random_range(0..TroubleKind::ALL.len())];
+    let (from, to) = kind.default_factors();
     let room = (base.seconds - base.warm_up).max(1.0);
     Trouble {
         kind,
@@ -111,24 +116,24 @@
 }
 
 /// Whether a scenario still shows what was found.
-fn shows(scenario: &Scenario, policy: PolicyKind, seed: u64, quarry: Quarry) -> bool {
-    let own = run(scenario, policy, seed);
+fn shows(scenario: &Scenario, policy: PolicyKind, seed: u64, quarry: SearchTarget) -> bool {
+    let own = simulate(scenario, policy, seed);
     match quarry {
-        Quarry::Broken(rule) => own.breaches.iter().any(|breach| breach.rule == rule),
-        Quarry::Loss(least) => {
-            run(scenario, PolicyKind::Bound, seed).service - own.service >= least
+        SearchTarget::Broken(rule) => own.breaches.iter().any(|breach| breach.rule == rule),
+        SearchTarget::Loss(least) => {
+            simulate(scenario, PolicyKind::UpperBound, seed).service - own.service >= least
         }
     }
 }
 
 /// Takes away what is not needed for it, one thing after the other, until nothing more can go.
-pub fn shrink(
+pub fn shrink_scenario(
     found: &Scenario,
     policy: PolicyKind,
     seed: u64,
-    quarry: Quarry,
+    quarry: SearchTarget,
     runs: usize,
-) -> Found {
+) -> SearchResult {
     let mut scenario = found.clone();
     let mut shrinks = 0;
     loop {
@@ -141,12 +146,12 @@
         }
         shrinks += 1;
     }
-    Found {
-        quarry,
+    SearchResult {
+        target: quarry,
         scenario,
         seed,
-        runs,
-        shrinks,
+        scenarios_tried: runs,
+        shrink_steps: shrinks,
     }
 }
 
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -8,11 +8,11 @@
 
 use clap::Args;
 use violetwind_standins::soak::Script;
-use violetwind_standins::soak::run::{Report, play};
+use violetwind_standins::soak::runner::{Report, run_script};
 
 /// What is played.
 #[derive(Debug, Args)]
-pub struct Soak {
+pub struct SoakArgs {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
@@ -36,11 +36,11 @@
 }
 
 /// Plays all seeds; whether no clause was broken.
-pub fn soak(asked: &Soak, program: &std::path::Path) -> bool {
+pub fn run_soak(asked: &SoakArgs, program: &std::path::Path) -> bool {
     let lasts = Duration::from_secs_f64(asked.seconds.clamp(1.0, 3600.0));
     let seeds = asked.seed..asked.seed + asked.seeds;
     if asked.show {
-        seeds.for_each(|seed| println!("{:#?}", Script::new(seed, lasts)));
+        seeds.for_each(|seed| println!("{:#?}", Script::from_seed(seed, lasts)));
         return true;
     }
     let fallback = || std::env::temp_dir().join(format!("violetwind-soak-{}", std::process::id()));
@@ -56,7 +56,7 @@
                         if seed >= seeds.end {
                             return reports;
                         }
-                        let report = play(program, &logs, &Script::new(seed, lasts));
+                        let report = run_script(program, &logs, &Script::from_seed(seed, lasts));
                         println!("{}", line(&report));
                         reports.push(report);
                     }
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -13,7 +13,7 @@
 }
 
 impl Estimate {
-    pub fn of(figures: &[f64]) -> Self {
+    pub fn from_samples(figures: &[f64]) -> Self {
         let count = figures.len();
         let mean = figures.iter().sum::<f64>() / count.max(1) as f64;
         if count < 2 {
@@ -40,7 +40,7 @@
     }
 
     /// About how many seeds it takes until half the interval is no longer than this.
-    pub fn seeds_for(&self, half: f64) -> usize {
+    pub fn seeds_needed(&self, half: f64) -> usize {
         let mut count = 2;
         while count < 1_000_000 && t(count) * self.deviation / (count as f64).sqrt() > half {
             count += (count / 8).max(1);
@@ -61,18 +61,18 @@
     /// The figures of a worked example by hand: mean 5, deviation 1.5811, t(4) = 2.776.
     #[test]
     fn an_interval_is_students() {
-        let estimate = Estimate::of(&[3.0, 4.0, 5.0, 6.0, 7.0]);
+        let estimate = Estimate::from_samples(&[3.0, 4.0, 5.0, 6.0, 7.0]);
         assert_eq!(estimate.mean, 5.0);
         assert!((estimate.deviation - 1.5811).abs() < 1e-4);
         assert!((estimate.half - 1.9632).abs() < 1e-3, "{}", estimate.half);
         assert!(estimate.excludes_zero());
-        assert!(!Estimate::of(&[1.0]).excludes_zero());
+        assert!(!Estimate::from_samples(&[1.0]).excludes_zero());
     }
 
     #[test]
     fn a_finer_interval_takes_more_seeds() {
-        let estimate = Estimate::of(&[3.0, 4.0, 5.0, 6.0, 7.0]);
-        let (coarse, fine) = (estimate.seeds_for(2.0), estimate.seeds_for(0.2));
+        let estimate = Estimate::from_samples(&[3.0, 4.0, 5.0, 6.0, 7.0]);
+        let (coarse, fine) = (estimate.seeds_needed(2.0), estimate.seeds_needed(0.2));
         assert!(coarse <= 6 && (200..300).contains(&fine), "{coarse} {fine}");
     }
 }
--- a/crates/lab/src/storm.rs
+++ b/crates/lab/src/storm.rs
@@ -7,45 +7,45 @@
 
 use indicatif::{ProgressBar, ProgressStyle};
 use serde_json::json;
-use violetwind_storm::fleet::Planted;
-use violetwind_storm::script::{Played, Script, Shape};
+use violetwind_storm::fleet::InjectedBug;
+use violetwind_storm::script::{Script, ScriptOutcome, ScriptParameters};
 
 /// Plays that a shrink may take.
 const SHRINK: usize = 300;
 /// Findings that are shrunk and kept; the others are counted.
 const KEPT: usize = 8;
 /// A time line is looked at so often, in milliseconds of simulated time.
-pub const SAMPLE: u64 = 50;
+pub const SAMPLE_INTERVAL_MS: u64 = 50;
 
 /// A script that broke a promise, as drawn and cut.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    pub wrong: String,
-    pub drawn: Script,
-    pub least: Script,
-    pub plays: usize,
+    pub violation: String,
+    pub original: Script,
+    pub minimised: Script,
+    pub shrink_plays: usize,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Campaign {
-    pub seeds: u64,
-    pub millis: u64,
+    pub seed_count: u64,
+    pub simulated_ms: u64,
     pub faults: usize,
-    pub leads: usize,
-    pub gained: usize,
+    pub elections_won: usize,
+    pub duties_gained: usize,
     pub frames: u64,
-    pub done: usize,
-    pub taken: usize,
-    pub broken: usize,
+    pub machines_done: usize,
+    pub units_taken: usize,
+    pub failed_seeds: usize,
     pub findings: Vec<Finding>,
 }
 
 /// Plays so many seeds from the first on; the outcome does not depend on the number of threads.
-pub fn campaign(
+pub fn run_campaign(
     first: u64,
     seeds: u64,
-    shape: Shape,
-    planted: Planted,
+    shape: ScriptParameters,
+    planted: InjectedBug,
     threads: usize,
 ) -> Campaign {
     let bar = ProgressBar::new(seeds);
@@ -65,11 +65,11 @@
                     if at >= seeds {
                         return;
                     }
-                    let script = Script::draw(first + at, shape);
-                    let played = script.play(planted, 0);
+                    let script = Script::generate(first + at, shape);
+                    let played = script.run(planted, 0);
                     let mut sum = sum.lock().expect("no panic");
                     sum.0.add(&script, &played);
-                    if let Some(wrong) = played.wrong {
+                    if let Some(wrong) = played.violation {
                         sum.1.push((wrong, script));
                     }
                     let (faults, found) = (sum.0.faults, sum.1.len());
@@ -82,40 +82,40 @@
     bar.finish();
     let (mut sum, mut found) = sum.into_inner().expect("no panic");
     found.sort_by_key(|(_, script)| script.seed);
-    sum.broken = found.len();
+    sum.failed_seeds = found.len();
     for (wrong, drawn) in found.into_iter().take(KEPT) {
         let (least, plays) = drawn.shrink(planted, SHRINK);
         sum.findings.push(Finding {
-            wrong,
-            drawn,
-            least,
-            plays,
+            violation: wrong,
+            original: drawn,
+            minimised: least,
+            shrink_plays: plays,
         });
     }
     sum
 }
 
 impl Campaign {
-    fn add(&mut self, script: &Script, played: &Played) {
-        self.seeds += 1;
-        self.millis += played.millis;
+    fn add(&mut self, script: &Script, played: &ScriptOutcome) {
+        self.seed_count += 1;
+        self.simulated_ms += played.simulated_ms;
         self.faults += script.faults.len();
-        self.leads += played.leads;
-        self.gained += played.gained;
-        self.frames += played.frames;
-        self.done += played.done;
-        self.taken += played.taken;
+        self.elections_won += played.elections_won;
+        self.duties_gained += played.duties_gained;
+        self.frames += played.frames_sent;
+        self.machines_done += played.machines_done;
+        self.units_taken += played.units_taken;
     }
 
     pub fn to_json(&self) -> serde_json::Value {
         let findings = self.findings.iter().map(|finding| {
-            json!({"wrong": finding.wrong, "seed": finding.drawn.seed, "plays": finding.plays,
-                   "faults": [finding.drawn.faults.len(), finding.least.faults.len()],
-                   "script": finding.least.to_toml()})
+            json!({"wrong": finding.violation, "seed": finding.original.seed, "plays": finding.shrink_plays,
+                   "faults": [finding.original.faults.len(), finding.minimised.faults.len()],
+                   "script": finding.minimised.to_toml()})
         });
-        json!({"seeds": self.seeds, "simulated_seconds": self.millis / 1000, "faults": self.faults,
-               "leads": self.leads, "duties_gained": self.gained, "frames": self.frames,
-               "machines_done": self.done, "units_taken": self.taken, "broken": self.broken,
+        json!({"seeds": self.seed_count, "simulated_seconds": self.simulated_ms / 1000, "faults": self.faults,
+               "leads": self.elections_won, "duties_gained": self.duties_gained, "frames": self.frames,
+               "machines_done": self.machines_done, "units_taken": self.units_taken, "broken": self.failed_seeds,
                "findings": findings.collect::<Vec<_>>()})
     }
 }
@@ -135,10 +135,10 @@
 ];
 
 /// One page that needs nothing else: who was what and when, units in use and machines out, the faults, what was told.
-pub fn page(script: &Script, played: &Played) -> String {
+pub fn render_page(script: &Script, played: &ScriptOutcome) -> String {
     let (width, row, left) = (1100.0, 16.0, 70.0);
     let rows = script.voters + script.others;
-    let all = played.line.last().map_or(1, |moment| moment.at).max(1) as f64;
+    let all = played.timeline.last().map_or(1, |moment| moment.at).max(1) as f64;
     let x = |at: u64| left + at as f64 / all * (width - left);
     let mut svg = String::new();
     let height = row * rows as f64 + 120.0;
@@ -146,12 +146,12 @@
         svg,
         "<svg width=\"{width}\" height=\"{height}\" font-size=\"11\" font-family=\"sans-serif\">"
     );
-    for (n, moment) in played.line.iter().enumerate() {
+    for (n, moment) in played.timeline.iter().enumerate() {
         let until = played
-            .line
+            .timeline
             .get(n + 1)
-            .map_or(moment.at + SAMPLE, |next| next.at);
-        for (at, (_, state)) in moment.members.iter().enumerate() {
+            .map_or(moment.at + SAMPLE_INTERVAL_MS, |next| next.at);
+        for (at, (_, state)) in moment.member_states.iter().enumerate() {
             let known = STATES.iter().find(|(known, ..)| known == state);
             let colour = known.map_or("#ffffff", |(.., colour)| colour);
             let (from, wide) = (x(moment.at), x(until) - x(moment.at) + 0.3);
@@ -163,10 +163,10 @@
         }
     }
     for (at, (name, _)) in played
-        .line
+        .timeline
         .first()
         .iter()
-        .flat_map(|m| m.members.iter().enumerate())
+        .flat_map(|m| m.member_states.iter().enumerate())
     {
         let y = row * at as f64 + 11.0;
         let _ = write!(svg, "<text x=\"0\" y=\"{y}\">{}</text>", escaped(name));
@@ -176,12 +176,12 @@
         ("units in use", "#145aa0", 0),
         ("machines out", "#b03030", 1),
     ] {
-        let value = |moment: &violetwind_storm::script::Moment| match of {
-            0 => moment.in_use as f64,
-            _ => moment.out as f64,
+        let value = |moment: &violetwind_storm::script::TimelineSample| match of {
+            0 => moment.units_in_use as f64,
+            _ => moment.machines_out as f64,
         };
-        let most = played.line.iter().map(value).fold(1.0, f64::max);
-        let points = played.line.iter().map(|moment| {
+        let most = played.timeline.iter().map(value).fold(1.0, f64::max);
+        let points = played.timeline.iter().map(|moment| {
             format!(
                 "{:.1},{:.1}",
                 x(moment.at),
@@ -204,15 +204,15 @@
     let legend = STATES.map(|(_, name, colour)| {
         format!("<span style=\"background:{colour}\">&nbsp;&nbsp;&nbsp;</span> {name} ")
     });
-    let told: Vec<String> = played.told.iter().map(|line| escaped(line)).collect();
+    let told: Vec<String> = played.event_log.iter().map(|line| escaped(line)).collect();
     format!(
         "<!doctype html><meta charset=\"utf-8\"><title>storm, seed {}</title>\
          <h1>Seed {}: {}</h1><p>{} ms simulated, {} faults. {}</p>{svg}\
          <h2>Script</h2><pre>{}</pre><h2>Told</h2><pre>{}</pre>",
         script.seed,
         script.seed,
-        escaped(played.wrong.as_deref().unwrap_or("no promise broken")),
-        played.millis,
+        escaped(played.violation.as_deref().unwrap_or("no promise broken")),
+        played.simulated_ms,
         script.faults.len(),
         legend.concat(),
         escaped(&script.to_toml()),
@@ -224,12 +224,16 @@
 ///
 /// # Errors
 /// The file can't be written.
-pub fn report(script: &Script, planted: Planted, path: &Path) -> std::io::Result<Option<String>> {
-    let played = script.play(planted, SAMPLE);
-    std::fs::write(path, page(script, &played))?;
-    let beside = json!({"seed": script.seed, "wrong": played.wrong, "simulated_ms": played.millis,
-        "leads": played.leads, "duties_gained": played.gained, "frames": played.frames,
-        "machines_done": played.done, "units_taken": played.taken});
+pub fn write_script_report(
+    script: &Script,
+    planted: InjectedBug,
+    path: &Path,
+) -> std::io::Result<Option<String>> {
+    let played = script.run(planted, SAMPLE_INTERVAL_MS);
+    std::fs::write(path, render_page(script, &played))?;
+    let beside = json!({"seed": script.seed, "wrong": played.violation, "simulated_ms": played.simulated_ms,
+        "leads": played.elections_won, "duties_gained": played.duties_gained, "frames": played.frames_sent,
+        "machines_done": played.machines_done, "units_taken": played.units_taken});
     std::fs::write(path.with_extension("json"), format!("{beside:#}\n"))?;
-    Ok(played.wrong)
+    Ok(played.violation)
 }
--- a/crates/lab/src/storm_real.rs
+++ b/crates/lab/src/storm_processes.rs
@@ -7,13 +7,16 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use violetwind_standins::books;
-use violetwind_standins::callers::{Callers, Wants};
-use violetwind_standins::members::live;
-use violetwind_standins::relay::Way;
-use violetwind_standins::shift::{Clients, Night, Staff, broken, desks, doors, outs};
+use violetwind_standins::budget_workload::{BudgetWorkload, WorkloadSpec};
+use violetwind_standins::duty_history;
+use violetwind_standins::fleet_harness::count_live_members;
+use violetwind_standins::relay::LinkMode;
+use violetwind_standins::work_orders::{
+    ClientPool, SimulatedOperators, WorkOrderHarness, client_addrs, collect_out_intervals,
+    find_work_violations, management_addrs,
+};
 use violetwind_storm::fleet::Fault;
-use violetwind_storm::script::{FORM, Script};
+use violetwind_storm::script::{FORMATION_TIME, Script};
 
 const CLIENTS: usize = 20;
 const WHOLE: usize = 20;
@@ -40,9 +43,9 @@
 }
 
 struct Fleet {
-    night: Night,
-    clients: Clients,
-    callers: Callers,
+    night: WorkOrderHarness,
+    clients: ClientPool,
+    callers: BudgetWorkload,
     /// Whose process comes back, or goes on, when.
     due: BTreeMap<(Instant, usize), bool>,
     stopped: BTreeSet<usize>,
@@ -66,16 +69,16 @@
                 if self.stopped.contains(&node) || !self.dead.insert(node) {
                     return false;
                 }
-                self.clients.away(node, true);
+                self.clients.set_proxy_excused(node, true);
                 match fault {
-                    Fault::Kill { .. } => self.night.members.kill(node),
-                    _ => self.night.members.signal(node, "-TERM"),
+                    Fault::Kill { .. } => self.night.fleet.kill_member(node),
+                    _ => self.night.fleet.send_signal(node, "-TERM"),
                 }
                 self.callers
-                    .books
+                    .stats
                     .lock()
                     .expect("no panic")
-                    .units
+                    .held_units
                     .remove(&node);
                 self.due.insert((Instant::now() + ms(*back), node), true);
             }
@@ -84,25 +87,25 @@
                 if self.dead.contains(&node) || !self.stopped.insert(node) {
                     return false;
                 }
-                self.clients.away(node, true);
-                self.night.members.signal(node, "-STOP");
+                self.clients.set_proxy_excused(node, true);
+                self.night.fleet.send_signal(node, "-STOP");
                 self.due.insert((Instant::now() + ms(*lasts), node), false);
             }
             Fault::Cut { from, to, both } => {
                 for a in at(from) {
                     for b in at(to).into_iter().filter(|b| *b != a) {
-                        self.night.members.frames(a, b, Way::Swallow);
+                        self.night.fleet.set_link(a, b, LinkMode::Blackhole);
                         if *both {
-                            self.night.members.frames(b, a, Way::Swallow);
+                            self.night.fleet.set_link(b, a, LinkMode::Blackhole);
                         }
                     }
                 }
             }
-            Fault::Heal => self.night.members.heal(),
+            Fault::Heal => self.night.fleet.heal_links(),
             Fault::HandOn { by, duty, to } => {
                 let to = to
                     .as_ref()
-                    .map(|to| violetwind_standins::members::name(index(to)));
+                    .map(|to| violetwind_standins::fleet_harness::node_name(index(to)));
                 let line = format!("FLEET HAND-ON {duty} {}", to.unwrap_or_default());
                 // Whoever is dead or stopped answers nobody.
                 let _ = self.ask(index(by), &line);
@@ -113,13 +116,14 @@
                 } else {
                     "LET-IN"
                 };
-                let name = violetwind_standins::members::name(index(node));
+                let name = violetwind_standins::fleet_harness::node_name(index(node));
                 let _ = self.ask(index(by), &format!("FLEET {word} {name}"));
             }
             Fault::Press { hot, even } => {
-                for node in 0..self.night.members.count() {
+                for node in 0..self.night.fleet.member_count() {
                     let pressed = *even || node == index(hot);
-                    self.callers.press(node, if pressed { 8 } else { 1 });
+                    self.callers
+                        .set_active_workers(node, if pressed { 8 } else { 1 });
                 }
             }
             Fault::Slow { .. } | Fault::Machine { .. } => return false,
@@ -129,7 +133,9 @@
 
     fn ask(&self, at: usize, line: &str) -> Option<String> {
         let away = self.dead.contains(&at) || self.stopped.contains(&at);
-        (!away).then(|| self.night.members.call(at, line)).flatten()
+        (!away)
+            .then(|| self.night.fleet.call_member(at, line))
+            .flatten()
     }
 
     /// Who was to come back by now does.
@@ -142,17 +148,17 @@
         for ((_, node), anew) in due {
             if anew {
                 // One that was told to end may still be at it.
-                self.night.members.kill(node);
+                self.night.fleet.kill_member(node);
                 self.callers
-                    .books
+                    .stats
                     .lock()
                     .expect("no panic")
-                    .units
+                    .held_units
                     .remove(&node);
-                self.night.members.run(node);
+                self.night.fleet.start_member(node);
                 self.dead.remove(&node);
             } else {
-                self.night.members.signal(node, "-CONT");
+                self.night.fleet.send_signal(node, "-CONT");
                 self.stopped.remove(&node);
             }
         }
@@ -167,27 +173,28 @@
 }
 
 /// Plays a script in real time, at the times that it says.
-pub fn play(script: &Script, program: &Path) -> RealPlayed {
+pub fn play_on_processes(script: &Script, program: &Path) -> RealPlayed {
     let members = script.voters + script.others;
     let lines = format!(
         "[[fleet.duty]]\nname = \"export\"\n[[fleet.budget]]\nname = \"held\"\nkind = \"held\"\nwhole = {}\nfloor = 1\n",
         WHOLE + members
     );
     let shape = (script.voters, script.others);
-    let night = Night::start(program.into(), shape, script.machines.max(2), &lines);
-    let clients = Clients::start(doors(&night.members), CLIENTS);
-    let staff = Staff::start(desks(&night.members), Duration::from_millis(50));
-    let wants = Wants {
-        each: 8,
-        held: "held".into(),
-        hold: Duration::from_millis(60),
+    let night = WorkOrderHarness::start(program.into(), shape, script.machines.max(2), &lines);
+    let clients = ClientPool::start(client_addrs(&night.fleet), CLIENTS);
+    let staff =
+        SimulatedOperators::start(management_addrs(&night.fleet), Duration::from_millis(50));
+    let wants = WorkloadSpec {
+        workers_per_member: 8,
+        held_budget: "held".into(),
+        hold_time: Duration::from_millis(60),
         greedy: false,
-        rate: None,
+        rate_budget: None,
     };
-    let callers = Callers::start(&night.members, &wants);
+    let callers = BudgetWorkload::start(&night.fleet, &wants);
     if script.machines > 0 {
         let last = format!("m-0..m-{}", script.machines - 1);
-        night.plan(0, "storm", &last, &["--most", "2", "--floor", "0.5"]);
+        night.plan_work_order(0, "storm", &last, &["--most", "2", "--floor", "0.5"]);
     }
     let mut fleet = Fleet {
         night,
@@ -200,7 +207,7 @@
     let mut played = RealPlayed::default();
     let begun = Instant::now();
     // The fleet has formed already.
-    let moment = |at: u64| begun + Duration::from_millis(at.saturating_sub(FORM));
+    let moment = |at: u64| begun + Duration::from_millis(at.saturating_sub(FORMATION_TIME));
     for timed in &script.faults {
         fleet.until(moment(timed.at));
         match fleet.strike(&timed.fault) {
@@ -210,21 +217,24 @@
     }
     fleet.until(moment(script.lasts));
     fleet.bring_back(true);
-    fleet.night.members.heal();
+    fleet.night.fleet.heal_links();
     let healed = Instant::now();
     let whole = |fleet: &Fleet| {
-        let view = (0..members).find_map(|at| fleet.night.members.view(at))?;
+        let view = (0..members).find_map(|at| fleet.night.fleet.fetch_view(at))?;
         for member in view["members"].as_array()? {
             if member["state"] == "out" {
                 let node = member["node"].as_str()?;
-                fleet.night.members.call(0, &format!("FLEET LET-IN {node}"));
+                fleet
+                    .night
+                    .fleet
+                    .call_member(0, &format!("FLEET LET-IN {node}"));
             }
         }
-        (view["majority"] == true && live(&view) == Some(members)).then_some(())
+        (view["majority"] == true && count_live_members(&view) == Some(members)).then_some(())
     };
     while whole(&fleet).is_none() {
         if healed.elapsed() > WHOLE_AGAIN {
-            let view = (0..members).find_map(|at| fleet.night.members.view(at));
+            let view = (0..members).find_map(|at| fleet.night.fleet.fetch_view(at));
             let states = view.map(|view| view["members"].to_string());
             let what = format!("Held Again: the fleet is not whole: {states:?}");
             played.wrong.push(what);
@@ -232,9 +242,9 @@
         }
         sleep(Duration::from_millis(20));
     }
-    while script.machines > 0 && fleet.night.ended().is_none() {
+    while script.machines > 0 && fleet.night.finished_view().is_none() {
         if healed.elapsed() > WORK_ENDS {
-            let view = fleet.night.view();
+            let view = fleet.night.fetch_work_view();
             played
                 .wrong
                 .push(format!("Work Ends: the order comes to no end: {view:?}"));
@@ -248,26 +258,34 @@
         callers,
         ..
     } = fleet;
-    let (emptied, seen, units) = (staff.end(), clients.end(), callers.end());
+    let (emptied, seen, units) = (staff.stop(), clients.stop(), callers.stop());
     let count = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    let records = night.members.records();
-    played.wrong.extend(books::broken(&records, &[]));
+    let records = night.fleet.duty_events();
     played
         .wrong
-        .extend(broken(&outs(&night.members), &emptied, &night.workers, 2));
+        .extend(duty_history::find_duty_violations(&records, &[]));
+    played.wrong.extend(find_work_violations(
+        &collect_out_intervals(&night.fleet),
+        &emptied,
+        &night.servers,
+        2,
+    ));
     for (what, number) in [
         ("Final Answer: requests without one", count(&seen.lost)),
-        ("Final Answer: requests with two", count(&seen.twice)),
-        ("Kept: connections cut without a word", count(&seen.cut)),
+        (
+            "Final Answer: requests with two",
+            count(&seen.duplicate_answers),
+        ),
+        ("Kept: connections cut without a word", count(&seen.dropped)),
     ] {
         if number > 0 {
             played.wrong.push(format!("{what}: {number}"));
         }
     }
-    if units.most > WHOLE + members {
+    if units.max_in_use > WHOLE + members {
         let what = format!(
             "Never More Than The Whole: {} of {}",
-            units.most,
+            units.max_in_use,
             WHOLE + members
         );
         played.wrong.push(what);
@@ -275,7 +293,7 @@
     if !played.wrong.is_empty() {
         // What happened is looked at afterwards.
         let path = std::env::temp_dir().join(format!("violetwind-storm-{}.log", script.seed));
-        let kept = std::fs::write(&path, night.members.log());
+        let kept = std::fs::write(&path, night.fleet.merged_log());
         let path = path.display();
         eprintln!(
             "the proxies' logs: {path}{}",
@@ -283,10 +301,10 @@
         );
     }
     played.seconds = begun.elapsed().as_secs_f64();
-    played.duties_held = books::holdings(&records).len();
+    played.duties_held = duty_history::reconstruct_holdings(&records).len();
     played.machines_emptied = emptied.len();
-    played.most_units = units.most;
-    (played.asked, played.moved) = (count(&seen.asked), count(&seen.moved));
+    played.most_units = units.max_in_use;
+    (played.asked, played.moved) = (count(&seen.requests), count(&seen.moved));
     (played.refused, played.failed) = (count(&seen.refused), count(&seen.failed));
     played
 }
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,13 +1,13 @@
 //! The lab holds to what it says: runs repeat, rules are seen to break, files are checked.
 
 use violetwind_balancer::api::QuotaKind;
-use violetwind_lab::experiment::{Side, compare, play, score};
-use violetwind_lab::hunt::{Quarry, hunt};
-use violetwind_lab::model::{Breach, PolicyKind, Rule, run};
+use violetwind_lab::experiment::{Variant, compare_variants, run_variants, score};
+use violetwind_lab::model::{Breach, PolicyKind, Rule, simulate};
 use violetwind_lab::replay::Recording;
-use violetwind_lab::report::{self, Played};
-use violetwind_lab::scenario::{Budget, Kind, Scenario, Trouble};
-use violetwind_record::{Answer, End, Limits, Record, Recorder, Request};
+use violetwind_lab::report::{self, PolicyOutcomes};
+use violetwind_lab::scenario::{Budget, Scenario, Trouble, TroubleKind};
+use violetwind_lab::scenario_search::{SearchTarget, search_scenarios};
+use violetwind_record::{Answer, Limits, Record, Recorder, RecordingEnd, Request};
 
 const SMALL: &str = include_str!("../scenarios/small-day.toml");
 const COLD: &str = include_str!("../scenarios/cold-deploy.toml");
@@ -17,8 +17,8 @@
     Scenario::parse("test.toml", text, &[]).unwrap()
 }
 
-fn side(text: &str, policy: PolicyKind) -> Side {
-    Side {
+fn side(text: &str, policy: PolicyKind) -> Variant {
+    Variant {
         scenario: read(text),
         policy,
     }
@@ -27,13 +27,13 @@
 #[test]
 fn two_runs_of_one_seed_give_the_same_bytes_on_one_thread_and_on_eight() {
     let sides = [
-        side(SMALL, PolicyKind::Module),
+        side(SMALL, PolicyKind::Balancer),
         side(CAMPAIGN, PolicyKind::TwoChoices),
     ];
-    let one = format!("{:?}", play(&sides, &[1, 2, 3, 4], 1));
-    let eight = format!("{:?}", play(&sides, &[1, 2, 3, 4], 8));
+    let one = format!("{:?}", run_variants(&sides, &[1, 2, 3, 4], 1));
+    let eight = format!("{:?}", run_variants(&sides, &[1, 2, 3, 4], 8));
     assert_eq!(one, eight);
-    let other = format!("{:?}", play(&sides, &[5, 6, 7, 8], 8));
+    let other = format!("{:?}", run_variants(&sides, &[5, 6, 7, 8], 8));
     assert_ne!(one, other);
 }
 
@@ -52,24 +52,24 @@
     ];
     let whole = [40, 10, 20, 300];
     let tight = |(of, whole)| Budget {
-        of,
-        whole,
-        divided: true,
+        quota_kind: of,
+        total: whole,
+        divided_by_need: true,
         ..budget.clone()
     };
     scenario.budgets = matters.into_iter().zip(whole).map(tight).collect();
     let restart = Trouble {
-        kind: Kind::ProxiesRestart,
+        kind: TroubleKind::ProxiesRestart,
         at: 20.0,
         share: 0.4,
         ..scenario.troubles[0].clone()
     };
     scenario.troubles.push(restart);
     for seed in 1..=3 {
-        let outcome = run(&scenario, PolicyKind::Module, seed);
+        let outcome = simulate(&scenario, PolicyKind::Balancer, seed);
         assert!(outcome.breaches.is_empty(), "{:?}", outcome.breaches);
         assert!(outcome.moves > 20 && outcome.probes > 1000, "{outcome:?}");
-        let random = run(&scenario, PolicyKind::Random, seed);
+        let random = simulate(&scenario, PolicyKind::Random, seed);
         let of = |breach: &Breach| breach.rule == Rule::Budget;
         assert!(random.breaches.iter().any(of), "nothing was found");
     }
@@ -80,15 +80,19 @@
 #[test]
 fn the_module_keeps_the_rules_in_the_hard_cases() {
     let campaign = read(CAMPAIGN);
-    let only = |kind: Kind| {
+    let only = |kind: TroubleKind| {
         let mut scenario = campaign.clone();
         scenario.troubles.retain(|trouble| trouble.kind == kind);
         assert_eq!(scenario.troubles.len(), 1);
         scenario
     };
-    for scenario in [only(Kind::Heavy), only(Kind::Deploy), campaign.clone()] {
+    for scenario in [
+        only(TroubleKind::Heavy),
+        only(TroubleKind::Deploy),
+        campaign.clone(),
+    ] {
         for seed in 1..=3 {
-            let outcome = run(&scenario, PolicyKind::Module, seed);
+            let outcome = simulate(&scenario, PolicyKind::Balancer, seed);
             assert!(outcome.breaches.is_empty(), "{:?}", outcome.breaches);
             assert!(outcome.requests > 1000 && outcome.service > 0.5);
         }
@@ -97,26 +101,26 @@
 
 #[test]
 fn every_trouble_is_played_and_leaves_the_books_whole() {
-    for kind in Kind::ALL {
+    for kind in TroubleKind::ALL {
         let mut scenario = read(SMALL);
         scenario.seconds = 40.0;
         scenario.troubles.truncate(1);
         scenario.troubles[0].kind = kind;
-        (scenario.troubles[0].from, scenario.troubles[0].to) = kind.usual();
-        let calm = run(
+        (scenario.troubles[0].from, scenario.troubles[0].to) = kind.default_factors();
+        let calm = simulate(
             &Scenario {
                 troubles: Vec::new(),
                 ..scenario.clone()
             },
-            PolicyKind::Module,
+            PolicyKind::Balancer,
             1,
         );
-        let outcome = run(&scenario, PolicyKind::Module, 1);
+        let outcome = simulate(&scenario, PolicyKind::Balancer, 1);
         assert!((0.0..=1.0).contains(&outcome.service), "{kind:?}");
         // Something came of it.
         let same = outcome.series == calm.series && outcome.requests == calm.requests;
         assert!(
-            !same || kind == Kind::CatalogueSilent,
+            !same || kind == TroubleKind::CatalogueSilent,
             "{kind:?} changes nothing"
         );
     }
@@ -125,9 +129,13 @@
 /// Worse policies score less, and nothing beats the one that sees everything by much.
 #[test]
 fn policies_come_in_the_order_that_is_to_be_expected() {
-    let sides = [PolicyKind::Random, PolicyKind::Module, PolicyKind::Bound];
+    let sides = [
+        PolicyKind::Random,
+        PolicyKind::Balancer,
+        PolicyKind::UpperBound,
+    ];
     let sides = sides.map(|policy| side(CAMPAIGN, policy));
-    let outcomes = play(&sides, &[1, 2, 3, 4, 5], 8);
+    let outcomes = run_variants(&sides, &[1, 2, 3, 4, 5], 8);
     let mean = |n: usize| outcomes[n].iter().map(|o| o.service).sum::<f64>() / 5.0;
     assert!(mean(0) + 0.05 < mean(1) && mean(1) < mean(2) + 0.01);
     assert_eq!(score(mean(0), mean(0), mean(2)), 0.0);
@@ -138,13 +146,13 @@
 fn moves_are_better_than_none_by_an_interval_that_leaves_out_zero() {
     let (a, b) = (
         side(CAMPAIGN, PolicyKind::NoMoves),
-        side(CAMPAIGN, PolicyKind::Module),
+        side(CAMPAIGN, PolicyKind::Balancer),
     );
     let seeds: Vec<u64> = (1..=40).collect();
-    let comparison = compare(&a, &b, &seeds, 0.001, 8);
+    let comparison = compare_variants(&a, &b, &seeds, 0.001, 8);
     let whole = comparison.difference[0];
     assert!(whole.excludes_zero() && whole.mean > 0.0, "{whole:?}");
-    assert_eq!(comparison.breaches, [0, 0]);
+    assert_eq!(comparison.breach_counts, [0, 0]);
 }
 
 /// A list held back to a moment that no nanosecond meets was held back again and again, without end.
@@ -154,34 +162,36 @@
     scenario.seconds = 40.0;
     scenario.troubles.truncate(1);
     let mut silence = scenario.troubles[0].clone();
-    (silence.kind, silence.at, silence.lasts) = (Kind::CatalogueSilent, 14.0, 7.123_456_789_123);
+    (silence.kind, silence.at, silence.lasts) =
+        (TroubleKind::CatalogueSilent, 14.0, 7.123_456_789_123);
     scenario.troubles.push(silence);
-    let outcome = run(&scenario, PolicyKind::Module, 1);
+    let outcome = simulate(&scenario, PolicyKind::Balancer, 1);
     assert!(outcome.breaches.is_empty() && outcome.requests > 0);
 }
 
 #[test]
 fn a_planted_break_is_found_and_shrunk() {
     let base = read(SMALL);
-    let found = hunt(&base, PolicyKind::Deaf, 3, 50).expect("it does not listen to drains");
-    assert_eq!(found.quarry, Quarry::Broken(Rule::Drain));
+    let found = search_scenarios(&base, PolicyKind::IgnoresUpdates, 3, 50)
+        .expect("it does not listen to drains");
+    assert_eq!(found.target, SearchTarget::Broken(Rule::Drain));
     assert_eq!(
         found.scenario.troubles.len(),
         1,
         "{:?}",
         found.scenario.troubles
     );
-    assert!(found.shrinks > 0 && found.scenario.servers <= base.servers);
+    assert!(found.shrink_steps > 0 && found.scenario.servers <= base.servers);
     // It can be committed: the file says the same, and shows the same.
     let again = read(&found.scenario.to_toml());
-    let outcome = run(&again, PolicyKind::Deaf, found.seed);
+    let outcome = simulate(&again, PolicyKind::IgnoresUpdates, found.seed);
     assert!(
         outcome
             .breaches
             .iter()
             .any(|breach| breach.rule == Rule::Drain)
     );
-    let sound = run(&again, PolicyKind::Module, found.seed);
+    let sound = simulate(&again, PolicyKind::Balancer, found.seed);
     assert!(sound.breaches.is_empty());
 }
 
@@ -220,18 +230,22 @@
 #[test]
 fn a_report_holds_its_plots_and_the_series_all_seconds() {
     let scenario = read(SMALL);
-    let sides = [PolicyKind::Module, PolicyKind::Random, PolicyKind::Bound];
+    let sides = [
+        PolicyKind::Balancer,
+        PolicyKind::Random,
+        PolicyKind::UpperBound,
+    ];
     let sides = sides.map(|policy| side(SMALL, policy));
-    let outcomes = play(&sides, &[1, 2], 4);
-    let played: Vec<Played> = ["module", "random", "bound"]
+    let outcomes = run_variants(&sides, &[1, 2], 4);
+    let played: Vec<PolicyOutcomes> = ["module", "random", "bound"]
         .iter()
         .zip(&outcomes)
-        .map(|(name, outcomes)| Played { name, outcomes })
+        .map(|(name, outcomes)| PolicyOutcomes { name, outcomes })
         .collect();
-    let page = report::html(&scenario, &played).unwrap();
+    let page = report::render_html(&scenario, &played).unwrap();
     assert_eq!(page.matches("<svg").count(), 3);
     assert!(page.contains("worst class") && !page.contains("<script") && !page.contains("href"));
-    let csv = report::csv(&scenario, &outcomes[0]);
+    let csv = report::render_csv(&scenario, &outcomes[0]);
     assert_eq!(csv.lines().count(), 61);
     let moves: f64 = csv
         .lines()
@@ -249,20 +263,20 @@
     let classes = ["watch", "book", "elsewhere"].map(String::from).to_vec();
     let recorder = Recorder::start(&path, classes, Limits::default()).unwrap();
     for n in 0..2000_u64 {
-        recorder.put(Record::Request(Request {
+        recorder.enqueue(Record::Request(Request {
             // Written in the order of their ends.
             at_us: (1999 - n) * 20_000,
             class: (n % 3) as u16,
             tenant: None,
             group: Some(n),
-            patience_ms: 2000,
+            timeout_ms: 2000,
             answer: if n % 10 == 0 {
                 Answer::Refused
             } else {
                 Answer::Up
             },
-            took_us: 1000,
-            held_ms: 8000,
+            latency_us: 1000,
+            connected_ms: 8000,
             load: Some(20_000),
         }));
     }
@@ -271,12 +285,16 @@
     std::fs::remove_file(&path).unwrap();
     let scenario = read(SMALL);
     let whole = Recording::read(&bytes[..], &scenario);
-    assert_eq!(whole.end, End::Whole);
-    assert_eq!(whole.unknown["elsewhere"], 666);
+    assert_eq!(whole.end, RecordingEnd::Whole);
+    assert_eq!(whole.unknown_classes["elsewhere"], 666);
     assert_eq!(whole.clients.len(), 2000 - 666);
-    assert!(whole.clients.is_sorted_by(|a, b| a.at <= b.at));
+    assert!(
+        whole
+            .clients
+            .is_sorted_by(|a, b| a.arrived_at <= b.arrived_at)
+    );
     let half = Recording::read(&bytes[..bytes.len() / 2], &scenario);
-    assert_eq!(half.end, End::Cut(bytes.len() as u64 / 2));
+    assert_eq!(half.end, RecordingEnd::Cut(bytes.len() as u64 / 2));
     assert!((300..1000).contains(&half.clients.len()));
     assert!(
         half.clients
@@ -288,8 +306,8 @@
     let play = |recording: &Recording, times: f64| {
         let mut scenario = scenario.clone();
         scenario.troubles.clear();
-        scenario.replayed = Some(recording.scaled(times, 1.0, 1).into());
-        run(&scenario, PolicyKind::Module, 1)
+        scenario.recorded_clients = Some(recording.scaled(times, 1.0, 1).into());
+        simulate(&scenario, PolicyKind::Balancer, 1)
     };
     let (one, two) = (play(&half, 1.0), play(&half, 2.0));
     assert_eq!(one.clients, half.clients.len() as u64);
--- a/crates/proxy/benches/duties.rs
+++ b/crates/proxy/benches/duties.rs
@@ -7,26 +7,26 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use violetwind_standins::callers::{Callers, Wants};
-use violetwind_standins::members::{Members, Spec, live, name};
-use violetwind_standins::mono_ms;
-use violetwind_standins::{Peer, books};
+use violetwind_standins::boottime_ms;
+use violetwind_standins::budget_workload::{BudgetWorkload, WorkloadSpec};
+use violetwind_standins::fleet_harness::{FleetHarness, FleetSpec, count_live_members, node_name};
+use violetwind_standins::{LineConnection, duty_history};
 
-fn spec(voters: usize, others: usize, sync: bool) -> Spec {
-    Spec {
+fn spec(voters: usize, others: usize, sync: bool) -> FleetSpec {
+    FleetSpec {
         program: env!("CARGO_BIN_EXE_violetwind").into(),
         voters,
-        others,
+        non_voters: others,
         lease_ms: 2000,
-        election_ms: 500,
+        election_timeout_ms: 500,
         duties: vec!["export".into()],
-        cold_s: 4.0,
+        slow_start_window_s: 4.0,
         log_level: "info",
-        fleet_lines: format!(
+        fleet_toml: format!(
             "sync = {sync}\nlinks = {}\n",
             if others > 0 { 512 } else { 64 }
         ),
-        lines: String::new(),
+        extra_toml: String::new(),
     }
 }
 
@@ -40,16 +40,18 @@
     println!("{what}: p50 {p50:.2} ms, p99 {p99:.2} ms, n {}", all.len());
 }
 
-fn leader(members: &Members, not: Option<usize>) -> usize {
-    members.until("a leader", |members| {
-        let leader = (0..members.count())
+fn leader(members: &FleetHarness, not: Option<usize>) -> usize {
+    members.wait_until("a leader", |members| {
+        let leader = (0..members.member_count())
             .filter(|at| Some(*at) != not)
             .find_map(|at| {
-                let view = members.view(at).filter(|view| view["majority"] == true)?;
+                let view = members
+                    .fetch_view(at)
+                    .filter(|view| view["majority"] == true)?;
                 view["leader"].as_str().map(str::to_string)
             })?;
-        (0..members.count())
-            .find(|at| name(*at) == leader)
+        (0..members.member_count())
+            .find(|at| node_name(*at) == leader)
             .filter(|at| Some(*at) != not)
     })
 }
@@ -81,7 +83,7 @@
 const LINES: u32 = 3000;
 
 /// Processor time of the engine's thread for a set-up and for a relayed line there and back.
-fn ordinary(members: &Members, pid: u32, at: SocketAddr, id: &mut u64) -> (f64, f64) {
+fn ordinary(members: &FleetHarness, pid: u32, at: SocketAddr, id: &mut u64) -> (f64, f64) {
     let begun = ran(pid);
     let mut pair = opened(members, at, id, OPENS);
     let set_up = ran(pid);
@@ -92,27 +94,32 @@
 }
 
 /// Clients set up one after the other, each ended by the next; the last one and its server's end.
-fn opened(members: &Members, at: SocketAddr, id: &mut u64, count: u32) -> (Peer, Peer) {
+fn opened(
+    members: &FleetHarness,
+    at: SocketAddr,
+    id: &mut u64,
+    count: u32,
+) -> (LineConnection, LineConnection) {
     let mut pair = None;
     for _ in 0..count {
-        let mut client = Peer::connect(at);
+        let mut client = LineConnection::connect(at);
         *id += 1;
-        client.say(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 c=watch,d=2000"));
-        let (_, mut conn) = members.server.opened();
-        conn.say("UP 77aa");
-        assert_eq!(client.hear(), "UP 77aa");
+        client.send_line(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 c=watch,d=2000"));
+        let (_, mut conn) = members.server.next_open();
+        conn.send_line("UP 77aa");
+        assert_eq!(client.read_line(), "UP 77aa");
         pair = Some((client, conn));
     }
     pair.unwrap()
 }
 
 /// A line there and a line back, so many times.
-fn relayed((client, conn): &mut (Peer, Peer), count: u32) {
+fn relayed((client, conn): &mut (LineConnection, LineConnection), count: u32) {
     for _ in 0..count {
-        client.say("line");
-        assert_eq!(conn.hear(), "line");
-        conn.say("line");
-        assert_eq!(client.hear(), "line");
+        client.send_line("line");
+        assert_eq!(conn.read_line(), "line");
+        conn.send_line("line");
+        assert_eq!(client.read_line(), "line");
     }
 }
 
@@ -149,7 +156,7 @@
 }
 
 /// Instructions a set-up and a relayed line, with what the thread does by the clock taken off at its idle rate.
-fn instructions(members: &Members, dir: &Path, pid: u32, at: SocketAddr) -> [f64; 2] {
+fn instructions(members: &FleetHarness, dir: &Path, pid: u32, at: SocketAddr) -> [f64; 2] {
     let (mut id, mut dumps) = (0x51c3_a9be_00d2_0000, 0);
     let mut pair = opened(members, at, &mut id, OPENS);
     relayed(&mut pair, LINES);
@@ -193,23 +200,23 @@
 /// next member each second.
 fn in_use(pattern: &str, count: usize, floor: usize) -> f64 {
     let mut spec = spec(count.min(3), count.saturating_sub(3), true);
-    spec.fleet_lines += &format!("members = {count}\n");
-    spec.lines = format!(
+    spec.fleet_toml += &format!("members = {count}\n");
+    spec.extra_toml = format!(
         "[[fleet.budget]]\nname = \"slots\"\nkind = \"held\"\nwhole = {WHOLE}\nfloor = {floor}\n"
     );
-    let members = Members::start(spec);
-    members.until("all are there", |members| {
-        let view = members.view(0)?;
-        (live(&view) == Some(count)).then_some(())
+    let members = FleetHarness::start(spec);
+    members.wait_until("all are there", |members| {
+        let view = members.fetch_view(0)?;
+        (count_live_members(&view) == Some(count)).then_some(())
     });
-    let callers = Callers::start(
+    let callers = BudgetWorkload::start(
         &members,
-        &Wants {
-            each: CALLERS,
-            held: "slots".into(),
-            hold: Duration::from_millis(500),
+        &WorkloadSpec {
+            workers_per_member: CALLERS,
+            held_budget: "slots".into(),
+            hold_time: Duration::from_millis(500),
             greedy: true,
-            rate: None,
+            rate_budget: None,
         },
     );
     let (mut sum, seconds) = (0.0, 12);
@@ -221,17 +228,17 @@
                 "moving" if at == second % count => CALLERS,
                 _ => 1,
             };
-            callers.press(at, hot);
+            callers.set_active_workers(at, hot);
         }
-        let mean = callers.mean(Duration::from_secs(1));
+        let mean = callers.mean_units_in_use(Duration::from_secs(1));
         // The first seconds find the pressure.
         sum += if second >= 2 { mean } else { 0.0 };
     }
-    let books = callers.end();
+    let books = callers.stop();
     assert!(
-        books.most <= WHOLE,
+        books.max_in_use <= WHOLE,
         "{pattern}, {count} with {floor}: {} of {WHOLE}",
-        books.most
+        books.max_in_use
     );
     sum / (seconds - 2) as f64
 }
@@ -254,16 +261,24 @@
     };
     for voters in [3, 5, 7].into_iter().filter(|_| wants("commits")) {
         for sync in [true, false] {
-            let members = Members::start(spec(voters, 0, sync));
-            members.held("export", 0);
+            let members = FleetHarness::start(spec(voters, 0, sync));
+            members.wait_for_holder("export", 0);
             let leads = leader(&members, None);
             // An order for nobody's change is one entry, and the call and its answer besides; a view is a read.
-            let order = format!("FLEET HAND-ON export {}", name(members.held("export", 0).0));
+            let order = format!(
+                "FLEET HAND-ON export {}",
+                node_name(members.wait_for_holder("export", 0).0)
+            );
             let (mut commits, mut reads) = (Vec::new(), Vec::new());
             for _ in 0..300 {
                 for (line, into) in [(order.as_str(), &mut commits), ("FLEET", &mut reads)] {
                     let begun = Instant::now();
-                    assert!(members.call(leads, line).unwrap().starts_with("200 "));
+                    assert!(
+                        members
+                            .call_member(leads, line)
+                            .unwrap()
+                            .starts_with("200 ")
+                    );
                     into.push(begun.elapsed().as_secs_f64() * 1000.0);
                 }
             }
@@ -275,18 +290,18 @@
         }
     }
     for voters in [3, 5, 7].into_iter().filter(|_| wants("elections")) {
-        let mut members = Members::start(spec(voters, 0, true));
-        members.held("export", 0);
+        let mut members = FleetHarness::start(spec(voters, 0, true));
+        members.wait_for_holder("export", 0);
         let (mut elections, mut handed) = (Vec::new(), Vec::new());
         for _ in 0..50 {
             let leads = leader(&members, None);
-            let begun = mono_ms();
-            members.kill(leads);
+            let begun = boottime_ms();
+            members.kill_member(leads);
             let _ = leader(&members, Some(leads));
-            elections.push((mono_ms() - begun) as f64);
-            members.run(leads);
-            members.until("it is back", |members| {
-                let view = members.view(leads)?;
+            elections.push((boottime_ms() - begun) as f64);
+            members.start_member(leads);
+            members.wait_until("it is back", |members| {
+                let view = members.fetch_view(leads)?;
                 (view["leader"].is_string()).then_some(())
             });
         }
@@ -295,55 +310,61 @@
             elections,
         );
         for _ in 0..20 {
-            let (holder, _) = members.held("export", 0);
-            let begun = mono_ms();
-            assert!(members.end(holder).unwrap().success());
-            let (_, from) = members.held("export", begun);
+            let (holder, _) = members.wait_for_holder("export", 0);
+            let begun = boottime_ms();
+            assert!(members.terminate_member(holder).unwrap().success());
+            let (_, from) = members.wait_for_holder("export", begun);
             handed.push(from.saturating_sub(begun) as f64);
-            members.run(holder);
-            members.until("it is back", |members| {
-                let view = members.view(holder)?;
-                (live(&view) == Some(voters)).then_some(())
+            members.start_member(holder);
+            members.wait_until("it is back", |members| {
+                let view = members.fetch_view(holder)?;
+                (count_live_members(&view) == Some(voters)).then_some(())
             });
         }
         shown(&format!("{voters} voters, a planned hand-over"), handed);
         let mut unplanned = Vec::new();
         for _ in 0..10 {
-            let (holder, _) = members.held("export", 0);
-            let begun = mono_ms();
-            members.kill(holder);
-            let (_, from) = members.held("export", begun);
+            let (holder, _) = members.wait_for_holder("export", 0);
+            let begun = boottime_ms();
+            members.kill_member(holder);
+            let (_, from) = members.wait_for_holder("export", begun);
             unplanned.push((from - begun) as f64);
-            members.run(holder);
-            members.until("it is back", |members| {
-                let view = members.view(holder)?;
-                (live(&view) == Some(voters)).then_some(())
+            members.start_member(holder);
+            members.wait_until("it is back", |members| {
+                let view = members.fetch_view(holder)?;
+                (count_live_members(&view) == Some(voters)).then_some(())
             });
         }
         shown(&format!("{voters} voters, an unplanned one"), unplanned);
-        let broken = books::broken(&members.records(), &[]);
+        let broken = duty_history::find_duty_violations(&members.duty_events(), &[]);
         println!(
             "{voters} voters: {} holdings, broken {broken:?}",
-            books::holdings(&members.records()).len()
+            duty_history::reconstruct_holdings(&members.duty_events()).len()
         );
     }
     if wants("ordinary") {
         // The same program beside itself: a member that holds a duty, and one without the section.
-        let members = Members::start(spec(1, 0, true));
-        members.held("export", 0);
-        let plain = members.plain(0);
-        members.until("it serves", |members| {
-            let mut caller = Peer::new(std::net::TcpStream::connect(plain.management).ok()?);
-            caller.say("HEALTH");
-            let said = caller.try_hear().ok()?;
-            (said.starts_with("200 ") && members.view(0).is_some()).then_some(())
+        let members = FleetHarness::start(spec(1, 0, true));
+        members.wait_for_holder("export", 0);
+        let plain = members.start_standalone_process(0);
+        members.wait_until("it serves", |members| {
+            let mut caller =
+                LineConnection::new(std::net::TcpStream::connect(plain.management_addr).ok()?);
+            caller.send_line("HEALTH");
+            let said = caller.try_read_line().ok()?;
+            (said.starts_with("200 ") && members.fetch_view(0).is_some()).then_some(())
         });
         let mut id = 0x51c3_a9be_00d2_0000;
         let (mut opens, mut lines) = (Vec::new(), Vec::new());
         let (mut off_opens, mut off_lines) = (Vec::new(), Vec::new());
         for _ in 0..PAIRS {
-            let on = ordinary(&members, members.pid(0).unwrap(), members.addr(0), &mut id);
-            let off = ordinary(&members, plain.child.id(), plain.addr, &mut id);
+            let on = ordinary(
+                &members,
+                members.pid(0).unwrap(),
+                members.client_addr(0),
+                &mut id,
+            );
+            let off = ordinary(&members, plain.child.id(), plain.client_addr, &mut id);
             opens.push(on.0 / off.0);
             lines.push(on.1 / off.1);
             off_opens.push(off.0);
@@ -370,18 +391,24 @@
         wanted.program = under_callgrind(&dir);
         let mut runs = Vec::new();
         for _ in 0..2 {
-            let members = Members::start(wanted.clone());
-            members.held("export", 0);
-            let plain = members.plain(0);
-            members.until("it serves", |members| {
-                let mut caller = Peer::new(std::net::TcpStream::connect(plain.management).ok()?);
-                caller.say("HEALTH");
-                let said = caller.try_hear().ok()?;
-                (said.starts_with("200 ") && members.view(0).is_some()).then_some(())
+            let members = FleetHarness::start(wanted.clone());
+            members.wait_for_holder("export", 0);
+            let plain = members.start_standalone_process(0);
+            members.wait_until("it serves", |members| {
+                let mut caller =
+                    LineConnection::new(std::net::TcpStream::connect(plain.management_addr).ok()?);
+                caller.send_line("HEALTH");
+                let said = caller.try_read_line().ok()?;
+                (said.starts_with("200 ") && members.fetch_view(0).is_some()).then_some(())
             });
-            runs.push(instructions(&members, &dir, plain.child.id(), plain.addr));
+            runs.push(instructions(
+                &members,
+                &dir,
+                plain.child.id(),
+                plain.client_addr,
+            ));
             let pid = members.pid(0).unwrap();
-            runs.push(instructions(&members, &dir, pid, members.addr(0)));
+            runs.push(instructions(&members, &dir, pid, members.client_addr(0)));
         }
         for (at, what) in ["set-up", "line"].into_iter().enumerate() {
             let of = |run: usize| runs[run][at];
@@ -406,13 +433,15 @@
         }
     }
     if wants("sessions") {
-        let members = Members::start(spec(3, 297, true));
-        let leads = members.until("a leader", |members| {
-            members.holder(0, "export").map(|_| leader(members, None))
+        let members = FleetHarness::start(spec(3, 297, true));
+        let leads = members.wait_until("a leader", |members| {
+            members
+                .duty_holder(0, "export")
+                .map(|_| leader(members, None))
         });
         let begun = Instant::now();
         let live = || {
-            let view = members.view(leads)?;
+            let view = members.fetch_view(leads)?;
             let live = view["members"]
                 .as_array()?
                 .iter()
--- a/crates/proxy/benches/sources.rs
+++ b/crates/proxy/benches/sources.rs
@@ -11,7 +11,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Discovery, Peer, Proxy, Server, unused, without_loads};
+use common::{Discovery, LineConnection, Proxy, Server, unused_addr, without_loads};
 use serde_json::{Value, json};
 use violetwind_standins::consul::{Check, Consul, Instance, Maintenance};
 
@@ -38,7 +38,7 @@
 
 fn opens(rounds: usize) {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     for _ in 0..rounds {
         let proxy = Proxy::start_roomy(&discovery);
         let before = proxy.cpu();
@@ -78,7 +78,7 @@
          name = \"agenda\"\nkind = \"consul\"\naddress = \"{}\"\nservice = \"agenda\"\ngap = \"{gap}\"\n",
         consul.addr
     );
-    let proxy = Proxy::start_with(unused(), &file, no_probes);
+    let proxy = Proxy::start_with(unused_addr(), &file, no_probes);
     World {
         servers,
         consul,
@@ -90,7 +90,7 @@
 fn scale(instances: usize, changes: usize, seconds: usize) {
     let world = world(instances, "100ms");
     let whole = world.proxy.memory_kib();
-    let calls = world.consul.call_count();
+    let calls = world.consul.request_count();
     let (before, start) = (world.proxy.cpu(), Instant::now());
     let mut next = 0;
     let mut slowest = Duration::ZERO;
@@ -101,20 +101,20 @@
             .map(|n| world.ids[(next + n) % instances].as_str())
             .collect();
         next += ids.len();
-        world.consul.alter(&ids, |i| {
+        world.consul.update_instances(&ids, |i| {
             i.check = match i.check {
                 Check::Passing => Check::Critical,
                 _ => Check::Passing,
             };
         });
         let asked = Instant::now();
-        assert!(common::Answers::pong(&world.proxy));
+        assert!(common::Pingable::answers_ping(&world.proxy));
         slowest = slowest.max(asked.elapsed());
         std::thread::sleep(until.saturating_duration_since(Instant::now()));
     }
     let took = start.elapsed();
     let cpu = world.proxy.cpu() - before;
-    let lists = world.consul.call_count() - calls;
+    let lists = world.consul.request_count() - calls;
     println!(
         "{instances} instances, {changes} changes a second, {:.0} s: {:.1}% of a core, {lists} lists, \
          {:.0} ms a list, slowest PING {:.1} ms, memory {:.1} MB after the first list, {:.1} MB at most",
@@ -133,25 +133,25 @@
     while took.len() < times {
         let mut client = world.proxy.open("watch");
         let (on, mut conn) = opened(&world.servers);
-        conn.say("UP 1");
-        assert_eq!(client.hear(), "UP 1");
+        conn.send_line("UP 1");
+        assert_eq!(client.read_line(), "UP 1");
         // All identities at that address drain, as it is not known which of them was meant.
         let ids = world.ids.iter().enumerate();
         let ids: Vec<&str> = ids
             .filter(|(n, _)| n % world.servers.len() == on)
             .map(|(_, id)| id.as_str())
             .collect();
-        world.consul.wait_told();
+        world.consul.wait_until_changes_served();
         let told = Instant::now();
         world
             .consul
-            .alter(&ids, |i| i.maintenance = Maintenance::Service);
-        assert_eq!(client.hear(), "MOVE");
+            .update_instances(&ids, |i| i.maintenance = Maintenance::Service);
+        assert_eq!(client.read_line(), "MOVE");
         took.push(told.elapsed());
         world
             .consul
-            .alter(&ids, |i| i.maintenance = Maintenance::None);
-        world.consul.wait_told();
+            .update_instances(&ids, |i| i.maintenance = Maintenance::None);
+        world.consul.wait_until_changes_served();
     }
     took.sort();
     let quantile = |part: f64| took[((took.len() - 1) as f64 * part) as usize].as_secs_f64() * 1e3;
@@ -162,10 +162,10 @@
     );
 }
 
-fn opened(servers: &[Server]) -> (usize, Peer) {
+fn opened(servers: &[Server]) -> (usize, LineConnection) {
     loop {
         for (n, server) in servers.iter().enumerate() {
-            if let Some((_, conn)) = server.opened_or(|| true) {
+            if let Some((_, conn)) = server.next_open_unless(|| true) {
                 return (n, conn);
             }
         }
--- a/crates/proxy/benches/work.rs
+++ b/crates/proxy/benches/work.rs
@@ -4,20 +4,24 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use violetwind_standins::shift::{Clients, Night, Staff, broken, desks, doors, most_out, outs};
+use violetwind_standins::work_orders::{
+    ClientPool, SimulatedOperators, WorkOrderHarness, client_addrs, collect_out_intervals,
+    find_work_violations, management_addrs, max_machines_out,
+};
 
 const CLIENTS: usize = 60;
 
 fn play(machines: usize, most: usize, batch: usize) -> String {
-    let night = Night::start(
+    let night = WorkOrderHarness::start(
         env!("CARGO_BIN_EXE_violetwind").into(),
         (3, 2),
         machines,
         "",
     );
-    let clients = Clients::start(doors(&night.members), CLIENTS);
+    let clients = ClientPool::start(client_addrs(&night.fleet), CLIENTS);
     std::thread::sleep(Duration::from_secs(2));
-    let staff = Staff::start(desks(&night.members), Duration::from_millis(200));
+    let staff =
+        SimulatedOperators::start(management_addrs(&night.fleet), Duration::from_millis(200));
     let begun = Instant::now();
     let at_once = most.to_string();
     let bounds = [
@@ -30,32 +34,32 @@
     ];
     for first in (0..machines).step_by(batch) {
         let last = (first + batch).min(machines) - 1;
-        night.plan(0, "night", &format!("m-{first}..m-{last}"), &bounds);
+        night.plan_work_order(0, "night", &format!("m-{first}..m-{last}"), &bounds);
     }
     let orders = machines.div_ceil(batch);
     let until = Instant::now() + Duration::from_secs(600);
     while night
-        .ended()
+        .finished_view()
         .is_none_or(|view| view["ended"].as_array().map_or(0, Vec::len) < orders)
     {
-        assert!(Instant::now() < until, "{:?}", night.view());
+        assert!(Instant::now() < until, "{:?}", night.fetch_work_view());
         std::thread::sleep(Duration::from_millis(20));
     }
     let took = begun.elapsed();
-    let emptied = staff.end();
-    let seen = clients.end();
+    let emptied = staff.stop();
+    let seen = clients.stop();
     let count = |count: &std::sync::atomic::AtomicU64| count.load(Ordering::Relaxed);
-    let outs = outs(&night.members);
-    let wrong = broken(&outs, &emptied, &night.workers, most);
+    let outs = collect_out_intervals(&night.fleet);
+    let wrong = find_work_violations(&outs, &emptied, &night.servers, most);
     format!(
         "{:.1} s, {} machines, {} out at most, {} moves of {CLIENTS} clients, {} refused, {} lost, {} cut, {} broken promises",
         took.as_secs_f64(),
         emptied.len(),
-        most_out(&outs).0,
+        max_machines_out(&outs).0,
         count(&seen.moved),
         count(&seen.refused),
         count(&seen.lost),
-        count(&seen.cut),
+        count(&seen.dropped),
         wrong.len(),
     )
 }
--- a/crates/proxy/src/send.rs
+++ b/crates/proxy/src/attempt.rs
@@ -11,32 +11,32 @@
 use violetwind_net::{DialError, connect, write_all};
 
 use crate::limits::Limits;
-use crate::line::{self, Open, Word};
-use crate::repeats::Repeats;
-use crate::ring::Ring;
+use crate::line_protocol::{self, OpenLine, ServerLine};
+use crate::log_throttle::LogThrottle;
+use crate::ring_buffer::RingBuffer;
 
 /// The server's side of a connection.
 #[derive(Debug)]
-pub struct Server {
+pub struct ServerConnection {
     pub stream: TcpStream,
     /// What the server has sent and the client has not got yet.
-    pub ring: Ring,
+    pub ring: RingBuffer,
 }
 
 #[derive(Debug)]
-pub enum Attempt {
+pub enum AttemptResult {
     /// The ring begins with the server's `UP`.
-    Up(Server),
+    Up(ServerConnection),
     /// Served to its end at once: the ring holds what the client gets.
-    Served(Server),
+    Served(ServerConnection),
     Failed(Outcome, Report),
 }
 
 /// What a server's answer comes to that is none: the request may have run. Servers that are broken must not fill
 /// the log.
-fn spoilt(endpoint: SocketAddr, line: &[u8], repeats: &Repeats) -> Outcome {
-    if let Some(left_out) = repeats.next() {
-        warn!(%endpoint, line = %line::shown(line), left_out, "a server's line that is unknown");
+fn spoilt(endpoint: SocketAddr, line: &[u8], repeats: &LogThrottle) -> Outcome {
+    if let Some(left_out) = repeats.try_acquire() {
+        warn!(%endpoint, line = %line_protocol::log_excerpt(line), left_out, "a server's line that is unknown");
     }
     Outcome::Error
 }
@@ -52,12 +52,12 @@
     endpoint: SocketAddr,
     until: Instant,
     limits: &Limits,
-    repeats: &Repeats,
+    repeats: &LogThrottle,
 ) -> Result<Dialled, Outcome> {
     let mut delayed = false;
     loop {
         let now = Instant::now();
-        let until_up = until.min(now + limits.connect);
+        let until_up = until.min(now + limits.connect_timeout);
         let error = match timeout_at(until_up, connect(endpoint)).await {
             Ok(Ok(stream)) => return Ok(Dialled { stream, delayed }),
             Ok(Err(DialError::Local(error))) => error,
@@ -65,44 +65,44 @@
             // The shortage left it too little time.
             Err(_) if delayed => return Err(Outcome::LocalFailure),
             // The request had so little that nothing is known of the server.
-            Err(_) if until_up - now < limits.connect / 2 => return Err(Outcome::NotSent),
+            Err(_) if until_up - now < limits.connect_timeout / 2 => return Err(Outcome::NotSent),
             Err(_) => return Err(Outcome::ConnectFailed),
         };
-        if let Some(left_out) = repeats.next() {
+        if let Some(left_out) = repeats.try_acquire() {
             warn!(%endpoint, %error, left_out, "this machine is short of what a dial takes");
         }
-        if Instant::now() + limits.dial_retry >= until {
+        if Instant::now() + limits.dial_retry_interval >= until {
             return Err(Outcome::LocalFailure);
         }
         delayed = true;
-        sleep(limits.dial_retry).await;
+        sleep(limits.dial_retry_interval).await;
     }
 }
 
 /// One attempt as it was decided.
 #[derive(Clone, Copy, Debug)]
-pub struct Target {
+pub struct AttemptTarget {
     pub request: RequestId,
     pub server: ServerId,
     pub endpoint: SocketAddr,
-    pub within: Duration,
+    pub timeout: Duration,
 }
 
 /// Sends the client's line to a server and waits for what comes back. Dropping the future closes
 /// the connection, which gives the attempt up. The dial takes its time, and what held when the attempt was
 /// decided may hold no more: `still_valid` is asked right before the line is written, and without its word nothing
 /// is sent. `on_written` is awaited right behind the writing.
-pub async fn attempt(
-    target: Target,
-    open: &Open<'_>,
+pub async fn run_attempt(
+    target: AttemptTarget,
+    open: &OpenLine<'_>,
     still_valid: impl Fn() -> bool,
     on_written: impl AsyncFnOnce(),
-    (limits, repeats): (&Limits, &Repeats),
-) -> Attempt {
+    (limits, repeats): (&Limits, &LogThrottle),
+) -> AttemptResult {
     let endpoint = target.endpoint;
     let start = Instant::now();
-    let until = start + target.within;
-    let failed = |outcome| Attempt::Failed(outcome, Report::default());
+    let until = start + target.timeout;
+    let failed = |outcome| AttemptResult::Failed(outcome, Report::default());
     let Dialled { stream, delayed } = match dial(endpoint, until, limits, repeats).await {
         Ok(dialled) => dialled,
         Err(outcome) => return failed(outcome),
@@ -112,7 +112,7 @@
         return failed(Outcome::NotSent);
     }
     let left = until.saturating_duration_since(Instant::now());
-    let line = open.waiting(left.as_millis() as u64);
+    let line = open.encode_with_wait(left.as_millis() as u64);
     let write_start_us = enabled!(Level::DEBUG).then(monotonic_us);
     let Ok(Ok(())) = timeout_at(until, write_all(&stream, &line)).await else {
         // Without the line's last byte nothing can have run.
@@ -127,26 +127,26 @@
         "line written"
     );
     on_written().await;
-    let mut server = Server {
+    let mut server = ServerConnection {
         stream,
-        ring: Ring::new(limits.ring_bytes),
+        ring: RingBuffer::new(limits.ring_buffer_bytes),
     };
-    match timeout_at(until, server.ring.first_line(&server.stream)).await {
+    match timeout_at(until, server.ring.fill_until_line(&server.stream)).await {
         // The server had only what a shortage of this machine left it: it may have run, and is not to blame.
         Err(_) if delayed => failed(Outcome::Cancelled),
         Err(_) => failed(Outcome::TimedOut),
         Ok(Err(_)) => failed(Outcome::Reset),
-        Ok(Ok(line)) => match line::word(&line) {
+        Ok(Ok(line)) => match line_protocol::parse_server_line(&line) {
             // A line that is too long is none.
-            _ if line.len() > limits.line_bytes => failed(spoilt(endpoint, &line, repeats)),
-            Word::Up => Attempt::Up(server),
-            Word::Bye(_) => Attempt::Served(server),
-            Word::Move => failed(Outcome::Cancelled),
+            _ if line.len() > limits.max_line_bytes => failed(spoilt(endpoint, &line, repeats)),
+            ServerLine::Up => AttemptResult::Up(server),
+            ServerLine::Bye(_) => AttemptResult::Served(server),
+            ServerLine::Move => failed(Outcome::Cancelled),
             // Only where nothing follows it does it say that the request never ran.
-            Word::Busy(report) if server.ring.holds_one_line() => {
-                Attempt::Failed(Outcome::Full, report)
+            ServerLine::Busy(report) if server.ring.holds_one_line() => {
+                AttemptResult::Failed(Outcome::Full, report)
             }
-            Word::Err(report) => Attempt::Failed(Outcome::Error, report),
+            ServerLine::Err(report) => AttemptResult::Failed(Outcome::Error, report),
             _ => failed(spoilt(endpoint, &line, repeats)),
         },
     }
--- a/crates/proxy/src/show.rs
+++ b/crates/proxy/src/catalogue_command.rs
@@ -6,24 +6,24 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use serde_json::{Value, json};
-use violetwind_catalogue::{Catalogue, Seen, SourceId, Telling};
+use violetwind_catalogue::{Catalogue, ServerView, SourceId, SourceUpdate};
 
 use crate::config::Config;
 use crate::discovery;
-use crate::limits::{Basis, Limits};
-use crate::operator::{How, Layers, Operator};
+use crate::limits::{LimitInputs, Limits};
+use crate::operator_config::{ConfigLayers, OperatorConfig, SourceKind};
 
 /// What came of asking one source.
 struct Asked {
     name: String,
     id: Option<SourceId>,
-    outcome: Result<Telling, String>,
+    outcome: Result<SourceUpdate, String>,
     fault: Option<String>,
 }
 
 /// Exit 0 where every source answered, else 1.
-pub fn catalogue(layers: &Layers, as_json: bool) -> ExitCode {
-    let operator = match layers.read() {
+pub fn run_catalogue(layers: &ConfigLayers, as_json: bool) -> ExitCode {
+    let operator = match layers.load() {
         Ok(operator) => operator,
         Err(problems) => {
             problems.iter().for_each(|problem| eprintln!("{problem}"));
@@ -57,16 +57,16 @@
     }
 }
 
-async fn ask_all(operator: &Operator) -> Vec<Asked> {
-    let mut limits = Limits::new(Basis::default());
-    operator.limit(&mut limits);
+async fn ask_all(operator: &OperatorConfig) -> Vec<Asked> {
+    let mut limits = Limits::new(LimitInputs::default());
+    operator.apply_limits(&mut limits);
     let limits = Rc::new(limits);
     let mut all = Vec::new();
     for source in &operator.sources {
-        match &source.how {
-            How::Registry { address, zones } => {
+        match &source.kind {
+            SourceKind::Registry { address, zones } => {
                 let outcome = match address.or_else(platform) {
-                    Some(at) => discovery::once(at, limits.clone(), zones.clone()).await,
+                    Some(at) => discovery::fetch_list(at, limits.clone(), zones.clone()).await,
                     None => Err("no address: neither in the file nor in NODE_DISCOVERY".into()),
                 };
                 all.push(Asked {
@@ -76,11 +76,11 @@
                     fault: None,
                 });
             }
-            How::Consul(settings) => {
+            SourceKind::Consul(settings) => {
                 let each = settings.datacenters.iter().map(|dc| Some(dc.as_str()));
                 let agents_own = settings.datacenters.is_empty().then_some(None);
                 for dc in each.chain(agents_own) {
-                    let answer = violetwind_consul::once(settings, dc).await;
+                    let answer = violetwind_consul::fetch_once(settings, dc).await;
                     let (outcome, fault) = match answer {
                         Ok((telling, fault)) => (Ok(telling), fault),
                         Err(error) => (Err(error), None),
@@ -105,28 +105,28 @@
     variable.or_else(|| Config::from_env().ok().map(|config| config.discovery))
 }
 
-fn weigh(operator: &Operator, mut asked: Vec<Asked>) -> (Catalogue, Vec<Asked>) {
-    let mut catalogue = Catalogue::new(operator.catalogue.clone());
+fn weigh(operator: &OperatorConfig, mut asked: Vec<Asked>) -> (Catalogue, Vec<Asked>) {
+    let mut catalogue = Catalogue::new(operator.catalogue_limits.clone());
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let now = now.map_or(0, |since| since.as_millis() as u64);
     for asked in &mut asked {
         asked.id = catalogue.add_source(&asked.name);
     }
     for asked in &asked {
-        let telling = asked.outcome.clone().unwrap_or(Telling::Lost);
+        let telling = asked.outcome.clone().unwrap_or(SourceUpdate::Unavailable);
         if let Some(id) = asked.id {
-            catalogue.tell(now, id, telling);
+            catalogue.apply_update(now, id, telling);
         }
     }
     (catalogue, asked)
 }
 
-fn said(asked: &[Asked], seen: &Seen<'_>) -> Vec<(String, String)> {
+fn said(asked: &[Asked], seen: &ServerView<'_>) -> Vec<(String, String)> {
     let name = |id| asked.iter().find(|asked| asked.id == Some(id));
-    seen.said
+    seen.reports
         .iter()
         .filter_map(|said| {
-            let word = format!("{:?}", said.heard).to_lowercase();
+            let word = format!("{:?}", said.status).to_lowercase();
             Some((name(said.source)?.name.clone(), word))
         })
         .collect()
@@ -134,8 +134,10 @@
 
 fn state(asked: &Asked) -> String {
     match &asked.outcome {
-        Ok(Telling::Whole(rows)) => format!("{} servers", rows.len()),
-        Ok(Telling::Stale(rows)) => format!("{} servers, but stale: only drains count", rows.len()),
+        Ok(SourceUpdate::Snapshot(rows)) => format!("{} servers", rows.len()),
+        Ok(SourceUpdate::StaleSnapshot(rows)) => {
+            format!("{} servers, but stale: only drains count", rows.len())
+        }
         Ok(_) => "nothing".into(),
         Err(error) => format!("no answer: {error}"),
     }
@@ -159,8 +161,8 @@
             "{:<28} {:<22} {:<10} {:<40} {}",
             seen.uid,
             seen.instance.endpoint.to_string(),
-            format!("{:?}", seen.belief).to_lowercase(),
-            seen.why.to_string(),
+            format!("{:?}", seen.status).to_lowercase(),
+            seen.reason.to_string(),
             words.join(", ")
         );
     }
@@ -183,8 +185,8 @@
                 .collect();
             json!({"server": seen.uid, "address": seen.instance.endpoint.to_string(),
                    "zone": seen.instance.zone, "kind": seen.instance.kind,
-                   "believed": format!("{:?}", seen.belief).to_lowercase(),
-                   "why": seen.why.to_string(), "said": words})
+                   "believed": format!("{:?}", seen.status).to_lowercase(),
+                   "why": seen.reason.to_string(), "said": words})
         })
         .collect();
     json!({"sources": sources, "servers": servers})
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -7,8 +7,8 @@
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
 
-use crate::operator::{Layers, Operator};
-use crate::{show, staff};
+use crate::operator_config::{ConfigLayers, OperatorConfig};
+use crate::{catalogue_command, operator_client};
 
 /// A balancer for long-lived connections.
 ///
@@ -55,27 +55,27 @@
     },
     /// Ask a proxy about its fleet, or have it change something there.
     #[command(subcommand)]
-    Fleet(Fleet),
+    Fleet(FleetCommand),
     /// Have machines taken out for work, in an order that the proxies of the fleet settle.
     #[command(subcommand)]
-    Work(Work),
+    Work(WorkCommand),
     /// Run a command only while a proxy holds a duty.
     ///
     /// The command gets the holding's fencing number as VIOLETWIND_FENCE, which whoever takes its work has to
     /// check. It gets SIGTERM when the duty is lost, and SIGKILL before the lease ends. Exit codes: the
     /// command's own; 75 the duty is not held there; 76 lost while it ran; 69 no proxy answers; 71 the
     /// command can't be started.
-    Hold(Hold),
+    Hold(HoldArgs),
     /// Print completions for a shell.
     Completions { shell: Shell },
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Fleet {
+pub enum FleetCommand {
     /// Who leads, who is a member, and who holds which duty with which number.
     Status {
         #[command(flatten)]
-        at: At,
+        proxy: ProxyAddress,
         /// The proxy's own line instead of a table.
         #[arg(long)]
         json: bool,
@@ -84,19 +84,19 @@
     LetIn {
         node: String,
         #[command(flatten)]
-        at: At,
+        proxy: ProxyAddress,
     },
     /// Have a member hold nothing and vote no more until it is let in.
     PutOut {
         node: String,
         #[command(flatten)]
-        at: At,
+        proxy: ProxyAddress,
     },
     /// Say that a member's machine is gone for good, and what it held of budgets with it.
     Gone {
         node: String,
         #[command(flatten)]
-        at: At,
+        proxy: ProxyAddress,
     },
     /// Have the holder of a duty hand it on.
     HandOn {
@@ -105,59 +105,59 @@
         #[arg(long, value_name = "NODE")]
         to: Option<String>,
         #[command(flatten)]
-        at: At,
+        proxy: ProxyAddress,
     },
 }
 
 #[derive(Debug, Subcommand)]
-pub enum Work {
+pub enum WorkCommand {
     /// Order work on machines: they go out, are worked on, and come back, as the bounds allow.
-    Plan(Plan),
+    Plan(PlanArgs),
     /// The orders, each machine's place, and what it waits for.
     Show {
         #[command(flatten)]
-        at: At,
+        proxy: ProxyAddress,
         /// The proxy's own line instead of a table.
         #[arg(long)]
         json: bool,
     },
     /// Nothing more goes out, of one order or of all; what is out goes on.
-    Pause(OrderAt),
-    Resume(OrderAt),
+    Pause(OrderArgs),
+    Resume(OrderArgs),
     /// Nothing more goes out, and what is out comes back; machines worked on stay done.
-    Cancel(OrderAt),
+    Cancel(OrderArgs),
     /// The work on an empty machine is done, or a failed one is sound: it comes back.
-    Done(MachineAt),
+    Done(MachineArgs),
     /// The work on a machine has failed: it stays out until `done` or `recall`.
-    Failed(MachineAt),
+    Failed(MachineArgs),
     /// A failed machine comes back as it is.
-    Recall(MachineAt),
+    Recall(MachineArgs),
 }
 
 #[derive(Debug, Args)]
-pub struct OrderAt {
+pub struct OrderArgs {
     /// The order's number; without it all orders.
     pub order: Option<u64>,
     #[command(flatten)]
-    pub at: At,
+    pub proxy: ProxyAddress,
 }
 
 #[derive(Debug, Args)]
-pub struct MachineAt {
+pub struct MachineArgs {
     pub machine: String,
     #[command(flatten)]
-    pub at: At,
+    pub proxy: ProxyAddress,
 }
 
 #[derive(Debug, Args)]
-pub struct Plan {
+pub struct PlanArgs {
     /// What staff call the work, one word.
     pub name: String,
     /// Names with commas between them, or ranges such as m-1..m-12.
     #[arg(long)]
     pub machines: String,
     #[command(flatten)]
-    pub at: At,
+    pub proxy: ProxyAddress,
     /// Machines out at once.
     #[arg(long, default_value_t = 1)]
     pub most: u32,
@@ -188,17 +188,17 @@
 }
 
 #[derive(Debug, Args)]
-pub struct At {
+pub struct ProxyAddress {
     /// The address for operators of a proxy.
     #[arg(long = "at", value_name = "ADDR", env = "VIOLETWIND_AT")]
     pub at: SocketAddr,
 }
 
 #[derive(Debug, Args)]
-pub struct Hold {
+pub struct HoldArgs {
     pub duty: String,
     #[command(flatten)]
-    pub at: At,
+    pub proxy: ProxyAddress,
     /// Wait until the duty is held there instead of ending with 75.
     #[arg(long)]
     pub wait: bool,
@@ -227,35 +227,35 @@
 }
 
 /// What the command line asks for.
-pub enum Wanted {
-    Run(Layers),
-    Done(ExitCode),
+pub enum CliOutcome {
+    Run(ConfigLayers),
+    Exit(ExitCode),
 }
 
 impl Cli {
     /// Does what is done at once; a run is left to the caller.
-    pub fn carry_out(self) -> Wanted {
+    pub fn execute(self) -> CliOutcome {
         match self.command {
             None => {
                 let config = std::env::var_os("VIOLETWIND_CONFIG");
-                Wanted::Run(Layers {
+                CliOutcome::Run(ConfigLayers {
                     file: config.filter(|path| !path.is_empty()).map(PathBuf::from),
-                    set: Vec::new(),
-                    environment: true,
+                    overrides: Vec::new(),
+                    use_environment: true,
                 })
             }
-            Some(Command::Run(run)) => Wanted::Run(Layers {
+            Some(Command::Run(run)) => CliOutcome::Run(ConfigLayers {
                 file: run.config,
-                set: run.set.set,
-                environment: true,
+                overrides: run.set.set,
+                use_environment: true,
             }),
             Some(Command::Check { file, set }) => {
-                let layers = Layers {
+                let layers = ConfigLayers {
                     file: Some(file.clone()),
-                    set: set.set,
-                    environment: false,
+                    overrides: set.set,
+                    use_environment: false,
                 };
-                Wanted::Done(match layers.read() {
+                CliOutcome::Exit(match layers.load() {
                     Ok(operator) => sound(&file, &operator),
                     Err(problems) => {
                         problems.iter().for_each(|problem| println!("{problem}"));
@@ -264,33 +264,33 @@
                 })
             }
             Some(Command::Catalogue { file, set, json }) => {
-                let layers = Layers {
+                let layers = ConfigLayers {
                     file: Some(file),
-                    set: set.set,
-                    environment: true,
+                    overrides: set.set,
+                    use_environment: true,
                 };
-                Wanted::Done(show::catalogue(&layers, json))
+                CliOutcome::Exit(catalogue_command::run_catalogue(&layers, json))
             }
-            Some(Command::Fleet(command)) => Wanted::Done(staff::fleet(command)),
-            Some(Command::Work(command)) => Wanted::Done(staff::work(command)),
-            Some(Command::Hold(hold)) => Wanted::Done(staff::hold(&hold)),
+            Some(Command::Fleet(command)) => CliOutcome::Exit(operator_client::run_fleet(command)),
+            Some(Command::Work(command)) => CliOutcome::Exit(operator_client::run_work(command)),
+            Some(Command::Hold(hold)) => CliOutcome::Exit(operator_client::run_hold(&hold)),
             Some(Command::Completions { shell }) => {
                 let mut command = Self::command();
                 clap_complete::generate(shell, &mut command, "violetwind", &mut std::io::stdout());
-                Wanted::Done(ExitCode::SUCCESS)
+                CliOutcome::Exit(ExitCode::SUCCESS)
             }
         }
     }
 }
 
 /// The last word of a check, and what needs this proxy's own name.
-fn sound(file: &Path, operator: &Operator) -> ExitCode {
+fn sound(file: &Path, operator: &OperatorConfig) -> ExitCode {
     let name = file.display();
     if let Some(fleet) = &operator.fleet {
         let node = std::env::var("NODE_NAME")
             .ok()
             .filter(|node| !node.is_empty());
-        match node.as_deref().map(|node| fleet.fits(node)) {
+        match node.as_deref().map(|node| fleet.check_node(node)) {
             Some(Err(what)) => {
                 println!("{name}: {what}");
                 return ExitCode::FAILURE;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -16,9 +16,9 @@
 
 /// The configuration in force: a reload puts another in its place.
 #[derive(Clone, Debug)]
-pub struct InForce(Rc<RefCell<Rc<Config>>>);
+pub struct ActiveConfig(Rc<RefCell<Rc<Config>>>);
 
-impl InForce {
+impl ActiveConfig {
     pub fn new(config: Rc<Config>) -> Self {
         Self(Rc::new(RefCell::new(config)))
     }
@@ -40,7 +40,7 @@
     /// The operators' own address.
     pub management: Option<SocketAddr>,
     pub seed: u64,
-    pub sockets: u64,
+    pub max_sockets: u64,
     pub memory_mb: u64,
     /// The file as it was read.
     file: Value,
@@ -49,10 +49,10 @@
     pub connect_timeout: Option<Seconds>,
     /// The longest time that a client of any class waits, and that of each class.
     pub longest_deadline: Seconds,
-    pub deadlines: Vec<Seconds>,
-    pub reports: Reports,
+    pub class_deadlines: Vec<Seconds>,
+    pub load_report_source: LoadReportSource,
     /// Servers tell how long messages take there.
-    pub tells_delay: bool,
+    pub servers_report_delay: bool,
 }
 
 /// Settings that limits and sockets were made by at the start.
@@ -72,10 +72,10 @@
 
 /// Where servers tell their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReportSource {
     Answers,
     Probes,
-    Nowhere,
+    Disabled,
 }
 
 /// The nested settings under the flat names that the simulator's wire gives them.
@@ -133,7 +133,7 @@
 
     /// Reads the file anew, to take the place of this configuration: whole or not at all. Its address of
     /// discovery is newer than the variable of the start.
-    pub fn again(&self) -> Result<Self, String> {
+    pub fn reread(&self) -> Result<Self, String> {
         let new = Self::read(|name| variable(name).filter(|_| name != "NODE_DISCOVERY"))?;
         self.followed_by(new)
     }
@@ -145,12 +145,12 @@
         }
         let told = (new.settings.clone(), new.names.clone());
         let (settings, names, numbers) = merge_settings((&self.settings, &self.names), told)?;
-        let mut deadlines = self.deadlines.clone();
+        let mut deadlines = self.class_deadlines.clone();
         deadlines.resize(settings.classes.len(), self.longest_deadline);
         for (at, number) in numbers.into_iter().enumerate() {
-            deadlines[number] = new.deadlines[at];
+            deadlines[number] = new.class_deadlines[at];
         }
-        (new.settings, new.names, new.deadlines) = (settings, names, deadlines);
+        (new.settings, new.names, new.class_deadlines) = (settings, names, deadlines);
         Ok(new)
     }
 
@@ -161,7 +161,7 @@
     }
 
     /// The list of servers as it was last known, in discovery's form.
-    pub fn known(&self) -> &Value {
+    pub fn last_known_list(&self) -> &Value {
         &self.file["known"]
     }
 
@@ -173,13 +173,13 @@
     }
 
     /// Whether another file tells the module the same.
-    pub fn same_settings(&self, other: &Self) -> bool {
+    pub fn has_same_settings(&self, other: &Self) -> bool {
         self.file["settings"] == other.file["settings"]
     }
 
     /// The parts of another file that differ and that only a restart takes up. The seed and the
     /// known list are for a start alone, and discovery is what a reload is for.
-    pub fn restart_needed<'a>(&'a self, other: &'a Self) -> Vec<&'a str> {
+    pub fn keys_needing_restart<'a>(&'a self, other: &'a Self) -> Vec<&'a str> {
         let fields = |config: &'a Self| config.file.as_object().into_iter().flat_map(|o| o.keys());
         let mut names: Vec<&str> = fields(self)
             .chain(fields(other))
@@ -251,17 +251,17 @@
             management,
             seed: u64::from_str_radix(&seed, 16)
                 .map_err(|_| format!("seed `{seed}`: expected 16 hex digits"))?,
-            sockets: limit("sockets")?,
+            max_sockets: limit("sockets")?,
             memory_mb: limit("memory_mb")?,
             connect_timeout: time("permissions.connect-timeout-s")?,
             longest_deadline: deadlines.iter().copied().fold(0.0, f64::max),
-            deadlines,
-            reports: match flat.get("reporting.source") {
-                Some("answers") => Reports::Answers,
-                Some("probe") => Reports::Probes,
-                _ => Reports::Nowhere,
+            class_deadlines: deadlines,
+            load_report_source: match flat.get("reporting.source") {
+                Some("answers") => LoadReportSource::Answers,
+                Some("probe") => LoadReportSource::Probes,
+                _ => LoadReportSource::Disabled,
             },
-            tells_delay: flat.flag("family-info.tells-delay")?,
+            servers_report_delay: flat.flag("family-info.tells-delay")?,
             settings,
             names,
             file: json,
@@ -402,7 +402,7 @@
     if !std::fs::metadata(path).map_err(text)?.is_file() {
         return Err("no ordinary file".into());
     }
-    let (mut read, most) = (String::new(), Limits::CONFIG_BYTES);
+    let (mut read, most) = (String::new(), Limits::MAX_CONFIG_BYTES);
     let file = File::open(path).map_err(text)?;
     file.take(most + 1)
         .read_to_string(&mut read)
