--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -18,27 +18,27 @@
 use violetwind_balancer::api::{ListKind, Status};
 use violetwind_common::{ServerRow, server_id};
 
-use crate::asking::{Asking, Call, Failure, Verdict};
 use crate::limits::Limits;
-use violetwind_catalogue::Telling;
+use crate::poll_schedule::{DiscoveryQuery, PollSchedule, QueryFailure, Verdict};
+use violetwind_catalogue::SourceUpdate;
 use violetwind_engine::{EngineEvent, ListedServer, to_catalogue_row};
 use violetwind_net::{SharedTcpStream, connect};
 
 /// How the engine is told.
 #[derive(Clone, Debug)]
-pub enum Tells {
+pub enum ListDelivery {
     /// Lists are taken as they come.
-    Plain,
+    Direct,
     /// The catalogue weighs them under this name; zones by the names of the operator's file.
-    Source(Rc<str>, Rc<BTreeMap<String, String>>),
+    Catalogue(Rc<str>, Rc<BTreeMap<String, String>>),
 }
 
-impl Tells {
+impl ListDelivery {
     fn list(&self, whole: bool, rows: Vec<ListedServer>) -> EngineEvent {
         let (name, zones) = match self {
-            Self::Plain if whole => return EngineEvent::ServerList(ListKind::Replace, rows),
-            Self::Plain => return EngineEvent::ServerList(ListKind::Update, rows),
-            Self::Source(name, zones) => (name.clone(), zones),
+            Self::Direct if whole => return EngineEvent::ServerList(ListKind::Replace, rows),
+            Self::Direct => return EngineEvent::ServerList(ListKind::Update, rows),
+            Self::Catalogue(name, zones) => (name.clone(), zones),
         };
         let zoned = rows.into_iter().map(|mut listed| {
             let zone = listed.row.zone.as_ref().and_then(|zone| zones.get(zone));
@@ -49,45 +49,50 @@
         EngineEvent::SourceUpdate(
             name,
             if whole {
-                Telling::Whole(rows)
+                SourceUpdate::Snapshot(rows)
             } else {
-                Telling::Changes(rows)
+                SourceUpdate::Delta(rows)
             },
         )
     }
 
     fn lost(&self) -> EngineEvent {
         match self {
-            Self::Plain => EngineEvent::ListUnavailable,
-            Self::Source(name, _) => EngineEvent::SourceUpdate(name.clone(), Telling::Lost),
+            Self::Direct => EngineEvent::ListUnavailable,
+            Self::Catalogue(name, _) => {
+                EngineEvent::SourceUpdate(name.clone(), SourceUpdate::Unavailable)
+            }
         }
     }
 
     /// An answer without news, where that is worth a word.
     fn same(&self) -> Option<EngineEvent> {
         match self {
-            Self::Plain => None,
-            Self::Source(name, _) => Some(EngineEvent::SourceUpdate(name.clone(), Telling::Same)),
+            Self::Direct => None,
+            Self::Catalogue(name, _) => Some(EngineEvent::SourceUpdate(
+                name.clone(),
+                SourceUpdate::Unchanged,
+            )),
         }
     }
 }
 
 #[derive(Debug, Default)]
-pub struct List {
+pub struct DiscoveryList {
     pub version: u64,
-    pub whole: bool,
+    pub is_snapshot: bool,
     pub rows: Vec<ListedServer>,
 }
 
 /// Reads a list in discovery's form. A row that makes no sense is passed over with a log line.
-pub fn read_list(json: &Value, limits: &Limits) -> Result<List, String> {
+pub fn parse_list(json: &Value, limits: &Limits) -> Result<DiscoveryList, String> {
     let rows = json["targets"].as_array().ok_or("expected `targets`")?;
-    if rows.len() > limits.list_rows {
+    if rows.len() > limits.max_list_rows {
         return Err(format!("{} targets are too many", rows.len()));
     }
-    let mut list = List {
+    let mut list = DiscoveryList {
         version: json["rev"].as_u64().ok_or("expected the number `rev`")?,
-        whole: json["all"].as_bool().unwrap_or(false),
+        is_snapshot: json["all"].as_bool().unwrap_or(false),
         rows: Vec::with_capacity(rows.len()),
     };
     let mut passed_over = 0;
@@ -95,14 +100,14 @@
         match read_row(row) {
             Ok(row) => list.rows.push(row),
             // A list that is spoilt as a whole must not fill the log.
-            Err(error) if passed_over < limits.log_lines => {
+            Err(error) if passed_over < limits.max_log_lines => {
                 passed_over += 1;
                 warn!(%error, "a target is passed over");
             }
             Err(_) => passed_over += 1,
         }
     }
-    if passed_over > limits.log_lines {
+    if passed_over > limits.max_log_lines {
         warn!(
             passed_over,
             "targets are passed over, of which the first are told"
@@ -162,9 +167,9 @@
 
 impl Client {
     /// One call within such a time. A failed one leaves no connection behind.
-    async fn get(&mut self, path: &str, within: Duration) -> Result<List, Failure> {
+    async fn get(&mut self, path: &str, within: Duration) -> Result<DiscoveryList, QueryFailure> {
         let answer = timeout(within, self.call(path)).await;
-        let late = || Err(Failure::Other("no answer in time".into()));
+        let late = || Err(QueryFailure::Other("no answer in time".into()));
         let answer = answer.unwrap_or_else(|_| late());
         if answer.is_err() {
             self.connection = None;
@@ -172,17 +177,17 @@
         answer
     }
 
-    async fn call(&mut self, path: &str) -> Result<List, Failure> {
-        let text = |error: hyper::Error| Failure::Other(error.to_string());
+    async fn call(&mut self, path: &str) -> Result<DiscoveryList, QueryFailure> {
+        let text = |error: hyper::Error| QueryFailure::Other(error.to_string());
         let closed = |connection: &Connection| connection.sender.is_closed();
         if self.connection.as_ref().is_none_or(closed) {
             self.connection = None;
             // A connection that never comes up must not cost the time of a whole watch.
             let connect = connect(self.address);
-            let connect = timeout(self.limits.discovery_connect, connect).await;
+            let connect = timeout(self.limits.discovery_connect_timeout, connect).await;
             let stream = connect
-                .map_err(|_| Failure::Other("never comes up".into()))?
-                .map_err(|error| Failure::Other(error.into_inner().to_string()))?;
+                .map_err(|_| QueryFailure::Other("never comes up".into()))?
+                .map_err(|error| QueryFailure::Other(error.into_inner().to_string()))?;
             let _ = stream.set_nodelay(true);
             let io = TokioIo::new(SharedTcpStream::new(stream));
             let (sender, connection) = http1::handshake(io).await.map_err(text)?;
@@ -195,47 +200,47 @@
                 task: task.abort_handle(),
             });
         }
-        let lost = || Failure::Other("not connected".into());
+        let lost = || QueryFailure::Other("not connected".into());
         let sender = &mut self.connection.as_mut().ok_or_else(lost)?.sender;
         sender.ready().await.map_err(text)?;
         let request = Request::get(path)
             .header(hyper::header::HOST, self.address.to_string())
             .body(Empty::new())
-            .map_err(|error| Failure::Other(error.to_string()))?;
+            .map_err(|error| QueryFailure::Other(error.to_string()))?;
         let response = sender.send_request(request).await.map_err(text)?;
         let status = response.status();
         // What is at fault is the call itself, not its moment.
         if status.is_client_error() && !matches!(status.as_u16(), 408 | 425 | 429) {
-            return Err(Failure::Forgotten(format!("status {status}")));
+            return Err(QueryFailure::VersionExpired(format!("status {status}")));
         }
         if !status.is_success() {
-            return Err(Failure::Other(format!("status {status}")));
+            return Err(QueryFailure::Other(format!("status {status}")));
         }
-        let body = Limited::new(response.into_body(), self.limits.list_bytes).collect();
+        let body = Limited::new(response.into_body(), self.limits.max_list_bytes).collect();
         let body = body
             .await
-            .map_err(|error| Failure::Other(error.to_string()))?;
+            .map_err(|error| QueryFailure::Other(error.to_string()))?;
         let json = serde_json::from_slice(&body.to_bytes());
-        let json = json.map_err(|error| Failure::Other(error.to_string()))?;
-        read_list(&json, &self.limits).map_err(Failure::Other)
+        let json = json.map_err(|error| QueryFailure::Other(error.to_string()))?;
+        parse_list(&json, &self.limits).map_err(QueryFailure::Other)
     }
 }
 
 /// The whole list, asked for once, as a source's word.
-pub async fn once(
+pub async fn fetch_list(
     address: SocketAddr,
     limits: Rc<Limits>,
     zones: Rc<BTreeMap<String, String>>,
-) -> Result<Telling, String> {
-    let within = limits.whole_wait;
+) -> Result<SourceUpdate, String> {
+    let within = limits.snapshot_timeout;
     let mut client = Client {
         address,
         limits,
         connection: None,
     };
     let list = client.get("/registry/instances", within).await;
-    let list = list.map_err(Failure::what)?;
-    match Tells::Source("".into(), zones).list(true, list.rows) {
+    let list = list.map_err(QueryFailure::into_message)?;
+    match ListDelivery::Catalogue("".into(), zones).list(true, list.rows) {
         EngineEvent::SourceUpdate(_, telling) => Ok(telling),
         other => Err(format!("{other:?}")),
     }
@@ -247,7 +252,7 @@
 pub async fn watch(
     mut address: watch::Receiver<SocketAddr>,
     limits: Rc<Limits>,
-    tells: Tells,
+    tells: ListDelivery,
     mut known: Option<u64>,
     engine: mpsc::Sender<EngineEvent>,
 ) {
@@ -271,7 +276,7 @@
 async fn follow(
     address: SocketAddr,
     limits: &Rc<Limits>,
-    tells: &Tells,
+    tells: &ListDelivery,
     known: Option<u64>,
     engine: &mpsc::Sender<EngineEvent>,
 ) {
@@ -280,20 +285,24 @@
         limits: limits.clone(),
         connection: None,
     };
-    let mut asking = Asking::new(limits, known);
-    sleep(asking.before_first(rand::random())).await;
+    let mut asking = PollSchedule::new(limits, known);
+    sleep(asking.initial_delay(rand::random())).await;
     let wait_ms = limits.watch_wait.as_millis();
     loop {
         let asked = Instant::now();
-        let answer = match asking.call() {
-            Call::Whole => client.get("/registry/instances", limits.whole_wait).await,
-            Call::Since(version) => {
+        let answer = match asking.next_query() {
+            DiscoveryQuery::Snapshot => {
+                client
+                    .get("/registry/instances", limits.snapshot_timeout)
+                    .await
+            }
+            DiscoveryQuery::ChangesSince(version) => {
                 let path = format!("/registry/instances?after={version}&wait_ms={wait_ms}");
                 let within = limits.watch_wait + limits.watch_slack;
                 client.get(&path, within).await.map_err(|failure| {
                     // Nothing came though all its time has passed.
                     match asked.elapsed() >= within {
-                        true => Failure::Silent(failure.what()),
+                        true => QueryFailure::WatchTimeout(failure.into_message()),
                         false => failure,
                     }
                 })
@@ -301,14 +310,14 @@
         };
         let (notice, wait) = match answer {
             Ok(list) => {
-                let (version, whole, rows) = (list.version, list.whole, list.rows.len());
-                let (verdict, wait) = asking.answered(version, whole, rows, asked.elapsed());
+                let (version, whole, rows) = (list.version, list.is_snapshot, list.rows.len());
+                let (verdict, wait) = asking.on_answer(version, whole, rows, asked.elapsed());
                 let notice = match verdict {
-                    Verdict::Take => {
+                    Verdict::Apply => {
                         info!(version, whole, rows, "list");
                         Some(tells.list(whole, list.rows))
                     }
-                    Verdict::Same => tells.same(),
+                    Verdict::Unchanged => tells.same(),
                     Verdict::OutOfOrder => {
                         warn!(version, "changes out of order: the whole list is asked");
                         None
@@ -317,8 +326,8 @@
                 (notice, wait)
             }
             Err(failure) => {
-                let wait = asking.failed(&failure, rand::random());
-                let error = failure.what();
+                let wait = asking.on_failure(&failure, rand::random());
+                let error = failure.into_message();
                 warn!(%error, again_ms = wait.as_millis() as u64, "discovery");
                 (Some(tells.lost()), wait)
             }
--- a/crates/proxy/src/fleet/allowances.rs
+++ b/crates/proxy/src/fleet/allowances.rs
@@ -10,18 +10,18 @@
 use tracing::{debug, warn};
 use violetwind_balancer::api::{Allowance, QuotaKind};
 use violetwind_engine::EngineEvent;
-use violetwind_fleet::budget::{Def, Kind, Part};
+use violetwind_fleet::budget::{BudgetDefinition, BudgetKind, Part};
 use violetwind_fleet::{Name, Number};
 
-use super::settings::{Of, Settings};
-use super::{Fleet, PartOf, mono_ms};
-use crate::config::InForce;
-use crate::service::Service;
+use super::settings::{BudgetSubject, FleetSettings};
+use super::{BudgetUpdate, FleetHandle, boottime_ms};
+use crate::config::ActiveConfig;
+use crate::operator_service::OperatorService;
 
 /// One budget that the module counts.
 struct Counted {
-    def: Def,
-    of: Of,
+    def: BudgetDefinition,
+    of: BudgetSubject,
     /// The newest word of the fleet, and its number.
     told: Option<(Number, Part)>,
     /// What the module was last told, and by which word.
@@ -31,11 +31,11 @@
 
 pub struct Allowances {
     counted: BTreeMap<Name, Counted>,
-    parts: mpsc::Receiver<PartOf>,
-    fleet: Fleet,
+    parts: mpsc::Receiver<BudgetUpdate>,
+    fleet: FleetHandle,
     engine: mpsc::Sender<EngineEvent>,
-    config: InForce,
-    service: Rc<Service>,
+    config: ActiveConfig,
+    service: Rc<OperatorService>,
     started: Instant,
     every: Duration,
     /// How long a client may wait for a larger part, if its time allows: an exchange that is not answered within the
@@ -46,13 +46,13 @@
 impl Allowances {
     /// None where the module counts nothing.
     pub fn new(
-        settings: &Settings,
-        (fleet, parts): (Fleet, mpsc::Receiver<PartOf>),
+        settings: &FleetSettings,
+        (fleet, parts): (FleetHandle, mpsc::Receiver<BudgetUpdate>),
         engine: mpsc::Sender<EngineEvent>,
-        config: InForce,
-        service: Rc<Service>,
+        config: ActiveConfig,
+        service: Rc<OperatorService>,
     ) -> Option<Self> {
-        let counted = settings.counted_by.iter().filter_map(|(name, of)| {
+        let counted = settings.balancer_budgets.iter().filter_map(|(name, of)| {
             let def = settings
                 .budgets
                 .iter()
@@ -76,13 +76,13 @@
             config,
             service,
             started: Instant::now(),
-            every: settings.links.uses,
-            longest_exchange: Duration::from_millis(settings.limits.lease),
+            every: settings.link_limits.usage_interval,
+            longest_exchange: Duration::from_millis(settings.limits.lease_duration),
         })
     }
 
     /// Tells the module its first parts, before any request can come: floors alone.
-    pub async fn begin(&mut self) {
+    pub async fn send_initial(&mut self) {
         self.exchange().await;
     }
 
@@ -114,26 +114,34 @@
         }
     }
 
-    fn take(&mut self, (name, number, part): PartOf) {
+    fn take(&mut self, (name, number, part): BudgetUpdate) {
         if let Some(counted) = self.counted.get_mut(&name) {
-            debug!(budget = name, number, ?part, mono_ms = mono_ms(), "part");
+            debug!(
+                budget = name,
+                number,
+                ?part,
+                mono_ms = boottime_ms(),
+                "part"
+            );
             counted.told = Some((number, part));
         }
     }
 
     /// Tells the module what is new and hears what it uses; whether there still is an engine.
     async fn exchange(&mut self) -> bool {
-        let (elder, started) = (self.service.has_elder(), self.started);
+        let (elder, started) = (self.service.has_predecessor(), self.started);
         let config = self.config.get();
         let mut news = Vec::new();
         for counted in self.counted.values_mut() {
             let matter = match &counted.of {
-                Of::Retries => Some(QuotaKind::Further),
-                Of::Moves => Some(QuotaKind::Moves),
-                Of::Probes => Some(QuotaKind::Probes),
-                Of::Cold => Some(QuotaKind::Cold),
-                Of::Class(name) => config.names.class_index(name).map(QuotaKind::Class),
-                Of::Tenant(name) => config.names.tenant_index(Some(name)).map(QuotaKind::Tenant),
+                BudgetSubject::Retries => Some(QuotaKind::Further),
+                BudgetSubject::Moves => Some(QuotaKind::Moves),
+                BudgetSubject::Probes => Some(QuotaKind::Probes),
+                BudgetSubject::Cold => Some(QuotaKind::Cold),
+                BudgetSubject::Class(name) => config.names.class_index(name).map(QuotaKind::Class),
+                BudgetSubject::Tenant(name) => {
+                    config.names.tenant_index(Some(name)).map(QuotaKind::Tenant)
+                }
             };
             // The settings may name it later.
             let Some(matter) = matter else {
@@ -141,14 +149,14 @@
             };
             let (number, part) = counted.part(elder, started);
             // The moment first: a lease may seem shorter than it is, never longer.
-            let (at, now) = (Instant::now(), mono_ms());
+            let (at, now) = (Instant::now(), boottime_ms());
             let until = at + Duration::from_millis(part.until.saturating_sub(now));
             let allowance = Allowance {
                 units: part.units,
                 until: 0.0,
                 after: part.after,
                 span: part.span as f64 / 1000.0,
-                whole: counted.def.whole,
+                whole: counted.def.total,
                 wait: if part.hopeful {
                     self.longest_exchange.as_secs_f64()
                 } else {
@@ -181,10 +189,10 @@
             match uses.iter().find(|of| Some(of.quota) == said) {
                 Some(of) => self
                     .fleet
-                    .used(name, counted.in_force, of.in_use, of.denied),
+                    .report_usage(name, counted.in_force, of.in_use, of.denied),
                 None if said.is_some() => warn!(budget = name, "the module counts nothing of it"),
                 // No request can be of what the settings do not name.
-                None => self.fleet.used(name, counted.in_force, 0, 0),
+                None => self.fleet.report_usage(name, counted.in_force, 0, 0),
             }
         }
         true
@@ -197,7 +205,7 @@
     fn part(&self, elder: bool, started: Instant) -> (Number, Part) {
         let window = self.def.window + self.def.window / 50 + 1;
         let quiet =
-            self.def.kind == Kind::Rate && started.elapsed() < Duration::from_millis(window);
+            self.def.kind == BudgetKind::Rate && started.elapsed() < Duration::from_millis(window);
         let floor = if quiet { 0 } else { self.def.floor };
         let alone = Part {
             units: floor,
--- a/crates/proxy/src/fleet/frames.rs
+++ b/crates/proxy/src/fleet/frames.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use tokio_util::codec::LengthDelimitedCodec;
 use violetwind_consensus::NodeId;
-use violetwind_fleet::{Name, Peer};
+use violetwind_fleet::{Name, PeerMessage};
 
 /// Before the first value, so that another version can be told from anything else.
 /// The first bytes of a link.
@@ -17,23 +17,23 @@
     pub from: Name,
     pub to: Name,
     /// The sender's directory, where it has one.
-    pub id: Option<NodeId>,
+    pub node_id: Option<NodeId>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum First {
+pub enum Handshake {
     Hello(Hello),
     Refused(String),
 }
 
-pub fn codec(frame_bytes: usize) -> LengthDelimitedCodec {
+pub fn frame_codec(frame_bytes: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .max_frame_length(frame_bytes)
         .new_codec()
 }
 
 /// A frame with its checksum behind it.
-pub fn summed(mut bytes: Vec<u8>) -> Bytes {
+pub fn with_checksum(mut bytes: Vec<u8>) -> Bytes {
     let crc = crc32fast::hash(&bytes[4..]);
     bytes[..4].copy_from_slice(&crc.to_le_bytes());
     bytes.into()
@@ -49,16 +49,16 @@
     }
 }
 
-pub fn first(first: &First) -> Bytes {
+pub fn encode_handshake(first: &Handshake) -> Bytes {
     let mut bytes = vec![0; 4];
     bytes.extend_from_slice(MAGIC);
     bytes.push(VERSION);
-    summed(postcard::to_extend(first, bytes).expect("plain data can be written"))
+    with_checksum(postcard::to_extend(first, bytes).expect("plain data can be written"))
 }
 
 /// # Errors
 /// No member of any fleet, or one of another version.
-pub fn read_first(frame: &BytesMut) -> Result<First, String> {
+pub fn decode_handshake(frame: &BytesMut) -> Result<Handshake, String> {
     let rest = checked(frame)?
         .strip_prefix(MAGIC)
         .ok_or("no member of a fleet speaks here")?;
@@ -72,19 +72,19 @@
 }
 
 /// Nothing to say.
-pub fn ping() -> Bytes {
-    summed(vec![0; 4])
+pub fn encode_ping() -> Bytes {
+    with_checksum(vec![0; 4])
 }
 
-pub fn peer(peer: &Peer) -> Bytes {
-    summed(postcard::to_extend(peer, vec![0; 4]).expect("plain data can be written"))
+pub fn encode_peer(peer: &PeerMessage) -> Bytes {
+    with_checksum(postcard::to_extend(peer, vec![0; 4]).expect("plain data can be written"))
 }
 
 /// None for a ping.
 ///
 /// # Errors
 /// Altered, or nothing that this version knows.
-pub fn read_peer(frame: &BytesMut) -> Result<Option<Peer>, String> {
+pub fn decode_peer(frame: &BytesMut) -> Result<Option<PeerMessage>, String> {
     match checked(frame)? {
         [] => Ok(None),
         rest => postcard::from_bytes(rest)
--- a/crates/proxy/src/fleet/links.rs
+++ b/crates/proxy/src/fleet/links.rs
@@ -19,12 +19,12 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 use tracing::{debug, info};
 use violetwind_consensus::NodeId;
-use violetwind_fleet::{Input, Name, Peer};
+use violetwind_fleet::{Input, Name, PeerMessage};
 use violetwind_net::{SharedTcpStream, connect};
 
-use super::frames::{self, First, Hello};
-use super::settings::{Links as Limits, PeerAt, Settings};
-use crate::repeats::Repeats;
+use super::frames::{self, Handshake, Hello};
+use super::settings::{FleetSettings, LinkLimits as Limits, PeerConfig};
+use crate::log_throttle::LogThrottle;
 
 type Reader = FramedRead<SharedTcpStream, LengthDelimitedCodec>;
 type Writer = FramedWrite<SharedTcpStream, LengthDelimitedCodec>;
@@ -37,7 +37,7 @@
 }
 
 /// What all links of a member share.
-pub struct Links {
+pub struct PeerLinks {
     fleet: Name,
     node: Name,
     id: Option<NodeId>,
@@ -46,14 +46,14 @@
     ways: RefCell<BTreeMap<Name, Vec<Way>>>,
     next: Cell<u64>,
     accepted: Cell<usize>,
-    pub dropped: Cell<u64>,
+    pub dropped_frames: Cell<u64>,
     inbox: mpsc::Sender<Input>,
-    repeats: Repeats,
+    repeats: LogThrottle,
 }
 
-impl Links {
+impl PeerLinks {
     pub fn new(
-        settings: &Settings,
+        settings: &FleetSettings,
         node: &str,
         id: Option<NodeId>,
         inbox: mpsc::Sender<Input>,
@@ -62,29 +62,29 @@
             fleet: settings.name.clone(),
             node: node.to_string(),
             id,
-            limits: settings.links.clone(),
+            limits: settings.link_limits.clone(),
             ways: RefCell::default(),
             next: Cell::default(),
             accepted: Cell::default(),
-            dropped: Cell::default(),
+            dropped_frames: Cell::default(),
             inbox,
-            repeats: Repeats::new(10, Duration::from_secs(1)),
+            repeats: LogThrottle::new(10, Duration::from_secs(1)),
         })
     }
 
     /// Sends a frame if there is a link and room in it.
-    pub fn send(&self, to: &str, peer: &Peer) {
+    pub fn send(&self, to: &str, peer: &PeerMessage) {
         let ways = self.ways.borrow();
         let Some(way) = ways.get(to).and_then(|ways| ways.last()) else {
             return;
         };
-        let frame = frames::peer(peer);
-        let full = way.bytes.get() + frame.len() > self.limits.queue_bytes;
+        let frame = frames::encode_peer(peer);
+        let full = way.bytes.get() + frame.len() > self.limits.max_send_queue_bytes;
         let length = frame.len();
         if full || way.frames.try_send(frame).is_err() {
-            self.dropped.set(self.dropped.get() + 1);
-            if let Some(left_out) = self.repeats.next() {
-                let dropped = self.dropped.get();
+            self.dropped_frames.set(self.dropped_frames.get() + 1);
+            if let Some(left_out) = self.repeats.try_acquire() {
+                let dropped = self.dropped_frames.get();
                 info!(
                     peer = to,
                     dropped, left_out, "a peer does not take its frames: dropped"
@@ -96,18 +96,18 @@
     }
 
     fn log(&self, peer: &str, why: &dyn std::fmt::Display) {
-        if let Some(left_out) = self.repeats.next() {
+        if let Some(left_out) = self.repeats.try_acquire() {
             info!(peer, %why, left_out, "a link to a peer ends");
         }
     }
 
     /// Dials one voter for good.
-    pub async fn dial(self: Rc<Self>, peer: PeerAt) {
-        let mut again = self.limits.again;
+    pub async fn dial_with_backoff(self: Rc<Self>, peer: PeerConfig) {
+        let mut again = self.limits.initial_backoff;
         loop {
-            match timeout(self.limits.connect, self.greet(&peer)).await {
+            match timeout(self.limits.connect_timeout, self.greet(&peer)).await {
                 Ok(Ok((hello, reader, writer))) => {
-                    again = self.limits.again;
+                    again = self.limits.initial_backoff;
                     let why = self.clone().serve(hello, reader, writer).await;
                     self.log(&peer.node, &why);
                 }
@@ -117,7 +117,7 @@
             // Those that lost the same peer do not come back in one moment.
             let part = rand::rng().random_range(0.5..1.5);
             sleep(again.mul_f64(part)).await;
-            again = (2 * again).min(self.limits.again_most);
+            again = (2 * again).min(self.limits.max_backoff);
         }
     }
 
@@ -126,35 +126,35 @@
             fleet: self.fleet.clone(),
             from: self.node.clone(),
             to: to.to_string(),
-            id: self.id,
+            node_id: self.id,
         }
     }
 
     fn frame(&self, stream: TcpStream) -> (Reader, Writer) {
         let _ = stream.set_nodelay(true);
         let stream = SharedTcpStream::new(stream);
-        let codec = || frames::codec(self.limits.frame_bytes);
+        let codec = || frames::frame_codec(self.limits.max_frame_bytes);
         (
             FramedRead::new(stream.clone(), codec()),
             FramedWrite::new(stream, codec()),
         )
     }
 
-    async fn greet(&self, peer: &PeerAt) -> Result<(Hello, Reader, Writer), String> {
+    async fn greet(&self, peer: &PeerConfig) -> Result<(Hello, Reader, Writer), String> {
         let stream = connect(peer.address)
             .await
             .map_err(|error| error.into_inner().to_string())?;
         let (mut reader, mut writer) = self.frame(stream);
-        let hello = frames::first(&First::Hello(self.hello(&peer.node)));
+        let hello = frames::encode_handshake(&Handshake::Hello(self.hello(&peer.node)));
         writer
             .send(hello)
             .await
             .map_err(|error| error.to_string())?;
         match first(&mut reader).await? {
-            First::Hello(hello) if hello.from == peer.node => Ok((hello, reader, writer)),
-            First::Hello(hello) => Err(format!("\"{}\" answers at its address", hello.from)),
-            First::Refused(why) => {
-                if let Some(left_out) = self.repeats.next() {
+            Handshake::Hello(hello) if hello.from == peer.node => Ok((hello, reader, writer)),
+            Handshake::Hello(hello) => Err(format!("\"{}\" answers at its address", hello.from)),
+            Handshake::Refused(why) => {
+                if let Some(left_out) = self.repeats.try_acquire() {
                     info!(peer = peer.node, why, left_out, "refused by a peer");
                 }
                 Err(why)
@@ -163,12 +163,12 @@
     }
 
     /// Takes links for good.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener) {
+    pub async fn accept_links(self: Rc<Self>, listener: TcpListener) {
         let mut tasks = JoinSet::new();
         loop {
             while tasks.try_join_next().is_some() {}
             match listener.accept().await {
-                Ok((stream, _)) if self.accepted.get() >= self.limits.accepted => {
+                Ok((stream, _)) if self.accepted.get() >= self.limits.max_accepted_links => {
                     drop(stream);
                     self.log("?", &"as many as there may be: a new one is turned away");
                 }
@@ -183,7 +183,7 @@
                 }
                 Err(error) => {
                     self.log("?", &error);
-                    sleep(self.limits.again).await;
+                    sleep(self.limits.initial_backoff).await;
                 }
             }
         }
@@ -191,12 +191,12 @@
 
     async fn taken(self: Rc<Self>, stream: TcpStream) -> String {
         let (mut reader, mut writer) = self.frame(stream);
-        let hello = match timeout(self.limits.connect, first(&mut reader)).await {
-            Ok(Ok(First::Hello(hello))) => hello,
-            Ok(Ok(First::Refused(why))) => return why,
+        let hello = match timeout(self.limits.connect_timeout, first(&mut reader)).await {
+            Ok(Ok(Handshake::Hello(hello))) => hello,
+            Ok(Ok(Handshake::Refused(why))) => return why,
             Ok(Err(why)) => {
-                let refused = frames::first(&First::Refused(why.clone()));
-                let _ = timeout(self.limits.connect, writer.send(refused)).await;
+                let refused = frames::encode_handshake(&Handshake::Refused(why.clone()));
+                let _ = timeout(self.limits.connect_timeout, writer.send(refused)).await;
                 return why;
             }
             Err(_) => return "it does not say who it is".into(),
@@ -210,16 +210,21 @@
             Some(format!("this is \"{}\", not \"{}\"", self.node, hello.to))
         } else if hello.from == self.node {
             Some(format!("\"{}\" is this member's own name", self.node))
-        } else if hello.from.len() > violetwind_fleet::Caps::NAME {
+        } else if hello.from.len() > violetwind_fleet::StateLimits::MAX_NAME_BYTES {
             Some("a name that is too long".to_string())
         } else {
             None
         };
         let answer = match &why {
-            None => First::Hello(self.hello(&hello.from)),
-            Some(why) => First::Refused(why.clone()),
+            None => Handshake::Hello(self.hello(&hello.from)),
+            Some(why) => Handshake::Refused(why.clone()),
         };
-        match timeout(self.limits.connect, writer.send(frames::first(&answer))).await {
+        match timeout(
+            self.limits.connect_timeout,
+            writer.send(frames::encode_handshake(&answer)),
+        )
+        .await
+        {
             Ok(Ok(())) => {}
             _ => return "it does not take an answer".into(),
         }
@@ -231,7 +236,7 @@
 
     /// A link that is up, until it ends; why it did.
     async fn serve(self: Rc<Self>, hello: Hello, reader: Reader, writer: Writer) -> String {
-        let (frames, queue) = mpsc::channel(self.limits.queue);
+        let (frames, queue) = mpsc::channel(self.limits.send_queue_capacity);
         let bytes = Rc::new(Cell::new(0));
         let number = self.next.replace(self.next.get() + 1);
         let way = Way {
@@ -245,7 +250,7 @@
             .or_default()
             .push(way);
         info!(peer = hello.from, "linked");
-        let met = Input::Met(hello.from.clone(), hello.id);
+        let met = Input::PeerConnected(hello.from.clone(), hello.node_id);
         let why = match self.inbox.send(met).await {
             Ok(()) => {
                 tokio::select! {
@@ -267,19 +272,19 @@
 
     async fn read(&self, from: &str, mut reader: Reader) -> String {
         loop {
-            let frame = match timeout(self.limits.silence, reader.next()).await {
+            let frame = match timeout(self.limits.silence_timeout, reader.next()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(error))) => return error.to_string(),
                 Ok(None) => return "the peer has closed it".into(),
                 Err(_) => return "no whole frame in time".into(),
             };
-            match frames::read_peer(&frame) {
+            match frames::decode_peer(&frame) {
                 Ok(None) => {}
                 Ok(Some(peer)) => {
                     // The member is quick; while it is not, the peer waits in its own socket.
                     if self
                         .inbox
-                        .send(Input::Peer(from.to_string(), peer))
+                        .send(Input::PeerMessage(from.to_string(), peer))
                         .await
                         .is_err()
                     {
@@ -298,13 +303,13 @@
         bytes: Rc<Cell<usize>>,
     ) -> String {
         loop {
-            let frame = match timeout(self.limits.ping, queue.recv()).await {
+            let frame = match timeout(self.limits.ping_interval, queue.recv()).await {
                 Ok(Some(frame)) => {
                     bytes.set(bytes.get() - frame.len());
                     frame
                 }
                 Ok(None) => return "another link has taken its place".into(),
-                Err(_) => frames::ping(),
+                Err(_) => frames::encode_ping(),
             };
             let send = async {
                 writer.feed(frame).await?;
@@ -315,7 +320,7 @@
                 }
                 SinkExt::<Bytes>::flush(&mut writer).await
             };
-            match timeout(self.limits.silence, send).await {
+            match timeout(self.limits.silence_timeout, send).await {
                 Ok(Ok(())) => {}
                 Ok(Err(error)) => return error.to_string(),
                 Err(_) => return "it takes nothing".into(),
@@ -324,9 +329,9 @@
     }
 }
 
-async fn first(reader: &mut Reader) -> Result<First, String> {
+async fn first(reader: &mut Reader) -> Result<Handshake, String> {
     match reader.next().await {
-        Some(Ok(frame)) => frames::read_first(&frame),
+        Some(Ok(frame)) => frames::decode_handshake(&frame),
         Some(Err(error)) => Err(error.to_string()),
         None => Err("closed before a word".into()),
     }
--- a/crates/proxy/src/fleet/shift.rs
+++ b/crates/proxy/src/fleet/maintenance.rs
@@ -12,20 +12,20 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{error, info, warn};
 use violetwind_engine::{EngineEvent, MachinesSnapshot, ObservedMachine};
-use violetwind_fleet::work::{List, Local};
+use violetwind_fleet::work_orders::{LocalWorkStatus, MachineList};
 use violetwind_fleet::{Name, Number};
-use violetwind_service::Change;
-use violetwind_workorders::{Belief, Machine, Report, Server};
+use violetwind_service::OperatorChange;
+use violetwind_workorders::{Machine, MachineAvailability, MachineReport, Server};
 
-use super::settings::{Settings, Work};
-use super::{Fleet, mono_ms};
-use crate::service::Service;
+use super::settings::{FleetSettings, MaintenanceSettings};
+use super::{FleetHandle, boottime_ms};
+use crate::operator_service::OperatorService;
 
 /// The first words of the file, with a checksum of the rest behind them.
 const MAGIC: &str = "violetwind out 1 ";
 
 /// What staff may read of a machine that is out, and what a new process goes by.
-pub fn read(path: &Path, longest: u64) -> Result<Option<Belief>, String> {
+pub fn read_state_file(path: &Path, longest: u64) -> Result<Option<MachineAvailability>, String> {
     let place = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
     let text = match fs::metadata(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -47,13 +47,15 @@
 }
 
 /// The same of a process that begins, told in the log.
-pub fn kept(path: &Path, longest: u64) -> Option<Belief> {
-    match read(path, longest) {
+pub fn load_state(path: &Path, longest: u64) -> Option<MachineAvailability> {
+    match read_state_file(path, longest) {
         Ok(belief) => {
-            let out = belief.iter().flat_map(Belief::ordered);
+            let out = belief
+                .iter()
+                .flat_map(MachineAvailability::closed_by_orders);
             let out: Vec<&Name> = out.map(|(name, _)| name).collect();
             if !out.is_empty() {
-                let mono_ms = mono_ms();
+                let mono_ms = boottime_ms();
                 info!(
                     ?out,
                     mono_ms, "machines are out, by the file of the last process"
@@ -69,13 +71,13 @@
 }
 
 /// Whether the machine that a proxy runs on is out.
-pub fn is_out(belief: &Belief, proxy: &str) -> bool {
+pub fn is_proxy_machine_out(belief: &MachineAvailability, proxy: &str) -> bool {
     let own = belief.machine_of(proxy);
     own.is_some_and(|(_, own)| own.closed)
 }
 
 /// Writes it down in one step; it is on disk when this returns.
-fn write(path: &Path, belief: &Belief) -> io::Result<()> {
+fn write(path: &Path, belief: &MachineAvailability) -> io::Result<()> {
     let body = serde_json::to_string_pretty(belief).map_err(io::Error::other)? + "\n";
     let new = path.with_extension("out.new");
     let mut file = File::create(&new)?;
@@ -87,16 +89,16 @@
     File::open(dir.unwrap_or(Path::new(".")))?.sync_all()
 }
 
-pub struct Shift {
-    work: Work,
+pub struct MaintenanceAgent {
+    work: MaintenanceSettings,
     node: Name,
     votes: BTreeSet<Name>,
-    fleet: Fleet,
-    lists: mpsc::Receiver<(Number, List)>,
+    fleet: FleetHandle,
+    lists: mpsc::Receiver<(Number, MachineList)>,
     engine: mpsc::Sender<EngineEvent>,
-    service: Rc<Service>,
+    service: Rc<OperatorService>,
     /// What is in force, and on disk.
-    belief: Belief,
+    belief: MachineAvailability,
     /// This proxy was left as its machine is out.
     left: bool,
     /// The disk did not take the last list; told once.
@@ -116,14 +118,14 @@
     fn new() -> Self {
         Self {
             start_ms: wall_ms(),
-            start_mono_ms: mono_ms(),
+            start_mono_ms: boottime_ms(),
         }
     }
 
     /// The earlier of what it shows now and of what it would show had it not been stepped since the start: an order that
     /// is not to begin before a time begins no sooner, whichever way it is stepped.
     fn earliest_ms(&self) -> u64 {
-        let unstepped = self.start_ms + (mono_ms() - self.start_mono_ms);
+        let unstepped = self.start_ms + (boottime_ms() - self.start_mono_ms);
         unstepped.min(wall_ms())
     }
 }
@@ -133,25 +135,25 @@
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-impl Shift {
+impl MaintenanceAgent {
     /// None without the section.
     pub fn new(
-        settings: &Settings,
+        settings: &FleetSettings,
         node: &str,
-        (fleet, lists): (Fleet, mpsc::Receiver<(Number, List)>),
+        (fleet, lists): (FleetHandle, mpsc::Receiver<(Number, MachineList)>),
         engine: mpsc::Sender<EngineEvent>,
-        service: Rc<Service>,
+        service: Rc<OperatorService>,
     ) -> Option<Self> {
         let votes = settings.voters().map(|peer| peer.node.clone());
         Some(Self {
-            work: settings.work.clone()?,
+            work: settings.maintenance.clone()?,
             node: node.to_string(),
             votes: votes.collect(),
             fleet,
             lists,
             engine,
             service,
-            belief: Belief::default(),
+            belief: MachineAvailability::default(),
             left: false,
             stuck: false,
             removed: false,
@@ -161,21 +163,23 @@
 
     /// Goes by what was on disk, before the first client; where nothing is, by the first word of the fleet, which is
     /// waited for no longer than is set. An upgrade's successor does not wait: the process before it has kept the file.
-    pub async fn begin(&mut self, kept: Option<Belief>, succeeds: bool) {
+    pub async fn start(&mut self, kept: Option<MachineAvailability>, succeeds: bool) {
         if let Some(belief) = kept {
-            self.left = is_out(&belief, &self.node);
+            self.left = is_proxy_machine_out(&belief, &self.node);
             return self.go_by(belief).await;
         }
         if succeeds {
             return;
         }
-        self.fleet.begin();
+        self.fleet.activate();
         let first = Instant::now();
-        let heard = timeout(self.work.first, self.first_list()).await.is_ok();
+        let heard = timeout(self.work.machine_list_timeout, self.first_list())
+            .await
+            .is_ok();
         if !heard {
             warn!(
                 waited_ms = first.elapsed().as_millis() as u64,
-                mono_ms = mono_ms(),
+                mono_ms = boottime_ms(),
                 "no list of what is out, on disk or from the fleet: all machines are used until there is one"
             );
         }
@@ -183,7 +187,7 @@
 
     async fn first_list(&mut self) {
         loop {
-            self.fleet.work(Local::default());
+            self.fleet.report_maintenance(LocalWorkStatus::default());
             tokio::select! {
                 list = self.lists.recv() => match list {
                     Some((version, list)) => {
@@ -193,15 +197,16 @@
                     }
                     None => return std::future::pending().await,
                 },
-                () = sleep(self.work.every) => {}
+                () = sleep(self.work.report_interval) => {}
             }
         }
     }
 
     /// A successor goes by what its elder wrote last.
-    pub async fn again(&mut self) {
-        if let Ok(Some(belief)) = read(&self.work.file, self.work.file_bytes)
-            && belief.at() > self.belief.at()
+    pub async fn reload_state(&mut self) {
+        if let Ok(Some(belief)) =
+            read_state_file(&self.work.state_file, self.work.max_state_file_bytes)
+            && belief.list_version() > self.belief.list_version()
         {
             self.go_by(belief).await;
         }
@@ -212,11 +217,11 @@
         let mut listens = true;
         loop {
             let busy = self.belief.machines().next().is_some();
-            let busy = busy || self.service.closed();
+            let busy = busy || self.service.is_admission_closed();
             let rest = if busy {
-                self.work.every
+                self.work.report_interval
             } else {
-                self.work.idle
+                self.work.idle_report_interval
             };
             tokio::select! {
                 list = self.lists.recv(), if listens => match list {
@@ -235,30 +240,30 @@
                 return;
             };
             let local = self.local(&looked);
-            if local.serves_nobody && !std::mem::replace(&mut self.removed, true) {
+            if local.has_stopped_serving && !std::mem::replace(&mut self.removed, true) {
                 // Who starts anew asks what is out: nobody waits for its word until then.
-                if let Err(error) = fs::remove_file(&self.work.file) {
+                if let Err(error) = fs::remove_file(&self.work.state_file) {
                     warn!(%error, "the list of what is out stays");
                 }
             }
-            self.fleet.work(local);
+            self.fleet.report_maintenance(local);
         }
     }
 
     /// A newer list: on disk, then in force. False if it can't be written: then it is not confirmed.
-    async fn take(&mut self, version: Number, list: List) -> bool {
-        if version < self.belief.at() || self.removed {
+    async fn take(&mut self, version: Number, list: MachineList) -> bool {
+        if version < self.belief.list_version() || self.removed {
             return true;
         }
         let mut belief = self.belief.clone();
-        belief.hear(version, list);
-        let (path, kept) = (self.work.file.clone(), belief.clone());
+        belief.apply_list(version, list);
+        let (path, kept) = (self.work.state_file.clone(), belief.clone());
         let written = tokio::task::spawn_blocking(move || write(&path, &kept)).await;
         match written {
             Ok(Ok(())) => self.stuck = false,
             error => {
                 if !std::mem::replace(&mut self.stuck, true) {
-                    error!(?error, file = %self.work.file.display(), mono_ms = mono_ms(),
+                    error!(?error, file = %self.work.state_file.display(), mono_ms = boottime_ms(),
                         "what is out can't be written down: it is in force and not confirmed");
                 }
                 // Nothing new goes to what is to go out; it is only not said.
@@ -270,8 +275,8 @@
         true
     }
 
-    async fn engine_goes_by(&self, belief: &Belief) {
-        let closed = belief.ordered().map(|(name, listed)| {
+    async fn engine_goes_by(&self, belief: &MachineAvailability) {
+        let closed = belief.closed_by_orders().map(|(name, listed)| {
             let servers = listed
                 .machine
                 .servers
@@ -286,9 +291,12 @@
         }
     }
 
-    async fn go_by(&mut self, belief: Belief) {
-        let names = |belief: &Belief| -> BTreeSet<Name> {
-            belief.ordered().map(|(name, _)| name.clone()).collect()
+    async fn go_by(&mut self, belief: MachineAvailability) {
+        let names = |belief: &MachineAvailability| -> BTreeSet<Name> {
+            belief
+                .closed_by_orders()
+                .map(|(name, _)| name.clone())
+                .collect()
         };
         let (before, after) = (names(&self.belief), names(&belief));
         self.engine_goes_by(&belief).await;
@@ -303,7 +311,7 @@
                 machine = name,
                 out,
                 version,
-                mono_ms = mono_ms(),
+                mono_ms = boottime_ms(),
                 "a machine by the orders for work"
             );
         }
@@ -315,19 +323,19 @@
         match own.unwrap_or(false) {
             true if !self.left => {
                 self.left = true;
-                self.say(Change::Leave).await;
+                self.say(OperatorChange::Leave).await;
             }
             false if self.left => {
                 self.left = false;
-                self.say(Change::Join).await;
+                self.say(OperatorChange::Join).await;
             }
             _ => {}
         }
     }
 
     /// This proxy's machine goes out, or is back.
-    async fn say(&self, change: Change) {
-        let word = self.service.heed(u64::MAX, change).await;
+    async fn say(&self, change: OperatorChange) {
+        let word = self.service.apply_external(u64::MAX, change).await;
         if let Err(why) = word {
             warn!(why, "this proxy's own machine");
         }
@@ -342,18 +350,22 @@
         looked.await.ok()
     }
 
-    fn local(&mut self, looked: &MachinesSnapshot) -> Local {
-        let elder = u64::from(self.service.has_elder());
+    fn local(&mut self, looked: &MachinesSnapshot) -> LocalWorkStatus {
+        let elder = u64::from(self.service.has_predecessor());
         let names: Vec<Name> = self.belief.machines().cloned().collect();
         let none = ObservedMachine::default();
         let mut reports = BTreeMap::new();
         for name in names {
             let seen = looked.machines.get(&name).unwrap_or(&none);
-            let listed = self.belief.listed(&name).cloned().unwrap_or_default();
+            let listed = self
+                .belief
+                .listed_machine(&name)
+                .cloned()
+                .unwrap_or_default();
             let own = matches!(&listed.machine.proxy, Some((proxy, _)) if *proxy == self.node);
             // Operators' words at this proxy are stronger.
-            let opened =
-                seen.servers.iter().any(|server| server.opened) || (own && !self.service.left());
+            let opened = seen.servers.iter().any(|server| server.opened)
+                || (own && !self.service.has_left());
             // One that the sources have leave is not waited for.
             let stay = || seen.servers.iter().filter(|server| !server.draining);
             let servers = stay().next().is_some();
@@ -363,13 +375,13 @@
                 (false, true) => Some(false),
                 (false, false) => None,
             };
-            self.belief.word(&name, word);
+            self.belief.set_override(&name, word);
             let expected = !listed.machine.servers.is_empty();
             let warm = (servers || !expected)
                 && stay().all(|server| server.warm)
-                && !(own && self.service.left());
+                && !(own && self.service.has_left());
             let clients = seen.clients + elder + if own { looked.connections as u64 } else { 0 };
-            let report: Option<Report> = self.belief.report(&name, clients, warm);
+            let report: Option<MachineReport> = self.belief.report(&name, clients, warm);
             reports.extend(report.map(|report| (name, report)));
         }
         let shut = looked.machines.iter().filter(|(_, seen)| {
@@ -390,14 +402,20 @@
                     .any(|server| server.up && !server.banned)
             })
         };
-        Local {
-            heard: if self.stuck { 0 } else { self.belief.at() },
+        LocalWorkStatus {
+            list_version: if self.stuck {
+                0
+            } else {
+                self.belief.list_version()
+            },
             reports: if self.stuck { BTreeMap::new() } else { reports },
-            up: machines.keys().filter(up).cloned().collect(),
+            up_machines: machines.keys().filter(up).cloned().collect(),
             machines,
-            shut,
-            serves_nobody: self.service.closed() && looked.connections == 0 && elder == 0,
-            wall: self.wall.earliest_ms(),
+            closed_machines: shut,
+            has_stopped_serving: self.service.is_admission_closed()
+                && looked.connections == 0
+                && elder == 0,
+            unix_time_ms: self.wall.earliest_ms(),
         }
     }
 
@@ -425,7 +443,7 @@
             };
             machines.insert(name.clone(), machine);
         }
-        for (name, (zone, proxy)) in &self.work.named {
+        for (name, (zone, proxy)) in &self.work.named_machines {
             let machine = machines.entry(name.clone()).or_default();
             if let Some(zone) = zone {
                 machine.zone.clone_from(zone);
--- a/crates/proxy/src/fleet/mod.rs
+++ b/crates/proxy/src/fleet/mod.rs
@@ -5,8 +5,8 @@
 pub mod allowances;
 pub mod frames;
 mod links;
+pub mod maintenance;
 pub mod settings;
-pub mod shift;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -20,29 +20,30 @@
 use tracing::{debug, error, info, warn};
 use violetwind_consensus::NodeId;
 use violetwind_fleet::budget::Part;
-use violetwind_fleet::work::{List, Local};
+use violetwind_fleet::work_orders::{LocalWorkStatus, MachineList};
 use violetwind_fleet::{
-    Answer, Call, Config, Event, Input, Member, Name, Number, Output, Record, Saved,
+    Config, Event, Input, Member, MemberRecord, Name, Number, OperatorAnswer, OperatorCall, Output,
+    SavedState,
 };
 use violetwind_net::is_resource_exhaustion;
-use violetwind_store::{DiskEvent, Records, Store};
+use violetwind_store::{DiskEvent, RecordSender, Store};
 
-use self::links::Links;
-use self::settings::Settings;
+use self::links::PeerLinks;
+use self::settings::FleetSettings;
 
 /// Milliseconds of a clock that does not go back and that goes on while the machine sleeps: the same for all
 /// processes of a machine.
-pub fn mono_ms() -> u64 {
+pub fn boottime_ms() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as u64 * 1000 + now.tv_nsec as u64 / 1_000_000
 }
 
 enum Word {
-    Call(Call, oneshot::Sender<Answer>),
+    Call(OperatorCall, oneshot::Sender<OperatorAnswer>),
     /// What the module uses of a budget that it counts: part in force, in use, how often too small.
     Used(Name, Number, u64, u64),
     /// What is so here of machines that are worked on.
-    Work(Box<Local>),
+    Work(Box<LocalWorkStatus>),
 }
 
 /// Whether it is to take part.
@@ -56,7 +57,7 @@
 
 /// The way to the fleet's thread.
 #[derive(Clone)]
-pub struct Fleet {
+pub struct FleetHandle {
     words: mpsc::Sender<Word>,
     /// Told to hand on, it hands on and stays away until it is wanted again.
     wanted: watch::Sender<Wanted>,
@@ -65,44 +66,48 @@
 }
 
 /// A part of a budget that the module counts, with its number.
-pub type PartOf = (Name, Number, Part);
+pub type BudgetUpdate = (Name, Number, Part);
 
 /// What the fleet's thread tells the engine's: parts of budgets, and what is out.
-pub struct Told {
-    pub parts: mpsc::Receiver<PartOf>,
-    pub lists: mpsc::Receiver<(Number, List)>,
+pub struct FleetUpdates {
+    pub budget_updates: mpsc::Receiver<BudgetUpdate>,
+    pub machine_lists: mpsc::Receiver<(Number, MachineList)>,
 }
 
 /// The other ends of these.
 struct Tells {
-    parts: mpsc::Sender<PartOf>,
-    lists: mpsc::Sender<(Number, List)>,
+    parts: mpsc::Sender<BudgetUpdate>,
+    lists: mpsc::Sender<(Number, MachineList)>,
 }
 
-impl Fleet {
+impl FleetHandle {
     /// Starts the thread, which waits for [`Fleet::begin`].
     ///
     /// # Errors
     /// The thread can't be started, or the section does not fit this proxy.
-    pub fn start(settings: Settings, node: &str) -> io::Result<(Self, Told)> {
-        settings.fits(node).map_err(io::Error::other)?;
+    pub fn start(settings: FleetSettings, node: &str) -> io::Result<(Self, FleetUpdates)> {
+        settings.check_node(node).map_err(io::Error::other)?;
         for warning in &settings.warnings {
             warn!(warning, "fleet");
         }
-        let (words, inbox) = mpsc::channel(settings.links.calls);
+        let (words, inbox) = mpsc::channel(settings.link_limits.call_queue_capacity);
         let (is_busy, busy) = watch::channel(false);
         let (wanted, is_wanted) = watch::channel(Wanted::No);
         let inbox = Inbox {
             words: inbox,
             wanted: is_wanted,
         };
-        let (parts, parts_told) = mpsc::channel(settings.links.parts);
-        let (lists, lists_told) =
-            mpsc::channel(settings.work.as_ref().map_or(1, |work| work.lists));
+        let (parts, parts_told) = mpsc::channel(settings.link_limits.budget_queue_capacity);
+        let (lists, lists_told) = mpsc::channel(
+            settings
+                .maintenance
+                .as_ref()
+                .map_or(1, |work| work.list_queue_capacity),
+        );
         let tells = Tells { parts, lists };
-        let told = Told {
-            parts: parts_told,
-            lists: lists_told,
+        let told = FleetUpdates {
+            budget_updates: parts_told,
+            machine_lists: lists_told,
         };
         let node = node.to_string();
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -121,11 +126,11 @@
         Ok((fleet, told))
     }
 
-    pub fn begin(&self) {
+    pub fn activate(&self) {
         self.wanted.send_replace(Wanted::Yes);
     }
 
-    pub fn quit(&self, ending: bool) {
+    pub fn deactivate(&self, ending: bool) {
         self.wanted.send_replace(match ending {
             true => Wanted::Ending,
             false => Wanted::No,
@@ -133,24 +138,24 @@
     }
 
     /// What the module uses of a budget; said again and again, so that one word may be lost.
-    pub fn used(&self, budget: &str, part: Number, busy: u64, denied: u64) {
+    pub fn report_usage(&self, budget: &str, part: Number, busy: u64, denied: u64) {
         let _ = self
             .words
             .try_send(Word::Used(budget.to_string(), part, busy, denied));
     }
 
     /// What is so here of machines; said again and again, so that one word may be lost.
-    pub fn work(&self, local: Local) {
+    pub fn report_maintenance(&self, local: LocalWorkStatus) {
         let _ = self.words.try_send(Word::Work(Box::new(local)));
     }
 
-    pub fn busy(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         *self.busy.borrow()
     }
 
     /// # Errors
     /// The member has ended, or too many calls wait.
-    pub async fn call(&self, call: Call) -> Result<Answer, String> {
+    pub async fn call(&self, call: OperatorCall) -> Result<OperatorAnswer, String> {
         let (reply, answer) = oneshot::channel();
         let sent = self.words.try_send(Word::Call(call, reply));
         sent.map_err(|_| "the fleet's thread takes no calls".to_string())?;
@@ -180,7 +185,7 @@
 
 /// Takes part whenever it is told to, for as long as the program runs.
 async fn live(
-    settings: Settings,
+    settings: FleetSettings,
     node: Name,
     mut inbox: Inbox,
     (busy, tells): (watch::Sender<bool>, Tells),
@@ -205,11 +210,11 @@
             // Set aside: it comes back as a stranger.
             Over::Stale => {}
             // What was not acknowledged is forgotten; it begins again with what is on disk.
-            Over::Behind => sleep(settings.links.retry).await,
+            Over::Behind => sleep(settings.link_limits.retry_interval).await,
             Over::Failed(why) => {
                 error!(
                     why,
-                    mono_ms = mono_ms(),
+                    mono_ms = boottime_ms(),
                     "this proxy takes no part in the fleet until it is restarted; it serves on"
                 );
                 busy.send_replace(false);
@@ -225,7 +230,7 @@
 
 /// Opens what another process may still use; none if told to quit meanwhile.
 async fn open<T>(
-    settings: &Settings,
+    settings: &FleetSettings,
     inbox: &mut Inbox,
     mut open: impl FnMut() -> Result<T, (bool, String)>,
 ) -> Result<T, Over> {
@@ -241,7 +246,7 @@
             Err((false, why)) => return Err(Over::Failed(why)),
         }
         tokio::select! {
-            () = sleep(settings.links.retry) => {}
+            () = sleep(settings.link_limits.retry_interval) => {}
             changed = inbox.wanted.changed() => match changed {
                 Ok(()) if *inbox.wanted.borrow_and_update() == Wanted::Yes => {}
                 Ok(()) => return Err(Over::Quit),
@@ -253,12 +258,12 @@
 }
 
 async fn take_part(
-    settings: &Rc<Settings>,
+    settings: &Rc<FleetSettings>,
     node: &str,
     heard: &mut Inbox,
     tells: &Rc<Tells>,
 ) -> Over {
-    let store = match &settings.dir {
+    let store = match &settings.data_dir {
         None => None,
         Some(dir) => {
             let opened = open(settings, heard, || {
@@ -266,8 +271,8 @@
                 let store = violetwind_store::Settings {
                     fleet: settings.name.clone(),
                     node: node.to_string(),
-                    segment_bytes: settings.links.segment_bytes,
-                    sync: settings.sync,
+                    compaction_threshold_bytes: settings.link_limits.max_segment_bytes,
+                    sync_writes: settings.fsync,
                 };
                 Store::open(dir, store, fresh)
                     .map_err(|error| (error.is_transient(), error.to_string()))
@@ -288,21 +293,21 @@
         Ok(listener) => listener,
         Err(over) => return over,
     };
-    let saved = store.as_ref().map(|store| store.saved().clone());
+    let saved = store.as_ref().map(|store| store.saved_state().clone());
     let id = saved.as_ref().map(|saved| saved.id);
-    let (inbox, mut inputs) = mpsc::channel(settings.links.inbox);
-    let links = Links::new(settings, node, id, inbox.clone());
+    let (inbox, mut inputs) = mpsc::channel(settings.link_limits.inbox_capacity);
+    let links = PeerLinks::new(settings, node, id, inbox.clone());
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(links.clone().accept(listener));
+    tasks.spawn_local(links.clone().accept_links(listener));
     for peer in settings.voters().filter(|peer| peer.node != node) {
-        tasks.spawn_local(links.clone().dial(peer.clone()));
+        tasks.spawn_local(links.clone().dial_with_backoff(peer.clone()));
     }
     let (told, mut disk) = mpsc::unbounded_channel();
     let disk_thread = match store.map(|store| {
-        violetwind_store::run(
+        violetwind_store::spawn_writer(
             store,
             move |word| drop(told.send(word)),
-            settings.links.retry,
+            settings.link_limits.retry_interval,
         )
     }) {
         None => None,
@@ -310,17 +315,17 @@
         Some(Err(error)) => return Over::Failed(format!("the disk's thread: {error}")),
     };
     info!(fleet = settings.name, node, listen = %settings.listen, id = id.map(|id| format!("{:x}", id.0)),
-        mono_ms = mono_ms(), "this proxy takes part in a fleet");
+        mono_ms = boottime_ms(), "this proxy takes part in a fleet");
     let records = disk_thread.as_ref().map(|(records, _)| records.clone());
     let mut part = Process::new(settings, node, saved, (links, records), tells.clone());
-    let mut ticks = interval(settings.links.tick);
+    let mut ticks = interval(settings.link_limits.tick_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     while part.over.is_none() {
         tokio::select! {
             _ = ticks.tick() => part.handle(Input::Tick),
             Some(input) = inputs.recv() => part.handle(input),
             Some(word) = disk.recv() => match word {
-                DiskEvent::Saved(number) => part.saved(number),
+                DiskEvent::RecordsSaved(number) => part.saved(number),
                 DiskEvent::WriteFailed(error) => {
                     part.over = Some(Over::Failed(error.to_string()));
                 }
@@ -329,16 +334,16 @@
                 Ok(()) => match *heard.wanted.borrow_and_update() {
                     Wanted::Yes => {}
                     Wanted::No => part.handle(Input::Quit),
-                    Wanted::Ending => part.handle(Input::End),
+                    Wanted::Ending => part.handle(Input::QuitAfterDrain),
                 },
                 // The program ends without a word to anybody: the lease runs out.
                 Err(_) => part.over = Some(Over::Dropped),
             },
             Some(word) = heard.words.recv() => match word {
                 Word::Used(budget, number, busy, denied) => {
-                    part.handle(Input::Used { budget, part: number, busy, denied });
+                    part.handle(Input::ExternalUsage { budget, part_number: number, in_use: busy, denied });
                 }
-                Word::Work(local) => part.handle(Input::Work(*local)),
+                Word::Work(local) => part.handle(Input::LocalWorkStatus(*local)),
                 Word::Call(call, reply) => part.call(call, reply),
             },
         }
@@ -346,7 +351,7 @@
     let over = part.over.take().unwrap_or(Over::Quit);
     // The last frames have a moment to go.
     if matches!(over, Over::Quit) {
-        sleep(settings.links.tick).await;
+        sleep(settings.link_limits.tick_interval).await;
     }
     tasks.shutdown().await;
     drop(part);
@@ -356,7 +361,7 @@
     drop(records);
     let store = tokio::task::spawn_blocking(move || thread.join()).await;
     match (over, store) {
-        (Over::Stale, Ok(Ok(store))) => match store.set_aside("stale") {
+        (Over::Stale, Ok(Ok(store))) => match store.quarantine("stale") {
             Ok(aside) => {
                 warn!(aside = %aside.display(), "the older copy is put aside; this member is a stranger until it is let in");
                 Over::Stale
@@ -372,55 +377,55 @@
     member: Member,
     /// The way to the engine's thread.
     tells: Rc<Tells>,
-    links: Rc<Links>,
-    records: Option<Records>,
+    links: Rc<PeerLinks>,
+    records: Option<RecordSender>,
     /// Records on the way to the disk, and their sizes.
     unsynced: VecDeque<(Number, usize)>,
     unsynced_bytes: usize,
     unsynced_most: usize,
-    calls: BTreeMap<Number, oneshot::Sender<Answer>>,
+    calls: BTreeMap<Number, oneshot::Sender<OperatorAnswer>>,
     next_call: Number,
     over: Option<Over>,
 }
 
 impl Process {
     fn new(
-        settings: &Settings,
+        settings: &FleetSettings,
         node: &str,
-        saved: Option<Saved>,
-        (links, records): (Rc<Links>, Option<Records>),
+        saved: Option<SavedState>,
+        (links, records): (Rc<PeerLinks>, Option<RecordSender>),
         tells: Rc<Tells>,
     ) -> Self {
         let config = Config {
-            work: settings.work.is_some(),
+            work_enabled: settings.maintenance.is_some(),
             node: node.to_string(),
             peers: settings
                 .peers
                 .iter()
-                .map(|peer| (peer.node.clone(), peer.votes))
+                .map(|peer| (peer.node.clone(), peer.is_voter))
                 .collect(),
             duties: settings.duties.clone(),
             budgets: settings.budgets.clone(),
-            outside: settings.counted_by.keys().cloned().collect(),
+            external_budgets: settings.balancer_budgets.keys().cloned().collect(),
             limits: settings.limits.clone(),
         };
         // The two highest bits are left free for counting on from it.
         let seed = rand::random::<u64>() >> 2;
         Self {
-            member: Member::new(config, saved, seed, mono_ms()),
+            member: Member::new(config, saved, seed, boottime_ms()),
             tells,
             links,
             records,
             unsynced: VecDeque::new(),
             unsynced_bytes: 0,
-            unsynced_most: settings.links.unsynced_bytes,
+            unsynced_most: settings.link_limits.max_unsynced_bytes,
             calls: BTreeMap::new(),
             next_call: 0,
             over: None,
         }
     }
 
-    fn call(&mut self, call: Call, reply: oneshot::Sender<Answer>) {
+    fn call(&mut self, call: OperatorCall, reply: oneshot::Sender<OperatorAnswer>) {
         self.next_call += 1;
         self.calls.retain(|_, reply| !reply.is_closed());
         self.calls.insert(self.next_call, reply);
@@ -431,14 +436,14 @@
         while let Some((_, bytes)) = self.unsynced.pop_front_if(|(at, _)| *at <= number) {
             self.unsynced_bytes -= bytes;
         }
-        self.handle(Input::Saved(number));
+        self.handle(Input::RecordsSaved(number));
     }
 
     fn handle(&mut self, input: Input) {
-        for output in self.member.handle(mono_ms(), input) {
+        for output in self.member.handle(boottime_ms(), input) {
             match output {
                 Output::Send(to, peer) => self.links.send(&to, &peer),
-                Output::Save(number, record) => self.save(number, record),
+                Output::SaveRecord(number, record) => self.save(number, record),
                 Output::Answer(number, answer) => {
                     if let Some(reply) = self.calls.remove(&number) {
                         // A caller that has gone needs none.
@@ -451,7 +456,7 @@
                         warn!("the module does not take its parts of budgets");
                     }
                 }
-                Output::Work(version, list) => {
+                Output::MachineList(version, list) => {
                     // It is told again for as long as it is not in force.
                     if self.tells.lists.try_send((version, list)).is_err() {
                         warn!("the engine's thread does not take what is out");
@@ -463,21 +468,21 @@
         }
     }
 
-    fn save(&mut self, number: Number, record: Record) {
+    fn save(&mut self, number: Number, record: MemberRecord) {
         let bytes = match &record {
-            Record::Write(write) => {
+            MemberRecord::Write(write) => {
                 let snapshot = write
                     .snapshot
                     .as_ref()
                     .map_or(0, |snapshot| snapshot.data.len());
                 64 + snapshot
                     + write
-                        .append
+                        .entries
                         .iter()
-                        .map(|entry| entry.bytes())
+                        .map(|entry| entry.byte_len())
                         .sum::<usize>()
             }
-            Record::Agreed(_) | Record::Formed => 64,
+            MemberRecord::Agreed(_) | MemberRecord::Formed => 64,
         };
         self.unsynced.push_back((number, bytes));
         self.unsynced_bytes += bytes;
@@ -485,7 +490,7 @@
             let bytes = self.unsynced_bytes;
             warn!(
                 bytes,
-                mono_ms = mono_ms(),
+                mono_ms = boottime_ms(),
                 "more waits for the disk than may: this member begins again"
             );
             self.over = Some(Over::Behind);
@@ -498,7 +503,7 @@
     }
 
     fn event(&mut self, event: Event) {
-        let mono_ms = mono_ms();
+        let mono_ms = boottime_ms();
         match event {
             Event::Gained { duty, fence } => info!(duty, fence, mono_ms, "duty gained"),
             Event::Lost { duty, fence, why } => info!(duty, fence, mono_ms, %why, "duty lost"),
--- a/crates/proxy/src/handover/connections.rs
+++ b/crates/proxy/src/handover/connections.rs
@@ -13,48 +13,48 @@
 use violetwind_engine::EngineEvent;
 use violetwind_service::handover::Connection;
 
-use crate::admit::{self, OpenId};
-use crate::book::Booking;
-use crate::limits::Permit;
-use crate::line::{self, First};
-use crate::relay::{self, Heard};
-use crate::ring::Ring;
-use crate::send::Server;
-use crate::take_in::{Client, Shared};
+use crate::acceptor::{ClientConnection, SharedState};
+use crate::admission::{self, OpenIdGuard};
+use crate::attempt::ServerConnection;
+use crate::limits::DescriptorPermit;
+use crate::line_protocol::{self, FirstLine};
+use crate::relay::{self, RelayState};
+use crate::request_tracker::RequestTracker;
+use crate::ring_buffer::RingBuffer;
 
 /// A connection that a relay gives up, if the successor takes it.
-pub struct Given {
+pub struct ConnectionOffer {
     pub connection: Connection,
     /// The client's socket and the server's.
     pub fds: [OwnedFd; 2],
-    pub answer: Offered,
+    pub reply: OfferReply,
 }
 
 /// The way back to the relay, which goes on when it is dropped.
-pub struct Offered(pub oneshot::Sender<()>);
+pub struct OfferReply(pub oneshot::Sender<()>);
 
-impl Offered {
-    pub fn given(self) {
+impl OfferReply {
+    pub fn confirm(self) {
         // A relay waits for as long as this side of the way is there.
         let _ = self.0.send(());
     }
 }
 
 /// A connection that has come, and is not this process's yet.
-pub struct Adopted {
+pub struct AdoptedConnection {
     connection: Connection,
     client: TcpStream,
     server: TcpStream,
     request: Request,
-    hold: (Permit, OpenId),
+    hold: (DescriptorPermit, OpenIdGuard),
 }
 
-impl Adopted {
+impl AdoptedConnection {
     /// Checks what came. What stands in the way leaves the connection where it was.
-    pub fn take(
+    pub fn from_offer(
         connection: Connection,
         fds: Option<[OwnedFd; 2]>,
-        shared: &Shared,
+        shared: &SharedState,
     ) -> Result<Self, String> {
         let [client, server] = fds.ok_or("its sockets did not come")?;
         let stream = |fd| {
@@ -64,12 +64,16 @@
         };
         let text = |error: std::io::Error| error.to_string();
         let (client, server) = (stream(client).map_err(text)?, stream(server).map_err(text)?);
-        let Some(First::Open(open)) = line::first(&connection.line) else {
+        let Some(FirstLine::Open(open)) = line_protocol::parse_first_line(&connection.first_line)
+        else {
             return Err("its first line is none".into());
         };
-        let (request, id) = admit::understand(&open, shared)?;
+        let (request, id) = admission::validate_request(&open, shared)?;
         // The other process frees as many.
-        let permit = shared.requests.take_over(2).ok_or("no descriptor left")?;
+        let permit = shared
+            .request_descriptors
+            .acquire_transferred(2)
+            .ok_or("no descriptor left")?;
         Ok(Self {
             client,
             server,
@@ -80,7 +84,7 @@
     }
 
     /// Relays on from here.
-    pub fn serve(self, shared: &Rc<Shared>) {
+    pub fn start_relay(self, shared: &Rc<SharedState>) {
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
             let Self {
@@ -91,38 +95,42 @@
                 hold,
             } = self;
             let limits = &shared.limits;
-            let (to, orders) = mpsc::channel(limits.orders);
-            let booking = Booking::new(&request, Instant::now(), &shared);
-            booking.up();
+            let (to, orders) = mpsc::channel(limits.order_queue_capacity);
+            let booking = RequestTracker::new(&request, Instant::now(), &shared);
+            booking.mark_up();
             debug!(server = connection.server, "a connection was taken over");
             let on = connection.server;
-            booking.tell(EngineEvent::Adopted(request, on, to)).await;
+            booking
+                .notify_engine(EngineEvent::Adopted(request, on, to))
+                .await;
             if let Some(load) = connection.load {
-                booking.load(on, load).await;
+                booking.report_load(on, load).await;
             }
-            let client = Client {
+            let client = ClientConnection {
                 stream: client,
-                ring: Ring::new(limits.ring_bytes),
+                ring: RingBuffer::new(limits.ring_buffer_bytes),
                 arrived: Instant::now(),
-                place: None,
+                pending_slot: None,
             };
-            let server = Server {
+            let server = ServerConnection {
                 stream: server,
-                ring: Ring::new(limits.ring_bytes),
+                ring: RingBuffer::new(limits.ring_buffer_bytes),
             };
             let waits = connection
-                .waits_ms
+                .unanswered_ms
                 .map(|ms| std::time::Duration::from_millis(ms.into()));
-            let heard = Heard {
+            let heard = RelayState {
                 load: connection.load,
                 waiting_since: waits.and_then(|waits| Instant::now().checked_sub(waits)),
             };
             // It was read when the connection came.
-            let Some(First::Open(open)) = line::first(&connection.line) else {
+            let Some(FirstLine::Open(open)) =
+                line_protocol::parse_first_line(&connection.first_line)
+            else {
                 return;
             };
             let heard = (&open, heard);
-            relay::relay(client, server, on, orders, booking, heard, &shared).await;
+            relay::run_relay(client, server, on, orders, booking, heard, &shared).await;
             drop(hold);
         });
     }
--- a/crates/proxy/src/handover/link.rs
+++ b/crates/proxy/src/handover/link.rs
@@ -14,7 +14,7 @@
 use tokio::net::UnixStream;
 use tokio::time::timeout;
 use violetwind_net::write_all;
-use violetwind_service::handover::{Message, Messages, frame};
+use violetwind_service::handover::{Message, MessageDecoder, encode_frame};
 
 use crate::limits::Limits;
 
@@ -23,7 +23,7 @@
 
 pub struct Link {
     stream: UnixStream,
-    messages: Messages,
+    messages: MessageDecoder,
     /// Those whose messages have not been read yet.
     fds: VecDeque<OwnedFd>,
 }
@@ -32,23 +32,23 @@
     pub fn new(stream: UnixStream) -> Self {
         Self {
             stream,
-            messages: Messages::default(),
+            messages: MessageDecoder::default(),
             fds: VecDeque::new(),
         }
     }
 
-    pub async fn write(&mut self, message: &Message, limits: &Limits) -> io::Result<()> {
-        self.send(message, &[], limits).await
+    pub async fn send(&mut self, message: &Message, limits: &Limits) -> io::Result<()> {
+        self.send_with_fds(message, &[], limits).await
     }
 
     /// Writes a message; descriptors come with its first byte.
-    pub async fn send(
+    pub async fn send_with_fds(
         &mut self,
         message: &Message,
         fds: &[BorrowedFd<'_>],
         limits: &Limits,
     ) -> io::Result<()> {
-        let bytes = frame(message, &limits.service).ok_or(io::ErrorKind::InvalidData)?;
+        let bytes = encode_frame(message, &limits.service).ok_or(io::ErrorKind::InvalidData)?;
         let write = async {
             let mut sent = 0;
             if !fds.is_empty() {
@@ -67,13 +67,13 @@
             }
             write_all(&self.stream, &bytes[sent..]).await
         };
-        let written = timeout(limits.stopped, write).await;
+        let written = timeout(limits.stop_ack_timeout, write).await;
         written.map_err(|_| io::Error::other("it takes nothing"))?
     }
 
     /// The next message; an error at the end, or at what can't be read. It may be given up at any await
     /// and asked for again.
-    pub async fn message(&mut self, limits: &Limits) -> io::Result<Message> {
+    pub async fn recv(&mut self, limits: &Limits) -> io::Result<Message> {
         loop {
             let next = self.messages.next(&limits.service);
             if let Some(message) = next.map_err(|fault| io::Error::other(fault.to_string()))? {
@@ -102,7 +102,7 @@
             }
             self.messages.feed(&piece[..got]);
             self.fds.extend(fds);
-            if self.fds.len() > FDS * limits.connections_at_once {
+            if self.fds.len() > FDS * limits.max_concurrent_transfers {
                 return Err(io::Error::other("too many descriptors"));
             }
         }
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -23,14 +23,14 @@
 use violetwind_engine::EngineEvent;
 use violetwind_net::is_resource_exhaustion;
 use violetwind_service::Bans;
-use violetwind_service::handover::{Message, State};
+use violetwind_service::handover::{HandoverState, Message};
 
-use self::connections::Adopted;
-pub use self::connections::{Given, Offered};
+use self::connections::AdoptedConnection;
+pub use self::connections::{ConnectionOffer, OfferReply};
 use self::link::Link;
-use crate::limits::{Limits, Term};
-use crate::service::{self, Forward, Stand};
-use crate::take_in::Shared;
+use crate::acceptor::SharedState;
+use crate::limits::{Limits, ShutdownSchedule};
+use crate::operator_service::{self, ForwardedChange, ProcessState};
 
 fn socket(dir: &Path) -> PathBuf {
     dir.join("violetwind.sock")
@@ -52,16 +52,16 @@
 
 /// What was there before this process.
 #[derive(Default)]
-pub struct Before {
+pub struct InheritedState {
     pub bans: Bans,
-    pub left: bool,
+    pub has_left: bool,
     /// Where discovery was moved to.
-    pub discovery: Option<SocketAddr>,
+    pub discovery_address: Option<SocketAddr>,
     pub listener: Option<TcpListener>,
-    pub elder: Option<Elder>,
+    pub predecessor: Option<Predecessor>,
 }
 
-impl Before {
+impl InheritedState {
     /// A process that serves, or else what one has left in the directory that both have.
     pub async fn find(dir: Option<&Path>, listen: SocketAddr, limits: &Limits) -> Self {
         let Some(dir) = dir else {
@@ -70,13 +70,13 @@
         match find(dir, listen, limits).await {
             Some((elder, state, listener)) => Self {
                 bans: state.bans,
-                left: state.left,
-                discovery: state.discovery.and_then(|at| at.parse().ok()),
+                has_left: state.has_left,
+                discovery_address: state.discovery_address.and_then(|at| at.parse().ok()),
                 listener: Some(listener),
-                elder: Some(elder),
+                predecessor: Some(elder),
             },
             None => Self {
-                bans: service::kept(dir, &limits.service),
+                bans: operator_service::kept(dir, &limits.service),
                 ..Self::default()
             },
         }
@@ -84,7 +84,7 @@
 }
 
 /// The process before this one, which serves still.
-pub struct Elder {
+pub struct Predecessor {
     link: Link,
     holds: u32,
 }
@@ -95,19 +95,21 @@
     dir: &Path,
     listen: SocketAddr,
     limits: &Limits,
-) -> Option<(Elder, State, TcpListener)> {
+) -> Option<(Predecessor, HandoverState, TcpListener)> {
     let path = socket(dir);
     let greet = async {
         let stream = loop {
             match UnixStream::connect(&path).await {
                 // Whether somebody is there is not known yet.
-                Err(error) if is_resource_exhaustion(&error) => sleep(limits.dial_retry).await,
+                Err(error) if is_resource_exhaustion(&error) => {
+                    sleep(limits.dial_retry_interval).await
+                }
                 result => break result?,
             }
         };
         let mut link = Link::new(stream);
-        link.write(&Message::Hello, limits).await?;
-        let Message::State(state) = link.message(limits).await? else {
+        link.send(&Message::Hello, limits).await?;
+        let Message::State(state) = link.recv(limits).await? else {
             return Err(io::Error::other("no state came"));
         };
         let [listener] = (link.take_fds()).ok_or_else(|| io::Error::other("no listener came"))?;
@@ -117,10 +119,10 @@
         }
         listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(listener)?;
-        let holds = state.holds;
-        Ok((Elder { link, holds }, state, listener))
+        let holds = state.descriptors_in_use;
+        Ok((Predecessor { link, holds }, state, listener))
     };
-    let error = match timeout(limits.hand_over, greet).await {
+    let error = match timeout(limits.handover_timeout, greet).await {
         Ok(Ok(found)) => return Some(found),
         Ok(Err(error)) if error.kind() == io::ErrorKind::NotFound => return None,
         Ok(Err(error)) => error.to_string(),
@@ -131,20 +133,20 @@
 }
 
 /// What both sides of an upgrade go by.
-pub struct Side {
-    pub shared: Rc<Shared>,
+pub struct HandoverContext {
+    pub shared: Rc<SharedState>,
     /// Whether clients are accepted here.
     pub accepting: watch::Sender<bool>,
 }
 
-impl Elder {
+impl Predecessor {
     /// Hears the earlier process from now on, and operators' words that come to it. The returned call has it
     /// stop accepting: clients wait in the queue until this process does, so that takes no longer than a
     /// moment, answered or not.
-    pub fn hear(self, side: Rc<Side>) -> impl AsyncFnOnce() {
+    pub fn start_session(self, side: Rc<HandoverContext>) -> impl AsyncFnOnce() {
         let limits = side.shared.limits.clone();
-        let requests = side.shared.requests.clone();
-        requests.lend(self.holds as usize);
+        let requests = side.shared.request_descriptors.clone();
+        requests.set_lent(self.holds as usize);
         let (serve, serves) = oneshot::channel();
         let (stop, stopped) = oneshot::channel();
         tokio::task::spawn_local(async move {
@@ -153,14 +155,14 @@
                 stopped: Some(stop),
             };
             let ended = Talk::new(self.link, &side, role).run().await;
-            requests.lend(0);
-            side.shared.service.set_elder(false);
+            requests.set_lent(0);
+            side.shared.service.set_predecessor_present(false);
             info!(?ended, "the earlier process has gone");
         });
         async move || {
             // A process that has gone needs no word, and gives no answer.
             let _ = serve.send(());
-            match timeout(limits.stopped, stopped).await {
+            match timeout(limits.stop_ack_timeout, stopped).await {
                 Ok(Ok(())) => info!("the earlier process has handed over"),
                 _ => warn!("the earlier process does not say that it has stopped"),
             }
@@ -169,14 +171,14 @@
 }
 
 /// Waits for successors, one at a time, for as long as the process runs.
-pub async fn offer(dir: PathBuf, listener: Rc<TcpListener>, side: Rc<Side>) {
+pub async fn serve_successors(dir: PathBuf, listener: Rc<TcpListener>, side: Rc<HandoverContext>) {
     let (limits, service) = (&side.shared.limits, &side.shared.service);
     let path = socket(&dir);
     loop {
         let offers = match bind(&dir) {
             Ok(offers) => offers,
             Err(error) if is_resource_exhaustion(&error) => {
-                sleep(limits.hand_over).await;
+                sleep(limits.handover_timeout).await;
                 continue;
             }
             Err(error) => {
@@ -185,12 +187,12 @@
         };
         info!(path = %path.display(), "successors are awaited");
         // A successor that has served has put its own socket in this one's place.
-        while service.stand() != Stand::Succeeded {
+        while service.process_state() != ProcessState::Superseded {
             let stream = match offers.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
                     warn!(%error, "accept of a successor");
-                    tokio::time::sleep(limits.hand_over).await;
+                    tokio::time::sleep(limits.handover_timeout).await;
                     continue;
                 }
             };
@@ -198,7 +200,7 @@
             info!(?ended, "a successor has gone");
         }
         warn!("the successor has gone: clients are served here again");
-        service.set_stand(Stand::Serving);
+        service.set_process_state(ProcessState::Serving);
         side.accepting.send_replace(true);
         let _ = side
             .shared
@@ -220,49 +222,54 @@
     Ok(bound)
 }
 
-async fn hand_over(mut link: Link, listener: &TcpListener, side: &Side) -> io::Result<()> {
+async fn hand_over(
+    mut link: Link,
+    listener: &TcpListener,
+    side: &HandoverContext,
+) -> io::Result<()> {
     let (limits, service) = (&side.shared.limits, &side.shared.service);
     let late = |_| io::Error::other("it does not say what it wants");
-    let hello = timeout(limits.hand_over, link.message(limits)).await;
+    let hello = timeout(limits.handover_timeout, link.recv(limits)).await;
     if hello.map_err(late)?? != Message::Hello {
         return Err(io::Error::other("it says no hello"));
     }
     info!("a successor starts");
     let role = Role::Elder {
-        serve_by: Some(Instant::now() + limits.successor),
+        serve_by: Some(Instant::now() + limits.successor_ready_timeout),
     };
     // From here on it hears of changes: none falls between them and the state.
     let mut talk = Talk::new(link, side, role);
-    let state = State {
+    let state = HandoverState {
         bans: service.bans(),
-        left: service.left(),
-        discovery: service.moved_discovery().map(|at| at.to_string()),
-        holds: side.holds(),
+        has_left: service.has_left(),
+        discovery_address: service.discovery_override().map(|at| at.to_string()),
+        descriptors_in_use: side.holds(),
     };
     let message = Message::State(state);
     talk.link
-        .send(&message, &[listener.as_fd()], limits)
+        .send_with_fds(&message, &[listener.as_fd()], limits)
         .await?;
     talk.run().await
 }
 
-impl Side {
+impl HandoverContext {
     /// Descriptors in use here, what is set aside included.
     fn holds(&self) -> u32 {
         let limits = &self.shared.limits;
-        let aside = limits.reserve + limits.probe_descriptors;
-        (self.shared.requests.in_use() + self.shared.first_lines.held() + aside) as u32
+        let aside = limits.descriptor_reserve + limits.probe_descriptors;
+        (self.shared.request_descriptors.in_use() + self.shared.pending_slots.in_use() + aside)
+            as u32
     }
 
     /// A successor serves from now on.
     async fn succeeded(&self) {
         let service = &self.shared.service;
         self.accepting.send_replace(false);
-        if service.stand() != Stand::Ending {
-            service.set_stand(Stand::Succeeded);
+        if service.process_state() != ProcessState::ShuttingDown {
+            service.set_process_state(ProcessState::Superseded);
         }
-        let term = Term::new(self.shared.config.get().longest_deadline);
-        let moves = EngineEvent::SuccessorChanged(Some(term.succeeded));
+        let term = ShutdownSchedule::new(self.shared.config.get().longest_deadline);
+        let moves = EngineEvent::SuccessorChanged(Some(term.superseded_move_window));
         let _ = self.shared.engine.send(moves).await;
     }
 }
@@ -280,16 +287,16 @@
 /// All that goes both ways until either side ends.
 struct Talk<'a> {
     link: Link,
-    side: &'a Side,
+    side: &'a HandoverContext,
     role: Role,
     /// Operators' words that this process was told, by the number of this way among others'.
     id: u64,
-    changes: mpsc::Receiver<Forward>,
+    changes: mpsc::Receiver<ForwardedChange>,
     waiting: BTreeMap<u32, oneshot::Sender<()>>,
     /// Connections that relays here give up, those that are on their way, and those that have come.
-    given: mpsc::Receiver<Given>,
-    offered: BTreeMap<u32, Offered>,
-    adopted: BTreeMap<u32, Adopted>,
+    given: mpsc::Receiver<ConnectionOffer>,
+    offered: BTreeMap<u32, OfferReply>,
+    adopted: BTreeMap<u32, AdoptedConnection>,
     number: u32,
     told: Option<u32>,
     /// Connections that were taken over since the log told of them.
@@ -298,24 +305,24 @@
 
 impl Drop for Talk<'_> {
     fn drop(&mut self) {
-        self.side.shared.service.remove_other(self.id);
-        self.side.shared.service.set_heir(None);
+        self.side.shared.service.remove_forward_target(self.id);
+        self.side.shared.service.set_successor_sender(None);
     }
 }
 
 impl<'a> Talk<'a> {
-    fn new(link: Link, side: &'a Side, role: Role) -> Self {
+    fn new(link: Link, side: &'a HandoverContext, role: Role) -> Self {
         let limits = &side.shared.limits;
-        let (to, changes) = mpsc::channel(limits.forwards);
-        let (heir, given) = mpsc::channel(limits.connections_at_once);
+        let (to, changes) = mpsc::channel(limits.forward_queue_capacity);
+        let (heir, given) = mpsc::channel(limits.max_concurrent_transfers);
         if matches!(role, Role::Elder { .. }) {
-            side.shared.service.set_heir(Some(heir));
+            side.shared.service.set_successor_sender(Some(heir));
         }
         Self {
             link,
             side,
             role,
-            id: side.shared.service.add_other(to),
+            id: side.shared.service.add_forward_target(to),
             changes,
             waiting: BTreeMap::new(),
             given,
@@ -331,7 +338,7 @@
         let limits = &self.side.shared.limits;
         loop {
             self.tell_holds().await?;
-            let tick = Instant::now() + limits.holds_tick;
+            let tick = Instant::now() + limits.descriptor_report_interval;
             let serves = async {
                 match &mut self.role {
                     Role::Successor {
@@ -341,27 +348,27 @@
                     _ => std::future::pending().await,
                 }
             };
-            let room = self.offered.len() < limits.connections_at_once;
+            let room = self.offered.len() < limits.max_concurrent_transfers;
             tokio::select! {
-                message = self.link.message(limits) => self.hear(message?).await?,
+                message = self.link.recv(limits) => self.hear(message?).await?,
                 Some((change, done)) = self.changes.recv() => {
                     self.number += 1;
                     self.waiting.insert(self.number, done);
-                    self.link.write(&Message::Change(self.number, change), limits).await?;
+                    self.link.send(&Message::Change(self.number, change), limits).await?;
                 }
                 Some(given) = self.given.recv(), if room => {
                     self.number += 1;
-                    let message = Message::Connection(self.number, given.connection);
+                    let message = Message::ConnectionOffer(self.number, given.connection);
                     let fds = [given.fds[0].as_fd(), given.fds[1].as_fd()];
-                    self.link.send(&message, &fds, limits).await?;
-                    self.offered.insert(self.number, given.answer);
+                    self.link.send_with_fds(&message, &fds, limits).await?;
+                    self.offered.insert(self.number, given.reply);
                 }
                 serves = serves => {
                     if let Role::Successor { serves, .. } = &mut self.role {
                         *serves = None;
                     }
                     if serves {
-                        self.link.write(&Message::Serving, limits).await?;
+                        self.link.send(&Message::Serving, limits).await?;
                     }
                 }
                 () = sleep_until(tick) => match std::mem::take(&mut self.taken) {
@@ -386,7 +393,9 @@
         let holds = self.side.holds();
         if self.told.replace(holds) != Some(holds) {
             let limits = &self.side.shared.limits;
-            self.link.write(&Message::Holds(holds), limits).await?;
+            self.link
+                .send(&Message::DescriptorsInUse(holds), limits)
+                .await?;
         }
         Ok(())
     }
@@ -396,23 +405,25 @@
         let limits = &shared.limits;
         match message {
             Message::Change(number, change) => {
-                if let Err(error) = shared.service.heed(self.id, change).await {
+                if let Err(error) = shared.service.apply_external(self.id, change).await {
                     warn!(error, "a word that the other process was told");
                 }
-                self.link.write(&Message::InForce(number), limits).await?;
+                self.link
+                    .send(&Message::ChangeApplied(number), limits)
+                    .await?;
             }
-            Message::InForce(number) => {
+            Message::ChangeApplied(number) => {
                 if let Some(done) = self.waiting.remove(&number) {
                     // Who asked may have stopped waiting.
                     let _ = done.send(());
                 }
             }
-            Message::Holds(holds) => shared.requests.lend(holds as usize),
+            Message::DescriptorsInUse(holds) => shared.request_descriptors.set_lent(holds as usize),
             Message::Serving => {
                 if let Role::Elder { serve_by } = &mut self.role {
                     *serve_by = None;
                     self.side.succeeded().await;
-                    self.link.write(&Message::Stopped, limits).await?;
+                    self.link.send(&Message::Stopped, limits).await?;
                 }
             }
             Message::Stopped => {
@@ -423,31 +434,33 @@
                     let _ = stopped.send(());
                 }
             }
-            Message::Connection(number, connection) => {
+            Message::ConnectionOffer(number, connection) => {
                 let fds = self.link.take_fds();
-                let answer = match Adopted::take(connection, fds, shared) {
+                let answer = match AdoptedConnection::from_offer(connection, fds, shared) {
                     Ok(adopted) => {
                         self.adopted.insert(number, adopted);
-                        Message::Taken(number)
+                        Message::ConnectionAccepted(number)
                     }
                     Err(error) => {
                         info!(error, "a connection is not taken over");
-                        Message::NotTaken(number)
+                        Message::ConnectionDeclined(number)
                     }
                 };
-                self.link.write(&answer, limits).await?;
+                self.link.send(&answer, limits).await?;
             }
             // Only with this word it is the successor's: until then each side may go, and the other has it.
-            Message::Taken(number) => {
+            Message::ConnectionAccepted(number) => {
                 if let Some(offered) = self.offered.remove(&number) {
-                    self.link.write(&Message::Yours(number), limits).await?;
-                    offered.given();
+                    self.link
+                        .send(&Message::ConnectionTransferred(number), limits)
+                        .await?;
+                    offered.confirm();
                 }
             }
-            Message::NotTaken(number) => drop(self.offered.remove(&number)),
-            Message::Yours(number) => {
+            Message::ConnectionDeclined(number) => drop(self.offered.remove(&number)),
+            Message::ConnectionTransferred(number) => {
                 if let Some(adopted) = self.adopted.remove(&number) {
-                    adopted.serve(shared);
+                    adopted.start_relay(shared);
                     self.taken += 1;
                 }
             }
--- a/crates/proxy/src/line.rs
+++ b/crates/proxy/src/line_protocol.rs
@@ -17,23 +17,23 @@
 
 /// A line that begins a connection to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum First<'a> {
+pub enum FirstLine<'a> {
     Ping,
     Stats,
-    Open(Open<'a>),
+    Open(OpenLine<'a>),
 }
 
 /// A client's wish: its id, the flow's key, and names with values.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Open<'a> {
+pub struct OpenLine<'a> {
     pub id: &'a str,
-    pub key: &'a str,
+    pub flow_key: &'a str,
     pub fields: &'a str,
 }
 
 /// What a server says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Word {
+pub enum ServerLine {
     Up,
     Bye(Report),
     Move,
@@ -44,16 +44,18 @@
     Other,
 }
 
-pub fn first(line: &[u8]) -> Option<First<'_>> {
+pub fn parse_first_line(line: &[u8]) -> Option<FirstLine<'_>> {
     let line = str::from_utf8(line).ok()?;
-    let ping = terminated("PING", eof).value(First::Ping);
-    let stats = terminated("STATS", eof).value(First::Stats);
-    alt((ping, stats, open.map(First::Open))).parse(line).ok()
+    let ping = terminated("PING", eof).value(FirstLine::Ping);
+    let stats = terminated("STATS", eof).value(FirstLine::Stats);
+    alt((ping, stats, open.map(FirstLine::Open)))
+        .parse(line)
+        .ok()
 }
 
-fn open<'a>(input: &mut &'a str) -> Parsed<Open<'a>> {
+fn open<'a>(input: &mut &'a str) -> Parsed<OpenLine<'a>> {
     let mut fields = opt(preceded(' ', token)).map(Option::unwrap_or_default);
-    seq!(Open { _: "OPEN ", id: token, _: ' ', key: token, fields: fields, _: eof })
+    seq!(OpenLine { _: "OPEN ", id: token, _: ' ', flow_key: token, fields: fields, _: eof })
         .parse_next(input)
 }
 
@@ -62,14 +64,14 @@
     take_while(1.., |c: char| c != ' ' && !c.is_control()).parse_next(input)
 }
 
-impl<'a> Open<'a> {
+impl<'a> OpenLine<'a> {
     fn pairs(&self) -> impl Iterator<Item = (&'a str, &'a str)> + use<'a> {
         let pairs = self.fields.split(',').filter(|pair| !pair.is_empty());
         pairs.map(|pair| pair.split_once('=').unwrap_or((pair, "")))
     }
 
     /// Whether it is marked as a retry, or as one whose connection broke or was moved.
-    pub fn again(&self) -> bool {
+    pub fn is_retry(&self) -> bool {
         ["r", "again"]
             .iter()
             .any(|name| self.get(name) == Some("1"))
@@ -84,13 +86,13 @@
     /// The line itself, without its end.
     pub fn to_line(self) -> Vec<u8> {
         let space = if self.fields.is_empty() { "" } else { " " };
-        let line = format!("OPEN {} {}{space}{}", self.id, self.key, self.fields);
+        let line = format!("OPEN {} {}{space}{}", self.id, self.flow_key, self.fields);
         line.into_bytes()
     }
 
     /// The same line with another time to wait, in milliseconds, for the next hop.
-    pub fn waiting(&self, ms: u64) -> Vec<u8> {
-        let mut line = format!("OPEN {} {}", self.id, self.key);
+    pub fn encode_with_wait(&self, ms: u64) -> Vec<u8> {
+        let mut line = format!("OPEN {} {}", self.id, self.flow_key);
         let mut between = ' ';
         for (name, value) in self.pairs() {
             line.push(between);
@@ -106,10 +108,10 @@
     }
 }
 
-impl Open<'_> {
+impl OpenLine<'_> {
     /// What makes the line one that no usual client sends, whatever its values mean: two of one name
     /// would be read by one and by the other.
-    pub fn fault(&self, most: usize) -> Option<&'static str> {
+    pub fn find_fault(&self, most: usize) -> Option<&'static str> {
         let names: Vec<&str> = self.pairs().take(most + 1).map(|(name, _)| name).collect();
         if names.len() > most {
             return Some("too many names");
@@ -119,7 +121,7 @@
     }
 
     /// A figure by its name, if it is there.
-    pub fn figure(&self, name: &str) -> Result<Option<f64>, &'static str> {
+    pub fn number_field(&self, name: &str) -> Result<Option<f64>, &'static str> {
         let Some(text) = self.get(name) else {
             return Ok(None);
         };
@@ -131,7 +133,7 @@
 }
 
 /// The beginning of a line that could not be understood, for the log.
-pub fn shown(line: &[u8]) -> Cow<'_, str> {
+pub fn log_excerpt(line: &[u8]) -> Cow<'_, str> {
     String::from_utf8_lossy(&line[..line.len().min(80)])
 }
 
@@ -140,25 +142,25 @@
     figure.is_finite() && figure >= 0.0
 }
 
-pub fn word(line: &[u8]) -> Word {
+pub fn parse_server_line(line: &[u8]) -> ServerLine {
     let Ok(line) = str::from_utf8(line) else {
-        return Word::Other;
+        return ServerLine::Other;
     };
-    parse_word.parse(line).unwrap_or(Word::Other)
+    parse_word.parse(line).unwrap_or(ServerLine::Other)
 }
 
-fn parse_word(input: &mut &str) -> Parsed<Word> {
+fn parse_word(input: &mut &str) -> Parsed<ServerLine> {
     let figure = float.verify(|load| sensible(*load));
-    let load = preceded("LOAD ", figure).map(Word::Load);
+    let load = preceded("LOAD ", figure).map(ServerLine::Load);
     alt((
         terminated(load, eof),
-        terminated("MOVE", eof).value(Word::Move),
+        terminated("MOVE", eof).value(ServerLine::Move),
         // Its receipt is what the client knows the server by.
-        ("UP ", token, eof).value(Word::Up),
-        preceded("BYE", report).map(Word::Bye),
-        preceded("ERR", report).map(Word::Err),
-        preceded("BUSY", report).map(Word::Busy),
-        preceded("PONG", report).map(Word::Pong),
+        ("UP ", token, eof).value(ServerLine::Up),
+        preceded("BYE", report).map(ServerLine::Bye),
+        preceded("ERR", report).map(ServerLine::Err),
+        preceded("BUSY", report).map(ServerLine::Busy),
+        preceded("PONG", report).map(ServerLine::Pong),
     ))
     .parse_next(input)
 }
@@ -187,12 +189,12 @@
 
 /// Follows the lines of a stream without keeping them: only the head of the present one.
 #[derive(Debug)]
-pub struct Scanner {
+pub struct LineScanner {
     head: [u8; 160],
     len: usize,
 }
 
-impl Default for Scanner {
+impl Default for LineScanner {
     fn default() -> Self {
         Self {
             head: [0; 160],
@@ -201,9 +203,9 @@
     }
 }
 
-impl Scanner {
+impl LineScanner {
     /// Whether the last byte ended a line.
-    pub fn between_lines(&self) -> bool {
+    pub fn is_between_lines(&self) -> bool {
         self.len == 0
     }
 
--- a/crates/proxy/src/notes.rs
+++ b/crates/proxy/src/load_classifier.rs
@@ -11,7 +11,7 @@
 const MEMORY: f64 = 32.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum LoadReading {
     /// Seconds of work a second.
     Load(f64),
     /// Seconds that a message takes.
@@ -19,13 +19,13 @@
 }
 
 #[derive(Debug)]
-pub struct Notes {
+pub struct LoadClassifier {
     tells_delay: bool,
     usual: f64,
     count: f64,
 }
 
-impl Notes {
+impl LoadClassifier {
     pub fn new(tells_delay: bool) -> Self {
         Self {
             tells_delay,
@@ -35,12 +35,12 @@
     }
 
     /// What a figure of a `LOAD` line means.
-    pub fn read(&mut self, figure: f64) -> Note {
+    pub fn classify(&mut self, figure: f64) -> LoadReading {
         if self.tells_delay && figure < PART * self.usual {
-            return Note::Delay(figure / 1e3);
+            return LoadReading::Delay(figure / 1e3);
         }
         self.count = (self.count + 1.0).min(MEMORY);
         self.usual += (figure - self.usual) / self.count;
-        Note::Load(figure / 1e6)
+        LoadReading::Load(figure / 1e6)
     }
 }
--- a/crates/proxy/src/repeats.rs
+++ b/crates/proxy/src/log_throttle.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 #[derive(Debug)]
-pub struct Repeats {
+pub struct LogThrottle {
     span: Duration,
     most: u32,
     since: Cell<Instant>,
@@ -14,7 +14,7 @@
     left_out: Cell<u64>,
 }
 
-impl Repeats {
+impl LogThrottle {
     pub fn new(most: u32, span: Duration) -> Self {
         Self {
             span,
@@ -26,7 +26,7 @@
     }
 
     /// Whether the next line may be written, and how many before it were not.
-    pub fn next(&self) -> Option<u64> {
+    pub fn try_acquire(&self) -> Option<u64> {
         let now = Instant::now();
         if self.since.get() + self.span <= now {
             self.since.set(now);
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    violetwind_proxy::program()
+    violetwind_proxy::run_cli()
 }
--- a/crates/proxy/src/management.rs
+++ b/crates/proxy/src/management.rs
@@ -7,26 +7,30 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::info;
 use violetwind_net::try_read;
-use violetwind_service::Calls;
-use violetwind_service::call::{Call, Fault};
+use violetwind_service::CommandDecoder;
+use violetwind_service::command::{CommandError, OperatorCommand};
 
-use crate::first_lines::{FirstLines, Place};
+use crate::acceptor::ClientConnection;
 use crate::limits::Limits;
-use crate::repeats::Repeats;
-use crate::ring::Ring;
-use crate::service::Service;
-use crate::take_in::Client;
+use crate::log_throttle::LogThrottle;
+use crate::operator_service::OperatorService;
+use crate::pending_slots::{PendingSlot, PendingSlots};
+use crate::ring_buffer::RingBuffer;
 
 /// Accepts for good. Callers have places of their own: with none left the one that came longest ago and
 /// has not said its line yet goes, so that those who say nothing keep nobody waiting.
-pub async fn accept(listener: TcpListener, limits: Rc<Limits>, service: Rc<Service>) {
-    let places = FirstLines::new(&limits, limits.callers);
-    let repeats = Rc::new(Repeats::new(limits.log_lines, limits.log_span));
+pub async fn accept_callers(
+    listener: TcpListener,
+    limits: Rc<Limits>,
+    service: Rc<OperatorService>,
+) {
+    let places = PendingSlots::new(&limits, limits.max_callers);
+    let repeats = Rc::new(LogThrottle::new(limits.max_log_lines, limits.log_window));
     loop {
-        let place = places.place().await;
+        let place = places.acquire().await;
         match listener.accept().await {
             Ok((stream, _)) => {
-                place.begin();
+                place.allow_eviction();
                 let call = answer(
                     stream,
                     place,
@@ -37,10 +41,10 @@
                 tokio::task::spawn_local(call);
             }
             Err(error) => {
-                if let Some(left_out) = repeats.next() {
+                if let Some(left_out) = repeats.try_acquire() {
                     info!(%error, left_out, "accept of an operator's call");
                 }
-                sleep(limits.accept_again).await;
+                sleep(limits.accept_retry_delay).await;
             }
         }
     }
@@ -48,15 +52,15 @@
 
 async fn answer(
     stream: TcpStream,
-    place: Place,
+    place: PendingSlot,
     limits: Rc<Limits>,
-    service: Rc<Service>,
-    repeats: Rc<Repeats>,
+    service: Rc<OperatorService>,
+    repeats: Rc<LogThrottle>,
 ) {
-    let told_to_go = place.told_to_go();
+    let told_to_go = place.eviction_signal();
     let call = tokio::select! {
         biased;
-        call = timeout(limits.call, read(&stream, &limits)) => call,
+        call = timeout(limits.call_read_timeout, read(&stream, &limits)) => call,
         () = told_to_go.notified() => return,
     };
     let call = match call {
@@ -66,28 +70,28 @@
         Err(_) => Err("no whole line came in time".to_string()),
     };
     // From here on it has its answer, whoever else comes.
-    place.keep();
+    place.forbid_eviction();
     let line = match call {
-        Ok(call) => service.call(call).await,
+        Ok(call) => service.handle_call(call).await,
         Err(fault) => {
-            if let Some(left_out) = repeats.next() {
+            if let Some(left_out) = repeats.try_acquire() {
                 info!(%fault, left_out, "an operator's call that makes no sense");
             }
             format!("400 {fault}")
         }
     };
-    let client = Client {
+    let client = ClientConnection {
         stream,
-        ring: Ring::new(limits.ring_bytes),
+        ring: RingBuffer::new(limits.ring_buffer_bytes),
         arrived: Instant::now(),
-        place: Some(place),
+        pending_slot: Some(place),
     };
-    client.answer(&line, &limits).await;
+    client.answer_and_close(&line, &limits).await;
 }
 
 /// A caller's line; none if it left before its end.
-async fn read(stream: &TcpStream, limits: &Limits) -> Option<Result<Call, String>> {
-    let mut calls = Calls::default();
+async fn read(stream: &TcpStream, limits: &Limits) -> Option<Result<OperatorCommand, String>> {
+    let mut calls = CommandDecoder::default();
     let mut piece = [0; 256];
     loop {
         stream.readable().await.ok()?;
@@ -97,7 +101,7 @@
             Ok(None) => continue,
         };
         if let Some(call) = calls.feed(&piece[..got], &limits.service) {
-            return Some(call.map_err(|fault: Fault| fault.to_string()));
+            return Some(call.map_err(|fault: CommandError| fault.to_string()));
         }
     }
 }
--- a/crates/proxy/src/staff.rs
+++ b/crates/proxy/src/operator_client.rs
@@ -10,7 +10,7 @@
 use rustix::process::{Pid, Signal, kill_process_group};
 use serde_json::Value;
 
-use crate::cli::{Fleet, Hold, Plan, Work};
+use crate::cli::{FleetCommand, HoldArgs, PlanArgs, WorkCommand};
 
 /// An answer is due within 1 s; it holds a whole fleet at most.
 const PATIENCE: Duration = Duration::from_millis(1500);
@@ -50,13 +50,17 @@
 }
 
 /// Carries out one of `violetwind fleet …`: 0 yes, 1 no, 69 nobody answers.
-pub fn fleet(command: Fleet) -> ExitCode {
+pub fn run_fleet(command: FleetCommand) -> ExitCode {
     let (at, line, table) = match command {
-        Fleet::Status { at, json } => (at, "FLEET".to_string(), !json),
-        Fleet::LetIn { node, at } => (at, format!("FLEET LET-IN {node}"), false),
-        Fleet::PutOut { node, at } => (at, format!("FLEET PUT-OUT {node}"), false),
-        Fleet::Gone { node, at } => (at, format!("FLEET GONE {node}"), false),
-        Fleet::HandOn { duty, to, at } => {
+        FleetCommand::Status { proxy: at, json } => (at, "FLEET".to_string(), !json),
+        FleetCommand::LetIn { node, proxy: at } => (at, format!("FLEET LET-IN {node}"), false),
+        FleetCommand::PutOut { node, proxy: at } => (at, format!("FLEET PUT-OUT {node}"), false),
+        FleetCommand::Gone { node, proxy: at } => (at, format!("FLEET GONE {node}"), false),
+        FleetCommand::HandOn {
+            duty,
+            to,
+            proxy: at,
+        } => {
             let to = to.unwrap_or_default();
             (at, format!("FLEET HAND-ON {duty} {to}"), false)
         }
@@ -98,29 +102,37 @@
 }
 
 /// Carries out one of `violetwind work …`, with the same codes.
-pub fn work(command: Work) -> ExitCode {
+pub fn run_work(command: WorkCommand) -> ExitCode {
     let order = |order: Option<u64>| order.map_or(String::new(), |order| order.to_string());
     let (at, line, show) = match command {
-        Work::Plan(plan) => (plan.at.at, plan_line(&plan), None),
-        Work::Show { at, json } => (at.at, "FLEET WORK".into(), Some(json)),
-        Work::Pause(of) => (
-            of.at.at,
+        WorkCommand::Plan(plan) => (plan.proxy.at, plan_line(&plan), None),
+        WorkCommand::Show { proxy: at, json } => (at.at, "FLEET WORK".into(), Some(json)),
+        WorkCommand::Pause(of) => (
+            of.proxy.at,
             format!("FLEET WORK PAUSE {}", order(of.order)),
             None,
         ),
-        Work::Resume(of) => (
-            of.at.at,
+        WorkCommand::Resume(of) => (
+            of.proxy.at,
             format!("FLEET WORK RESUME {}", order(of.order)),
             None,
         ),
-        Work::Cancel(of) => (
-            of.at.at,
+        WorkCommand::Cancel(of) => (
+            of.proxy.at,
             format!("FLEET WORK CANCEL {}", order(of.order)),
             None,
         ),
-        Work::Done(of) => (of.at.at, format!("FLEET WORK DONE {}", of.machine), None),
-        Work::Failed(of) => (of.at.at, format!("FLEET WORK FAILED {}", of.machine), None),
-        Work::Recall(of) => (of.at.at, format!("FLEET WORK RECALL {}", of.machine), None),
+        WorkCommand::Done(of) => (of.proxy.at, format!("FLEET WORK DONE {}", of.machine), None),
+        WorkCommand::Failed(of) => (
+            of.proxy.at,
+            format!("FLEET WORK FAILED {}", of.machine),
+            None,
+        ),
+        WorkCommand::Recall(of) => (
+            of.proxy.at,
+            format!("FLEET WORK RECALL {}", of.machine),
+            None,
+        ),
     };
     match call(at, &line) {
         Ok(Said::Yes(word)) => {
@@ -142,7 +154,7 @@
     }
 }
 
-fn plan_line(plan: &Plan) -> String {
+fn plan_line(plan: &PlanArgs) -> String {
     let ms = |seconds: f64| (seconds.max(0.0) * 1000.0) as u64;
     format!(
         "FLEET WORK PLAN {} {} most={} zone-most={} floor={} spare={} wait={} not-before={} leave={} work={} back={}",
@@ -311,10 +323,10 @@
     Silent(String),
 }
 
-fn ask(hold: &Hold, token: &str) -> Asked {
+fn ask(hold: &HoldArgs, token: &str) -> Asked {
     // Counted from before it is asked.
     let asked = Instant::now();
-    match call(hold.at.at, &format!("FLEET HOLD {} {token}", hold.duty)) {
+    match call(hold.proxy.at, &format!("FLEET HOLD {} {token}", hold.duty)) {
         Ok(Said::Yes(word)) => {
             let told: Value = serde_json::from_str(&word).unwrap_or_default();
             match (told["fence"].as_u64(), told["left_ms"].as_u64()) {
@@ -331,7 +343,7 @@
 }
 
 /// Runs a command while a duty is held at a proxy.
-pub fn hold(hold: &Hold) -> ExitCode {
+pub fn run_hold(hold: &HoldArgs) -> ExitCode {
     let token = format!("{:016x}", rand::random::<u64>());
     let mut said = false;
     let held = loop {
@@ -364,12 +376,12 @@
         }
     };
     // A proxy that has gone needs no word.
-    let _ = call(hold.at.at, &format!("FLEET DONE {} {token}", hold.duty));
+    let _ = call(hold.proxy.at, &format!("FLEET DONE {} {token}", hold.duty));
     code
 }
 
 /// Goes with the command until it has ended, or the duty is lost.
-fn watch(hold: &Hold, token: &str, mut held: Held, mut child: Child) -> ExitCode {
+fn watch(hold: &HoldArgs, token: &str, mut held: Held, mut child: Child) -> ExitCode {
     let group = Pid::from_child(&child);
     let grace = Duration::from_secs_f64(hold.grace.clamp(0.0, 3600.0));
     let fence = held.fence;
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator_config.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use tracing::Level;
-use violetwind_conf::{Problem, Problems, Section, Tree};
-use violetwind_consul::{Api, Field, Identity, Rules, Settings};
+use violetwind_conf::{ConfigTree, Problem, Problems, Section};
+use violetwind_consul::{Api, FieldSource, Identity, MappingRules, Settings};
 
 use crate::config::read_file;
-use crate::fleet::settings::Settings as Fleet;
+use crate::fleet::settings::FleetSettings as Fleet;
 use crate::limits::Limits;
 
 /// Variables that begin so go over the file.
@@ -20,30 +20,30 @@
 
 /// Where the file is, and what goes over it.
 #[derive(Clone, Debug, Default)]
-pub struct Layers {
+pub struct ConfigLayers {
     pub file: Option<PathBuf>,
     /// Values of the command line, as `KEY=VALUE`.
-    pub set: Vec<String>,
+    pub overrides: Vec<String>,
     /// Whether variables of the environment count.
-    pub environment: bool,
+    pub use_environment: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Operator {
-    pub level: Level,
-    pub json: bool,
-    pub catalogue: violetwind_catalogue::Limits,
+pub struct OperatorConfig {
+    pub log_level: Level,
+    pub log_as_json: bool,
+    pub catalogue_limits: violetwind_catalogue::Limits,
     /// None: the platform's discovery alone, taken at its word.
     pub sources: Vec<Source>,
     /// Requests are recorded there.
-    pub record: Option<Recorded>,
+    pub recording: Option<RecordingSettings>,
     /// The fleet that this proxy is a member of.
     pub fleet: Option<Fleet>,
     over: Over,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Recorded {
+pub struct RecordingSettings {
     pub file: PathBuf,
     pub limits: violetwind_record::Limits,
 }
@@ -52,11 +52,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Source {
     pub name: String,
-    pub how: How,
+    pub kind: SourceKind,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum How {
+pub enum SourceKind {
     /// The platform's discovery, at its own address or where the platform says.
     Registry {
         address: Option<SocketAddr>,
@@ -78,35 +78,35 @@
     log_lines: Option<u32>,
 }
 
-impl Layers {
+impl ConfigLayers {
     /// Reads the file and what goes over it; all that is wrong comes back at once.
-    pub fn read(&self) -> Result<Operator, Vec<Problem>> {
+    pub fn load(&self) -> Result<OperatorConfig, Vec<Problem>> {
         let alone = |problem: Problem| vec![problem];
         let mut tree = match &self.file {
             Some(path) => {
                 let name = path.display().to_string();
                 let text = text(path).map_err(|what| {
                     alone(Problem {
-                        place: name.clone(),
+                        location: name.clone(),
                         key: String::new(),
-                        what,
+                        message: what,
                         hint: None,
                     })
                 })?;
-                Tree::parse(&name, &text).map_err(alone)?
+                ConfigTree::parse(&name, &text).map_err(alone)?
             }
-            None => Tree::empty(),
+            None => ConfigTree::empty(),
         };
         let problems = Problems::default();
-        if self.environment {
-            problems.extend(tree.set_from(PREFIX, std::env::vars()));
+        if self.use_environment {
+            problems.extend(tree.set_from_env(PREFIX, std::env::vars()));
         }
-        for set in &self.set {
+        for set in &self.overrides {
             let place = format!("--set {set}");
             let (path, value) = set.split_once('=').unwrap_or((set, ""));
-            problems.extend(tree.set(path.trim(), value.trim(), &place).err());
+            problems.extend(tree.set_value(path.trim(), value.trim(), &place).err());
         }
-        let operator = Operator::read(&Section::root(&tree, &problems));
+        let operator = OperatorConfig::read(&Section::root(&tree, &problems));
         let problems = problems.into_vec();
         match problems.is_empty() {
             true => Ok(operator),
@@ -119,10 +119,13 @@
     read_file(&path.to_string_lossy())
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Which machine each server is on.
-    pub fn machines(&self) -> violetwind_service::Machines {
-        let work = self.fleet.as_ref().and_then(|fleet| fleet.work.as_ref());
+    pub fn machines(&self) -> violetwind_service::MachineMap {
+        let work = self
+            .fleet
+            .as_ref()
+            .and_then(|fleet| fleet.maintenance.as_ref());
         work.map(|work| work.machines.clone()).unwrap_or_default()
     }
 
@@ -135,85 +138,88 @@
             ("debug", Level::DEBUG),
             ("trace", Level::TRACE),
         ];
-        let level = log.choice("level", &levels, Level::INFO);
-        let json = log.choice("format", &[("text", false), ("json", true)], false);
-        log.finish();
+        let log_level = log.choice("level", &levels, Level::INFO);
+        let log_as_json = log.choice("format", &[("text", false), ("json", true)], false);
+        log.report_unknown_keys();
         let limits = root.section("limits");
         let over = Over::read(&limits);
-        limits.finish();
+        limits.report_unknown_keys();
         let section = root.section("catalogue");
-        let catalogue = catalogue(&section);
-        section.finish();
+        let catalogue_limits = catalogue(&section);
+        section.report_unknown_keys();
         let section_of_record = root.section("record");
-        let record = record(&section_of_record);
-        section_of_record.finish();
+        let recording = record(&section_of_record);
+        section_of_record.report_unknown_keys();
         let fleet = Fleet::read(root);
-        let zones = Rc::new(root.names("zones"));
+        let zones = Rc::new(root.text_map("zones"));
         let mut sources = Vec::new();
         let mut names = BTreeSet::new();
         for section in root.sections("source") {
             let source = source(&section, &zones);
-            section.finish();
+            section.report_unknown_keys();
             if !names.insert(source.name.clone()) {
-                section.wrong("name", "another source has this name");
+                section.report_problem("name", "another source has this name");
             }
             sources.push(source);
         }
         let calls: usize = sources.iter().map(Source::watches).sum();
-        if calls > catalogue.sources / 2 {
+        if calls > catalogue_limits.max_sources / 2 {
             // A reload may need as many again until the old ones are let go.
-            let most = catalogue.sources / 2;
-            root.wrong(
+            let most = catalogue_limits.max_sources / 2;
+            root.report_problem(
                 "source",
                 format!("{calls} sources and data centres, {most} at most"),
             );
         }
-        if section.is_there() && sources.is_empty() {
-            section.wrong("", "no `[[source]]` that it could weigh");
+        if section.is_present() && sources.is_empty() {
+            section.report_problem("", "no `[[source]]` that it could weigh");
         }
-        root.finish();
+        root.report_unknown_keys();
         Self {
-            level,
-            json,
-            catalogue,
+            log_level,
+            log_as_json,
+            catalogue_limits,
             sources,
-            record,
+            recording,
             fleet,
             over,
         }
     }
 
     /// Sets the limits that the file names.
-    pub fn limit(&self, limits: &mut Limits) {
+    pub fn apply_limits(&self, limits: &mut Limits) {
         fn set<T: Copy>(limit: &mut T, over: Option<T>) {
             *limit = over.unwrap_or(*limit);
         }
         let over = &self.over;
-        set(&mut limits.connect, over.connect);
-        set(&mut limits.probe, over.probe);
-        set(&mut limits.silent, over.silent);
+        set(&mut limits.connect_timeout, over.connect);
+        set(&mut limits.probe_timeout, over.probe);
+        set(&mut limits.server_silence_timeout, over.silent);
         set(&mut limits.engine.drain_wait, over.drain_wait);
         set(&mut limits.engine.drain_span, over.drain_span);
-        set(&mut limits.list_rows, over.list_rows);
-        set(&mut limits.list_bytes, over.list_bytes);
-        set(&mut limits.log_lines, over.log_lines);
+        set(&mut limits.max_list_rows, over.list_rows);
+        set(&mut limits.max_list_bytes, over.list_bytes);
+        set(&mut limits.max_log_lines, over.log_lines);
         if let Some(fleet) = &self.fleet {
-            limits.descriptors = limits
-                .descriptors
-                .saturating_sub(fleet.descriptors())
+            limits.request_descriptors = limits
+                .request_descriptors
+                .saturating_sub(fleet.reserved_descriptors())
                 .max(2);
         }
     }
 
     /// The sections of another reading that differ and that only a restart takes up.
-    pub fn restart_needed(&self, other: &Self) -> Vec<&'static str> {
+    pub fn sections_needing_restart(&self, other: &Self) -> Vec<&'static str> {
         let mut changed = Vec::new();
         let mut note = |name, differs: bool| changed.extend(differs.then_some(name));
-        note("log", (self.level, self.json) != (other.level, other.json));
+        note(
+            "log",
+            (self.log_level, self.log_as_json) != (other.log_level, other.log_as_json),
+        );
         note("limits", self.over != other.over);
-        note("record", self.record != other.record);
+        note("record", self.recording != other.recording);
         note("fleet", self.fleet != other.fleet);
-        note("catalogue", self.catalogue != other.catalogue);
+        note("catalogue", self.catalogue_limits != other.catalogue_limits);
         // The catalogue is set up at the start, or not at all.
         note(
             "source",
@@ -226,9 +232,9 @@
 impl Source {
     /// Open calls that it takes: one a data centre.
     fn watches(&self) -> usize {
-        match &self.how {
-            How::Registry { .. } => 1,
-            How::Consul(settings) => settings.datacenters.len().max(1),
+        match &self.kind {
+            SourceKind::Registry { .. } => 1,
+            SourceKind::Consul(settings) => settings.datacenters.len().max(1),
         }
     }
 }
@@ -239,12 +245,12 @@
         let span = |name: &str, from, to| {
             let range = ms(from)..=ms(to);
             section
-                .has(name)
-                .then(|| section.span(name, range, ms(from)))
+                .has_key(name)
+                .then(|| section.duration(name, range, ms(from)))
         };
         let count = |name: &str, from, to| {
             section
-                .has(name)
+                .has_key(name)
                 .then(|| section.int(name, from..=to, from) as usize)
         };
         Self {
@@ -265,78 +271,82 @@
     let ms = Duration::from_millis;
     let span = |name: &str, from, to, default| {
         section
-            .span(name, ms(from)..=ms(to), ms(default))
+            .duration(name, ms(from)..=ms(to), ms(default))
             .as_millis() as u64
     };
-    let doubt_window = span("doubt_window", 1000, 600_000, base.doubt_window);
-    let doubt_most = span("doubt_most", 1000, 86_400_000, base.doubt_most);
-    let flap_damped = section.number("flap_damped", 1.0..=1000.0, base.flap_damped);
-    let flap_free = section.number("flap_free", 0.01..=1000.0, base.flap_free);
+    let doubt_window = span("doubt_window", 1000, 600_000, base.distrust_window);
+    let doubt_most = span("doubt_most", 1000, 86_400_000, base.max_distrust_time);
+    let flap_damped = section.number("flap_damped", 1.0..=1000.0, base.flap_suppress_threshold);
+    let flap_free = section.number("flap_free", 0.01..=1000.0, base.flap_reuse_threshold);
     if doubt_most <= doubt_window {
-        section.wrong("doubt_most", "no longer than `doubt_window`");
+        section.report_problem("doubt_most", "no longer than `doubt_window`");
     }
     if flap_free >= flap_damped {
-        section.wrong("flap_free", "no less than `flap_damped`");
+        section.report_problem("flap_free", "no less than `flap_damped`");
     }
     violetwind_catalogue::Limits {
-        servers: section.int("servers", 1..=200_000, base.servers as u64) as usize,
-        sources: base.sources,
-        absent_for: span("absent_for", 1000, 86_400_000, base.absent_for),
-        gone_share: section.number("gone_share", 0.0001..=1.0, base.gone_share),
-        unanswered: section.int("unanswered", 1..=100, base.unanswered.into()) as u32,
-        doubt_share: section.number("doubt_share", 0.01..=1.0, base.doubt_share),
-        doubt_least: section.int("doubt_least", 1..=10_000, base.doubt_least as u64) as usize,
-        doubt_window,
-        trust_after: span("trust_after", 0, 86_400_000, base.trust_after),
-        doubt_most,
-        flap_half: span("flap_half", 1000, 86_400_000, base.flap_half),
-        flap_damped,
-        flap_free,
-        tick: base.tick,
+        max_servers: section.int("servers", 1..=200_000, base.max_servers as u64) as usize,
+        max_sources: base.max_sources,
+        absence_timeout: span("absent_for", 1000, 86_400_000, base.absence_timeout),
+        max_gone_ratio_per_s: section.number("gone_share", 0.0001..=1.0, base.max_gone_ratio_per_s),
+        max_unanswered: section.int("unanswered", 1..=100, base.max_unanswered.into()) as u32,
+        distrust_ratio: section.number("doubt_share", 0.01..=1.0, base.distrust_ratio),
+        distrust_min_servers: section.int(
+            "doubt_least",
+            1..=10_000,
+            base.distrust_min_servers as u64,
+        ) as usize,
+        distrust_window: doubt_window,
+        trust_recovery_delay: span("trust_after", 0, 86_400_000, base.trust_recovery_delay),
+        max_distrust_time: doubt_most,
+        flap_half_life: span("flap_half", 1000, 86_400_000, base.flap_half_life),
+        flap_suppress_threshold: flap_damped,
+        flap_reuse_threshold: flap_free,
+        tick_interval: base.tick_interval,
     }
 }
 
-fn record(section: &Section<'_>) -> Option<Recorded> {
+fn record(section: &Section<'_>) -> Option<RecordingSettings> {
     let base = violetwind_record::Limits::default();
     let limits = violetwind_record::Limits {
-        file_bytes: section.int("file_bytes", 4096..=1 << 40, base.file_bytes),
-        files: section.int("files", 0..=1000, base.files as u64) as usize,
-        queue: section.int("queue", 1..=1_000_000, base.queue as u64) as usize,
-        pause: base.pause,
-        farewell: base.farewell,
+        max_file_bytes: section.int("file_bytes", 4096..=1 << 40, base.max_file_bytes),
+        max_old_files: section.int("files", 0..=1000, base.max_old_files as u64) as usize,
+        queue_capacity: section.int("queue", 1..=1_000_000, base.queue_capacity as u64) as usize,
+        retry_delay: base.retry_delay,
+        flush_timeout: base.flush_timeout,
     };
-    let file = match section.is_there() {
-        true => section.need_text("file"),
+    let file = match section.is_present() {
+        true => section.required_text("file"),
         false => return None,
     };
     let file = PathBuf::from(file);
-    Some(Recorded { file, limits })
+    Some(RecordingSettings { file, limits })
 }
 
 fn source(section: &Section<'_>, zones: &Rc<BTreeMap<String, String>>) -> Source {
-    let name = section.need_text("name");
+    let name = section.required_text("name");
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if !name.chars().all(plain) || name.len() > 64 {
-        section.wrong(
+        section.report_problem(
             "name",
             "expected up to 64 letters, digits, `-`, `_` and `.`",
         );
     }
     let address = || {
         let expected = "an IP address and a port, such as \"127.0.0.1:8500\"";
-        section.parsed("address", expected, |text| text.parse().ok())
+        section.parse_with("address", expected, |text| text.parse().ok())
     };
     let how = match section.choice("kind", &[("registry", false), ("consul", true)], false) {
-        false => How::Registry {
+        false => SourceKind::Registry {
             address: address(),
             zones: zones.clone(),
         },
-        true => How::Consul(Rc::new(consul(section, address(), zones))),
+        true => SourceKind::Consul(Rc::new(consul(section, address(), zones))),
     };
-    if !section.has("kind") {
-        section.wrong("kind", "expected \"registry\" or \"consul\", found nothing");
+    if !section.has_key("kind") {
+        section.report_problem("kind", "expected \"registry\" or \"consul\", found nothing");
     }
-    Source { name, how }
+    Source { name, kind: how }
 }
 
 fn consul(
@@ -344,25 +354,25 @@
     address: Option<SocketAddr>,
     zones: &BTreeMap<String, String>,
 ) -> Settings {
-    if !section.has("address") {
-        section.wrong("address", "expected an address and a port, found nothing");
+    if !section.has_key("address") {
+        section.report_problem("address", "expected an address and a port, found nothing");
     }
     let unset = SocketAddr::from(([127, 0, 0, 1], 8500));
-    let mut settings = Settings::new(address.unwrap_or(unset), &section.need_text("service"));
+    let mut settings = Settings::new(address.unwrap_or(unset), &section.required_text("service"));
     // Both become parts of a path.
     let plain = |text: &str| {
         let sound = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         !text.is_empty() && text.len() <= 128 && text.chars().all(sound)
     };
-    if !plain(&settings.service) && section.has("service") {
-        section.wrong("service", "expected letters, digits, `-`, `_` and `.`");
+    if !plain(&settings.service) && section.has_key("service") {
+        section.report_problem("service", "expected letters, digits, `-`, `_` and `.`");
     }
-    settings.datacenters = section.texts("datacenters");
+    settings.datacenters = section.text_list("datacenters");
     let distinct: BTreeSet<&String> = settings.datacenters.iter().collect();
     if distinct.len() != settings.datacenters.len()
         || !settings.datacenters.iter().all(|dc| plain(dc))
     {
-        section.wrong(
+        section.report_problem(
             "datacenters",
             "expected different names of letters, digits, `-`, `_`, `.`",
         );
@@ -372,23 +382,23 @@
         &[("health", Api::Health), ("catalog", Api::Catalog)],
         settings.api,
     );
-    settings.stale = section.flag("stale", settings.stale);
+    settings.allow_stale = section.flag("stale", settings.allow_stale);
     settings.token_file = section.text("token_file").map(PathBuf::from);
-    let field = |name: &str, default: Field| {
+    let field = |name: &str, default: FieldSource| {
         let expected = "\"datacenter\", \"none\", \"meta:KEY\" or \"tag:PREFIX\"";
         section
-            .parsed(name, expected, parse_field)
+            .parse_with(name, expected, parse_field)
             .unwrap_or(default)
     };
-    let identity = section.parsed("identity", "\"id\", \"node-id\" or \"meta:KEY\"", |text| {
+    let identity = section.parse_with("identity", "\"id\", \"node-id\" or \"meta:KEY\"", |text| {
         Some(match text {
             "id" => Identity::ServiceId,
             "node-id" => Identity::NodeAndId,
             _ => Identity::Meta(some(text.strip_prefix("meta:")?)?),
         })
     });
-    let base = Rules::default();
-    settings.rules = Rules {
+    let base = MappingRules::default();
+    settings.rules = MappingRules {
         identity: identity.unwrap_or(base.identity),
         zone: field("zone", base.zone),
         kind: field("server_kind", base.kind),
@@ -399,23 +409,25 @@
     };
     let limits = &mut settings.limits;
     let ms = Duration::from_millis;
-    limits.wait = section.span("wait", ms(1000)..=ms(600_000), limits.wait);
-    limits.stale_most = section.span("stale_most", ms(0)..=ms(3_600_000), limits.stale_most);
-    limits.gap = section.span("gap", ms(10)..=ms(60_000), limits.gap);
-    limits.body_most = section.span("body_most", ms(1000)..=ms(600_000), limits.body_most);
-    limits.body_bytes =
-        section.int("body_bytes", 1024..=1 << 30, limits.body_bytes as u64) as usize;
-    limits.rows = section.int("rows", 1..=200_000, limits.rows as u64) as usize;
+    limits.blocking_wait = section.duration("wait", ms(1000)..=ms(600_000), limits.blocking_wait);
+    limits.max_staleness =
+        section.duration("stale_most", ms(0)..=ms(3_600_000), limits.max_staleness);
+    limits.min_query_delay = section.duration("gap", ms(10)..=ms(60_000), limits.min_query_delay);
+    limits.body_timeout =
+        section.duration("body_most", ms(1000)..=ms(600_000), limits.body_timeout);
+    limits.max_body_bytes =
+        section.int("body_bytes", 1024..=1 << 30, limits.max_body_bytes as u64) as usize;
+    limits.max_rows = section.int("rows", 1..=200_000, limits.max_rows as u64) as usize;
     settings
 }
 
-fn parse_field(text: &str) -> Option<Field> {
+fn parse_field(text: &str) -> Option<FieldSource> {
     Some(match text {
-        "none" => Field::Nothing,
-        "datacenter" => Field::Datacenter,
+        "none" => FieldSource::Nothing,
+        "datacenter" => FieldSource::Datacenter,
         _ => match text.split_once(':')? {
-            ("meta", key) => Field::Meta(some(key)?),
-            ("tag", prefix) => Field::Tag(some(prefix)?),
+            ("meta", key) => FieldSource::Meta(some(key)?),
+            ("tag", prefix) => FieldSource::TagPrefix(some(prefix)?),
             _ => return None,
         },
     })
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/operator_service.rs
@@ -13,28 +13,28 @@
 use tracing::{info, warn};
 use violetwind_engine::{EngineEvent, OperatorReply, UnlistedServers};
 use violetwind_fleet as fleet;
-use violetwind_fleet::work::Staff;
-use violetwind_service::call::{self, Call};
-use violetwind_service::{Bans, Change, handover};
+use violetwind_fleet::work_orders::WorkAction;
+use violetwind_service::command::{self, OperatorCommand};
+use violetwind_service::{Bans, OperatorChange, handover};
 
-use crate::fleet::Fleet;
-use crate::handover::Given;
+use crate::fleet::FleetHandle;
+use crate::handover::ConnectionOffer;
 use crate::limits::Limits;
 
 /// Where this process stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum ProcessState {
     Starting,
     Serving,
     /// A successor serves in its place.
-    Succeeded,
-    Ending,
+    Superseded,
+    ShuttingDown,
 }
 
 /// What is asked of the other process of an upgrade, with the way back for its answer.
-pub type Forward = (Change, oneshot::Sender<()>);
+pub type ForwardedChange = (OperatorChange, oneshot::Sender<()>);
 
-pub struct Service {
+pub struct OperatorService {
     limits: Rc<Limits>,
     engine: mpsc::Sender<EngineEvent>,
     /// The directory that outlives this process in an upgrade.
@@ -42,17 +42,17 @@
     /// Whether the list is known.
     ready: watch::Receiver<bool>,
     left: Cell<bool>,
-    stand: Cell<Stand>,
+    stand: Cell<ProcessState>,
     /// The bans as the engine last told them.
     bans: RefCell<Bans>,
     /// Where a reload has moved discovery to.
     discovery: Cell<Option<SocketAddr>>,
     /// The ways to the other processes of an upgrade, by number: one, or two for a moment.
-    others: RefCell<BTreeMap<u64, mpsc::Sender<Forward>>>,
+    others: RefCell<BTreeMap<u64, mpsc::Sender<ForwardedChange>>>,
     next_other: Cell<u64>,
     /// The way for connections to a successor that serves.
-    heir: RefCell<Option<mpsc::Sender<Given>>>,
-    fleet: Option<Fleet>,
+    heir: RefCell<Option<mpsc::Sender<ConnectionOffer>>>,
+    fleet: Option<FleetHandle>,
     /// Whether it takes part in work on machines.
     works: bool,
     /// Nobody is let in any more, and the process is about to end.
@@ -63,14 +63,14 @@
     keeps_again: Cell<bool>,
 }
 
-impl Service {
+impl OperatorService {
     pub fn new(
         limits: &Rc<Limits>,
         engine: mpsc::Sender<EngineEvent>,
         ready: watch::Receiver<bool>,
         dir: Option<PathBuf>,
         (bans, left, discovery): (Bans, bool, Option<SocketAddr>),
-        (fleet, works): (Option<Fleet>, bool),
+        (fleet, works): (Option<FleetHandle>, bool),
     ) -> Rc<Self> {
         Rc::new(Self {
             limits: limits.clone(),
@@ -78,7 +78,7 @@
             dir,
             ready,
             left: Cell::new(left),
-            stand: Cell::new(Stand::Starting),
+            stand: Cell::new(ProcessState::Starting),
             bans: RefCell::new(bans),
             discovery: Cell::new(discovery),
             others: RefCell::default(),
@@ -93,95 +93,95 @@
     }
 
     /// Whether operators have emptied the proxy: the front must not send it clients.
-    pub fn left(&self) -> bool {
+    pub fn has_left(&self) -> bool {
         self.left.get()
     }
 
-    pub fn stand(&self) -> Stand {
+    pub fn process_state(&self) -> ProcessState {
         self.stand.get()
     }
 
     /// One process of an upgrade takes part in the fleet: the one that serves.
-    pub fn set_stand(&self, stand: Stand) {
+    pub fn set_process_state(&self, stand: ProcessState) {
         self.stand.set(stand);
         if let Some(fleet) = &self.fleet {
             match stand {
-                Stand::Starting => {}
-                Stand::Serving => fleet.begin(),
-                Stand::Succeeded => fleet.quit(false),
-                Stand::Ending => fleet.quit(self.works),
+                ProcessState::Starting => {}
+                ProcessState::Serving => fleet.activate(),
+                ProcessState::Superseded => fleet.deactivate(false),
+                ProcessState::ShuttingDown => fleet.deactivate(self.works),
             }
         }
     }
 
-    pub fn works(&self) -> bool {
+    pub fn does_maintenance(&self) -> bool {
         self.works
     }
 
-    pub fn closed(&self) -> bool {
+    pub fn is_admission_closed(&self) -> bool {
         self.closed.get()
     }
 
-    pub fn set_closed(&self) {
+    pub fn close_admission(&self) {
         self.closed.set(true);
     }
 
-    pub fn set_elder(&self, is_there: bool) {
+    pub fn set_predecessor_present(&self, is_there: bool) {
         self.elder.set(is_there);
     }
 
-    pub fn has_elder(&self) -> bool {
+    pub fn has_predecessor(&self) -> bool {
         self.elder.get()
     }
 
     /// Whether duties are still to be handed on.
-    pub fn hands_on(&self) -> bool {
-        self.fleet.as_ref().is_some_and(Fleet::busy)
+    pub fn has_pending_handoffs(&self) -> bool {
+        self.fleet.as_ref().is_some_and(FleetHandle::is_active)
     }
 
     pub fn bans(&self) -> Bans {
         self.bans.borrow().clone()
     }
 
-    pub fn moved_discovery(&self) -> Option<SocketAddr> {
+    pub fn discovery_override(&self) -> Option<SocketAddr> {
         self.discovery.get()
     }
 
-    pub fn set_moved_discovery(&self, at: SocketAddr) {
+    pub fn set_discovery_override(&self, at: SocketAddr) {
         self.discovery.set(Some(at));
     }
 
-    pub fn heir(&self) -> Option<mpsc::Sender<Given>> {
+    pub fn successor_sender(&self) -> Option<mpsc::Sender<ConnectionOffer>> {
         self.heir.borrow().clone()
     }
 
-    pub fn set_heir(&self, heir: Option<mpsc::Sender<Given>>) {
+    pub fn set_successor_sender(&self, heir: Option<mpsc::Sender<ConnectionOffer>>) {
         self.heir.replace(heir);
     }
 
     /// Operators' words go this way too from now on.
-    pub fn add_other(&self, to: mpsc::Sender<Forward>) -> u64 {
+    pub fn add_forward_target(&self, to: mpsc::Sender<ForwardedChange>) -> u64 {
         let id = self.next_other.replace(self.next_other.get() + 1);
         self.others.borrow_mut().insert(id, to);
         id
     }
 
-    pub fn remove_other(&self, id: u64) {
+    pub fn remove_forward_target(&self, id: u64) {
         self.others.borrow_mut().remove(&id);
     }
 
     /// The answer to a call, in time.
-    pub async fn call(self: &Rc<Self>, call: Call) -> String {
+    pub async fn handle_call(self: &Rc<Self>, call: OperatorCommand) -> String {
         let service = self.clone();
         // A caller that is given up must not leave half of it done.
         let task = tokio::task::spawn_local(async move {
             match call {
-                Call::Health => service.health().await,
-                Call::Change(change) => service.change(change).await,
-                Call::Fleet(call) => service.fleet(call).await,
+                OperatorCommand::Health => service.health().await,
+                OperatorCommand::Change(change) => service.change(change).await,
+                OperatorCommand::Fleet(call) => service.fleet(call).await,
             }
         });
-        match timeout(self.limits.call_answer, task).await {
+        match timeout(self.limits.call_answer_timeout, task).await {
             Ok(Ok(Ok(word))) => format!("200 {word}"),
             Ok(Ok(Err(word))) => format!("400 {word}"),
             Ok(Err(error)) => format!("400 {error}"),
@@ -189,86 +189,112 @@
         }
     }
 
-    async fn fleet(&self, call: call::Fleet) -> Result<String, String> {
+    async fn fleet(&self, call: command::FleetCommand) -> Result<String, String> {
         let Some(fleet) = &self.fleet else {
-            return Err(call::Fault::Unknown.to_string());
+            return Err(command::CommandError::Unknown.to_string());
         };
         let call = match call {
-            call::Fleet::Show => fleet::Call::View,
-            call::Fleet::LetIn(node) => fleet::Call::Order(fleet::Order::LetIn { node }),
-            call::Fleet::PutOut(node) => fleet::Call::Order(fleet::Order::PutOut { node }),
-            call::Fleet::HandOn { duty, to } => {
-                fleet::Call::Order(fleet::Order::HandOn { duty, to })
+            command::FleetCommand::Show => fleet::OperatorCall::FleetView,
+            command::FleetCommand::AdmitMember(node) => {
+                fleet::OperatorCall::FleetAction(fleet::FleetAction::AdmitMember { node })
             }
-            call::Fleet::Hold { duty, token } => fleet::Call::Hold { duty, token },
-            call::Fleet::Done { duty, token } => fleet::Call::Done { duty, token },
-            call::Fleet::Gone(node) => fleet::Call::Order(fleet::Order::Gone { node }),
-            call::Fleet::Take {
+            command::FleetCommand::EvictMember(node) => {
+                fleet::OperatorCall::FleetAction(fleet::FleetAction::EvictMember { node })
+            }
+            command::FleetCommand::HandOffDuty { duty, to } => {
+                fleet::OperatorCall::FleetAction(fleet::FleetAction::HandOffDuty {
+                    duty,
+                    preferred_holder: to,
+                })
+            }
+            command::FleetCommand::HoldDuty { duty, token } => {
+                fleet::OperatorCall::HoldDuty { duty, token }
+            }
+            command::FleetCommand::ReleaseDuty { duty, token } => {
+                fleet::OperatorCall::EndHold { duty, token }
+            }
+            command::FleetCommand::DeclareMemberLost(node) => {
+                fleet::OperatorCall::FleetAction(fleet::FleetAction::DeclareMemberLost { node })
+            }
+            command::FleetCommand::AcquireUnit {
                 budget,
                 token,
-                within_ms,
+                lease_ms: within_ms,
             } => {
                 let ms = |span: std::time::Duration| span.as_millis() as u64;
-                let most = ms(self.limits.unit_most);
-                fleet::Call::Take {
+                let most = ms(self.limits.max_unit_lease);
+                fleet::OperatorCall::AcquireUnit {
                     budget,
                     token,
-                    within: within_ms.unwrap_or(ms(self.limits.unit)).min(most),
-                    wait: ms(self.limits.unit_wait),
+                    hold_timeout: within_ms
+                        .unwrap_or(ms(self.limits.default_unit_lease))
+                        .min(most),
+                    max_wait: ms(self.limits.unit_acquire_timeout),
                 }
             }
-            call::Fleet::Give { budget, token } => fleet::Call::Give { budget, token },
-            call::Fleet::Work(work) => staff_call(work),
+            command::FleetCommand::ReleaseUnit { budget, token } => {
+                fleet::OperatorCall::ReleaseUnit { budget, token }
+            }
+            command::FleetCommand::Work(work) => staff_call(work),
         };
         match fleet.call(call).await? {
-            fleet::Answer::View(view) => {
+            fleet::OperatorAnswer::FleetView(view) => {
                 serde_json::to_string(&view).map_err(|error| error.to_string())
             }
-            fleet::Answer::WorkView(view) => {
+            fleet::OperatorAnswer::WorkView(view) => {
                 serde_json::to_string(&view).map_err(|error| error.to_string())
             }
-            fleet::Answer::Done => Ok("done".into()),
-            fleet::Answer::Held { fence, left } => {
-                Ok(serde_json::json!({"fence": fence, "left_ms": left}).to_string())
+            fleet::OperatorAnswer::Done => Ok("done".into()),
+            fleet::OperatorAnswer::Held {
+                fence,
+                remaining: left,
+            } => Ok(serde_json::json!({"fence": fence, "left_ms": left}).to_string()),
+            fleet::OperatorAnswer::UnitAcquired => Ok("taken".into()),
+            fleet::OperatorAnswer::NoUnit { retry_after: again } => {
+                Err(format!("none left, again in {again} ms"))
             }
-            fleet::Answer::Taken => Ok("taken".into()),
-            fleet::Answer::NoUnit { again } => Err(format!("none left, again in {again} ms")),
-            fleet::Answer::NotHeld(why) | fleet::Answer::Refused(why) => Err(why),
+            fleet::OperatorAnswer::NotHeld(why) | fleet::OperatorAnswer::Refused(why) => Err(why),
         }
     }
 
     async fn health(&self) -> Result<String, String> {
-        match self.stand() {
-            Stand::Starting => return Err("starting".into()),
-            Stand::Succeeded => return Err("a successor serves".into()),
-            Stand::Ending => return Err("ending".into()),
-            Stand::Serving if !*self.ready.borrow() => return Err("no list of servers yet".into()),
-            Stand::Serving => {}
+        match self.process_state() {
+            ProcessState::Starting => return Err("starting".into()),
+            ProcessState::Superseded => return Err("a successor serves".into()),
+            ProcessState::ShuttingDown => return Err("ending".into()),
+            ProcessState::Serving if !*self.ready.borrow() => {
+                return Err("no list of servers yet".into());
+            }
+            ProcessState::Serving => {}
         }
         let (reply, answer) = oneshot::channel();
         let gone = |_| "the engine has ended".to_string();
         let told = self.engine.send(EngineEvent::Health(reply)).await;
         told.map_err(|_| "the engine has ended".to_string())?;
         let servers = answer.await.map_err(gone)?;
-        let left = if self.left() { ", left" } else { "" };
+        let left = if self.has_left() { ", left" } else { "" };
         Ok(format!("serving, {servers} servers known{left}"))
     }
 
     /// Has a change in force everywhere. The word of this process counts: another may have no list yet.
-    async fn change(self: &Rc<Self>, change: Change) -> Result<String, String> {
+    async fn change(self: &Rc<Self>, change: OperatorChange) -> Result<String, String> {
         let word = self.apply(change.clone(), UnlistedServers::Reject).await?;
         self.forward(None, change).await;
         Ok(word)
     }
 
     /// The same for a word that came from another process.
-    pub async fn heed(self: &Rc<Self>, from: u64, change: Change) -> Result<String, String> {
+    pub async fn apply_external(
+        self: &Rc<Self>,
+        from: u64,
+        change: OperatorChange,
+    ) -> Result<String, String> {
         let word = self.apply(change.clone(), UnlistedServers::Accept).await;
         self.forward(Some(from), change).await;
         word
     }
 
-    async fn forward(&self, from: Option<u64>, change: Change) {
+    async fn forward(&self, from: Option<u64>, change: OperatorChange) {
         let others: Vec<_> = {
             let others = self.others.borrow();
             let others = others.iter().filter(|(id, _)| Some(**id) != from);
@@ -286,7 +312,7 @@
     /// Has a change in force here and on disk.
     async fn apply(
         self: &Rc<Self>,
-        change: Change,
+        change: OperatorChange,
         binding: UnlistedServers,
     ) -> Result<String, String> {
         let (reply, answer) = oneshot::channel();
@@ -301,14 +327,16 @@
             OperatorReply::Ending => return Err("the proxy is told to end".into()),
         };
         let word = match &change {
-            Change::Offline(uid) => format!("{uid} is out{same}"),
-            Change::Online(uid) => format!("{uid} is in use{same}"),
-            Change::Leave => format!("left{same}"),
-            Change::Join => format!("back at work{same}"),
+            OperatorChange::Offline(uid) => format!("{uid} is out{same}"),
+            OperatorChange::Online(uid) => format!("{uid} is in use{same}"),
+            OperatorChange::Leave => format!("left{same}"),
+            OperatorChange::Join => format!("back at work{same}"),
         };
         match change {
-            Change::Leave | Change::Join => self.left.set(change == Change::Leave),
-            Change::Offline(_) | Change::Online(_) => {
+            OperatorChange::Leave | OperatorChange::Join => {
+                self.left.set(change == OperatorChange::Leave)
+            }
+            OperatorChange::Offline(_) | OperatorChange::Online(_) => {
                 self.bans.replace(bans.clone());
                 if let Err(error) = self.keep(&bans) {
                     warn!(error, "the servers that are out can't be kept");
@@ -328,7 +356,7 @@
         let service = self.clone();
         tokio::task::spawn_local(async move {
             loop {
-                sleep(service.limits.keep_retry).await;
+                sleep(service.limits.bans_retry_interval).await;
                 let bans = service.bans();
                 if service.keep(&bans).is_ok() {
                     break;
@@ -344,7 +372,7 @@
         let Some(dir) = &self.dir else {
             return Ok(());
         };
-        let bytes = handover::frame(bans, &self.limits.service).ok_or("too many")?;
+        let bytes = handover::encode_frame(bans, &self.limits.service).ok_or("too many")?;
         let new = dir.join(format!("violetwind.bans.{}", std::process::id()));
         let written = fs::write(&new, bytes).and_then(|()| fs::rename(&new, bans_file(dir)));
         written.map_err(|error| format!("{}: {error}", dir.display()))
@@ -352,40 +380,40 @@
 }
 
 /// Staff's word on orders, for the fleet.
-fn staff_call(work: call::Work) -> fleet::Call {
-    use violetwind_workorders::{Bounds, Order, Spans, Spare};
+fn staff_call(work: command::WorkCommand) -> fleet::OperatorCall {
+    use violetwind_workorders::{Bounds, FailureTolerance, PhaseTimeouts, WorkOrder};
     let staff = match work {
-        call::Work::Show => return fleet::Call::WorkView,
-        call::Work::Plan(plan) => Staff::Plan(Order {
+        command::WorkCommand::Show => return fleet::OperatorCall::WorkView,
+        command::WorkCommand::Plan(plan) => WorkAction::Plan(WorkOrder {
             name: plan.name,
             machines: plan.machines,
             bounds: Bounds {
-                most: plan.most,
-                zone_most: plan.zone_most,
-                floor: plan.floor,
-                spare: Spare::NAMES
+                max_out: plan.max_out,
+                max_out_per_zone: plan.max_out_per_zone,
+                min_capacity_permille: plan.min_capacity_permille,
+                failure_tolerance: FailureTolerance::NAMES
                     .iter()
-                    .find(|(name, _)| *name == plan.spare)
-                    .map_or(Spare::Nothing, |(_, spare)| *spare),
+                    .find(|(name, _)| *name == plan.failure_tolerance)
+                    .map_or(FailureTolerance::Nothing, |(_, spare)| *spare),
             },
-            spans: Spans {
-                leave: plan.leave_ms,
-                work: plan.work_ms,
-                back: plan.back_ms,
+            timeouts: PhaseTimeouts {
+                drain_timeout: plan.drain_timeout_ms,
+                work_timeout: plan.work_timeout_ms,
+                return_timeout: plan.return_timeout_ms,
             },
             not_before: plan.not_before,
-            wait: plan.wait,
+            waits_for_done: plan.waits_for_done,
             paused: false,
             cancelled: false,
         }),
-        call::Work::Pause(order) => Staff::Pause(order, true),
-        call::Work::Resume(order) => Staff::Pause(order, false),
-        call::Work::Cancel(order) => Staff::Cancel(order),
-        call::Work::Done(machine) => Staff::Done(machine),
-        call::Work::Failed(machine) => Staff::Failed(machine),
-        call::Work::Recall(machine) => Staff::Recall(machine),
+        command::WorkCommand::Pause(order) => WorkAction::SetPaused(order, true),
+        command::WorkCommand::Resume(order) => WorkAction::SetPaused(order, false),
+        command::WorkCommand::Cancel(order) => WorkAction::Cancel(order),
+        command::WorkCommand::Done(machine) => WorkAction::MarkDone(machine),
+        command::WorkCommand::Failed(machine) => WorkAction::MarkFailed(machine),
+        command::WorkCommand::Recall(machine) => WorkAction::Recall(machine),
     };
-    fleet::Call::Staff(staff)
+    fleet::OperatorCall::WorkAction(staff)
 }
 
 fn bans_file(dir: &Path) -> PathBuf {
@@ -396,13 +424,13 @@
 pub fn kept(dir: &Path, limits: &violetwind_service::Limits) -> Bans {
     let path = bans_file(dir);
     let whole = fs::metadata(&path)
-        .map(|file| file.is_file() && file.len() <= limits.frame_bytes as u64 + 64);
+        .map(|file| file.is_file() && file.len() <= limits.max_frame_bytes as u64 + 64);
     let bans = match whole {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Bans::default(),
         Ok(true) => fs::read(&path)
             .map_err(|error| error.to_string())
             .and_then(|bytes| {
-                handover::read_bans(&bytes, limits).map_err(|fault| fault.to_string())
+                handover::decode_bans(&bytes, limits).map_err(|fault| fault.to_string())
             }),
         Ok(false) => Err("no ordinary file of its size".into()),
         Err(error) => Err(error.to_string()),
@@ -410,7 +438,7 @@
     match bans {
         Ok(bans) => {
             if bans.count() > 0 {
-                info!(out = ?bans.out().collect::<Vec<_>>(), "operators keep servers out");
+                info!(out = ?bans.banned_servers().collect::<Vec<_>>(), "operators keep servers out");
             }
             bans
         }
--- a/crates/proxy/src/first_lines.rs
+++ b/crates/proxy/src/pending_slots.rs
@@ -9,15 +9,15 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-use crate::limits::{Descriptors, Limits, Permit};
+use crate::limits::{DescriptorPermit, DescriptorPool, Limits};
 
 #[derive(Clone, Debug)]
-pub struct FirstLines(Rc<Places>);
+pub struct PendingSlots(Rc<Places>);
 
 #[derive(Debug)]
 struct Places {
     limits: Rc<Limits>,
-    descriptors: Descriptors,
+    descriptors: DescriptorPool,
     next: Cell<u64>,
     /// By turn: those heard of longest ago first.
     waiting: RefCell<BTreeMap<u64, (Instant, Rc<Notify>)>>,
@@ -28,18 +28,18 @@
 
 /// The descriptor of one connection, until it is dropped.
 #[derive(Debug)]
-pub struct Place {
+pub struct PendingSlot {
     turn: u64,
     places: Rc<Places>,
     go: Rc<Notify>,
-    _permit: Permit,
+    _permit: DescriptorPermit,
 }
 
-impl FirstLines {
+impl PendingSlots {
     pub fn new(limits: &Rc<Limits>, places: usize) -> Self {
         Self(Rc::new(Places {
             limits: limits.clone(),
-            descriptors: Descriptors::new(places),
+            descriptors: DescriptorPool::new(places),
             next: Cell::new(0),
             waiting: RefCell::default(),
             freed: Notify::new(),
@@ -48,11 +48,11 @@
     }
 
     /// A place for the next connection; the oldest goes for it, once its line has had time to come.
-    pub async fn place(&self) -> Place {
+    pub async fn acquire(&self) -> PendingSlot {
         let places = &self.0;
         loop {
-            if let Some(permit) = places.descriptors.take(1) {
-                return Place {
+            if let Some(permit) = places.descriptors.try_acquire(1) {
+                return PendingSlot {
                     turn: places.next.replace(places.next.get() + 1),
                     places: places.clone(),
                     go: Rc::default(),
@@ -60,7 +60,8 @@
                 };
             }
             let oldest = places.oldest();
-            let ripe = oldest.map(|(turn, since)| (turn, since + places.limits.first_line_least));
+            let ripe =
+                oldest.map(|(turn, since)| (turn, since + places.limits.min_first_line_timeout));
             match ripe {
                 Some((_, at)) if Instant::now() < at => tokio::select! {
                     () = sleep_until(at) => {}
@@ -85,12 +86,12 @@
         }
     }
 
-    pub fn closing(&self) -> bool {
+    pub fn is_closing(&self) -> bool {
         self.0.closing.get()
     }
 
     /// How many hold a place.
-    pub fn held(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         self.0.descriptors.in_use()
     }
 }
@@ -103,9 +104,9 @@
     }
 }
 
-impl Place {
+impl PendingSlot {
     /// Its connection has come: from here on it may be told to go.
-    pub fn begin(&self) {
+    pub fn allow_eviction(&self) {
         if self.places.closing.get() {
             return self.go.notify_one();
         }
@@ -114,12 +115,12 @@
     }
 
     /// Told when its connection has to go.
-    pub fn told_to_go(&self) -> Rc<Notify> {
+    pub fn eviction_signal(&self) -> Rc<Notify> {
         self.go.clone()
     }
 
     /// Returns when it has to go for another connection; at the end of the process nobody waits for it.
-    pub fn evicted(&self) -> impl Future<Output = ()> + use<> {
+    pub fn wait_for_eviction(&self) -> impl Future<Output = ()> + use<> {
         let (go, places) = (self.go.clone(), self.places.clone());
         async move {
             go.notified().await;
@@ -130,12 +131,12 @@
     }
 
     /// It goes for nobody from here on.
-    pub fn keep(&self) {
+    pub fn forbid_eviction(&self) {
         self.places.waiting.borrow_mut().remove(&self.turn);
     }
 
     /// The connection has been heard of: others are older now.
-    pub fn renew(&mut self) {
+    pub fn touch(&mut self) {
         let mut waiting = self.places.waiting.borrow_mut();
         if let Some((_, go)) = waiting.remove(&self.turn) {
             self.turn = self.places.next.replace(self.places.next.get() + 1);
@@ -144,7 +145,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for PendingSlot {
     fn drop(&mut self) {
         self.places.waiting.borrow_mut().remove(&self.turn);
         // Its descriptor is free before anyone woken runs.
--- a/crates/proxy/src/asking.rs
+++ b/crates/proxy/src/poll_schedule.rs
@@ -10,28 +10,28 @@
 
 /// The next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum DiscoveryQuery {
     /// The whole list, at once.
-    Whole,
+    Snapshot,
     /// What changed since a version, as soon as there is something.
-    Since(u64),
+    ChangesSince(u64),
 }
 
 /// Why a call brought no list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum QueryFailure {
     /// The service does not know the version any more.
-    Forgotten(String),
+    VersionExpired(String),
     /// A watch brought nothing, not even that nothing is new, when its time was over: the service may work for all
     /// that, and what it wrote meanwhile counts as told.
-    Silent(String),
+    WatchTimeout(String),
     Other(String),
 }
 
-impl Failure {
-    pub fn what(self) -> String {
+impl QueryFailure {
+    pub fn into_message(self) -> String {
         match self {
-            Self::Forgotten(what) | Self::Silent(what) | Self::Other(what) => what,
+            Self::VersionExpired(what) | Self::WatchTimeout(what) | Self::Other(what) => what,
         }
     }
 }
@@ -39,15 +39,15 @@
 /// What is to be done with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    Take,
+    Apply,
     /// Nothing in it is new.
-    Same,
+    Unchanged,
     /// It can't be applied to the list that is had.
     OutOfOrder,
 }
 
 #[derive(Debug)]
-pub struct Asking {
+pub struct PollSchedule {
     version: Option<u64>,
     answered: bool,
     /// A silent watch was followed by a call at once, which has not been answered.
@@ -60,28 +60,29 @@
     gap: Duration,
 }
 
-impl Asking {
+impl PollSchedule {
     /// With the version of the list that is had from a last run, if there is one.
     pub fn new(limits: &Limits, known: Option<u64>) -> Self {
         Self {
             version: known,
             answered: known.is_some(),
             prompt: false,
-            before_first: limits.first_call,
-            wait: limits.backoff,
-            first: limits.backoff,
-            most: limits.backoff_most,
-            most_fresh: limits.backoff_fresh.min(limits.backoff_most),
-            gap: limits.call_gap,
+            before_first: limits.max_initial_delay,
+            wait: limits.initial_backoff,
+            first: limits.initial_backoff,
+            most: limits.max_backoff,
+            most_fresh: limits.max_unanswered_backoff.min(limits.max_backoff),
+            gap: limits.min_query_interval,
         }
     }
 
-    pub fn call(&self) -> Call {
-        self.version.map_or(Call::Whole, Call::Since)
+    pub fn next_query(&self) -> DiscoveryQuery {
+        self.version
+            .map_or(DiscoveryQuery::Snapshot, DiscoveryQuery::ChangesSince)
     }
 
     /// The wait before the first call: none where nothing can be served without its answer.
-    pub fn before_first(&self, chance: f64) -> Duration {
+    pub fn initial_delay(&self, chance: f64) -> Duration {
         match self.version {
             Some(_) => self.before_first.mul_f64(chance),
             None => Duration::ZERO,
@@ -89,7 +90,7 @@
     }
 
     /// An answer that took so long; and the wait before the next call.
-    pub fn answered(
+    pub fn on_answer(
         &mut self,
         version: u64,
         whole: bool,
@@ -106,24 +107,26 @@
         self.version = Some(version);
         if whole || rows > 0 {
             // A watch goes on only if the next call comes at once.
-            return (Verdict::Take, Duration::ZERO);
+            return (Verdict::Apply, Duration::ZERO);
         }
         // An answer at once with nothing new must not become a busy loop.
         let wait = match took < self.gap {
             true => self.gap,
             false => Duration::ZERO,
         };
-        (Verdict::Same, wait)
+        (Verdict::Unchanged, wait)
     }
 
     /// The wait after a failure, by a chance from 0 to 1.
-    pub fn failed(&mut self, failure: &Failure, chance: f64) -> Duration {
-        if matches!(failure, Failure::Forgotten(_)) {
+    pub fn on_failure(&mut self, failure: &QueryFailure, chance: f64) -> Duration {
+        if matches!(failure, QueryFailure::VersionExpired(_)) {
             self.version = None;
         }
         // One of many watches that broke is no sign that all did: it is opened anew before what it missed counts. If
         // that brings nothing either, this proxy waits like all others.
-        if matches!(failure, Failure::Silent(_)) && !std::mem::replace(&mut self.prompt, true) {
+        if matches!(failure, QueryFailure::WatchTimeout(_))
+            && !std::mem::replace(&mut self.prompt, true)
+        {
             return self.gap.mul_f64(chance);
         }
         let wait = self.wait.mul_f64(0.25 + 0.75 * chance);
--- a/crates/proxy/src/recording.rs
+++ b/crates/proxy/src/recording.rs
@@ -15,7 +15,7 @@
 
 /// One request until its end.
 #[derive(Debug)]
-pub struct Entry {
+pub struct RecordingEntry {
     recording: Recording,
     request: violetwind_record::Request,
     arrived: Instant,
@@ -31,19 +31,19 @@
         }
     }
 
-    pub fn entry(&self, request: &Request, arrived: Instant) -> Box<Entry> {
+    pub fn start_entry(&self, request: &Request, arrived: Instant) -> Box<RecordingEntry> {
         let small = |number: usize| u16::try_from(number).unwrap_or(u16::MAX);
-        Box::new(Entry {
+        Box::new(RecordingEntry {
             recording: self.clone(),
             request: violetwind_record::Request {
                 at_us: arrived.saturating_duration_since(self.start).as_micros() as u64,
                 class: small(request.class),
                 tenant: request.tenant.map(small),
                 group: request.group,
-                patience_ms: (request.patience * 1e3) as u32,
-                answer: Answer::Gone,
-                took_us: 0,
-                held_ms: 0,
+                timeout_ms: (request.patience * 1e3) as u32,
+                answer: Answer::ClientLeft,
+                latency_us: 0,
+                connected_ms: 0,
                 load: None,
             },
             arrived,
@@ -53,29 +53,29 @@
     }
 }
 
-impl Entry {
+impl RecordingEntry {
     /// The first answer counts.
-    pub fn answer(&self, answer: Answer) {
+    pub fn set_answer(&self, answer: Answer) {
         let first = self.answer.get().unwrap_or((answer, Instant::now()));
         self.answer.set(Some(first));
     }
 
-    pub fn load(&self, figure: f64) {
+    pub fn set_load(&self, figure: f64) {
         self.load.set(Some(figure as u32));
     }
 }
 
-impl Drop for Entry {
+impl Drop for RecordingEntry {
     fn drop(&mut self) {
         let now = Instant::now();
-        let (answer, at) = self.answer.get().unwrap_or((Answer::Gone, now));
+        let (answer, at) = self.answer.get().unwrap_or((Answer::ClientLeft, now));
         let mut request = self.request.clone();
         request.answer = answer;
-        request.took_us = at.saturating_duration_since(self.arrived).as_micros() as u64;
+        request.latency_us = at.saturating_duration_since(self.arrived).as_micros() as u64;
         if answer == Answer::Up {
-            request.held_ms = now.saturating_duration_since(at).as_millis() as u64;
+            request.connected_ms = now.saturating_duration_since(at).as_millis() as u64;
         }
         request.load = self.load.get();
-        self.recording.recorder.put(Record::Request(request));
+        self.recording.recorder.enqueue(Record::Request(request));
     }
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -11,21 +11,21 @@
 use tracing::{debug, info, warn};
 use violetwind_balancer::api::{Outcome, Report, ServerId};
 
-use crate::book::Booking;
-use crate::handover::{Given, Offered};
+use crate::acceptor::{ClientConnection, SharedState};
+use crate::attempt::ServerConnection;
+use crate::handover::{ConnectionOffer, OfferReply};
 use crate::limits::Limits;
-use crate::line::{self, Open, Scanner, Word};
-use crate::repeats::Repeats;
-use crate::ring::Ring;
-use crate::send::Server;
-use crate::take_in::{Client, Shared};
+use crate::line_protocol::{self, LineScanner, OpenLine, ServerLine};
+use crate::log_throttle::LogThrottle;
+use crate::request_tracker::RequestTracker;
+use crate::ring_buffer::RingBuffer;
 use violetwind_engine::ConnectionCommand;
 use violetwind_service::handover::Connection;
 
 /// One direction of a connection.
 #[derive(Debug, Default)]
 struct Way {
-    scanner: Scanner,
+    scanner: LineScanner,
     /// Bytes at the front of the ring that end with the end of a line.
     whole: usize,
     /// The last byte written was within a line.
@@ -56,15 +56,15 @@
     }
 
     /// How much of what is held may go on now.
-    fn due(&self, ring: &Ring) -> usize {
-        match self.by_lines && !self.ended && ring.free() > 0 {
+    fn due(&self, ring: &RingBuffer) -> usize {
+        match self.by_lines && !self.ended && ring.free_bytes() > 0 {
             true => self.whole,
             false => ring.len(),
         }
     }
 
     /// Nothing more goes this way: who would read it has gone.
-    fn stop(&mut self, ring: &mut Ring) {
+    fn stop(&mut self, ring: &mut RingBuffer) {
         ring.truncate(0);
         self.whole = 0;
         (self.ended, self.closed, self.stopped) = (true, true, true);
@@ -73,7 +73,7 @@
     /// Reads and writes until neither goes on, or so many times. True if anything was read or written.
     fn pump(
         &mut self,
-        ring: &mut Ring,
+        ring: &mut RingBuffer,
         from: &TcpStream,
         to: &TcpStream,
         reads: usize,
@@ -82,7 +82,7 @@
         let mut moved = false;
         for _ in 0..reads {
             let mut now = false;
-            if !self.ended && ring.free() > 0 {
+            if !self.ended && ring.free_bytes() > 0 {
                 let before = ring.len();
                 let read = ring.read_from(from, |bytes| self.hear(bytes, before, &mut line));
                 match read {
@@ -113,7 +113,7 @@
     }
 
     /// Passes the end of the stream on, once all before it is.
-    async fn pass_end(&mut self, ring: &Ring, to: &mut TcpStream) {
+    async fn pass_end(&mut self, ring: &RingBuffer, to: &mut TcpStream) {
         if self.ended && !self.closed && ring.is_empty() {
             self.closed = true;
             // A side that is broken already needs no end.
@@ -122,9 +122,9 @@
     }
 
     /// Returns when either socket may let it go on.
-    async fn ready(&self, ring: &Ring, from: &TcpStream, to: &TcpStream) {
+    async fn ready(&self, ring: &RingBuffer, from: &TcpStream, to: &TcpStream) {
         let read = async {
-            match !self.ended && ring.free() > 0 {
+            match !self.ended && ring.free_bytes() > 0 {
                 true => from.readable().await,
                 false => pending().await,
             }
@@ -162,8 +162,8 @@
 }
 
 struct Relay<'a> {
-    client: Client,
-    server: Server,
+    client: ClientConnection,
+    server: ServerConnection,
     up: Way,
     down: Way,
     /// Since when a line of the client waits for the server to say anything.
@@ -181,24 +181,24 @@
     /// A successor gets the connection as soon as it is between lines.
     to_heir: bool,
     limits: &'a Limits,
-    repeats: &'a Repeats,
+    repeats: &'a LogThrottle,
 }
 
 /// What a relay has heard that goes on at another process.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct RelayState {
     pub load: Option<f64>,
     pub waiting_since: Option<Instant>,
 }
 
-pub async fn relay(
-    client: Client,
-    server: Server,
+pub async fn run_relay(
+    client: ClientConnection,
+    server: ServerConnection,
     on: ServerId,
     mut orders: mpsc::Receiver<ConnectionCommand>,
-    booking: Booking,
-    (open, heard): (&Open<'_>, Heard),
-    shared: &Shared,
+    booking: RequestTracker,
+    (open, heard): (&OpenLine<'_>, RelayState),
+    shared: &SharedState,
 ) {
     let limits = &*shared.limits;
     let mut relay = Relay {
@@ -217,12 +217,12 @@
         move_now: false,
         to_heir: false,
         limits,
-        repeats: &shared.repeats,
+        repeats: &shared.log_throttle,
     };
     // What came with the first lines belongs to the connection.
-    let held = relay.client.ring.copy();
+    let held = relay.client.ring.to_vec();
     relay.up.hear(&held, 0, |_| {});
-    let held = relay.server.ring.copy();
+    let held = relay.server.ring.to_vec();
     let (outcome, load) = (&mut relay.outcome, &mut relay.load);
     relay
         .down
@@ -232,7 +232,7 @@
             End::BetweenLines => {
                 if relay.offer(open, on, shared).await {
                     debug!("the successor has it");
-                    return booking.gone().await;
+                    return booking.report_client_left().await;
                 }
             }
             end => break end,
@@ -250,31 +250,31 @@
     match end {
         // What the client sends meanwhile must not reset the connection before it has read the last line.
         End::ServerClosed => {
-            booking.ended(on, outcome).await;
+            booking.report_end(on, outcome).await;
             if client_sends {
-                client.farewell(limits).await;
+                client.linger_close(limits).await;
             }
         }
-        End::ClientClosed => booking.gone().await,
+        End::ClientClosed => booking.report_client_left().await,
         // The other side ends in the same way, by a reset, unless that overtook what it is owed.
         End::ServerBroke => {
             let last_word = outcome.0 != Outcome::Reset;
-            booking.ended(on, outcome).await;
+            booking.report_end(on, outcome).await;
             match owed || last_word {
-                true => client.farewell(limits).await,
+                true => client.linger_close(limits).await,
                 false => drop(client.stream.set_zero_linger()),
             }
         }
         End::ClientBroke => {
-            booking.gone().await;
+            booking.report_client_left().await;
             let _ = server.stream.set_zero_linger();
         }
         End::Moved | End::BetweenLines => {
             booking
-                .ended(on, (Outcome::Cancelled, Report::default()))
+                .report_end(on, (Outcome::Cancelled, Report::default()))
                 .await;
             drop(server);
-            client.farewell(limits).await;
+            client.linger_close(limits).await;
         }
     }
 }
@@ -288,10 +288,10 @@
     {
         return;
     }
-    match line::word(head) {
-        Word::Load(value) => *load = Some(value),
-        Word::Bye(report) => *outcome = (Outcome::Ok, report),
-        Word::Move => *outcome = (Outcome::Cancelled, Report::default()),
+    match line_protocol::parse_server_line(head) {
+        ServerLine::Load(value) => *load = Some(value),
+        ServerLine::Bye(report) => *outcome = (Outcome::Ok, report),
+        ServerLine::Move => *outcome = (Outcome::Cancelled, Report::default()),
         _ => {}
     }
 }
@@ -301,7 +301,7 @@
         &mut self,
         on: ServerId,
         orders: &mut mpsc::Receiver<ConnectionCommand>,
-        booking: &Booking,
+        booking: &RequestTracker,
     ) -> End {
         let mut active = Instant::now();
         let mut server_first = false;
@@ -313,10 +313,10 @@
             }
             if let Some(load) = self.load.take() {
                 self.told = Some(load);
-                match load <= self.limits.most_load {
-                    true => booking.load(on, load).await,
+                match load <= self.limits.max_connection_load {
+                    true => booking.report_load(on, load).await,
                     false => {
-                        if let Some(left_out) = self.repeats.next() {
+                        if let Some(left_out) = self.repeats.try_acquire() {
                             info!(load, left_out, "a load that makes no sense is passed over");
                         }
                     }
@@ -325,8 +325,8 @@
             if let Some(by) = self.move_by {
                 let late = by <= Instant::now();
                 let between = self.down.whole > 0 || !self.down.within_line;
-                let (whole, asks) = (self.down.scanner.between_lines(), self.waiting_since);
-                let over = by + self.limits.farewell <= Instant::now() || self.move_now;
+                let (whole, asks) = (self.down.scanner.is_between_lines(), self.waiting_since);
+                let over = by + self.limits.linger_timeout <= Instant::now() || self.move_now;
                 if between && (over || whole && (late || asks.is_none())) {
                     self.say_move().await;
                     return End::Moved;
@@ -352,12 +352,12 @@
                 return end;
             }
             // A client that does not read says nothing about its server.
-            let since = self.waiting_since.filter(|_| server.ring.free() > 0);
-            let silent = since.map(|since| since + self.limits.silent);
-            let half_closed =
-                (self.up.closed || self.down.closed).then(|| active + self.limits.half_closed);
+            let since = self.waiting_since.filter(|_| server.ring.free_bytes() > 0);
+            let silent = since.map(|since| since + self.limits.server_silence_timeout);
+            let half_closed = (self.up.closed || self.down.closed)
+                .then(|| active + self.limits.half_close_timeout);
             let moving = self.move_by.map(|by| match by <= Instant::now() {
-                true => by + self.limits.farewell,
+                true => by + self.limits.linger_timeout,
                 false => by,
             });
             let due = [moving, silent, half_closed].into_iter().flatten().min();
@@ -368,7 +368,7 @@
                     // Told twice, it is out of time.
                     Some(ConnectionCommand::Move) if self.move_by.is_some() => self.move_now = true,
                     Some(ConnectionCommand::Move) => {
-                        self.move_by = Some(Instant::now() + self.limits.move_wait);
+                        self.move_by = Some(Instant::now() + self.limits.move_timeout);
                     }
                     Some(ConnectionCommand::HandOver) => self.to_heir = true,
                     Some(_) => {}
@@ -379,7 +379,7 @@
                     let now = Instant::now();
                     if silent.is_some_and(|at| at <= now) {
                         info!(server = on, "a server is silent: its client is moved");
-                        booking.silent(on).await;
+                        booking.report_silence(on).await;
                         self.waiting_since = None;
                         self.move_by = Some(now);
                     } else if half_closed.is_some_and(|at| at <= now) {
@@ -397,16 +397,17 @@
 
     /// Whether it is between lines both ways and nothing of it is held here.
     fn rests(&self) -> bool {
-        let rests =
-            |way: &Way, ring: &Ring| way.scanner.between_lines() && !way.ended && ring.is_empty();
+        let rests = |way: &Way, ring: &RingBuffer| {
+            way.scanner.is_between_lines() && !way.ended && ring.is_empty()
+        };
         rests(&self.up, &self.client.ring)
             && rests(&self.down, &self.server.ring)
             && self.outcome.0 == Outcome::Reset
     }
 
     /// Offers the connection to the successor; false if that does not take it. Nothing is read meanwhile.
-    async fn offer(&self, open: &Open<'_>, on: ServerId, shared: &Shared) -> bool {
-        let Some(heir) = shared.service.heir() else {
+    async fn offer(&self, open: &OpenLine<'_>, on: ServerId, shared: &SharedState) -> bool {
+        let Some(heir) = shared.service.successor_sender() else {
             return false;
         };
         // Descriptors are doubled only once there is room on the way.
@@ -424,22 +425,22 @@
         };
         let waits = self.waiting_since.map(|since| since.elapsed().as_millis());
         let (answer, given) = oneshot::channel();
-        room.send(Given {
+        room.send(ConnectionOffer {
             connection: Connection {
-                line: open.to_line(),
+                first_line: open.to_line(),
                 server: on,
                 load: self.told,
-                waits_ms: waits.map(|ms| u32::try_from(ms).unwrap_or(u32::MAX)),
+                unanswered_ms: waits.map(|ms| u32::try_from(ms).unwrap_or(u32::MAX)),
             },
             fds: [client, server],
-            answer: Offered(answer),
+            reply: OfferReply(answer),
         });
         given.await.is_ok()
     }
 
     fn pump(&mut self) -> Result<bool, End> {
         let (client, server) = (&mut self.client, &mut self.server);
-        let reads = self.limits.reads;
+        let reads = self.limits.max_consecutive_reads;
         let mut asked = false;
         let sent = self.up.pump(
             &mut client.ring,
@@ -512,7 +513,7 @@
             io::Result::Ok(())
         };
         // A client that takes nothing more, or has left, can't be told.
-        let _ = timeout(self.limits.farewell, write).await;
+        let _ = timeout(self.limits.linger_timeout, write).await;
     }
 }
 
--- a/crates/proxy/src/ring.rs
+++ b/crates/proxy/src/ring_buffer.rs
@@ -6,7 +6,7 @@
 use violetwind_net::{read_now, try_read, try_write};
 
 #[derive(Debug)]
-pub struct Ring {
+pub struct RingBuffer {
     /// Of its size once something has come: most that connect to harm say nothing.
     bytes: Box<[u8]>,
     size: usize,
@@ -14,7 +14,7 @@
     len: usize,
 }
 
-impl Ring {
+impl RingBuffer {
     pub fn new(size: usize) -> Self {
         Self {
             bytes: Box::default(),
@@ -32,7 +32,7 @@
         self.len == 0
     }
 
-    pub fn free(&self) -> usize {
+    pub fn free_bytes(&self) -> usize {
         self.size - self.len
     }
 
@@ -86,12 +86,12 @@
     }
 
     /// Reads until the first line is whole; it stays in the ring.
-    pub async fn first_line(&mut self, stream: &TcpStream) -> io::Result<Vec<u8>> {
+    pub async fn fill_until_line(&mut self, stream: &TcpStream) -> io::Result<Vec<u8>> {
         loop {
             if let Some(line) = self.peek_line() {
                 return Ok(line);
             }
-            if self.free() == 0 {
+            if self.free_bytes() == 0 {
                 return Err(io::ErrorKind::InvalidData.into());
             }
             if self.fill(stream).await? == 0 {
@@ -124,7 +124,7 @@
 
     /// Appends bytes; false if they don't fit.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
-        if bytes.len() > self.free() {
+        if bytes.len() > self.free_bytes() {
             return false;
         }
         self.allocate();
@@ -171,7 +171,7 @@
     }
 
     /// What is held, in one piece, for a scan of what was read before a relay began.
-    pub fn copy(&self) -> Vec<u8> {
+    pub fn to_vec(&self) -> Vec<u8> {
         (0..self.len).map(|place| self.at(place)).collect()
     }
 }
--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -10,19 +10,19 @@
 use tracing::{debug, info, warn};
 use violetwind_balancer::api::{Outcome, Seconds, ServerId};
 
-use crate::admit::Admitted;
-use crate::book::Booking;
-use crate::relay::{self, Heard};
-use crate::ring::Ring;
-use crate::send::{self, Attempt, Server, Target};
-use crate::take_in::{Client, Shared};
+use crate::acceptor::{ClientConnection, SharedState};
+use crate::admission::AdmittedRequest;
+use crate::attempt::{self, AttemptResult, AttemptTarget, ServerConnection};
+use crate::relay::{self, RelayState};
+use crate::request_tracker::RequestTracker;
+use crate::ring_buffer::RingBuffer;
 use violetwind_engine::{ConnectionCommand, EngineEvent};
 use violetwind_net::is_open_and_idle;
 
 /// What a request comes to.
 enum Answer {
     /// A server has it; what it said so far is for the client.
-    Taken(ServerId, Server),
+    Taken(ServerId, ServerConnection),
     Refused(Option<Seconds>),
     Failed,
     /// The client stopped waiting, by leaving or by its deadline.
@@ -31,63 +31,67 @@
     Early,
 }
 
-pub async fn route(mut client: Client, admitted: Admitted<'_>, shared: &Rc<Shared>) {
+pub async fn route_request(
+    mut client: ClientConnection,
+    admitted: AdmittedRequest<'_>,
+    shared: &Rc<SharedState>,
+) {
     let limits = &shared.limits;
-    let (to, mut orders) = mpsc::channel(limits.orders);
-    let id = admitted.open.id;
+    let (to, mut orders) = mpsc::channel(limits.order_queue_capacity);
+    let id = admitted.open_line.id;
     let request_number = admitted.request.id;
-    let booking = Booking::new(&admitted.request, client.arrived, shared);
+    let booking = RequestTracker::new(&admitted.request, client.arrived, shared);
     match decide(&mut client, &admitted, shared, &booking, to, &mut orders).await {
         Answer::Taken(on, server) => {
-            booking.up();
-            let heard = (admitted.open, Heard::default());
-            relay::relay(client, server, on, orders, booking, heard, shared).await;
+            booking.mark_up();
+            let heard = (admitted.open_line, RelayState::default());
+            relay::run_relay(client, server, on, orders, booking, heard, shared).await;
         }
         Answer::Refused(wait) => {
             debug!(id, request = request_number, "refused");
-            booking.answered(violetwind_record::Answer::Refused);
+            booking.mark_answered(violetwind_record::Answer::Refused);
             let word = match wait.map(|wait| (wait * 1e3).round() as u64) {
                 Some(ms) if ms > 0 => format!("BUSY {ms}"),
                 _ => "BUSY".to_string(),
             };
-            client.answer(&word, limits).await;
+            client.answer_and_close(&word, limits).await;
         }
         Answer::Failed => {
             debug!(id, request = request_number, "failed");
-            booking.answered(violetwind_record::Answer::Failed);
-            client.answer("ERR", limits).await;
+            booking.mark_answered(violetwind_record::Answer::Failed);
+            client.answer_and_close("ERR", limits).await;
         }
         Answer::Gone => {
             debug!(id, "the client left, or its time is over");
-            booking.gone().await;
-            client.answer("ERR", limits).await;
+            booking.report_client_left().await;
+            client.answer_and_close("ERR", limits).await;
         }
         Answer::Early => {
-            if let Some(left_out) = shared.repeats.next() {
+            if let Some(left_out) = shared.log_throttle.try_acquire() {
                 info!(id, left_out, "a client sends on before it is up");
             }
-            booking.gone().await;
-            client.answer("ERR", limits).await;
+            booking.report_client_left().await;
+            client.answer_and_close("ERR", limits).await;
         }
     }
-    drop(admitted.hold);
+    drop(admitted.guards);
 }
 
 async fn decide(
-    client: &mut Client,
-    admitted: &Admitted<'_>,
-    shared: &Rc<Shared>,
-    booking: &Booking,
+    client: &mut ClientConnection,
+    admitted: &AdmittedRequest<'_>,
+    shared: &Rc<SharedState>,
+    booking: &RequestTracker,
     to: mpsc::Sender<ConnectionCommand>,
     orders: &mut mpsc::Receiver<ConnectionCommand>,
 ) -> Answer {
     let limits = &shared.limits;
     let request = &admitted.request;
-    let ask = || match admitted.stood_at {
+    let ask = || match admitted.previous_server {
         Some(uid) => EngineEvent::Resume(request.id, uid.to_string(), to.clone()),
         None => EngineEvent::Request(request.clone(), to.clone()),
     };
-    booking.tell(ask()).await;
+    booking.notify_engine(ask()).await;
     let end = admitted.deadline + limits.answer_slack;
     loop {
         // The client goes first: nothing is sent for one that has left in the same moment.
@@ -96,7 +100,7 @@
             answer = client_first(&mut client.ring, &client.stream) => return answer,
             order = orders.recv() => order,
             () = sleep_until(end) => {
-                warn!(id = admitted.open.id, "no decision by the deadline");
+                warn!(id = admitted.open_line.id, "no decision by the deadline");
                 return Answer::Gone;
             }
         };
@@ -118,22 +122,22 @@
                 | ConnectionCommand::HandOver,
             ) => continue,
             Some(ConnectionCommand::NotYet) => {
-                if let Some(answer) = rest(client, limits.standing_again).await {
+                if let Some(answer) = rest(client, limits.resume_retry_interval).await {
                     return answer;
                 }
-                booking.tell(ask()).await;
+                booking.notify_engine(ask()).await;
                 continue;
             }
         };
         let left = admitted.deadline.saturating_duration_since(Instant::now());
         let recalled = Cell::new(false);
-        let target = Target {
+        let target = AttemptTarget {
             request: request.id,
             server: on,
             endpoint,
-            within: within.min(left),
+            timeout: within.min(left),
         };
-        let Client { ring, stream, .. } = &mut *client;
+        let ClientConnection { ring, stream, .. } = &mut *client;
         let still_valid = || {
             let in_time = write_by.is_none_or(|by| Instant::now() < by);
             // The client waits still, by its socket itself: the runtime hears of an end only when it looks next.
@@ -141,56 +145,60 @@
         };
         let on_written = async || {
             if report_write {
-                booking.tell(EngineEvent::Written(request.id, on)).await;
+                booking
+                    .notify_engine(EngineEvent::Written(request.id, on))
+                    .await;
             }
         };
-        let attempt = send::attempt(
+        let attempt = attempt::run_attempt(
             target,
-            admitted.open,
+            admitted.open_line,
             still_valid,
             on_written,
-            (limits, &shared.repeats),
+            (limits, &shared.log_throttle),
         );
         let attempt = tokio::select! {
             biased;
             answer = client_first(ring, stream) => return answer,
-            () = called_off(orders, &recalled) => Attempt::Failed(Outcome::Cancelled, Default::default()),
+            () = called_off(orders, &recalled) => AttemptResult::Failed(Outcome::Cancelled, Default::default()),
             attempt = attempt => attempt,
         };
         match attempt {
             // Bytes may have come together with the server's answer.
-            Attempt::Up(_) | Attempt::Served(_) if client.spoke() => return Answer::Early,
-            Attempt::Up(server) => {
+            AttemptResult::Up(_) | AttemptResult::Served(_) if client.has_sent_more() => {
+                return Answer::Early;
+            }
+            AttemptResult::Up(server) => {
                 booking
-                    .tell(match admitted.stood_at {
+                    .notify_engine(match admitted.previous_server {
                         Some(_) => EngineEvent::Resumed(request.clone(), on),
                         None => EngineEvent::ConnectionUp(request.id, on),
                     })
                     .await;
                 return Answer::Taken(on, server);
             }
-            Attempt::Served(server) => return Answer::Taken(on, server),
-            Attempt::Failed(outcome, _) if admitted.stood_at.is_some() => {
+            AttemptResult::Served(server) => return Answer::Taken(on, server),
+            AttemptResult::Failed(outcome, _) if admitted.previous_server.is_some() => {
                 debug!(
-                    id = admitted.open.id,
+                    id = admitted.open_line.id,
                     ?outcome,
                     "a standing connection is tried again"
                 );
-                if let Some(answer) = rest(client, limits.standing_again).await {
+                if let Some(answer) = rest(client, limits.resume_retry_interval).await {
                     return answer;
                 }
-                booking.tell(ask()).await;
+                booking.notify_engine(ask()).await;
             }
-            Attempt::Failed(outcome, report) => {
-                debug!(id = admitted.open.id, server = on, ?outcome, "attempt");
-                booking.attempt_ended(on, outcome, report).await;
+            AttemptResult::Failed(outcome, report) => {
+                debug!(id = admitted.open_line.id, server = on, ?outcome, "attempt");
+                booking.report_attempt_end(on, outcome, report).await;
             }
         }
     }
 }
 
 /// What a client comes to that does anything but wait.
-async fn client_first(ring: &mut Ring, stream: &TcpStream) -> Answer {
+async fn client_first(ring: &mut RingBuffer, stream: &TcpStream) -> Answer {
     match ring.fill(stream).await {
         Ok(0) | Err(_) => Answer::Gone,
         Ok(_) => Answer::Early,
@@ -198,7 +206,7 @@
 }
 
 /// What the client comes to within such a time, if it does not wait.
-async fn rest(client: &mut Client, time: Duration) -> Option<Answer> {
+async fn rest(client: &mut ClientConnection, time: Duration) -> Option<Answer> {
     timeout(time, client_first(&mut client.ring, &client.stream))
         .await
         .ok()
