--- a/crates/proxy/src/sources.rs
+++ b/crates/proxy/src/sources.rs
@@ -8,9 +8,9 @@
 use tracing::info;
 use violetwind_engine::EngineEvent;
 
-use crate::discovery::{self, Tells};
+use crate::discovery::{self, ListDelivery};
 use crate::limits::Limits;
-use crate::operator::{How, Source};
+use crate::operator_config::{Source, SourceKind};
 
 /// One watch that runs: a source, or a data centre of one.
 struct Running {
@@ -29,7 +29,7 @@
 
 /// Starts and ends watches as the sources change. A source that changes in anything is a new one to the
 /// catalogue, so that its old words stand until the new ones have come.
-pub async fn run(
+pub async fn watch_sources(
     mut sources: watch::Receiver<Rc<Vec<Source>>>,
     discovery: watch::Receiver<SocketAddr>,
     limits: Rc<Limits>,
@@ -91,8 +91,8 @@
 }
 
 fn watches(source: &Source) -> Vec<(&Source, Option<String>)> {
-    match &source.how {
-        How::Consul(settings) if !settings.datacenters.is_empty() => {
+    match &source.kind {
+        SourceKind::Consul(settings) if !settings.datacenters.is_empty() => {
             let each = settings.datacenters.iter();
             each.map(|dc| (source, Some(dc.clone()))).collect()
         }
@@ -123,15 +123,15 @@
     engine: &mpsc::Sender<EngineEvent>,
 ) -> Watch {
     let (name, engine) = (name.clone(), engine.clone());
-    match &source.how {
-        How::Consul(settings) => Box::pin(violetwind_consul::watch(
+    match &source.kind {
+        SourceKind::Consul(settings) => Box::pin(violetwind_consul::watch_service(
             settings.clone(),
             datacenter,
             name,
             engine,
         )),
-        How::Registry { address, zones } => {
-            let tells = Tells::Source(name, zones.clone());
+        SourceKind::Registry { address, zones } => {
+            let tells = ListDelivery::Catalogue(name, zones.clone());
             let limits = limits.clone();
             let (address, mut platform) = (*address, discovery.clone());
             Box::pin(async move {
--- a/crates/proxy/tests/bad_clients.rs
+++ b/crates/proxy/tests/bad_clients.rs
@@ -5,7 +5,9 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Answers, Discovery, End, Peer, Proxy, Server, one_server, without_loads};
+use common::{
+    ConnectionEnd, Discovery, LineConnection, Pingable, Proxy, Server, one_server, without_loads,
+};
 use serde_json::json;
 
 /// A bad client is owed an answer or a close so long after it connected.
@@ -14,7 +16,7 @@
 /// One server and a proxy with so many descriptors.
 fn one_server_with(sockets: u64) -> (Server, Discovery, Proxy) {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     let proxy = Proxy::launch(discovery.addr, |config| {
         config["limits"]["sockets"] = json!(sockets);
         config["limits"]["memory_mb"] = json!(32);
@@ -28,12 +30,12 @@
 fn turned_away(proxy: &Proxy, bytes: &[u8]) {
     let shown = String::from_utf8_lossy(&bytes[..bytes.len().min(60)]).into_owned();
     let at = Instant::now();
-    let mut client = Peer::connect(proxy.addr);
-    client.flood(bytes, Duration::from_secs(1));
-    let mut answer = client.try_hear();
+    let mut client = LineConnection::connect(proxy.addr);
+    client.send_until_blocked(bytes, Duration::from_secs(1));
+    let mut answer = client.try_read_line();
     if answer.is_ok() {
         assert_eq!(answer.as_deref(), Ok("ERR"), "{shown}");
-        answer = client.try_hear();
+        answer = client.try_read_line();
     }
     assert!(answer.is_err(), "{shown}: {answer:?}");
     assert!(at.elapsed() < OWED, "{shown}: {:?}", at.elapsed());
@@ -68,7 +70,7 @@
     }
     turned_away(&proxy, &[0, 255, 254, b'\n']);
     turned_away(&proxy, &[b'x'; 5000]);
-    assert!(server.nothing_opened());
+    assert!(server.no_pending_open());
     proxy.up(&server);
 }
 
@@ -84,25 +86,25 @@
         "c=watch,d=1500.5,h=0.25,t=who,size=12,flag",
     ];
     for (number, fields) in forms.into_iter().enumerate() {
-        let mut client = Peer::connect(proxy.addr);
-        client.say(&format!(
+        let mut client = LineConnection::connect(proxy.addr);
+        client.send_line(&format!(
             "OPEN 9b1f03aa5c7e2d4{number} 7f3a9c21e0b4d655 {fields}"
         ));
-        let (_, mut conn) = server.opened();
-        conn.say("UP 1");
-        assert_eq!(client.hear(), "UP 1", "{fields}");
+        let (_, mut conn) = server.next_open();
+        conn.send_line("UP 1");
+        assert_eq!(client.read_line(), "UP 1", "{fields}");
     }
 }
 
 #[test]
 fn half_a_line_and_an_end_is_turned_away() {
     let (server, _discovery, proxy) = one_server();
-    let mut client = Peer::connect(proxy.addr);
-    client.send(b"OPEN 9b1f 7f3a c=watch,d=20");
-    client.end_sending();
-    assert_eq!(client.hear(), "ERR");
-    assert_eq!(client.end(), End::Closed);
-    assert!(server.nothing_opened());
+    let mut client = LineConnection::connect(proxy.addr);
+    client.send_bytes(b"OPEN 9b1f 7f3a c=watch,d=20");
+    client.half_close();
+    assert_eq!(client.read_line(), "ERR");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
+    assert!(server.no_pending_open());
 }
 
 /// Servers turn a second one away, each in its turn, and to the module all of them seemed to fail.
@@ -110,28 +112,28 @@
 fn the_id_of_an_open_request_is_taken_until_that_ends() {
     let (server, _discovery, proxy) = one_server();
     let mut waiting = proxy.open("watch");
-    let (_, mut conn) = server.opened();
+    let (_, mut conn) = server.next_open();
     let line = b"OPEN 9b1f03aa5c7e2d41 0000000000000000 c=watch,d=2000\r\n";
     turned_away(&proxy, line);
-    conn.say("UP 1");
-    assert_eq!(waiting.hear(), "UP 1");
+    conn.send_line("UP 1");
+    assert_eq!(waiting.read_line(), "UP 1");
     turned_away(&proxy, line);
-    assert!(server.nothing_opened());
-    waiting.say("SAY on");
-    assert_eq!(conn.hear(), "SAY on");
-    conn.say("BYE");
+    assert!(server.no_pending_open());
+    waiting.send_line("SAY on");
+    assert_eq!(conn.read_line(), "SAY on");
+    conn.send_line("BYE");
     drop(conn);
-    assert_eq!(waiting.hear(), "BYE");
-    assert_eq!(waiting.end(), End::Closed);
+    assert_eq!(waiting.read_line(), "BYE");
+    assert_eq!(waiting.expect_end(), ConnectionEnd::Closed);
     drop(waiting);
     // Free again, as soon as the proxy has seen the end.
     let until = Instant::now() + Duration::from_secs(5);
     loop {
         assert!(Instant::now() < until, "never free");
-        let mut client = Peer::connect(proxy.addr);
-        client.send(line);
-        let answered = || !client.quiet_for(Duration::from_millis(1));
-        if server.opened_or(answered).is_some() {
+        let mut client = LineConnection::connect(proxy.addr);
+        client.send_bytes(line);
+        let answered = || !client.is_quiet_for(Duration::from_millis(1));
+        if server.next_open_unless(answered).is_some() {
             return;
         }
     }
@@ -145,14 +147,17 @@
     turned_away(&proxy, line.repeat(300).as_bytes());
     turned_away(&proxy, "PING\r\n".repeat(300).as_bytes());
     turned_away(&proxy, format!("PING\r\n{line}").as_bytes());
-    assert!(server.nothing_opened());
+    assert!(server.no_pending_open());
     // Also one that comes once a server has the request.
     let mut client = proxy.open("watch");
-    let (_, mut conn) = server.opened();
-    client.say("SAY early");
-    assert_eq!(client.hear(), "ERR");
-    assert_eq!(client.end(), End::Closed);
-    assert!(matches!(conn.try_hear(), Err(End::Closed | End::Reset)));
+    let (_, mut conn) = server.next_open();
+    client.send_line("SAY early");
+    assert_eq!(client.read_line(), "ERR");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
+    assert!(matches!(
+        conn.try_read_line(),
+        Err(ConnectionEnd::Closed | ConnectionEnd::Reset)
+    ));
 }
 
 /// It is owed an answer within 3 s of connecting, however slowly its bytes come.
@@ -160,12 +165,12 @@
 fn a_line_that_never_ends_is_answered_in_time() {
     let (_server, _discovery, proxy) = one_server();
     let at = Instant::now();
-    let mut client = Peer::connect(proxy.addr);
-    client.send(b"OPEN 9b1f");
-    while client.quiet_for(Duration::from_millis(200)) {
-        client.send(b"0");
+    let mut client = LineConnection::connect(proxy.addr);
+    client.send_bytes(b"OPEN 9b1f");
+    while client.is_quiet_for(Duration::from_millis(200)) {
+        client.send_bytes(b"0");
     }
-    assert_eq!(client.hear(), "ERR");
+    assert_eq!(client.read_line(), "ERR");
     assert!(at.elapsed() < OWED, "{:?}", at.elapsed());
 }
 
@@ -175,8 +180,8 @@
     let (_server, _discovery, proxy) = one_server_with(256);
     let huge = [b"OPEN 9b1f 7f3a c=".as_slice(), &vec![b'x'; 60 << 20]].concat();
     let at = Instant::now();
-    let mut client = Peer::connect(proxy.addr);
-    let sent = client.flood(&huge, Duration::from_secs(2));
+    let mut client = LineConnection::connect(proxy.addr);
+    let sent = client.send_until_blocked(&huge, Duration::from_secs(2));
     assert!(sent < huge.len(), "all was read");
     assert!(at.elapsed() < OWED, "{:?}", at.elapsed());
     assert!(proxy.memory_kib() < 24 << 10, "{}", proxy.memory_kib());
@@ -190,33 +195,33 @@
     let mut crowd = Vec::new();
     for turn in 0..85 {
         for number in 0..8 {
-            let mut silent = Peer::connect(proxy.addr);
+            let mut silent = LineConnection::connect(proxy.addr);
             if number % 2 == 0 {
-                silent.say("PING");
+                silent.send_line("PING");
             }
             crowd.push(silent);
         }
         let at = Instant::now();
-        let mut client = Peer::connect(proxy.addr);
-        client.say(&format!("OPEN 9b1f03aa5c7e2d{turn} 7f3a c=watch,d=2000"));
-        let (_, mut conn) = server.opened();
-        conn.say("UP 1");
-        assert_eq!(client.hear(), "UP 1");
+        let mut client = LineConnection::connect(proxy.addr);
+        client.send_line(&format!("OPEN 9b1f03aa5c7e2d{turn} 7f3a c=watch,d=2000"));
+        let (_, mut conn) = server.next_open();
+        conn.send_line("UP 1");
+        assert_eq!(client.read_line(), "UP 1");
         assert!(at.elapsed() < Duration::from_secs(1), "{:?}", at.elapsed());
         pairs.push((client, conn));
     }
-    assert!(proxy.pong());
+    assert!(proxy.answers_ping());
     // Those that said nothing have been closed, or are soon.
     let at = Instant::now();
     for silent in crowd.iter_mut().rev().step_by(2).take(32) {
-        while silent.try_hear().is_ok() {}
+        while silent.try_read_line().is_ok() {}
     }
     assert!(at.elapsed() < OWED, "{:?}", at.elapsed());
     for (client, conn) in &mut pairs {
-        client.say("SAY on");
-        assert_eq!(conn.hear(), "SAY on");
-        conn.say("OK on");
-        assert_eq!(client.hear(), "OK on");
+        client.send_line("SAY on");
+        assert_eq!(conn.read_line(), "SAY on");
+        conn.send_line("OK on");
+        assert_eq!(client.read_line(), "OK on");
     }
     assert!(proxy.memory_kib() < 24 << 10, "{}", proxy.memory_kib());
     assert!(proxy.alive());
--- a/crates/proxy/tests/budgets.rs
+++ b/crates/proxy/tests/budgets.rs
@@ -7,29 +7,29 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use violetwind_standins::callers::{Callers, Wants};
-use violetwind_standins::members::{Members, Spec, live, name};
-use violetwind_standins::relay::Way;
-use violetwind_standins::{PATIENCE, Peer, mono_us};
+use violetwind_standins::budget_workload::{BudgetWorkload, WorkloadSpec};
+use violetwind_standins::fleet_harness::{FleetHarness, FleetSpec, count_live_members, node_name};
+use violetwind_standins::relay::LinkMode;
+use violetwind_standins::{LineConnection, WAIT_TIMEOUT, monotonic_us};
 
 const WHOLE: usize = 60;
 const RATE: usize = 80;
 const WINDOW: Duration = Duration::from_millis(1000);
 const EACH: u32 = 24;
 
-fn spec(voters: usize, others: usize) -> Spec {
+fn spec(voters: usize, others: usize) -> FleetSpec {
     let members = voters + others;
-    Spec {
+    FleetSpec {
         program: env!("CARGO_BIN_EXE_violetwind").into(),
         voters,
-        others,
+        non_voters: others,
         lease_ms: 1000,
-        election_ms: 200,
+        election_timeout_ms: 200,
         duties: Vec::new(),
-        cold_s: 4.0,
+        slow_start_window_s: 4.0,
         log_level: "info",
-        fleet_lines: format!("members = {members}\n"),
-        lines: format!(
+        fleet_toml: format!("members = {members}\n"),
+        extra_toml: format!(
             "[[fleet.budget]]\nname = \"tenant\"\nkind = \"held\"\nwhole = {WHOLE}\nfloor = 2\n\
              [[fleet.budget]]\nname = \"retries\"\nkind = \"rate\"\nwhole = {RATE}\nfloor = 2\nwindow = \"1s\"\n"
         ),
@@ -37,20 +37,22 @@
 }
 
 /// Programs that hold units of the first budget, and use the second too if asked.
-fn wants(rates: bool) -> Wants {
-    Wants {
-        each: EACH,
-        held: "tenant".into(),
-        hold: Duration::from_millis(60),
+fn wants(rates: bool) -> WorkloadSpec {
+    WorkloadSpec {
+        workers_per_member: EACH,
+        held_budget: "tenant".into(),
+        hold_time: Duration::from_millis(60),
         greedy: false,
-        rate: rates.then(|| "retries".into()),
+        rate_budget: rates.then(|| "retries".into()),
     }
 }
 
-fn whole(members: &Members) {
-    members.until("the fleet is whole", |members| {
-        let view = members.view(0).filter(|view| view["majority"] == true)?;
-        (live(&view) == Some(members.count())).then_some(())
+fn whole(members: &FleetHarness) {
+    members.wait_until("the fleet is whole", |members| {
+        let view = members
+            .fetch_view(0)
+            .filter(|view| view["majority"] == true)?;
+        (count_live_members(&view) == Some(members.member_count())).then_some(())
     });
 }
 
@@ -69,128 +71,138 @@
 
 #[test]
 fn shares_follow_pressure_from_one_proxy_to_the_next() {
-    let members = Members::start(spec(3, 2));
+    let members = FleetHarness::start(spec(3, 2));
     whole(&members);
-    let callers = Callers::start(&members, &wants(false));
+    let callers = BudgetWorkload::start(&members, &wants(false));
     // Five floors of two are set aside; the rest can go to one.
     for hot in [4, 1] {
-        (0..5).for_each(|at| callers.press(at, if at == hot { EACH } else { 0 }));
+        (0..5).for_each(|at| callers.set_active_workers(at, if at == hot { EACH } else { 0 }));
         let begun = Instant::now();
-        while callers.books.lock().unwrap().in_use() < 18 {
+        while callers.stats.lock().unwrap().units_in_use() < 18 {
             assert!(
                 begun.elapsed() < Duration::from_secs(10),
                 "{}",
-                members.log()
+                members.merged_log()
             );
             thread::sleep(Duration::from_millis(5));
         }
         // A static even division would allow 12 here, whatever the machine has to do besides.
-        members.until("more is in use than a static division allows", |_| {
-            (callers.mean(Duration::from_millis(800)) > 12.5).then_some(())
+        members.wait_until("more is in use than a static division allows", |_| {
+            (callers.mean_units_in_use(Duration::from_millis(800)) > 12.5).then_some(())
         });
     }
-    let books = callers.end();
-    assert!(books.most <= WHOLE && books.most_in(WINDOW) <= RATE);
+    let books = callers.stop();
+    assert!(books.max_in_use <= WHOLE && books.max_uses_within(WINDOW) <= RATE);
 }
 
 #[test]
 fn never_more_than_the_whole_through_a_hundred_faults() {
-    let mut members = Members::start(spec(3, 2));
+    let mut members = FleetHarness::start(spec(3, 2));
     whole(&members);
-    let callers = Callers::start(&members, &wants(true));
+    let callers = BudgetWorkload::start(&members, &wants(true));
     let mut draw = Draw(7);
     let (mut stopped, mut faults) = (BTreeSet::new(), 0);
     while faults < 100 {
         let at = draw.below(5) as usize;
         match draw.below(8) {
             0 if !stopped.contains(&at) => {
-                members.kill(at);
+                members.kill_member(at);
                 // Its connections end with it.
-                callers.books.lock().unwrap().units.remove(&at);
-                members.run(at);
+                callers.stats.lock().unwrap().held_units.remove(&at);
+                members.start_member(at);
             }
-            1 | 2 if stopped.len() < 2 && stopped.insert(at) => members.signal(at, "-STOP"),
+            1 | 2 if stopped.len() < 2 && stopped.insert(at) => members.send_signal(at, "-STOP"),
             3 => {
                 let rest: Vec<usize> = (0..5).filter(|other| *other != at).collect();
-                members.part(
+                members.set_links_between(
                     &[at],
                     &rest,
-                    [Way::Cut, Way::Hold, Way::Swallow][draw.below(3) as usize],
+                    [LinkMode::Reset, LinkMode::Stall, LinkMode::Blackhole][draw.below(3) as usize],
                 );
             }
             4 => {
                 let other = (at + 1 + draw.below(4) as usize) % 5;
-                members.frames(at, other, Way::Delay(Duration::from_millis(50)));
+                members.set_link(at, other, LinkMode::Delay(Duration::from_millis(50)));
             }
-            5 => members.heal(),
+            5 => members.heal_links(),
             6 => {
                 for at in std::mem::take(&mut stopped) {
-                    members.signal(at, "-CONT");
+                    members.send_signal(at, "-CONT");
                 }
-                members.heal();
+                members.heal_links();
             }
-            _ => (0..5).for_each(|other| callers.press(other, if other == at { EACH } else { 6 })),
+            _ => (0..5).for_each(|other| {
+                callers.set_active_workers(other, if other == at { EACH } else { 6 })
+            }),
         }
         faults += 1;
         thread::sleep(Duration::from_millis(100));
     }
     stopped
         .into_iter()
-        .for_each(|at| members.signal(at, "-CONT"));
-    members.heal();
-    (0..5).for_each(|at| callers.press(at, EACH));
+        .for_each(|at| members.send_signal(at, "-CONT"));
+    members.heal_links();
+    (0..5).for_each(|at| callers.set_active_workers(at, EACH));
     whole(&members);
     // It is divided again.
     let begun = Instant::now();
-    while callers.books.lock().unwrap().in_use() <= WHOLE / 2 {
+    while callers.stats.lock().unwrap().units_in_use() <= WHOLE / 2 {
         assert!(
             begun.elapsed() < Duration::from_secs(10),
             "{}",
-            members.log()
+            members.merged_log()
         );
         thread::sleep(Duration::from_millis(5));
     }
-    let mut books = callers.end();
-    let window = books.most_in(WINDOW);
+    let mut books = callers.stop();
+    let window = books.max_uses_within(WINDOW);
     println!(
         "most at once {} of {WHOLE}, in a window {window} of {RATE}, {} refused",
-        books.most, books.refused
+        books.max_in_use, books.refused
     );
     assert!(
-        books.most <= WHOLE,
+        books.max_in_use <= WHOLE,
         "{} of {WHOLE}\n{}",
-        books.most,
-        members.log()
+        books.max_in_use,
+        members.merged_log()
     );
-    assert!(window <= RATE, "{window} of {RATE}\n{}", members.log());
     assert!(
-        books.most > WHOLE / 2 && window > RATE / 4 && books.refused > 0,
+        window <= RATE,
+        "{window} of {RATE}\n{}",
+        members.merged_log()
+    );
+    assert!(
+        books.max_in_use > WHOLE / 2 && window > RATE / 4 && books.refused > 0,
         "it was pressed"
     );
     // The books find one unit too many.
     for token in 0..=WHOLE as u64 {
-        books.take(9, u64::MAX - token);
+        books.record_acquired(9, u64::MAX - token);
     }
     let now = Instant::now();
-    books.used = vec![(now, now); RATE + 1];
-    assert!(books.most > WHOLE && books.most_in(WINDOW) > RATE);
+    books.rate_uses = vec![(now, now); RATE + 1];
+    assert!(books.max_in_use > WHOLE && books.max_uses_within(WINDOW) > RATE);
 }
 
 /// A client of the class that the budget is of, up with its server's side, or refused with a time to come back. It is
 /// refused only when it has heard so: an attempt that comes late on a busy machine is served too, and none is left over
 /// for the client after it. (Both were seen: lines that the server read 250 ms and more after the client's, nobody served
 /// them, and the next client's `UP` went to the one before.)
-fn client(members: &Members, at: usize, id: &mut u64) -> Option<(Peer, Peer)> {
-    let mut client = Peer::connect(members.addr(at));
+fn client(
+    members: &FleetHarness,
+    at: usize,
+    id: &mut u64,
+) -> Option<(LineConnection, LineConnection)> {
+    let mut client = LineConnection::connect(members.client_addr(at));
     *id += 1;
-    client.say(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 c=watch,d=2000"));
-    if let Some((line, mut conn)) = members.server.opened_or(|| client.has_unread()) {
+    client.send_line(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 c=watch,d=2000"));
+    if let Some((line, mut conn)) = members.server.next_open_unless(|| client.has_unread()) {
         assert!(line.contains(&format!("{id:016x}")), "{line} for {id:016x}");
-        conn.say("UP 77aa");
-        assert_eq!(client.hear(), "UP 77aa");
+        conn.send_line("UP 77aa");
+        assert_eq!(client.read_line(), "UP 77aa");
         return Some((client, conn));
     }
-    let answer = client.hear();
+    let answer = client.read_line();
     let wait = answer
         .strip_prefix("BUSY ")
         .and_then(|wait| wait.parse::<u64>().ok());
@@ -202,8 +214,8 @@
 #[test]
 fn clients_of_a_class_stay_within_the_whole_over_three_proxies() {
     let mut spec = spec(3, 0);
-    spec.lines = "[[fleet.budget]]\nname = \"class:watch\"\nof = \"class\"\nkind = \"held\"\nwhole = 12\nfloor = 1\n".into();
-    let members = Members::start(spec);
+    spec.extra_toml = "[[fleet.budget]]\nname = \"class:watch\"\nof = \"class\"\nkind = \"held\"\nwhole = 12\nfloor = 1\n".into();
+    let members = FleetHarness::start(spec);
     whole(&members);
     let (mut id, mut up) = (0x51c3_a9be_00d2_0000, Vec::new());
     // One proxy gets all but the floors of the two others.
@@ -213,7 +225,7 @@
             begun.elapsed() < Duration::from_secs(10),
             "{} up\n{}",
             up.len(),
-            members.log()
+            members.merged_log()
         );
         up.extend(client(&members, 0, &mut id));
     }
@@ -230,33 +242,33 @@
             begun.elapsed() < Duration::from_secs(10),
             "{} up\n{}",
             up.len(),
-            members.log()
+            members.merged_log()
         );
         up.extend(client(&members, 1, &mut id));
     }
     // Cut off from the fleet it keeps what it has, and takes no new one beyond its floor.
-    members.part(&[1], &[0, 2], Way::Swallow);
-    members.until("it says so", |members| {
-        members.logged(1, "nobody that leads").then_some(())
+    members.set_links_between(&[1], &[0, 2], LinkMode::Blackhole);
+    members.wait_until("it says so", |members| {
+        members.log_contains(1, "nobody that leads").then_some(())
     });
     up.pop();
     assert!(client(&members, 1, &mut id).is_none());
     for (client, conn) in &mut up {
-        conn.say("line");
-        assert_eq!(client.hear(), "line");
+        conn.send_line("line");
+        assert_eq!(client.read_line(), "line");
     }
-    members.heal();
+    members.heal_links();
     let begun = Instant::now();
     while up.len() < 11 {
         assert!(
             begun.elapsed() < Duration::from_secs(10),
             "{} up\n{}",
             up.len(),
-            members.log()
+            members.merged_log()
         );
         up.extend(client(&members, 1, &mut id));
     }
-    let view = members.until("a view", |members| members.view(2));
+    let view = members.wait_until("a view", |members| members.fetch_view(2));
     let budget = &view["budgets"][0];
     assert!(
         budget["name"] == "class:watch" && budget["whole"] == 12,
@@ -272,20 +284,20 @@
 
 impl Press {
     /// So many clients, at these proxies in turn, with this deadline.
-    fn start(members: &Members, clients: usize, at: &[usize], deadline_ms: u64) -> Self {
+    fn start(members: &FleetHarness, clients: usize, at: &[usize], deadline_ms: u64) -> Self {
         let over = Arc::new(AtomicBool::new(false));
         let client = |number: usize| {
-            let (addr, over) = (members.addr(at[number % at.len()]), over.clone());
+            let (addr, over) = (members.client_addr(at[number % at.len()]), over.clone());
             thread::spawn(move || {
                 let mut id = 0x51c3_a9be_00d2_0000 + ((number as u64) << 20);
                 let mut up = Vec::new();
                 while !over.load(Ordering::Relaxed) {
-                    let mut client = Peer::connect(addr);
+                    let mut client = LineConnection::connect(addr);
                     id += 1;
-                    client.say(&format!(
+                    client.send_line(&format!(
                         "OPEN {id:016x} 7f3a9c21e0b4d655 c=watch,d={deadline_ms}"
                     ));
-                    if client.hear().starts_with("UP") {
+                    if client.read_line().starts_with("UP") {
                         up.push(client);
                     }
                 }
@@ -315,10 +327,10 @@
     id: String,
 }
 
-fn written(members: &Members) -> Vec<Written> {
+fn written(members: &FleetHarness) -> Vec<Written> {
     let us = |line: &Value, key: &str| line[key].as_u64().expect("a time");
-    let decided = members.lines("attempt decided");
-    let written = members.lines("line written").into_iter();
+    let decided = members.log_lines_containing("attempt decided");
+    let written = members.log_lines_containing("line written").into_iter();
     let written = written.map(|(node, line)| {
         let start_us = us(&line, "write_start_us");
         let of_it = decided.iter().filter(|(by, decision)| {
@@ -357,7 +369,7 @@
 }
 
 /// Every line that the server read is among those that the proxies say they wrote, and was read after that.
-fn assert_all_logged(members: &Members, written: &[Written]) {
+fn assert_all_logged(members: &FleetHarness, written: &[Written]) {
     for arrival in members.server.arrivals() {
         let of_it = written.iter().find(|of| arrival.line.contains(&of.id));
         assert!(
@@ -368,7 +380,7 @@
 }
 
 /// Each attempt with the times of its decision, of its writing, and of its reading by the server.
-fn attempts(members: &Members) -> String {
+fn attempts(members: &FleetHarness) -> String {
     let arrivals = members.server.arrivals();
     let written = written(members);
     let begun = written.iter().map(|of| of.start_us).min().unwrap_or(0) as i64;
@@ -399,18 +411,18 @@
     const PROBES: usize = 6;
     let mut spec = spec(3, 0);
     spec.log_level = "debug";
-    spec.lines = format!(
+    spec.extra_toml = format!(
         "[[fleet.budget]]\nname = \"cold\"\nof = \"cold\"\nkind = \"rate\"\nwhole = {TURNS}\nwindow = \"1s\"\n\
          [[fleet.budget]]\nname = \"probes\"\nof = \"probes\"\nkind = \"rate\"\nwhole = {PROBES}\nfloor = 1\nwindow = \"1s\"\n"
     );
-    let members = Members::start(spec);
+    let members = FleetHarness::start(spec);
     whole(&members);
-    members.restart_server();
+    members.mark_server_restarted();
     for at in 0..3 {
         // Until it has heard of it a proxy takes the server for warm.
-        members.until("the list has come", |members| {
+        members.wait_until("the list has come", |members| {
             members
-                .logged(at, "\"message\":\"list\",\"version\":2")
+                .log_contains(at, "\"message\":\"list\",\"version\":2")
                 .then_some(())
         });
     }
@@ -418,15 +430,15 @@
     let (begun, mut conns) = (Instant::now(), Vec::new());
     while begun.elapsed() < Duration::from_millis(3500) {
         let until = Instant::now() + Duration::from_millis(20);
-        if let Some((_, mut conn)) = members.server.opened_or(|| Instant::now() > until) {
-            conn.say("UP 77aa");
+        if let Some((_, mut conn)) = members.server.next_open_unless(|| Instant::now() > until) {
+            conn.send_line("UP 77aa");
             conns.push(conn);
         }
     }
     press.end();
     drop(conns);
     let turns = written(&members);
-    let probes = members.server.probed();
+    let probes = members.server.probe_times();
     let first = *probes.first().expect("it was probed");
     let since_first = |at: &Instant| at.duration_since(first).as_micros() as u64;
     let probes: Vec<u64> = probes.iter().map(since_first).collect();
@@ -442,12 +454,12 @@
         most_written(&turns) <= TURNS && most_in_window(&probes) <= PROBES,
         "{}\n{}",
         attempts(&members),
-        members.log()
+        members.merged_log()
     );
     assert!(
         turns.len() >= 4 && most_in_window(&probes) >= 3,
         "{}",
-        members.log()
+        members.merged_log()
     );
     // The count finds one too many.
     assert!(most_in_window(&[0; TURNS + 1]) > TURNS);
@@ -463,18 +475,18 @@
     const TURNS: usize = 2;
     let mut spec = spec(3, 0);
     spec.log_level = "debug";
-    spec.lines = format!(
+    spec.extra_toml = format!(
         "[[fleet.budget]]\nname = \"cold\"\nof = \"cold\"\nkind = \"rate\"\nwhole = {TURNS}\nwindow = \"1s\"\n"
     );
-    let mut members = Members::start(spec);
+    let mut members = FleetHarness::start(spec);
     whole(&members);
-    members.kill(0);
-    members.run_faulty(0, "");
+    members.kill_member(0);
+    members.start_member_with_faults(0, "");
     whole(&members);
-    let cold_from_us = mono_us();
-    members.restart_server();
-    members.until("the list has come", |members| {
-        let listed = members.lines("list").into_iter();
+    let cold_from_us = monotonic_us();
+    members.mark_server_restarted();
+    members.wait_until("the list has come", |members| {
+        let listed = members.log_lines_containing("list").into_iter();
         let mut listed = listed.filter(|(at, line)| *at == 0 && line["version"] == 2);
         listed.next().map(|_| ())
     });
@@ -486,11 +498,12 @@
             assert!(
                 begun.elapsed() < Duration::from_secs(10),
                 "{}",
-                members.log()
+                members.merged_log()
             );
             let until = Instant::now() + Duration::from_millis(10);
-            if let Some((_, mut conn)) = members.server.opened_or(|| Instant::now() > until) {
-                conn.say("UP 77aa");
+            if let Some((_, mut conn)) = members.server.next_open_unless(|| Instant::now() > until)
+            {
+                conn.send_line("UP 77aa");
                 conns.push(conn);
             }
         }
@@ -501,13 +514,13 @@
     };
     serve_until(&|| !members.server.arrivals().is_empty());
     members.set_faults(0, "fail connect ENOBUFS 1000");
-    let held_from_us = mono_us();
+    let held_from_us = monotonic_us();
     // Until one that was decided since then is held up for a while; each has 0.4 s before it is given up.
     serve_until(&|| {
-        let decided = members.lines("attempt decided").into_iter();
+        let decided = members.log_lines_containing("attempt decided").into_iter();
         let decided = decided.filter_map(|(_, line)| line["at_us"].as_u64());
         let latest = decided.filter(|at_us| *at_us > held_from_us).max();
-        latest.is_some_and(|at_us| (120_000..220_000).contains(&(mono_us() - at_us)))
+        latest.is_some_and(|at_us| (120_000..220_000).contains(&(monotonic_us() - at_us)))
     });
     members.set_faults(0, "");
     serve_until(&after(Duration::from_millis(1200)));
@@ -520,7 +533,7 @@
         held_up.count() > 0,
         "no dial was held up\n{}\n{}",
         attempts(&members),
-        members.log()
+        members.merged_log()
     );
     assert_all_logged(&members, &written);
     let mut cold = written;
@@ -537,54 +550,58 @@
 }
 
 /// The whole that is in force, if the budget is known.
-fn in_force(members: &Members) -> Option<u64> {
-    let view = members.view(0).filter(|view| view["majority"] == true)?;
+fn in_force(members: &FleetHarness) -> Option<u64> {
+    let view = members
+        .fetch_view(0)
+        .filter(|view| view["majority"] == true)?;
     let budgets = view["budgets"].as_array()?.clone();
     let budget = budgets.iter().find(|budget| budget["name"] == "tenant")?;
     budget["whole"].as_u64()
 }
 
 /// The budgets as a leader knows them, and what callers saw: for a play that fails.
-fn shown(members: &Members, callers: &Callers) -> String {
-    let view = members.view(0);
+fn shown(members: &FleetHarness, callers: &BudgetWorkload) -> String {
+    let view = members.fetch_view(0);
     let budgets = view.map(|view| format!("majority {}: {}", view["majority"], view["budgets"]));
-    let books = callers.books.lock().unwrap();
-    let units: Vec<usize> = books.units.values().map(|units| units.len()).collect();
+    let books = callers.stats.lock().unwrap();
+    let units: Vec<usize> = books.held_units.values().map(|units| units.len()).collect();
     format!(
         "{budgets:?}, units by member {units:?}, {} unanswered, {} not given back",
-        books.unanswered, books.not_given
+        books.unanswered, books.failed_releases
     )
 }
 
 /// Waits until a whole is in force and no more is given out of it.
-fn until_in_force(members: &Members, callers: &Callers, what: &str, whole: usize) {
+fn until_in_force(members: &FleetHarness, callers: &BudgetWorkload, what: &str, whole: usize) {
     let begun = Instant::now();
     let done = || Some(in_force(members)? == whole as u64 && given_out(members)? <= whole as u64);
     while done() != Some(true) {
         assert!(
-            begun.elapsed() < PATIENCE,
+            begun.elapsed() < WAIT_TIMEOUT,
             "{what}: never, {}\n{}",
             shown(members, callers),
-            members.log()
+            members.merged_log()
         );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// What the log has given out of it: beyond the whole in force that is what members have not lowered yet.
-fn given_out(members: &Members) -> Option<u64> {
-    let view = members.view(0).filter(|view| view["majority"] == true)?;
+fn given_out(members: &FleetHarness) -> Option<u64> {
+    let view = members
+        .fetch_view(0)
+        .filter(|view| view["majority"] == true)?;
     let budgets = view["budgets"].as_array()?.clone();
     let budget = budgets.iter().find(|budget| budget["name"] == "tenant")?;
     let of = |key: &str| budget[key].as_u64();
     Some(of("floors")? + of("shared")? + of("stranded")?)
 }
 
-fn restart(members: &mut Members, callers: &Callers, at: usize, lines: &str) {
-    members.kill(at);
-    callers.books.lock().unwrap().units.remove(&at);
-    members.set_lines(at, lines);
-    members.run(at);
+fn restart(members: &mut FleetHarness, callers: &BudgetWorkload, at: usize, lines: &str) {
+    members.kill_member(at);
+    callers.stats.lock().unwrap().held_units.remove(&at);
+    members.set_extra_toml(at, lines);
+    members.start_member(at);
 }
 
 /// Files that come to one process after the other, all of them pressed: the whole lowered to a tenth while it is in use,
@@ -592,14 +609,14 @@
 #[test]
 fn a_whole_follows_files_that_come_one_by_one() {
     let mut spec = spec(3, 2);
-    spec.lines = held(WHOLE, 1);
-    let mut members = Members::start(spec);
+    spec.extra_toml = held(WHOLE, 1);
+    let mut members = FleetHarness::start(spec);
     whole(&members);
-    let callers = Callers::start(&members, &wants(false));
-    (0..5).for_each(|at| callers.press(at, 14));
-    let use_of = |callers: &Callers| callers.books.lock().unwrap().in_use();
-    let until = |members: &Members, what: &str, done: &dyn Fn() -> bool| {
-        members.until(what, |_| done().then_some(()));
+    let callers = BudgetWorkload::start(&members, &wants(false));
+    (0..5).for_each(|at| callers.set_active_workers(at, 14));
+    let use_of = |callers: &BudgetWorkload| callers.stats.lock().unwrap().units_in_use();
+    let until = |members: &FleetHarness, what: &str, done: &dyn Fn() -> bool| {
+        members.wait_until(what, |_| done().then_some(()));
     };
     until(&members, "it is in use", &|| use_of(&callers) > WHOLE / 2);
     // One file lowers it for all.
@@ -613,15 +630,15 @@
     until(&members, "what was in use has ended", &|| {
         use_of(&callers) <= WHOLE / 10
     });
-    callers.books.lock().unwrap().most = 0;
+    callers.stats.lock().unwrap().max_in_use = 0;
     until(&members, "some of it is in use", &|| {
-        callers.mean(Duration::from_millis(500)) > 1.0
+        callers.mean_units_in_use(Duration::from_millis(500)) > 1.0
     });
-    let most = callers.books.lock().unwrap().most;
+    let most = callers.stats.lock().unwrap().max_in_use;
     assert!(most <= WHOLE / 10, "{most}");
     // Raised by one file; another of the same version has less: nobody uses the larger.
     restart(&mut members, &callers, 3, &held(WHOLE, 3));
-    members.until("the larger one is in force", |members| {
+    members.wait_until("the larger one is in force", |members| {
         (in_force(members)? == WHOLE as u64).then_some(())
     });
     restart(&mut members, &callers, 2, &held(20, 3));
@@ -629,36 +646,38 @@
     until(&members, "what was in use has ended", &|| {
         use_of(&callers) <= 20
     });
-    callers.books.lock().unwrap().most = 0;
+    callers.stats.lock().unwrap().max_in_use = 0;
     until(&members, "most of it is in use", &|| {
-        callers.mean(Duration::from_millis(500)) > 8.0
+        callers.mean_units_in_use(Duration::from_millis(500)) > 8.0
     });
-    let most = callers.books.lock().unwrap().most;
+    let most = callers.stats.lock().unwrap().max_in_use;
     assert!(most <= 20, "{most}");
     // Out of all files it is forgotten, and its calls are refused; put back it is divided again.
     for at in 0..5 {
-        callers.press(at, 0);
+        callers.set_active_workers(at, 0);
         restart(&mut members, &callers, at, "");
         whole(&members);
     }
-    members.until("it is forgotten", |members| {
-        let view = members.view(0).filter(|view| view["majority"] == true)?;
+    members.wait_until("it is forgotten", |members| {
+        let view = members
+            .fetch_view(0)
+            .filter(|view| view["majority"] == true)?;
         view["budgets"].as_array()?.is_empty().then_some(())
     });
     for at in 0..5 {
         restart(&mut members, &callers, at, &held(WHOLE, 1));
-        callers.press(at, 14);
+        callers.set_active_workers(at, 14);
     }
     whole(&members);
     until(&members, "it is in use again", &|| {
         use_of(&callers) > WHOLE / 2
     });
-    let books = callers.end();
+    let books = callers.stop();
     assert!(
-        books.most <= WHOLE,
+        books.max_in_use <= WHOLE,
         "{} of {WHOLE}\n{}",
-        books.most,
-        members.log()
+        books.max_in_use,
+        members.merged_log()
     );
 }
 
@@ -666,33 +685,35 @@
 #[test]
 fn forty_members_come_and_go_within_a_whole() {
     let mut spec = spec(3, 37);
-    spec.lines = held(WHOLE, 1);
-    let members = Members::start(spec);
-    let wants = Wants {
-        each: 2,
+    spec.extra_toml = held(WHOLE, 1);
+    let members = FleetHarness::start(spec);
+    let wants = WorkloadSpec {
+        workers_per_member: 2,
         ..wants(false)
     };
-    let callers = Callers::start(&members, &wants);
-    (0..40).for_each(|at| callers.press(at, 2));
+    let callers = BudgetWorkload::start(&members, &wants);
+    (0..40).for_each(|at| callers.set_active_workers(at, 2));
     whole(&members);
-    members.until("it is in use", |_| {
-        (callers.books.lock().unwrap().in_use() > 30).then_some(())
+    members.wait_until("it is in use", |_| {
+        (callers.stats.lock().unwrap().units_in_use() > 30).then_some(())
     });
     for at in 3..40 {
-        members.signal(at, "-TERM");
+        members.send_signal(at, "-TERM");
     }
-    members.until("they are gone", |members| {
-        let view = members.view(0).filter(|view| view["majority"] == true)?;
-        (live(&view) == Some(3)).then_some(())
+    members.wait_until("they are gone", |members| {
+        let view = members
+            .fetch_view(0)
+            .filter(|view| view["majority"] == true)?;
+        (count_live_members(&view) == Some(3)).then_some(())
     });
     // What they had is there for the others, whatever they held when they left.
-    (0..3).for_each(|at| callers.press(at, 2));
-    let books = callers.end();
+    (0..3).for_each(|at| callers.set_active_workers(at, 2));
+    let books = callers.stop();
     assert!(
-        books.most <= WHOLE && books.most > 30,
+        books.max_in_use <= WHOLE && books.max_in_use > 30,
         "{} of {WHOLE}\n{}",
-        books.most,
-        members.log()
+        books.max_in_use,
+        members.merged_log()
     );
 }
 
@@ -703,22 +724,27 @@
     let mut spec = spec(3, 0);
     spec.log_level = "debug";
     // Far above the delay: heartbeats come in time, and the answers within the lease.
-    (spec.lease_ms, spec.election_ms) = (4000, 1000);
-    spec.lines = "[[fleet.budget]]\nname = \"class:watch\"\nof = \"class\"\nkind = \"held\"\nwhole = 12\nfloor = 1\n".into();
-    let members = Members::start(spec);
+    (spec.lease_ms, spec.election_timeout_ms) = (4000, 1000);
+    spec.extra_toml = "[[fleet.budget]]\nname = \"class:watch\"\nof = \"class\"\nkind = \"held\"\nwhole = 12\nfloor = 1\n".into();
+    let members = FleetHarness::start(spec);
     whole(&members);
-    let leader = members.until("a leader", |members| {
-        let view = members.view(0).filter(|view| view["majority"] == true)?;
-        (0..3).find(|at| view["leader"] == name(*at).as_str())
+    let leader = members.wait_until("a leader", |members| {
+        let view = members
+            .fetch_view(0)
+            .filter(|view| view["majority"] == true)?;
+        (0..3).find(|at| view["leader"] == node_name(*at).as_str())
     });
     let follower = (leader + 1) % 3;
-    let later = Way::Delay(Duration::from_millis(150));
-    members.part(&[follower], &[leader], later);
+    let later = LinkMode::Delay(Duration::from_millis(150));
+    members.set_links_between(&[follower], &[leader], later);
     let (mut id, mut up) = (0x51c3_a9be_00d2_0000, Vec::new());
     // Its floor, and one more.
     for number in 0..2 {
         let served = client(&members, follower, &mut id);
-        up.push(served.unwrap_or_else(|| panic!("client {number} was refused\n{}", members.log())));
+        up.push(
+            served
+                .unwrap_or_else(|| panic!("client {number} was refused\n{}", members.merged_log())),
+        );
     }
 }
 
@@ -728,21 +754,24 @@
 fn a_client_that_one_exchange_serves_is_not_refused() {
     let mut spec = spec(3, 0);
     spec.log_level = "debug";
-    spec.lines = "[[fleet.budget]]\nname = \"class:watch\"\nof = \"class\"\nkind = \"held\"\nwhole = 12\nfloor = 1\n".into();
-    let members = Members::start(spec);
+    spec.extra_toml = "[[fleet.budget]]\nname = \"class:watch\"\nof = \"class\"\nkind = \"held\"\nwhole = 12\nfloor = 1\n".into();
+    let members = FleetHarness::start(spec);
     whole(&members);
     let (mut id, mut up) = (0x51c3_a9be_00d2_0000, Vec::new());
     for number in 0..10 {
         let served = client(&members, 0, &mut id);
-        up.push(served.unwrap_or_else(|| panic!("client {number} was refused\n{}", members.log())));
+        up.push(
+            served
+                .unwrap_or_else(|| panic!("client {number} was refused\n{}", members.merged_log())),
+        );
     }
     // The rest are the floors of the two others. After a few answers that bring nothing it is refused at once.
-    members.until("refused at once", |members| {
-        let mut client = Peer::connect(members.addr(0));
+    members.wait_until("refused at once", |members| {
+        let mut client = LineConnection::connect(members.client_addr(0));
         id += 1;
         let asked = Instant::now();
-        client.say(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 c=watch,d=2000"));
-        assert!(client.hear().starts_with("BUSY "));
+        client.send_line(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 c=watch,d=2000"));
+        assert!(client.read_line().starts_with("BUSY "));
         (asked.elapsed() < Duration::from_millis(100)).then_some(())
     });
 }
--- a/crates/proxy/tests/clock_steps.rs
+++ b/crates/proxy/tests/clock_steps.rs
@@ -9,7 +9,7 @@
 
 use common::{Discovery, Proxy};
 use serde_json::json;
-use violetwind_standins::soak::{Behaviour, SoakServer, Traffic};
+use violetwind_standins::soak::{ClientBehaviour, SoakServer, Traffic};
 
 const HOUR: i64 = 3_600_000;
 const COLD_FOR: Duration = Duration::from_secs(4);
@@ -21,14 +21,14 @@
     (now.as_millis() as i64 + step) as u64
 }
 
-fn behaviour(number: u64) -> Behaviour {
-    Behaviour {
+fn behaviour(number: u64) -> ClientBehaviour {
+    ClientBehaviour {
         class: "watch".into(),
         deadline: Duration::from_millis(1500),
-        leaves: None,
-        life: Duration::from_millis(100 + number * 37 % 200),
-        every: Duration::from_millis(100),
-        rests: None,
+        disconnect_after: None,
+        session_duration: Duration::from_millis(100 + number * 37 % 200),
+        message_interval: Duration::from_millis(100),
+        pause_before_open: None,
     }
 }
 
@@ -52,10 +52,10 @@
     let new = SoakServer::start("s-new", CAPACITY);
     let discovery = Discovery::start(&[]);
     for server in &warm {
-        discovery.tell(server.target("ready", 0));
+        discovery.upsert_target(server.target_row("ready", 0));
     }
     if case.in_first_list {
-        discovery.tell(new.target("ready", wall_ms(case.server)));
+        discovery.upsert_target(new.target_row("ready", wall_ms(case.server)));
     }
     let rules = format!("clock {}", case.before);
     let proxy = Proxy::launch_faulty(discovery.addr, &rules, |config| {
@@ -67,11 +67,11 @@
         thread::sleep(Duration::from_secs(2));
         proxy.set_faults(&format!("clock {}", case.before + case.while_running));
         thread::sleep(Duration::from_millis(300));
-        discovery.tell(new.target("ready", wall_ms(case.server)));
+        discovery.upsert_target(new.target_row("ready", wall_ms(case.server)));
     }
     thread::sleep(COLD_FOR);
     drop(traffic.finish());
-    new.arrivals().len()
+    new.attempts().len()
 }
 
 /// What a newcomer gets is known from a proxy whose clock nobody touches, on the same traffic.
@@ -205,7 +205,7 @@
     for step in [-HOUR, HOUR] {
         let old = SoakServer::start("s-1", CAPACITY);
         let new = SoakServer::start("s-new", CAPACITY);
-        let discovery = Discovery::start(&[old.target("ready", 0)]);
+        let discovery = Discovery::start(&[old.target_row("ready", 0)]);
         let proxy = Proxy::launch_faulty(discovery.addr, "", |config| {
             config["settings"]["rules"]["cold-s"] = json!(2.0);
         });
@@ -213,16 +213,16 @@
         let traffic = Traffic::start(proxy.addr, Duration::from_millis(20), 1, behaviour);
         thread::sleep(Duration::from_millis(500));
         proxy.set_faults(&format!("clock {step}"));
-        discovery.tell(new.target("ready", wall_ms(step)));
+        discovery.upsert_target(new.target_row("ready", wall_ms(step)));
         thread::sleep(Duration::from_millis(3000));
         let warm_at = Instant::now();
         thread::sleep(Duration::from_secs(2));
         drop(traffic.finish());
         let since = |server: &SoakServer| {
             server
-                .arrivals()
+                .attempts()
                 .iter()
-                .filter(|arrival| arrival.at > warm_at)
+                .filter(|arrival| arrival.received_at > warm_at)
                 .count()
         };
         let (old, new) = (since(&old), since(&new));
--- a/crates/proxy/tests/commands.rs
+++ b/crates/proxy/tests/commands.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-use common::{Server, unused};
+use common::{Server, unused_addr};
 use serde_json::Value;
 use violetwind_standins::consul::{Check, Consul, Instance, Maintenance};
 
@@ -65,13 +65,13 @@
     let consul = Consul::start("agenda");
     consul.register_all((1..9).map(|n| Instance::new(&format!("s-{n}"), server.addr)));
     consul.set_check(&["s-2"], Check::Critical);
-    consul.alter(&["s-3"], |i| i.maintenance = Maintenance::Service);
+    consul.update_instances(&["s-3"], |i| i.maintenance = Maintenance::Service);
     let source = |name: &str, at: String| {
         format!(
             "[[source]]\nname = \"{name}\"\nkind = \"consul\"\nservice = \"agenda\"\naddress = \"{at}\"\n"
         )
     };
-    let file = source("one", consul.addr.to_string()) + &source("gone", unused().to_string());
+    let file = source("one", consul.addr.to_string()) + &source("gone", unused_addr().to_string());
     let path = written("catalogue.toml", &file);
     let name = path.display().to_string();
     let output = violetwind(&["catalogue", &name, "--json"]);
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -11,9 +11,10 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use violetwind_standins::faults::Faults;
+use violetwind_standins::faults::FaultInjector;
 pub use violetwind_standins::{
-    Answers, Discovery, End, Mood, PATIENCE, Peer, Server, Vanished, target, unused,
+    ConnectionEnd, Discovery, DiscoveryMode, LineConnection, Pingable, Server, UnresponsiveHost,
+    WAIT_TIMEOUT, target_row, unused_addr,
 };
 
 /// The settings of a lone balancer with classes that may and may not be repeated.
@@ -55,7 +56,7 @@
     /// Whether the directory goes with it.
     clears: bool,
     /// The system call faults that it meets.
-    faults: Option<Faults>,
+    faults: Option<FaultInjector>,
     /// Each client has an id of its own, as usual ones do.
     clients: AtomicU64,
 }
@@ -77,7 +78,7 @@
 
     /// Started, with changes to its configuration.
     pub fn launch(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Self {
-        let addr = unused();
+        let addr = unused_addr();
         let mut config = configuration(addr, discovery);
         change(&mut config);
         Self::run_with(addr, &config.to_string(), Some(discovery), None)
@@ -89,7 +90,7 @@
         rules: &str,
         change: impl FnOnce(&mut Value),
     ) -> Self {
-        let addr = unused();
+        let addr = unused_addr();
         let mut config = configuration(addr, discovery);
         change(&mut config);
         let dir = Self::directory(&config.to_string(), None);
@@ -101,7 +102,7 @@
         self.faults
             .as_ref()
             .expect("started with faults")
-            .set(rules);
+            .set_rules(rules);
     }
 
     /// Ready, with an operator's file.
@@ -110,7 +111,7 @@
         operators: &str,
         change: impl FnOnce(&mut Value),
     ) -> Self {
-        let addr = unused();
+        let addr = unused_addr();
         let mut config = configuration(addr, discovery);
         change(&mut config);
         let proxy = Self::run_with(addr, &config.to_string(), Some(discovery), Some(operators));
@@ -166,7 +167,7 @@
         // Another build, for a comparison with an earlier version.
         let program = std::env::var_os("VIOLETWIND_BIN");
         let program = program.unwrap_or_else(|| env!("CARGO_BIN_EXE_violetwind").into());
-        let faults = rules.map(|rules| Faults::new(&dir, rules));
+        let faults = rules.map(|rules| FaultInjector::new(&dir, rules));
         let mut command = Command::new(program);
         if let Some(faults) = &faults {
             faults.preload(&mut command);
@@ -211,7 +212,7 @@
     /// Ready, with an address for operators and changes to its configuration.
     pub fn managed(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> Self {
         let proxy = Self::launch(discovery.addr, |config| {
-            config["management"] = json!(unused().to_string());
+            config["management"] = json!(unused_addr().to_string());
             change(config);
         });
         proxy.wait_ready();
@@ -222,7 +223,7 @@
     pub fn successor(&self, discovery: SocketAddr) -> Self {
         let path = self.dir.join("config.json");
         let mut config: Value = serde_json::from_str(&self.config_text()).unwrap();
-        config["management"] = json!(unused().to_string());
+        config["management"] = json!(unused_addr().to_string());
         std::fs::write(&path, config.to_string()).unwrap();
         let next = Self::spawn(
             self.addr,
@@ -246,10 +247,11 @@
 
     /// The answer to an operator's call.
     pub fn call(&self, line: &str) -> String {
-        let mut caller = Peer::connect(self.management.expect("an address for operators"));
-        caller.say(line);
-        let answer = caller.hear();
-        assert_eq!(caller.end(), End::Closed);
+        let mut caller =
+            LineConnection::connect(self.management.expect("an address for operators"));
+        caller.send_line(line);
+        let answer = caller.read_line();
+        assert_eq!(caller.expect_end(), ConnectionEnd::Closed);
         answer
     }
 
@@ -271,8 +273,8 @@
     }
 
     pub fn wait_ready(&self) {
-        let until = Instant::now() + PATIENCE;
-        while !self.pong() {
+        let until = Instant::now() + WAIT_TIMEOUT;
+        while !self.answers_ping() {
             assert!(
                 Instant::now() < until,
                 "never ready:\n{}",
@@ -283,23 +285,23 @@
     }
 
     /// A client that asks for a connection of this class.
-    pub fn open(&self, class: &str) -> Peer {
+    pub fn open(&self, class: &str) -> LineConnection {
         self.open_with(&format!("c={class},d=2000"))
     }
 
-    pub fn open_with(&self, fields: &str) -> Peer {
-        let mut client = Peer::connect(self.addr);
+    pub fn open_with(&self, fields: &str) -> LineConnection {
+        let mut client = LineConnection::connect(self.addr);
         let id = self.clients.fetch_add(1, Ordering::Relaxed);
-        client.say(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 {fields}"));
+        client.send_line(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 {fields}"));
         client
     }
 
     /// A client whose connection is up, with the server's side of it.
-    pub fn up(&self, server: &Server) -> (Peer, Peer) {
+    pub fn up(&self, server: &Server) -> (LineConnection, LineConnection) {
         let mut client = self.open("watch");
-        let (_, mut conn) = server.opened();
-        conn.say("UP 77aa");
-        assert_eq!(client.hear(), "UP 77aa");
+        let (_, mut conn) = server.next_open();
+        conn.send_line("UP 77aa");
+        assert_eq!(client.read_line(), "UP 77aa");
         (client, conn)
     }
 
@@ -313,7 +315,7 @@
         let wait = self
             .log
             .1
-            .wait_timeout_while(log, PATIENCE, |log| !log.contains(text));
+            .wait_timeout_while(log, WAIT_TIMEOUT, |log| !log.contains(text));
         let (log, timeout) = wait.unwrap();
         assert!(!timeout.timed_out(), "`{text}` is not in the log:\n{log}");
     }
@@ -356,7 +358,7 @@
     pub fn stop(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         // The signal is on its way when `kill` returns.
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
             assert!(Instant::now() < until, "it goes on");
@@ -394,7 +396,7 @@
 
     /// Waits for its end.
     pub fn ended(&mut self) -> ExitStatus {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
@@ -409,15 +411,15 @@
     }
 }
 
-impl Answers for Proxy {
+impl Pingable for Proxy {
     /// Whether it answers `PING` with `PONG` now.
-    fn pong(&self) -> bool {
+    fn answers_ping(&self) -> bool {
         let Ok(stream) = TcpStream::connect(self.addr) else {
             return false;
         };
-        let mut peer = Peer::new(stream);
+        let mut peer = LineConnection::new(stream);
         // A process that was killed in this moment resets what its listener had taken: that is no answer.
-        peer.try_say("PING").is_ok() && peer.try_hear().as_deref() == Ok("PONG")
+        peer.try_send_line("PING").is_ok() && peer.try_read_line().as_deref() == Ok("PONG")
     }
 }
 
@@ -440,7 +442,7 @@
 /// One server, listed, and a proxy that is ready.
 pub fn one_server() -> (Server, Discovery, Proxy) {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     let proxy = Proxy::start(&discovery);
     (server, discovery, proxy)
 }
--- a/crates/proxy/tests/consul.rs
+++ b/crates/proxy/tests/consul.rs
@@ -6,8 +6,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use common::{Answers, Discovery, PATIENCE, Peer, Proxy, Server, unused, without_loads};
-use violetwind_standins::consul::{Check, Consul, Instance, Maintenance, Mood};
+use common::{
+    Discovery, LineConnection, Pingable, Proxy, Server, WAIT_TIMEOUT, unused_addr, without_loads,
+};
+use violetwind_standins::consul::{Check, Consul, ConsulMode, Instance, Maintenance};
 
 /// One Consul as the only source; a reload leaves nothing else.
 fn file(consul: SocketAddr, more: &str) -> String {
@@ -22,7 +24,7 @@
     consul: Consul,
     proxy: Proxy,
     /// Clients that are up, with the server's side and the number of the server.
-    up: Vec<(Peer, Peer, usize)>,
+    up: Vec<(LineConnection, LineConnection, usize)>,
 }
 
 impl World {
@@ -33,7 +35,7 @@
         let consul = Consul::start("agenda");
         consul.register_all(servers.iter().map(|s| Instance::new(&s.uid, s.addr)));
         // The platform's discovery is not there at all.
-        let proxy = Proxy::start_with(unused(), &file(consul.addr, more), without_loads);
+        let proxy = Proxy::start_with(unused_addr(), &file(consul.addr, more), without_loads);
         Self {
             servers,
             consul,
@@ -45,13 +47,13 @@
     /// Opens a client and returns the number of its server.
     fn open(&mut self) -> usize {
         let mut client = self.proxy.open("watch");
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             for (n, server) in self.servers.iter().enumerate() {
-                let never = server.opened_or(|| true);
+                let never = server.next_open_unless(|| true);
                 if let Some((_, mut conn)) = never {
-                    conn.say("UP 1");
-                    assert_eq!(client.hear(), "UP 1");
+                    conn.send_line("UP 1");
+                    assert_eq!(client.read_line(), "UP 1");
                     self.up.push((client, conn, n));
                     return n;
                 }
@@ -74,10 +76,10 @@
     /// Every client's line reaches its server, and the answer comes back.
     fn all_served(&mut self) {
         for (client, conn, _) in &mut self.up {
-            client.say("SAY on");
-            assert_eq!(conn.hear(), "SAY on");
-            conn.say("OK on");
-            assert_eq!(client.hear(), "OK on", "moved");
+            client.send_line("SAY on");
+            assert_eq!(conn.read_line(), "SAY on");
+            conn.send_line("OK on");
+            assert_eq!(client.read_line(), "OK on", "moved");
         }
     }
 
@@ -91,8 +93,8 @@
 
     /// Waits until the proxy has read an answer that holds all that was changed before.
     fn told(&self) {
-        self.consul.wait_told();
-        assert!(self.proxy.pong() && self.proxy.pong());
+        self.consul.wait_until_changes_served();
+        assert!(self.proxy.answers_ping() && self.proxy.answers_ping());
     }
 }
 
@@ -114,7 +116,7 @@
     world.told();
     world.all_served();
     // Then it says nothing any more.
-    world.consul.set_mood(Mood::Silent);
+    world.consul.set_mode(ConsulMode::Silent);
     world.open_many(6);
     world.all_served();
     assert!(
@@ -130,7 +132,7 @@
     world.open_many(12);
     world
         .consul
-        .alter(&["s-1"], |i| i.maintenance = Maintenance::Service);
+        .update_instances(&["s-1"], |i| i.maintenance = Maintenance::Service);
     world.proxy.logged("a server leaves");
     for _ in 0..20 {
         assert_ne!(world.open(), 1);
@@ -139,7 +141,7 @@
     for (client, _, on) in &mut world.up {
         match on {
             1 => {
-                assert_eq!(client.hear(), "MOVE");
+                assert_eq!(client.read_line(), "MOVE");
                 moved += 1;
             }
             _ => stayed += 1,
@@ -154,13 +156,13 @@
     let mut world = World::new(4, "");
     world.open_many(24);
     let dead = world.up[0].2;
-    world.servers[dead].answer_probes(None);
+    world.servers[dead].set_probe_answer(None);
     let at = Instant::now();
     let uid = world.servers[dead].uid.clone();
     world.consul.set_check(&[&uid], Check::Critical);
     for (client, _, on) in &mut world.up {
         if *on == dead {
-            assert_eq!(client.hear(), "MOVE");
+            assert_eq!(client.read_line(), "MOVE");
         }
     }
     // Probes go out each second and have 0.3 s; two go unanswered; moves take 0.8 s.
@@ -173,7 +175,7 @@
 #[test]
 fn sighup_switches_from_registry_to_consul_under_load() {
     let servers: Vec<Server> = (0..3).map(|n| Server::start(&format!("s-{n}"))).collect();
-    let targets: Vec<_> = servers.iter().map(|s| s.target("ready")).collect();
+    let targets: Vec<_> = servers.iter().map(|s| s.target_row("ready")).collect();
     let discovery = Discovery::start(&targets);
     let consul = Consul::start("agenda");
     consul.register_all(servers.iter().map(|s| Instance::new(&s.uid, s.addr)));
@@ -191,15 +193,15 @@
     world.proxy.logged("the operator's file stays as it was");
     world.all_served();
     world.proxy.reload_operators(&file(world.consul.addr, ""));
-    world.consul.wait_told();
+    world.consul.wait_until_changes_served();
     world.proxy.logged("a source is let go");
     world.all_served();
     world.open_many(6);
     // From now on Consul counts, and the registry no longer does.
-    discovery.tell(world.servers[0].target("draining"));
+    discovery.upsert_target(world.servers[0].target_row("draining"));
     world
         .consul
-        .alter(&["s-2"], |i| i.maintenance = Maintenance::Node);
+        .update_instances(&["s-2"], |i| i.maintenance = Maintenance::Node);
     world.proxy.logged("a server leaves");
     for _ in 0..6 {
         assert_ne!(world.open(), 2);
--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -8,7 +8,10 @@
 use std::os::unix::net::UnixListener;
 use std::time::{Duration, Instant};
 
-use common::{Discovery, End, Mood, Peer, Proxy, Server, Vanished, target, without_loads};
+use common::{
+    ConnectionEnd, Discovery, DiscoveryMode, LineConnection, Proxy, Server, UnresponsiveHost,
+    target_row, without_loads,
+};
 use serde_json::{Value, json};
 
 /// Nobody is probed, and no load is told: every request is sent on at once.
@@ -30,14 +33,14 @@
 /// One server that the test plays, and a proxy that sends everything there at once.
 fn one_plain_server(change: impl FnOnce(&mut Value)) -> (Server, Discovery, Proxy) {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     let proxy = started(&discovery, change);
     (server, discovery, proxy)
 }
 
 /// What a server reads until the end of a connection.
 fn read_all(mut stream: TcpStream) -> Vec<u8> {
-    stream.set_read_timeout(Some(common::PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(common::WAIT_TIMEOUT)).unwrap();
     let mut all = Vec::new();
     // A reset ends it too.
     let _ = stream.read_to_end(&mut all);
@@ -49,13 +52,13 @@
 /// Which of the two the runtime tells first is chance, so there are eight of them.
 #[test]
 fn a_client_that_leaves_as_the_dial_comes_up_is_not_sent_on() {
-    let late = Vanished::start();
-    let discovery = Discovery::start(&[target("s-1", &late.addr.to_string(), "ready")]);
+    let late = UnresponsiveHost::start();
+    let discovery = Discovery::start(&[target_row("s-1", &late.addr.to_string(), "ready")]);
     let proxy = started(&discovery, |_| {});
-    let clients: Vec<Peer> = (0..8).map(|_| proxy.open_with("c=watch,d=6000")).collect();
-    late.wait_dialled(clients.len());
+    let clients: Vec<LineConnection> = (0..8).map(|_| proxy.open_with("c=watch,d=6000")).collect();
+    late.wait_for_dials(clients.len());
     proxy.stop();
-    let dialled: Vec<TcpStream> = clients.iter().map(|_| late.take()).collect();
+    let dialled: Vec<TcpStream> = clients.iter().map(|_| late.recover_and_accept()).collect();
     drop(clients);
     proxy.signal("-CONT");
     for stream in dialled {
@@ -67,42 +70,42 @@
 /// A keyed request that may have run once: servers forget it while the second dial goes on.
 #[test]
 fn a_repeat_is_not_written_once_its_window_is_over() {
-    let (first, late) = (Server::start("s-1"), Vanished::start());
-    let discovery = Discovery::start(&[first.target("ready")]);
+    let (first, late) = (Server::start("s-1"), UnresponsiveHost::start());
+    let discovery = Discovery::start(&[first.target_row("ready")]);
     let proxy = started(&discovery, |config| {
         config["settings"]["request-classes"][0] = json!({"name": "watch", "idempotency": "token",
             "group": "all", "window-s": 0.6, "deadline-s": 6.0, "target-s": 0.4, "credit": 1.0});
     });
     let mut client = proxy.open_with("c=watch,d=6000");
-    let (_, conn) = first.opened();
-    discovery.tell(target("s-2", &late.addr.to_string(), "ready"));
+    let (_, conn) = first.next_open();
+    discovery.upsert_target(target_row("s-2", &late.addr.to_string(), "ready"));
     proxy.logged("version=2 whole=false");
     // It has read the whole line, so that the request may have run.
     let at = Instant::now();
     drop(conn);
     // The second dial is under way for as long as servers remember; then it comes up.
     while at.elapsed() < Duration::from_millis(700) {
-        assert!(client.quiet_for(Duration::from_millis(10)));
+        assert!(client.is_quiet_for(Duration::from_millis(10)));
     }
-    assert_eq!(read_all(late.take()), b"");
-    assert!(client.hear().starts_with("BUSY"));
-    assert_eq!(client.end(), End::Closed);
+    assert_eq!(read_all(late.recover_and_accept()), b"");
+    assert!(client.read_line().starts_with("BUSY"));
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
 /// Its server is told to drain while the dial goes on: a server that drains is given nothing new.
 #[test]
 fn a_server_that_drains_as_the_dial_goes_on_is_sent_nothing() {
-    let late = Vanished::start();
-    let row = |state| target("s-1", &late.addr.to_string(), state);
+    let late = UnresponsiveHost::start();
+    let row = |state| target_row("s-1", &late.addr.to_string(), state);
     let discovery = Discovery::start(&[row("ready")]);
     let proxy = started(&discovery, |_| {});
     let mut client = proxy.open_with("c=book,d=6000");
-    late.wait_dialled(1);
-    discovery.tell(row("draining"));
+    late.wait_for_dials(1);
+    discovery.upsert_target(row("draining"));
     proxy.logged("a server leaves");
-    assert_eq!(read_all(late.take()), b"");
+    assert_eq!(read_all(late.recover_and_accept()), b"");
     // It never ran, so that trying again is harmless.
-    assert!(client.hear().starts_with("BUSY"));
+    assert!(client.read_line().starts_with("BUSY"));
 }
 
 // What servers say last.
@@ -111,14 +114,14 @@
 fn a_reset_right_behind_a_servers_lines_leaves_them_to_the_client() {
     let (server, _discovery, proxy) = one_plain_server(|_| {});
     let mut client = proxy.open("watch");
-    let (_, mut conn) = server.opened();
+    let (_, mut conn) = server.next_open();
     proxy.stop();
-    conn.send(b"UP 1a2b\r\nOK one\r\n");
+    conn.send_bytes(b"UP 1a2b\r\nOK one\r\n");
     conn.reset();
     proxy.signal("-CONT");
-    assert_eq!(client.hear(), "UP 1a2b");
-    assert_eq!(client.hear(), "OK one");
-    assert_eq!(client.end(), End::Closed);
+    assert_eq!(client.read_line(), "UP 1a2b");
+    assert_eq!(client.read_line(), "OK one");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
 /// The server ends over a line that it has not read, so a reset follows its last word.
@@ -126,15 +129,15 @@
 fn a_line_that_crosses_the_last_word_does_not_cost_it() {
     let (server, _discovery, proxy) = one_plain_server(|_| {});
     let (mut client, mut conn) = proxy.up(&server);
-    client.say("SAY one");
-    conn.wait_unread();
+    client.send_line("SAY one");
+    conn.wait_readable();
     proxy.stop();
-    conn.say("BYE");
+    conn.send_line("BYE");
     drop(conn);
-    client.say("SAY two");
+    client.send_line("SAY two");
     proxy.signal("-CONT");
-    assert_eq!(client.hear(), "BYE");
-    assert_eq!(client.end(), End::Closed);
+    assert_eq!(client.read_line(), "BYE");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
 /// A line that is whole goes on, one whose end has not come stays.
@@ -142,11 +145,11 @@
 fn half_a_line_of_a_server_that_hangs_leaves_place_for_a_move() {
     let (server, _discovery, mut proxy) = one_plain_server(|_| {});
     let (mut client, mut conn) = proxy.up(&server);
-    conn.send(b"OK one\r\nOK ha");
-    assert_eq!(client.hear(), "OK one");
+    conn.send_bytes(b"OK one\r\nOK ha");
+    assert_eq!(client.read_line(), "OK one");
     proxy.signal("-TERM");
-    assert_eq!(client.hear(), "MOVE");
-    assert_eq!(client.end(), End::Closed);
+    assert_eq!(client.read_line(), "MOVE");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     assert!(proxy.ended().success());
 }
 
@@ -163,18 +166,18 @@
     ] {
         let (server, discovery, proxy) = one_plain_server(|_| {});
         let mut client = proxy.open("book");
-        let (_, mut conn) = server.opened();
+        let (_, mut conn) = server.next_open();
         let other = Server::start("s-2");
-        discovery.tell(other.target("ready"));
+        discovery.upsert_target(other.target_row("ready"));
         proxy.logged("version=2 whole=false");
-        conn.send(spoilt.as_bytes());
+        conn.send_bytes(spoilt.as_bytes());
         assert_eq!(
-            client.hear(),
+            client.read_line(),
             "ERR",
             "{:?}",
             &spoilt[..spoilt.len().min(20)]
         );
-        assert!(other.nothing_opened());
+        assert!(other.no_pending_open());
     }
 }
 
@@ -188,12 +191,12 @@
         let mut client = proxy.open("book");
         // Where all fails, some are turned away unsent.
         if let Some((_, mut conn)) =
-            server.opened_or(|| !client.quiet_for(Duration::from_millis(2)))
+            server.next_open_unless(|| !client.is_quiet_for(Duration::from_millis(2)))
         {
-            conn.say("WHAT");
+            conn.send_line("WHAT");
             spoilt += 1;
         }
-        client.hear();
+        client.read_line();
     }
     let lines = proxy
         .log()
@@ -208,7 +211,7 @@
 fn a_probe_that_was_answered_twice_is_followed_by_a_fresh_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap().to_string();
-    let discovery = Discovery::start(&[target("s-1", &at, "ready")]);
+    let discovery = Discovery::start(&[target_row("s-1", &at, "ready")]);
     let proxy = Proxy::start(&discovery);
     let (mut first, _) = listener.accept().unwrap();
     let mut question = [0; 7];
@@ -236,17 +239,18 @@
             config["settings"]["request-classes"][class]["target-s"] = json!(0.1);
         }
     });
-    let mut pairs: Vec<(Peer, Peer)> = (0..6).map(|_| proxy.up(&server)).collect();
+    let mut pairs: Vec<(LineConnection, LineConnection)> =
+        (0..6).map(|_| proxy.up(&server)).collect();
     // They wait for an answer, which a move waits for too.
     for (client, conn) in &mut pairs {
-        client.say("SAY one");
-        assert_eq!(conn.hear(), "SAY one");
+        client.send_line("SAY one");
+        assert_eq!(conn.read_line(), "SAY one");
     }
     let at = Instant::now();
     proxy.signal("-TERM");
     for (client, _) in &mut pairs {
-        assert_eq!(client.hear(), "MOVE");
-        assert_eq!(client.end(), End::Closed);
+        assert_eq!(client.read_line(), "MOVE");
+        assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     }
     assert!(proxy.ended().success());
     assert!(
@@ -261,9 +265,9 @@
 fn who_asks_late_in_the_end_gets_an_answer_and_who_rests_is_told() {
     let (server, _discovery, mut proxy) = one_plain_server(|_| {});
     let rest = || {
-        let mut peer = Peer::connect(proxy.addr);
-        peer.say("PING");
-        assert_eq!(peer.hear(), "PONG");
+        let mut peer = LineConnection::connect(proxy.addr);
+        peer.send_line("PING");
+        assert_eq!(peer.read_line(), "PONG");
         peer
     };
     let (mut late, mut resting) = (rest(), rest());
@@ -275,12 +279,12 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     // Its time is over long after the program's.
-    late.say("OPEN 0123456789abcdef 7f3a9c21e0b4d655 c=watch,d=2000");
-    let (_, _hangs) = server.opened();
-    assert!(late.hear().starts_with("BUSY"));
-    assert_eq!(late.end(), End::Closed);
-    assert_eq!(resting.hear(), "BUSY");
-    assert_eq!(resting.end(), End::Closed);
+    late.send_line("OPEN 0123456789abcdef 7f3a9c21e0b4d655 c=watch,d=2000");
+    let (_, _hangs) = server.next_open();
+    assert!(late.read_line().starts_with("BUSY"));
+    assert_eq!(late.expect_end(), ConnectionEnd::Closed);
+    assert_eq!(resting.read_line(), "BUSY");
+    assert_eq!(resting.expect_end(), ConnectionEnd::Closed);
     assert!(proxy.ended().success());
     assert!(
         at.elapsed() < Duration::from_millis(2700),
@@ -289,16 +293,16 @@
     );
 }
 
-fn rest_ping(peer: &mut Peer) -> String {
-    peer.say("PING");
-    peer.hear()
+fn rest_ping(peer: &mut LineConnection) -> String {
+    peer.send_line("PING");
+    peer.read_line()
 }
 
 /// A signal that comes while the program waits for an earlier one to answer used to kill it.
 #[test]
 fn a_signal_before_it_serves_is_heard_when_it_does() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     let old = Proxy::managed(&discovery, |_| {});
     old.logged("successors are awaited");
     // Another takes its place in the directory, and says nothing to whoever comes.
@@ -319,15 +323,20 @@
         config["limits"]["sockets"] = json!(64);
     });
     // Eight places: one is kept for the next connection.
-    let mut silent: Vec<Peer> = (0..7).map(|_| Peer::connect(proxy.addr)).collect();
+    let mut silent: Vec<LineConnection> = (0..7)
+        .map(|_| LineConnection::connect(proxy.addr))
+        .collect();
     // Each of them may be told to go from 25 ms on.
-    assert!(silent[0].quiet_for(Duration::from_millis(60)));
+    assert!(silent[0].is_quiet_for(Duration::from_millis(60)));
     proxy.stop();
-    let _next = [Peer::connect(proxy.addr), Peer::connect(proxy.addr)];
-    silent[0].say("OPEN 0123456789abcdef 7f3a9c21e0b4d655 c=watch,d=2000");
+    let _next = [
+        LineConnection::connect(proxy.addr),
+        LineConnection::connect(proxy.addr),
+    ];
+    silent[0].send_line("OPEN 0123456789abcdef 7f3a9c21e0b4d655 c=watch,d=2000");
     proxy.signal("-CONT");
-    server.opened().1.say("UP 1a2b");
-    assert_eq!(silent[0].hear(), "UP 1a2b");
+    server.next_open().1.send_line("UP 1a2b");
+    assert_eq!(silent[0].read_line(), "UP 1a2b");
 }
 
 /// They have their answer and stay: the proxy lingers for each of them, but not while others wait for the place.
@@ -337,13 +346,15 @@
         config["limits"]["sockets"] = json!(64);
     });
     // Eight places: one is kept for the next connection.
-    let mut bad: Vec<Peer> = (0..7).map(|_| Peer::connect(proxy.addr)).collect();
-    bad.iter_mut().for_each(|peer| peer.say("HELLO"));
+    let mut bad: Vec<LineConnection> = (0..7)
+        .map(|_| LineConnection::connect(proxy.addr))
+        .collect();
+    bad.iter_mut().for_each(|peer| peer.send_line("HELLO"));
     let at = Instant::now();
     bad.iter_mut()
-        .for_each(|peer| assert_eq!(peer.hear(), "ERR"));
+        .for_each(|peer| assert_eq!(peer.read_line(), "ERR"));
     // Each takes the place that was kept, and the next needs another.
-    let _kept = Peer::connect(proxy.addr);
+    let _kept = LineConnection::connect(proxy.addr);
     proxy.up(&server);
     assert!(
         at.elapsed() < Duration::from_millis(350),
@@ -355,7 +366,7 @@
 // Lists.
 
 fn waits(discovery: &Discovery) -> Duration {
-    let calls = discovery.calls(2);
+    let calls = discovery.wait_for_requests(2);
     let (_, wait) = calls[1].1.split_once("wait_ms=").expect("a watch");
     Duration::from_millis(wait.parse().unwrap())
 }
@@ -367,7 +378,7 @@
     let waits: Vec<Duration> = (0..4)
         .map(|me| {
             let server = Server::start("s-1");
-            let discovery = Discovery::start(&[server.target("ready")]);
+            let discovery = Discovery::start(&[server.target_row("ready")]);
             let _proxy = started(&discovery, |config| {
                 config["settings"]["fleet-size"] = json!(4);
                 config["settings"]["me"] = json!(me);
@@ -392,7 +403,8 @@
             config["settings"]["fleet-size"] = json!(300);
             config["settings"]["me"] = json!(me);
             config["settings"]["rules"]["ask-within-s"] = json!(10.0);
-            config["known"] = json!({"rev": 1, "all": true, "targets": [server.target("ready")]});
+            config["known"] =
+                json!({"rev": 1, "all": true, "targets": [server.target_row("ready")]});
         })
     };
     (0..count).map(start).collect()
@@ -403,8 +415,8 @@
 #[test]
 fn a_new_process_of_a_large_fleet_asks_before_old_drains_bind() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
-    discovery.tell(server.target("draining"));
+    let discovery = Discovery::start(&[server.target_row("ready")]);
+    discovery.upsert_target(server.target_row("draining"));
     let at = Instant::now();
     let proxies = restarted(&discovery, &server, 8);
     for proxy in &proxies {
@@ -412,26 +424,26 @@
     }
     // 2 s is the limit; the rest is for eight processes that start on a busy machine.
     assert!(at.elapsed() < Duration::from_secs(4), "{:?}", at.elapsed());
-    let clients: Vec<Peer> = proxies.iter().map(|proxy| proxy.open("watch")).collect();
+    let clients: Vec<LineConnection> = proxies.iter().map(|proxy| proxy.open("watch")).collect();
     for mut client in clients {
-        assert!(client.hear().starts_with("BUSY"));
+        assert!(client.read_line().starts_with("BUSY"));
     }
-    assert!(server.nothing_opened());
+    assert!(server.no_pending_open());
 }
 
 /// Where lists are pushed, what the agent has counts as told from the first moment, and again from its return.
 #[test]
 fn where_lists_are_pushed_nobody_waits_for_a_turn() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
-    discovery.set_mood(Mood::Refuses);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
+    discovery.set_mode(DiscoveryMode::Refuses);
     let at = Instant::now();
     let _proxy = started(&discovery, |config| {
         config["settings"]["membership-mode"] = json!("pushed");
         config["settings"]["fleet-size"] = json!(300);
-        config["known"] = json!({"rev": 1, "all": true, "targets": [server.target("ready")]});
+        config["known"] = json!({"rev": 1, "all": true, "targets": [server.target_row("ready")]});
     });
-    let calls = discovery.calls(8);
+    let calls = discovery.wait_for_requests(8);
     let times: Vec<Duration> = calls.iter().map(|(called, _)| *called - at).collect();
     assert!(times[0] < Duration::from_secs(1), "{times:?}");
     for pair in times.windows(2) {
@@ -452,7 +464,7 @@
         ("/settings/request-classes/0/deadline-s", json!(-2.0)),
     ];
     for (path, value) in bad {
-        let mut proxy = Proxy::launch(common::unused(), |config| {
+        let mut proxy = Proxy::launch(common::unused_addr(), |config| {
             config["settings"]["prices"] = json!({"probe": 0.0});
             config["settings"]["request-classes"][1]["window-s"] = json!(5.0);
             *config.pointer_mut(path).unwrap() = value;
--- a/crates/proxy/tests/discovery_outages.rs
+++ b/crates/proxy/tests/discovery_outages.rs
@@ -6,16 +6,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{Discovery, Mood, Proxy, Server, without_loads};
+use common::{Discovery, DiscoveryMode, Proxy, Server, without_loads};
 use serde_json::json;
 
 /// Six seconds, the grace, and what sockets allow.
 const BINDS: Duration = Duration::from_millis(6350);
 
 /// Proxies of a large fleet that lost discovery for so long; then a server drains as it comes back.
-fn drains_at_the_return(mood: Mood, lasts: Duration, proxies: u64) {
+fn drains_at_the_return(mood: DiscoveryMode, lasts: Duration, proxies: u64) {
     let (staying, leaving) = (Server::start("s-1"), Server::start("s-2"));
-    let discovery = Discovery::start(&[staying.target("ready"), leaving.target("ready")]);
+    let discovery = Discovery::start(&[staying.target_row("ready"), leaving.target_row("ready")]);
     let fleet: Vec<Proxy> = (0..proxies)
         .map(|number| {
             let proxy = Proxy::launch(discovery.addr, |config| {
@@ -29,10 +29,10 @@
             proxy
         })
         .collect();
-    discovery.set_mood(mood);
+    discovery.set_mode(mood);
     thread::sleep(lasts);
-    discovery.set_mood(Mood::Works);
-    discovery.tell(leaving.target("draining"));
+    discovery.set_mode(DiscoveryMode::Works);
+    discovery.upsert_target(leaving.target_row("draining"));
     let back = Instant::now();
     thread::sleep(BINDS);
     for proxy in &fleet {
@@ -41,7 +41,7 @@
         thread::sleep(Duration::from_millis(30));
         drop(clients);
     }
-    let opened = std::iter::from_fn(|| (!leaving.nothing_opened()).then_some(())).count();
+    let opened = std::iter::from_fn(|| (!leaving.no_pending_open()).then_some(())).count();
     assert_eq!(
         opened,
         0,
@@ -53,15 +53,15 @@
 
 #[test]
 fn a_drain_is_kept_six_seconds_after_an_outage_with_refusals() {
-    drains_at_the_return(Mood::Refuses, Duration::from_secs(40), 6);
+    drains_at_the_return(DiscoveryMode::Refuses, Duration::from_secs(40), 6);
 }
 
 #[test]
 fn a_drain_is_kept_six_seconds_after_an_outage_with_resets() {
-    drains_at_the_return(Mood::Resets, Duration::from_secs(40), 6);
+    drains_at_the_return(DiscoveryMode::Resets, Duration::from_secs(40), 6);
 }
 
 #[test]
 fn a_drain_is_kept_six_seconds_after_an_outage_with_silence() {
-    drains_at_the_return(Mood::Hangs, Duration::from_secs(40), 6);
+    drains_at_the_return(DiscoveryMode::Hangs, Duration::from_secs(40), 6);
 }
--- a/crates/proxy/tests/growth.rs
+++ b/crates/proxy/tests/growth.rs
@@ -6,9 +6,9 @@
 use std::thread;
 use std::time::Duration;
 
-use common::{Discovery, Proxy, target};
+use common::{Discovery, Proxy, target_row};
 use serde_json::json;
-use violetwind_standins::soak::{Answer, Behaviour, SoakServer, Traffic};
+use violetwind_standins::soak::{ClientBehaviour, RequestOutcome, SoakServer, Traffic};
 
 const USUAL: Size = Size {
     servers: 200,
@@ -44,7 +44,7 @@
         .collect();
     let row = |number: usize, state: &str| {
         let endpoint = sockets[number % SOCKETS].addr.to_string();
-        target(&format!("u-{number}"), &endpoint, state)
+        target_row(&format!("u-{number}"), &endpoint, state)
     };
     let rows: Vec<_> = (0..size.servers)
         .map(|number| row(number, "ready"))
@@ -57,20 +57,22 @@
         config["known"] = json!({"rev": size.servers, "all": true, "targets": rows});
     });
     proxy.wait_ready();
-    let before = discovery.list_bytes();
-    let traffic = Traffic::start(proxy.addr, Duration::from_millis(40), 1, |_| Behaviour {
-        class: "watch".into(),
-        deadline: Duration::from_millis(1500),
-        leaves: None,
-        life: Duration::from_millis(1500),
-        every: Duration::from_millis(200),
-        rests: None,
+    let before = discovery.list_bytes_sent();
+    let traffic = Traffic::start(proxy.addr, Duration::from_millis(40), 1, |_| {
+        ClientBehaviour {
+            class: "watch".into(),
+            deadline: Duration::from_millis(1500),
+            disconnect_after: None,
+            session_duration: Duration::from_millis(1500),
+            message_interval: Duration::from_millis(200),
+            pause_before_open: None,
+        }
     });
     let mut descriptors = 0;
     for turn in 0..LASTS.as_millis() as usize / 250 {
         // Changes go on: one server after the other drains and is back.
         let state = if turn % 2 == 0 { "draining" } else { "ready" };
-        discovery.tell(row(turn / 2, state));
+        discovery.upsert_target(row(turn / 2, state));
         thread::sleep(Duration::from_millis(250));
         descriptors = descriptors.max(proxy.descriptors());
     }
@@ -78,14 +80,14 @@
         cpu_s: proxy.cpu().as_secs_f64(),
         memory_mb: proxy.memory_kib() as f64 / 1024.0,
         descriptors,
-        connections: sockets.iter().map(SoakServer::connections).sum(),
-        list_bytes: discovery.list_bytes() - before,
+        connections: sockets.iter().map(SoakServer::connection_count).sum(),
+        list_bytes: discovery.list_bytes_sent() - before,
         served: 0.0,
     };
     let accounts = traffic.finish();
     let up = accounts
         .iter()
-        .filter(|account| account.answer == Answer::Up)
+        .filter(|account| account.outcome == RequestOutcome::Up)
         .count();
     Needs {
         served: up as f64 / accounts.len() as f64,
--- a/crates/proxy/tests/recording.rs
+++ b/crates/proxy/tests/recording.rs
@@ -4,29 +4,29 @@
 
 use std::fs::File;
 
-use common::{Discovery, Proxy, Server, unused, without_loads};
-use violetwind_record::{Answer, End, Reader, Record};
+use common::{Discovery, Proxy, Server, unused_addr, without_loads};
+use violetwind_record::{Answer, Reader, Record, RecordingEnd};
 
 #[test]
 fn requests_are_recorded_with_what_came_of_them() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     let path = std::env::temp_dir().join(format!("violetwind-requests-{}", std::process::id()));
     let file = format!("[record]\nfile = \"{}\"\n", path.display());
     let mut proxy = Proxy::start_with(discovery.addr, &file, without_loads);
     let (client, mut conn) = proxy.up(&server);
-    conn.say("LOAD 11000");
+    conn.send_line("LOAD 11000");
     drop((client, conn));
     // One that leaves before it is answered.
     let left = proxy.open_with("c=book,d=1500,g=clinic-7");
     // The server holds on: its end would be an answer.
-    let _held = server.opened();
+    let _held = server.next_open();
     drop(left);
     proxy.signal("-TERM");
     assert!(proxy.ended().success());
     let mut reader = Reader::new(File::open(&path).unwrap());
     let records: Vec<Record> = reader.by_ref().collect();
-    assert_eq!(reader.end(), Some(End::Whole));
+    assert_eq!(reader.end(), Some(RecordingEnd::Whole));
     let Record::Start { classes, .. } = &records[0] else {
         panic!("{records:?}")
     };
@@ -41,10 +41,13 @@
     requests.sort_by_key(|request| request.class);
     assert_eq!(requests.len(), 2);
     assert_eq!((requests[0].class, requests[0].answer), (0, Answer::Up));
-    assert_eq!((requests[1].class, requests[1].answer), (1, Answer::Gone));
-    assert_eq!(requests[1].patience_ms, 1500);
+    assert_eq!(
+        (requests[1].class, requests[1].answer),
+        (1, Answer::ClientLeft)
+    );
+    assert_eq!(requests[1].timeout_ms, 1500);
     assert!(requests[1].group.is_some() && requests[0].group.is_none());
-    assert!(requests[0].took_us > 0);
+    assert!(requests[0].latency_us > 0);
     std::fs::remove_file(path).unwrap();
 }
 
@@ -52,8 +55,8 @@
 #[test]
 fn a_file_that_can_not_be_written_costs_nobody_anything() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
-    let nowhere = std::env::temp_dir().join(format!("violetwind-none-{}", unused().ip()));
+    let discovery = Discovery::start(&[server.target_row("ready")]);
+    let nowhere = std::env::temp_dir().join(format!("violetwind-none-{}", unused_addr().ip()));
     let file = format!("[record]\nfile = \"{}/requests\"\n", nowhere.display());
     let proxy = Proxy::start_with(discovery.addr, &file, without_loads);
     for _ in 0..5 {
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -5,7 +5,9 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-use common::{Answers, Discovery, End, Mood, Peer, Proxy, Server, one_server};
+use common::{
+    ConnectionEnd, Discovery, DiscoveryMode, LineConnection, Pingable, Proxy, Server, one_server,
+};
 use serde_json::{Value, json};
 
 /// What discovery has to tell counts as told so long after the signal.
@@ -16,9 +18,9 @@
 }
 
 /// A call of discovery, played by hand: its path.
-fn call(peer: &mut Peer) -> String {
-    let line = peer.hear();
-    while !peer.hear().is_empty() {}
+fn call(peer: &mut LineConnection) -> String {
+    let line = peer.read_line();
+    while !peer.read_line().is_empty() {}
     line.split(' ').nth(1).unwrap().to_string()
 }
 
@@ -27,9 +29,9 @@
     let (server, discovery, proxy) = one_server();
     let other = Server::start("s-2");
     // The new list's version is below the old one's: it must not be taken for old news.
-    discovery.tell(server.target("ready"));
-    discovery.tell(server.target("ready"));
-    let new = Discovery::start(&[other.target("ready")]);
+    discovery.upsert_target(server.target_row("ready"));
+    discovery.upsert_target(server.target_row("ready"));
+    let new = Discovery::start(&[other.target_row("ready")]);
     (server, other, discovery, new, proxy)
 }
 
@@ -38,45 +40,50 @@
 fn the_new_address_is_asked_for_the_whole_list() {
     let (server, other, _old, new, proxy) = two_discoveries();
     // Lists that differ in nothing that is in use are no news to those who use it.
-    new.tell(server.target("ready"));
+    new.upsert_target(server.target_row("ready"));
     let (mut client, mut conn) = proxy.up(&server);
     proxy.reload(to(new.addr));
-    let calls = new.calls(2);
+    let calls = new.wait_for_requests(2);
     assert_eq!(calls[0].1, "/registry/instances");
     assert!(calls[1].1.contains("after=2&"), "{}", calls[1].1);
-    client.say("SAY on");
-    assert_eq!(conn.hear(), "SAY on");
-    conn.say("OK on");
-    assert_eq!(client.hear(), "OK on");
+    client.send_line("SAY on");
+    assert_eq!(conn.read_line(), "SAY on");
+    conn.send_line("OK on");
+    assert_eq!(client.read_line(), "OK on");
     // Changes are heard there from now on.
-    new.tell(server.target("draining"));
-    assert_eq!(client.hear(), "MOVE");
+    new.upsert_target(server.target_row("draining"));
+    assert_eq!(client.read_line(), "MOVE");
     let mut client = proxy.open("watch");
-    other.opened().1.say("UP 2");
-    assert_eq!(client.hear(), "UP 2");
+    other.next_open().1.send_line("UP 2");
+    assert_eq!(client.read_line(), "UP 2");
 }
 
 /// The old address closes soon: a watch that stays there would hear nothing more, and no error.
 #[test]
 fn the_old_connection_and_its_watch_end_at_once() {
     let server = Server::start("s-1");
-    let new = Discovery::start(&[server.target("ready")]);
+    let new = Discovery::start(&[server.target_row("ready")]);
     let old = TcpListener::bind("127.0.0.1:0").unwrap();
     let proxy = Proxy::launch(old.local_addr().unwrap(), |_| {});
-    let mut peer = Peer::new(old.accept().unwrap().0);
+    let mut peer = LineConnection::new(old.accept().unwrap().0);
     assert_eq!(call(&mut peer), "/registry/instances");
-    let body = json!({"rev": 7, "all": true, "targets": [server.target("ready")]}).to_string();
+    let body = json!({"rev": 7, "all": true, "targets": [server.target_row("ready")]}).to_string();
     let length = body.len();
-    peer.send(format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}").as_bytes());
+    peer.send_bytes(
+        format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}").as_bytes(),
+    );
     assert!(call(&mut peer).contains("after=7&"));
     let at = Instant::now();
     proxy.reload(to(new.addr));
-    assert!(matches!(peer.try_hear(), Err(End::Closed | End::Reset)));
+    assert!(matches!(
+        peer.try_read_line(),
+        Err(ConnectionEnd::Closed | ConnectionEnd::Reset)
+    ));
     assert!(at.elapsed() < Duration::from_secs(1));
-    assert_eq!(new.calls(1)[0].1, "/registry/instances");
+    assert_eq!(new.wait_for_requests(1)[0].1, "/registry/instances");
     // Nobody comes back to the old one.
     old.set_nonblocking(true).unwrap();
-    new.calls(2);
+    new.wait_for_requests(2);
     assert!(old.accept().is_err());
 }
 
@@ -84,26 +91,30 @@
 /// and failures there at first must not let it grow past the time that a reload has.
 #[test]
 fn a_new_address_that_is_slow_at_first_is_asked_again_in_time() {
-    for mood in [Mood::Refuses, Mood::Resets] {
+    for mood in [DiscoveryMode::Refuses, DiscoveryMode::Resets] {
         let (_server, other, old, new, proxy) = two_discoveries();
-        let before = old.calls(2).len();
-        old.set_mood(Mood::Refuses);
-        old.calls(before + 4);
-        new.set_mood(mood);
+        let before = old.wait_for_requests(2).len();
+        old.set_mode(DiscoveryMode::Refuses);
+        old.wait_for_requests(before + 4);
+        new.set_mode(mood);
         let at = Instant::now();
         proxy.reload(to(new.addr));
-        let first = new.calls(1)[0].0;
+        let first = new.wait_for_requests(1)[0].0;
         assert!(first - at < Duration::from_secs(1), "{:?}", first - at);
-        new.calls(6);
-        new.set_mood(Mood::Works);
+        new.wait_for_requests(6);
+        new.set_mode(DiscoveryMode::Works);
         // The call after the first good answer is a watch.
-        while !new.calls(0).iter().any(|(_, path)| path.contains("after=")) {
-            new.calls(new.calls(0).len() + 1);
+        while !new
+            .wait_for_requests(0)
+            .iter()
+            .any(|(_, path)| path.contains("after="))
+        {
+            new.wait_for_requests(new.wait_for_requests(0).len() + 1);
         }
         assert!(at.elapsed() < TOLD, "{mood:?} {:?}", at.elapsed());
         let mut client = proxy.open("watch");
-        other.opened().1.say("UP 3");
-        assert_eq!(client.hear(), "UP 3");
+        other.next_open().1.send_line("UP 3");
+        assert_eq!(client.read_line(), "UP 3");
     }
 }
 
@@ -129,25 +140,25 @@
                 "bad file {number}:\n{}",
                 proxy.log()
             );
-            assert!(proxy.pong());
+            assert!(proxy.answers_ping());
         }
         proxy.up(&server);
     }
     // The old watch goes on as if nothing had been.
-    let seen = old.calls(1).len();
-    old.tell(server.target("ready"));
-    assert!(old.calls(seen + 1)[seen].1.contains("after="));
+    let seen = old.wait_for_requests(1).len();
+    old.upsert_target(server.target_row("ready"));
+    assert!(old.wait_for_requests(seen + 1)[seen].1.contains("after="));
     proxy.reload_text(&good.replace(&old.addr.to_string(), &new.addr.to_string()));
-    new.calls(1);
+    new.wait_for_requests(1);
     let mut client = proxy.open("watch");
-    other.opened().1.say("UP 2");
-    assert_eq!(client.hear(), "UP 2");
+    other.next_open().1.send_line("UP 2");
+    assert_eq!(client.read_line(), "UP 2");
 }
 
 #[test]
 fn the_same_address_keeps_its_watch_and_other_changes_are_named() {
     let (server, discovery, proxy) = one_server();
-    let seen = discovery.calls(2).len();
+    let seen = discovery.wait_for_requests(2).len();
     proxy.reload(|config| {
         config["limits"]["sockets"] = json!(300);
         config["seed"] = json!("00000000000000ff");
@@ -155,39 +166,39 @@
     proxy.logged("these changes need a restart restart=[\"limits\"]");
     proxy.logged("moved=false");
     proxy.up(&server);
-    assert_eq!(discovery.calls(0).len(), seen);
+    assert_eq!(discovery.wait_for_requests(0).len(), seen);
 }
 
 /// Signals while clients come and talk, faster than they can be served: none of them notices.
 #[test]
 fn reloads_in_a_row_under_load_lose_nothing() {
     let server = Server::start("s-1");
-    let discoveries = [0, 1].map(|_| Discovery::start(&[server.target("ready")]));
+    let discoveries = [0, 1].map(|_| Discovery::start(&[server.target_row("ready")]));
     let mut proxy = Proxy::start_roomy(&discoveries[0]);
-    let mut pairs: Vec<(Peer, Peer)> = Vec::new();
+    let mut pairs: Vec<(LineConnection, LineConnection)> = Vec::new();
     for turn in 0..20 {
         proxy.reload(to(discoveries[turn % 2].addr));
         let mut client = proxy.open("watch");
         proxy.signal("-HUP");
-        let (_, mut conn) = server.opened();
-        conn.say("UP 1");
-        assert_eq!(client.hear(), "UP 1");
+        let (_, mut conn) = server.next_open();
+        conn.send_line("UP 1");
+        assert_eq!(client.read_line(), "UP 1");
         pairs.push((client, conn));
         for (client, conn) in &mut pairs {
-            client.say("SAY on");
-            assert_eq!(conn.hear(), "SAY on");
-            conn.say("OK on");
-            assert_eq!(client.hear(), "OK on");
+            client.send_line("SAY on");
+            assert_eq!(conn.read_line(), "SAY on");
+            conn.send_line("OK on");
+            assert_eq!(client.read_line(), "OK on");
         }
     }
     assert!(proxy.alive());
     // The last one named is the one that is watched.
     let last = &discoveries[1];
-    let seen = last.calls(1).len();
-    last.tell(server.target("draining"));
-    last.calls(seen + 1);
+    let seen = last.wait_for_requests(1).len();
+    last.upsert_target(server.target_row("draining"));
+    last.wait_for_requests(seen + 1);
     for (client, _) in &mut pairs {
-        assert_eq!(client.hear(), "MOVE");
+        assert_eq!(client.read_line(), "MOVE");
     }
 }
 
@@ -199,8 +210,8 @@
     proxy.logged("told to end");
     proxy.reload(to(new.addr));
     proxy.signal("-HUP");
-    assert_eq!(client.hear(), "MOVE");
-    assert_eq!(client.end(), End::Closed);
+    assert_eq!(client.read_line(), "MOVE");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     assert!(proxy.ended().success());
 }
 
@@ -213,7 +224,7 @@
 fn classes_appear_and_vanish_while_connections_go_on() {
     let (server, _discovery, proxy) = one_server();
     let (mut client, mut conn) = proxy.up(&server);
-    assert_eq!(proxy.open("new").hear(), "ERR");
+    assert_eq!(proxy.open("new").read_line(), "ERR");
     let at = Instant::now();
     proxy.reload(|config| {
         let classes = json!([class("new", "side_effect"), class("book", "side_effect")]);
@@ -221,19 +232,21 @@
     });
     let mut new = loop {
         let mut new = proxy.open("new");
-        if let Some((_, mut conn)) = server.opened_or(|| !new.quiet_for(Duration::from_millis(1))) {
-            conn.say("UP 1");
-            assert_eq!(new.hear(), "UP 1");
+        if let Some((_, mut conn)) =
+            server.next_open_unless(|| !new.is_quiet_for(Duration::from_millis(1)))
+        {
+            conn.send_line("UP 1");
+            assert_eq!(new.read_line(), "UP 1");
             break (new, conn);
         }
         assert!(at.elapsed() < Duration::from_millis(1200));
     };
-    assert_eq!(proxy.open("watch").hear(), "ERR");
+    assert_eq!(proxy.open("watch").read_line(), "ERR");
     for (client, conn) in [(&mut client, &mut conn), (&mut new.0, &mut new.1)] {
-        client.say("SAY on");
-        assert_eq!(conn.hear(), "SAY on");
-        conn.say("OK on");
-        assert_eq!(client.hear(), "OK on");
+        client.send_line("SAY on");
+        assert_eq!(conn.read_line(), "SAY on");
+        conn.send_line("OK on");
+        assert_eq!(client.read_line(), "OK on");
     }
 }
 
@@ -283,21 +296,21 @@
         assert!(told()[number].contains(key), "{path}: {}", told()[number]);
     }
     proxy.up(&server);
-    assert!(new.calls(0).is_empty());
-    assert!(old.calls(1).len() > 1);
+    assert!(new.wait_for_requests(0).is_empty());
+    assert!(old.wait_for_requests(1).len() > 1);
     // Good again after bad: all of it holds.
     proxy.reload(to(new.addr));
-    new.calls(1);
+    new.wait_for_requests(1);
     let mut client = proxy.open("watch");
-    other.opened().1.say("UP 2");
-    assert_eq!(client.hear(), "UP 2");
+    other.next_open().1.send_line("UP 2");
+    assert_eq!(client.read_line(), "UP 2");
 }
 
 /// Fewer attempts, from the next one on.
 #[test]
 fn fewer_attempts_hold_at_once() {
     let servers = ["s-1", "s-2", "s-3"].map(Server::start);
-    let targets = servers.each_ref().map(|s| s.target("ready"));
+    let targets = servers.each_ref().map(|s| s.target_row("ready"));
     let discovery = Discovery::start(&targets);
     let proxy = Proxy::start_roomy(&discovery);
     proxy.reload(|config| config["settings"]["permissions"]["max-attempts"] = json!(1));
@@ -308,12 +321,12 @@
         assert!(Instant::now() < until);
         let mut opened = servers
             .iter()
-            .filter_map(|server| server.opened_or(|| true));
+            .filter_map(|server| server.next_open_unless(|| true));
         if let Some((_, conn)) = opened.next() {
             break conn;
         }
     };
-    conn.say("ERR");
-    assert!(client.hear().starts_with("BUSY"));
-    assert!(servers.iter().all(Server::nothing_opened));
+    conn.send_line("ERR");
+    assert!(client.read_line().starts_with("BUSY"));
+    assert!(servers.iter().all(Server::no_pending_open));
 }
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Answers, Discovery, End, Peer, Proxy, Server, one_server};
+use common::{ConnectionEnd, Discovery, LineConnection, Pingable, Proxy, Server, one_server};
 
 /// The longest deadline of the test's settings, and what the operators give beyond.
 const KILLED: Duration = Duration::from_millis(2700);
@@ -12,20 +12,21 @@
 #[test]
 fn every_client_is_moved_in_time_and_the_program_ends_well() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     let mut proxy = Proxy::start_roomy(&discovery);
-    let mut pairs: Vec<(Peer, Peer)> = (0..20).map(|_| proxy.up(&server)).collect();
+    let mut pairs: Vec<(LineConnection, LineConnection)> =
+        (0..20).map(|_| proxy.up(&server)).collect();
     let at = Instant::now();
     proxy.signal("-TERM");
     proxy.logged("told to end");
     // Connections go on coming for a while, and are served.
-    assert!(proxy.pong());
+    assert!(proxy.answers_ping());
     pairs.push(proxy.up(&server));
     let mut moved = Vec::new();
     // The last to come are the first to be moved.
     for (client, _conn) in pairs.iter_mut().rev() {
-        assert_eq!(client.hear(), "MOVE");
-        assert_eq!(client.end(), End::Closed);
+        assert_eq!(client.read_line(), "MOVE");
+        assert_eq!(client.expect_end(), ConnectionEnd::Closed);
         moved.push(at.elapsed());
     }
     assert!(proxy.ended().success());
@@ -42,16 +43,16 @@
 fn what_is_owed_at_the_end_is_answered() {
     let (server, _discovery, mut proxy) = one_server();
     let mut served = proxy.open("watch");
-    let (_, mut late) = server.opened();
+    let (_, mut late) = server.next_open();
     let mut silent = proxy.open("book");
-    let (_, _never) = server.opened();
+    let (_, _never) = server.next_open();
     let at = Instant::now();
     proxy.signal("-TERM");
     proxy.logged("told to end");
-    late.say("UP 9");
-    assert_eq!(served.hear(), "UP 9");
-    assert_eq!(served.hear(), "MOVE");
-    assert_eq!(silent.hear(), "ERR");
+    late.send_line("UP 9");
+    assert_eq!(served.read_line(), "UP 9");
+    assert_eq!(served.read_line(), "MOVE");
+    assert_eq!(silent.read_line(), "ERR");
     assert!(proxy.ended().success());
     assert!(at.elapsed() < KILLED, "{:?}", at.elapsed());
 }
@@ -60,7 +61,7 @@
 #[test]
 fn clients_that_come_up_to_0_4_s_later_are_served_and_moved() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     let mut proxy = Proxy::start_roomy(&discovery);
     proxy.signal("-TERM");
     proxy.logged("told to end");
@@ -71,8 +72,8 @@
         std::thread::sleep(Duration::from_millis(40));
     }
     for (client, _conn) in &mut came {
-        assert_eq!(client.hear(), "MOVE");
-        assert_eq!(client.end(), End::Closed);
+        assert_eq!(client.read_line(), "MOVE");
+        assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     }
     assert!(proxy.ended().success());
     assert!(at.elapsed() < KILLED, "{:?}", at.elapsed());
--- a/crates/proxy/tests/soak.rs
+++ b/crates/proxy/tests/soak.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use violetwind_standins::soak::Script;
-use violetwind_standins::soak::run::play;
+use violetwind_standins::soak::runner::run_script;
 
 const SEEDS: [u64; 8] = [1, 2, 3, 4, 5, 6, 7, 8];
 const AT_ONCE: usize = 4;
@@ -23,7 +23,7 @@
                 .map(|seed| {
                     (
                         *seed,
-                        scope.spawn(|| play(program, &dir, &Script::new(*seed, LASTS))),
+                        scope.spawn(|| run_script(program, &dir, &Script::from_seed(*seed, LASTS))),
                     )
                 })
                 .collect();
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -10,25 +10,26 @@
 use common::{Discovery, Proxy, without_loads};
 use serde_json::json;
 use violetwind_standins::soak::{
-    Account, Answer, Behaviour, Effect, Evidence, Mode, SoakServer, Terms, Traffic, judge,
+    CheckSettings, ClientBehaviour, Idempotency, RequestOutcome, RequestRecord, RunRecord,
+    ServerMode, SoakServer, Traffic, check_run,
 };
 
 const SERVERS: usize = 6;
 /// Between two clients: about 120 a second.
 const EACH: Duration = Duration::from_millis(8);
 
-fn terms() -> Terms {
-    Terms {
-        effects: BTreeMap::from([
-            ("watch".into(), Effect::Pure),
-            ("book".into(), Effect::SideEffect),
+fn terms() -> CheckSettings {
+    CheckSettings {
+        idempotency_by_class: BTreeMap::from([
+            ("watch".into(), Idempotency::Pure),
+            ("book".into(), Idempotency::SideEffect),
         ]),
         max_attempts: 4,
         drain_grace: Duration::from_millis(300),
-        cold_from: 0.5,
-        cold_for: Duration::from_secs(4),
-        fall_multiple: 3.0,
-        fall_for: Duration::from_millis(1500),
+        slow_start_min_share: 0.5,
+        slow_start_window: Duration::from_secs(4),
+        overload_multiple: 3.0,
+        overload_duration: Duration::from_millis(1500),
     }
 }
 
@@ -38,19 +39,19 @@
         .collect()
 }
 
-fn behaviour(number: u64) -> Behaviour {
+fn behaviour(number: u64) -> ClientBehaviour {
     let class = if number.is_multiple_of(3) {
         "book"
     } else {
         "watch"
     };
-    Behaviour {
+    ClientBehaviour {
         class: class.into(),
         deadline: Duration::from_millis(1500),
-        leaves: None,
-        life: Duration::from_millis(300 + number * 37 % 500),
-        every: Duration::from_millis(60),
-        rests: None,
+        disconnect_after: None,
+        session_duration: Duration::from_millis(300 + number * 37 % 500),
+        message_interval: Duration::from_millis(60),
+        pause_before_open: None,
     }
 }
 
@@ -67,7 +68,7 @@
         let servers = servers();
         let targets: Vec<_> = servers
             .iter()
-            .map(|server| server.target("ready", 0))
+            .map(|server| server.target_row("ready", 0))
             .collect();
         let discovery = Discovery::start(&targets);
         let proxy = Proxy::launch_faulty(discovery.addr, "", |config| {
@@ -87,7 +88,7 @@
     }
 
     /// Traffic for so long; what broke a clause.
-    fn play(&self, lasts: Duration) -> (Vec<Account>, Vec<String>) {
+    fn play(&self, lasts: Duration) -> (Vec<RequestRecord>, Vec<String>) {
         let traffic = Traffic::start(self.proxy.addr, EACH, 1, behaviour);
         thread::sleep(lasts);
         let accounts = traffic.finish();
@@ -95,18 +96,18 @@
         (accounts, broken)
     }
 
-    fn judge(&self, accounts: &[Account]) -> Vec<String> {
-        let arrivals = self.servers.iter().flat_map(SoakServer::arrivals).collect();
-        let evidence = Evidence {
-            accounts: accounts.to_vec(),
-            arrivals,
-            ..Evidence::default()
+    fn judge(&self, accounts: &[RequestRecord]) -> Vec<String> {
+        let arrivals = self.servers.iter().flat_map(SoakServer::attempts).collect();
+        let evidence = RunRecord {
+            requests: accounts.to_vec(),
+            attempts: arrivals,
+            ..RunRecord::default()
         };
-        judge(&terms(), &evidence, self.start)
+        check_run(&terms(), &evidence, self.start)
     }
 }
 
-fn holds_under(rules: &str) -> Vec<Account> {
+fn holds_under(rules: &str) -> Vec<RequestRecord> {
     let world = World::start(rules, false);
     let (accounts, broken) = world.play(Duration::from_secs(4));
     assert!(
@@ -119,10 +120,10 @@
     accounts
 }
 
-fn served(accounts: &[Account]) -> usize {
+fn served(accounts: &[RequestRecord]) -> usize {
     accounts
         .iter()
-        .filter(|account| account.answer == Answer::Up)
+        .filter(|account| account.outcome == RequestOutcome::Up)
         .count()
 }
 
@@ -212,9 +213,9 @@
         let since = over + Duration::from_millis(500);
         let each = world.servers.iter().map(|server| {
             server
-                .arrivals()
+                .attempts()
                 .iter()
-                .filter(|arrival| arrival.at > since)
+                .filter(|arrival| arrival.received_at > since)
                 .count()
         });
         let each: Vec<usize> = each.collect();
@@ -233,9 +234,9 @@
         "fail recv EINTR 30\nfail send EINTR 30\nshort send 5 200",
         false,
     );
-    world.servers[0].set_mode(Mode::Hang);
-    world.servers[1].set_mode(Mode::Reset);
-    world.servers[2].set_mode(Mode::Busy);
+    world.servers[0].set_mode(ServerMode::Hang);
+    world.servers[1].set_mode(ServerMode::Reset);
+    world.servers[2].set_mode(ServerMode::Busy);
     let (accounts, broken) = world.play(Duration::from_secs(4));
     assert!(
         broken.is_empty(),
--- a/crates/proxy/tests/troubles.rs
+++ b/crates/proxy/tests/troubles.rs
@@ -4,7 +4,10 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Discovery, End, Mood, Peer, Proxy, Server, one_server, target, without_loads};
+use common::{
+    ConnectionEnd, Discovery, DiscoveryMode, LineConnection, Proxy, Server, one_server, target_row,
+    without_loads,
+};
 use serde_json::json;
 
 /// A machine that vanished leaves its connections open: only lines without an answer tell.
@@ -13,14 +16,14 @@
     let (server, _discovery, proxy) = one_server();
     let (mut idle, _kept) = proxy.up(&server);
     let (mut client, conn) = proxy.up(&server);
-    client.say("SAY one");
+    client.send_line("SAY one");
     let at = Instant::now();
-    assert_eq!(client.hear(), "MOVE");
+    assert_eq!(client.read_line(), "MOVE");
     assert!(at.elapsed() < Duration::from_millis(4800));
-    assert_eq!(client.end(), End::Closed);
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     drop(conn);
     // One that has nothing to say is not silent: it stays.
-    assert!(idle.quiet_for(Duration::from_millis(100)));
+    assert!(idle.is_quiet_for(Duration::from_millis(100)));
 }
 
 #[test]
@@ -29,11 +32,11 @@
     let (mut client, mut conn) = proxy.up(&server);
     let until = Instant::now() + Duration::from_secs(4);
     while Instant::now() < until {
-        client.say("SAY on");
-        assert_eq!(conn.hear(), "SAY on");
-        conn.say("OK on");
-        assert_eq!(client.hear(), "OK on");
-        assert!(client.quiet_for(Duration::from_millis(400)));
+        client.send_line("SAY on");
+        assert_eq!(conn.read_line(), "SAY on");
+        conn.send_line("OK on");
+        assert_eq!(client.read_line(), "OK on");
+        assert!(client.is_quiet_for(Duration::from_millis(400)));
     }
 }
 
@@ -41,22 +44,26 @@
 #[test]
 fn clients_of_a_draining_server_are_moved_between_two_lines() {
     let (server, discovery, proxy) = one_server();
-    let mut pairs: Vec<(Peer, Peer)> = (0..5).map(|_| proxy.up(&server)).collect();
+    let mut pairs: Vec<(LineConnection, LineConnection)> =
+        (0..5).map(|_| proxy.up(&server)).collect();
     let (mut split, mut theirs) = proxy.up(&server);
-    theirs.send(b"OK half a ");
-    discovery.tell(server.target("draining"));
+    theirs.send_bytes(b"OK half a ");
+    discovery.upsert_target(server.target_row("draining"));
     for (client, conn) in &mut pairs {
-        assert_eq!(client.hear(), "MOVE");
-        assert_eq!(client.end(), End::Closed);
-        assert!(matches!(conn.try_hear(), Err(End::Closed | End::Reset)));
+        assert_eq!(client.read_line(), "MOVE");
+        assert_eq!(client.expect_end(), ConnectionEnd::Closed);
+        assert!(matches!(
+            conn.try_read_line(),
+            Err(ConnectionEnd::Closed | ConnectionEnd::Reset)
+        ));
     }
-    theirs.send(b"line\r\n");
-    assert_eq!(split.hear(), "OK half a line");
-    assert_eq!(split.hear(), "MOVE");
+    theirs.send_bytes(b"line\r\n");
+    assert_eq!(split.read_line(), "OK half a line");
+    assert_eq!(split.read_line(), "MOVE");
     // Nothing new goes there.
     let mut client = proxy.open_with("c=watch,d=300");
-    assert!(client.hear().starts_with("BUSY"));
-    assert!(server.nothing_opened());
+    assert!(client.read_line().starts_with("BUSY"));
+    assert!(server.no_pending_open());
 }
 
 /// A draining server may itself send its clients away.
@@ -64,10 +71,10 @@
 fn a_servers_own_move_is_passed_on() {
     let (server, _discovery, proxy) = one_server();
     let (mut client, mut conn) = proxy.up(&server);
-    conn.say("MOVE");
+    conn.send_line("MOVE");
     drop(conn);
-    assert_eq!(client.hear(), "MOVE");
-    assert_eq!(client.end(), End::Closed);
+    assert_eq!(client.read_line(), "MOVE");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
 /// The module's moves reach the client as lines: a load past the threshold with room elsewhere.
@@ -76,30 +83,30 @@
     let (server, discovery, proxy) = one_server();
     let (mut client, mut conn) = proxy.up(&server);
     let other = Server::start("s-2");
-    discovery.tell(other.target("ready"));
-    conn.say("LOAD 1000");
-    assert_eq!(client.hear(), "LOAD 1000");
-    server.answer_probes(Some("PONG x0=3.0"));
-    assert_eq!(client.hear(), "MOVE");
-    assert_eq!(client.end(), End::Closed);
+    discovery.upsert_target(other.target_row("ready"));
+    conn.send_line("LOAD 1000");
+    assert_eq!(client.read_line(), "LOAD 1000");
+    server.set_probe_answer(Some("PONG x0=3.0"));
+    assert_eq!(client.read_line(), "MOVE");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
 #[test]
 fn a_watch_is_followed_at_once_by_the_next() {
     let (server, discovery, _proxy) = one_server();
     for state in ["draining", "ready", "draining", "ready"] {
-        let seen = discovery.calls(1).len();
-        discovery.tell(server.target(state));
-        discovery.calls(seen + 1);
+        let seen = discovery.wait_for_requests(1).len();
+        discovery.upsert_target(server.target_row(state));
+        discovery.wait_for_requests(seen + 1);
     }
-    let calls = discovery.calls(5);
+    let calls = discovery.wait_for_requests(5);
     assert_eq!(calls[0].1, "/registry/instances");
     assert!(
         calls[1]
             .1
             .starts_with("/registry/instances?after=1&wait_ms=")
     );
-    for (answered, (called, _)) in discovery.answered().iter().zip(&calls[1..]) {
+    for (answered, (called, _)) in discovery.answer_times().iter().zip(&calls[1..]) {
         let gap = called.saturating_duration_since(*answered);
         assert!(gap < Duration::from_millis(200), "{gap:?}");
     }
@@ -108,22 +115,26 @@
 /// With discovery down in any way the last list holds, calls back off, and changes come after it.
 #[test]
 fn the_list_outlives_discoverys_troubles() {
-    for mood in [Mood::Refuses, Mood::Resets, Mood::Garbles] {
+    for mood in [
+        DiscoveryMode::Refuses,
+        DiscoveryMode::Resets,
+        DiscoveryMode::Garbles,
+    ] {
         let (server, discovery, proxy) = one_server();
-        let before = discovery.calls(2).len();
-        discovery.set_mood(mood);
-        let calls = discovery.calls(before + 4);
+        let before = discovery.wait_for_requests(2).len();
+        discovery.set_mode(mood);
+        let calls = discovery.wait_for_requests(before + 4);
         // Four tries in a row take longer the more fail.
         let span = calls[before + 3].0 - calls[before].0;
         assert!(span > Duration::from_millis(150), "{mood:?} {span:?}");
         proxy.up(&server);
-        discovery.set_mood(Mood::Works);
+        discovery.set_mode(DiscoveryMode::Works);
         let second = Server::start("s-2");
-        discovery.tell(server.target("draining"));
-        discovery.tell(second.target("ready"));
+        discovery.upsert_target(server.target_row("draining"));
+        discovery.upsert_target(second.target_row("ready"));
         let mut client = proxy.open("watch");
-        second.opened().1.say("UP 2");
-        assert_eq!(client.hear(), "UP 2");
+        second.next_open().1.send_line("UP 2");
+        assert_eq!(client.read_line(), "UP 2");
     }
 }
 
@@ -131,13 +142,13 @@
 #[test]
 fn discovery_may_end_its_connections_between_calls() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
-    discovery.set_mood(Mood::Closes);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
+    discovery.set_mode(DiscoveryMode::Closes);
     let proxy = Proxy::start(&discovery);
     for _ in 0..3 {
-        let seen = discovery.calls(2).len();
-        discovery.tell(server.target("ready"));
-        discovery.calls(seen + 1);
+        let seen = discovery.wait_for_requests(2).len();
+        discovery.upsert_target(server.target_row("ready"));
+        discovery.wait_for_requests(seen + 1);
     }
     proxy.up(&server);
     assert!(!proxy.log().contains("WARN"), "{}", proxy.log());
@@ -148,35 +159,35 @@
 fn clients_of_a_server_that_a_whole_list_leaves_out_are_moved() {
     let (server, discovery, proxy) = one_server();
     let (mut client, _conn) = proxy.up(&server);
-    discovery.forget("s-1");
-    assert_eq!(client.hear(), "MOVE");
-    assert_eq!(client.end(), End::Closed);
+    discovery.remove_target("s-1");
+    assert_eq!(client.read_line(), "MOVE");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
 /// A hanging call must end in time for another within what the rules allow (5 s here).
 #[test]
 fn a_hanging_watch_is_given_up_within_the_time_to_ask() {
     let (_server, discovery, _proxy) = one_server();
-    let before = discovery.calls(2);
-    discovery.set_mood(Mood::Hangs);
-    let calls = discovery.calls(before.len() + 1);
+    let before = discovery.wait_for_requests(2);
+    discovery.set_mode(DiscoveryMode::Hangs);
+    let calls = discovery.wait_for_requests(before.len() + 1);
     let gap = calls[before.len()].0 - calls[before.len() - 1].0;
     assert!(gap < Duration::from_secs(5), "{gap:?}");
-    discovery.set_mood(Mood::Works);
+    discovery.set_mode(DiscoveryMode::Works);
 }
 
 /// Nonsense in the list costs the rows that hold it, not the others.
 #[test]
 fn rows_that_make_no_sense_are_passed_over() {
     let server = Server::start("s-1");
-    let mut huge = target("s-3", "127.0.0.1:1", "ready");
+    let mut huge = target_row("s-3", "127.0.0.1:1", "ready");
     huge["boot_ms"] = json!(-1e300);
     huge["capacity_hint"] = json!(1e308);
     let discovery = Discovery::start(&[
         json!({"uid": 7, "state": "ready"}),
         json!({"uid": "s-4", "endpoint": "no address", "state": "ready"}),
         json!({"uid": "s-5", "endpoint": "127.0.0.1:1", "state": "happy"}),
-        server.target("ready"),
+        server.target_row("ready"),
         huge,
     ]);
     let proxy = Proxy::start(&discovery);
@@ -196,23 +207,23 @@
         "PONG =,=,x0==",
         "WHAT",
     ] {
-        server.answer_probes(Some(pong));
+        server.set_probe_answer(Some(pong));
         let (mut client, mut conn) = proxy.up(&server);
-        conn.say("LOAD NaN");
-        conn.say("LOAD -5");
-        conn.say("LOAD 1e300");
-        conn.say("LOAD");
+        conn.send_line("LOAD NaN");
+        conn.send_line("LOAD -5");
+        conn.send_line("LOAD 1e300");
+        conn.send_line("LOAD");
         for _ in 0..4 {
-            assert!(client.hear().starts_with("LOAD"));
+            assert!(client.read_line().starts_with("LOAD"));
         }
     }
 }
 
 fn refused_line(proxy: &Proxy, bytes: &[u8]) {
-    let mut client = Peer::connect(proxy.addr);
-    client.send(bytes);
-    assert_eq!(client.hear(), "ERR");
-    assert_eq!(client.end(), End::Closed);
+    let mut client = LineConnection::connect(proxy.addr);
+    client.send_bytes(bytes);
+    assert_eq!(client.read_line(), "ERR");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
 #[test]
@@ -229,11 +240,11 @@
         &proxy,
         format!("OPEN 1 2 c=watch,k={}\r\n", "y".repeat(5000)).as_bytes(),
     );
-    let mut half = Peer::connect(proxy.addr);
-    half.send(b"OPEN 1 2 c=wat");
-    half.end_sending();
-    assert_eq!(half.hear(), "ERR");
-    assert!(server.nothing_opened());
+    let mut half = LineConnection::connect(proxy.addr);
+    half.send_bytes(b"OPEN 1 2 c=wat");
+    half.half_close();
+    assert_eq!(half.read_line(), "ERR");
+    assert!(server.no_pending_open());
     proxy.up(&server);
     assert!(proxy.alive());
 }
@@ -241,13 +252,15 @@
 #[test]
 fn a_client_that_never_finishes_its_line_is_let_go_and_stalls_nobody() {
     let (server, _discovery, proxy) = one_server();
-    let mut slow: Vec<Peer> = (0..40).map(|_| Peer::connect(proxy.addr)).collect();
+    let mut slow: Vec<LineConnection> = (0..40)
+        .map(|_| LineConnection::connect(proxy.addr))
+        .collect();
     for peer in &mut slow {
-        peer.send(b"OPEN 1 ");
+        peer.send_bytes(b"OPEN 1 ");
     }
     proxy.up(&server);
     for peer in &mut slow {
-        assert_eq!(peer.hear(), "ERR");
+        assert_eq!(peer.read_line(), "ERR");
     }
 }
 
@@ -255,7 +268,7 @@
 #[test]
 fn out_of_descriptors_clients_are_turned_away() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     let mut proxy = Proxy::launch(discovery.addr, |config| {
         config["limits"]["sockets"] = json!(100);
         // Only descriptors turn anyone away.
@@ -267,14 +280,14 @@
     for number in 0..60 {
         let mut client = proxy.open("watch");
         // The proxy either turns it away or opens a connection for it.
-        match server.opened_or(|| !client.quiet_for(Duration::from_millis(20))) {
+        match server.next_open_unless(|| !client.is_quiet_for(Duration::from_millis(20))) {
             Some((_, mut conn)) => {
-                conn.say(&format!("UP {number}"));
-                assert_eq!(client.hear(), format!("UP {number}"));
+                conn.send_line(&format!("UP {number}"));
+                assert_eq!(client.read_line(), format!("UP {number}"));
                 held.push((client, conn));
             }
             None => {
-                assert!(client.hear().starts_with("BUSY"));
+                assert!(client.read_line().starts_with("BUSY"));
                 turned_away += 1;
             }
         }
@@ -286,13 +299,15 @@
     );
     // All that were taken still work.
     for (client, conn) in &mut held {
-        client.say("SAY on");
-        assert_eq!(conn.hear(), "SAY on");
+        client.send_line("SAY on");
+        assert_eq!(conn.read_line(), "SAY on");
     }
     // Slow ones that hold a descriptor each don't keep the next from being turned away at once.
-    let _slow: Vec<Peer> = (0..4).map(|_| Peer::connect(proxy.addr)).collect();
+    let _slow: Vec<LineConnection> = (0..4)
+        .map(|_| LineConnection::connect(proxy.addr))
+        .collect();
     let at = Instant::now();
-    assert!(proxy.open("watch").hear().starts_with("BUSY"));
+    assert!(proxy.open("watch").read_line().starts_with("BUSY"));
     assert!(
         at.elapsed() < Duration::from_millis(150),
         "{:?}",
--- a/crates/proxy/tests/unit_asking.rs
+++ b/crates/proxy/tests/unit_asking.rs
@@ -4,18 +4,18 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
-use violetwind_proxy::asking::*;
-use violetwind_proxy::limits::{Basis, Limits};
+use violetwind_proxy::limits::{LimitInputs, Limits};
+use violetwind_proxy::poll_schedule::*;
 
 fn limits(fleet: usize) -> Limits {
-    Limits::new(Basis {
-        fleet,
-        ..Basis::default()
+    Limits::new(LimitInputs {
+        fleet_size: fleet,
+        ..LimitInputs::default()
     })
 }
 
-fn other() -> Failure {
-    Failure::Other("status 503".into())
+fn other() -> QueryFailure {
+    QueryFailure::Other("status 503".into())
 }
 
 /// Discovery as it was seen to work: calls in turn, 60 ms each, and those that it turns away or that
@@ -42,12 +42,12 @@
 fn herd(fleet: usize, seed: u64) -> (usize, Duration) {
     let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
     let limits = limits(fleet);
-    let mut asking: BTreeMap<usize, Asking> = (0..fleet)
-        .map(|at| (at, Asking::new(&limits, Some(41))))
+    let mut asking: BTreeMap<usize, PollSchedule> = (0..fleet)
+        .map(|at| (at, PollSchedule::new(&limits, Some(41))))
         .collect();
     let mut due: BinaryHeap<Reverse<(Duration, usize)>> = asking
         .iter()
-        .map(|(&at, asking)| Reverse((asking.before_first(rng.random()), at)))
+        .map(|(&at, asking)| Reverse((asking.initial_delay(rng.random()), at)))
         .collect();
     let mut service = Service {
         free_at: Duration::ZERO,
@@ -61,7 +61,10 @@
             asking.remove(&at);
             last = last.max(then);
         } else {
-            let wait = asking.get_mut(&at).unwrap().failed(&other(), rng.random());
+            let wait = asking
+                .get_mut(&at)
+                .unwrap()
+                .on_failure(&other(), rng.random());
             due.push(Reverse((then + wait, at)));
         }
     }
@@ -85,7 +88,7 @@
             "100: {calls} {last:?}"
         );
         // Spread over 9.5 s it was 1,042 calls and 75 s, and drains bound before the first call.
-        assert!(limits(300).first_call <= Duration::from_secs(2));
+        assert!(limits(300).max_initial_delay <= Duration::from_secs(2));
         let (calls, last) = herd(300, seed);
         assert!(
             calls <= 1500 && last < Duration::from_secs(120),
@@ -96,35 +99,35 @@
 
 #[test]
 fn a_list_of_the_last_run_is_not_asked_for_again() {
-    let mut asking = Asking::new(&limits(3), Some(41));
-    assert_eq!(asking.call(), Call::Since(41));
-    let at_once = asking.answered(43, false, 2, COST);
-    assert_eq!(at_once, (Verdict::Take, Duration::ZERO));
-    assert_eq!(asking.call(), Call::Since(43));
+    let mut asking = PollSchedule::new(&limits(3), Some(41));
+    assert_eq!(asking.next_query(), DiscoveryQuery::ChangesSince(41));
+    let at_once = asking.on_answer(43, false, 2, COST);
+    assert_eq!(at_once, (Verdict::Apply, Duration::ZERO));
+    assert_eq!(asking.next_query(), DiscoveryQuery::ChangesSince(43));
 }
 
 #[test]
 fn without_a_list_it_asks_at_once() {
-    let asking = Asking::new(&limits(100), None);
-    assert_eq!(asking.before_first(1.0), Duration::ZERO);
-    assert_eq!(asking.call(), Call::Whole);
+    let asking = PollSchedule::new(&limits(100), None);
+    assert_eq!(asking.initial_delay(1.0), Duration::ZERO);
+    assert_eq!(asking.next_query(), DiscoveryQuery::Snapshot);
 }
 
 /// A service that lost its memory counts from one again.
 #[test]
 fn a_version_that_goes_back_or_is_unknown_means_the_whole_list() {
-    let mut asking = Asking::new(&limits(3), Some(41));
-    let (verdict, wait) = asking.answered(2, false, 5, COST);
+    let mut asking = PollSchedule::new(&limits(3), Some(41));
+    let (verdict, wait) = asking.on_answer(2, false, 5, COST);
     assert_eq!(verdict, Verdict::OutOfOrder);
     assert!(wait > Duration::ZERO);
-    assert_eq!(asking.call(), Call::Whole);
-    assert_eq!(asking.answered(2, true, 5, COST).0, Verdict::Take);
-    asking.failed(&Failure::Forgotten("status 410".into()), 0.5);
-    assert_eq!(asking.call(), Call::Whole);
+    assert_eq!(asking.next_query(), DiscoveryQuery::Snapshot);
+    assert_eq!(asking.on_answer(2, true, 5, COST).0, Verdict::Apply);
+    asking.on_failure(&QueryFailure::VersionExpired("status 410".into()), 0.5);
+    assert_eq!(asking.next_query(), DiscoveryQuery::Snapshot);
     // One that is merely down keeps the version.
-    asking.answered(3, true, 5, COST);
-    asking.failed(&other(), 0.5);
-    assert_eq!(asking.call(), Call::Since(3));
+    asking.on_answer(3, true, 5, COST);
+    asking.on_failure(&other(), 0.5);
+    assert_eq!(asking.next_query(), DiscoveryQuery::ChangesSince(3));
 }
 
 /// A watch that had fallen silent was opened anew up to 8.8 s later in a fleet of 300, and drains that it had
@@ -132,16 +135,17 @@
 #[test]
 fn a_silent_watch_is_opened_anew_at_once_and_a_second_one_waits() {
     let limits = limits(300);
-    let mut asking = Asking::new(&limits, Some(41));
-    let silent = Failure::Silent("no answer in time".into());
+    let mut asking = PollSchedule::new(&limits, Some(41));
+    let silent = QueryFailure::WatchTimeout("no answer in time".into());
     for _ in 0..3 {
-        assert!(asking.failed(&silent, 1.0) <= limits.call_gap);
-        assert_eq!(asking.call(), Call::Since(41));
-        assert!(asking.failed(&silent, 0.0) >= limits.backoff / 4);
-        asking.answered(41, false, 0, COST);
+        assert!(asking.on_failure(&silent, 1.0) <= limits.min_query_interval);
+        assert_eq!(asking.next_query(), DiscoveryQuery::ChangesSince(41));
+        assert!(asking.on_failure(&silent, 0.0) >= limits.initial_backoff / 4);
+        asking.on_answer(41, false, 0, COST);
     }
     // Before what it missed counts as told: two seconds after the wait.
-    let again = limits.watch_slack + limits.call_gap + limits.discovery_connect / 2;
+    let again =
+        limits.watch_slack + limits.min_query_interval + limits.discovery_connect_timeout / 2;
     assert!(again < Duration::from_secs(2));
 }
 
@@ -152,12 +156,12 @@
     for (fleet, most) in [(3, 60), (100, 45), (300, 45)] {
         let limits = limits(fleet);
         for chance in [0.0, 0.5, 1.0] {
-            let mut asking = Asking::new(&limits, Some(41));
+            let mut asking = PollSchedule::new(&limits, Some(41));
             let (mut now, mut calls) = (Duration::ZERO, 0);
             while now < Duration::from_secs(60) {
-                let pause = asking.failed(&other(), chance);
+                let pause = asking.on_failure(&other(), chance);
                 assert!(
-                    pause + limits.whole_wait < Duration::from_millis(5600),
+                    pause + limits.snapshot_timeout < Duration::from_millis(5600),
                     "{pause:?}"
                 );
                 now += pause + COST;
@@ -171,13 +175,13 @@
 
 #[test]
 fn answers_with_nothing_new_are_no_busy_loop() {
-    let mut asking = Asking::new(&limits(100), Some(41));
-    let (verdict, wait) = asking.answered(41, false, 0, Duration::ZERO);
-    assert_eq!(verdict, Verdict::Same);
+    let mut asking = PollSchedule::new(&limits(100), Some(41));
+    let (verdict, wait) = asking.on_answer(41, false, 0, Duration::ZERO);
+    assert_eq!(verdict, Verdict::Unchanged);
     // A watch that goes on must do so within 200 ms.
     assert!(wait > Duration::ZERO && wait < Duration::from_millis(200));
     assert_eq!(
-        asking.answered(41, false, 0, Duration::from_secs(6)).1,
+        asking.on_answer(41, false, 0, Duration::from_secs(6)).1,
         Duration::ZERO
     );
 }
--- a/crates/proxy/tests/unit_config.rs
+++ b/crates/proxy/tests/unit_config.rs
@@ -26,7 +26,7 @@
     // Delays can't be told from small loads: the module must not act on them.
     assert_eq!(config.settings.message_aim, None);
     assert_eq!(config.seed, 255);
-    assert_eq!(config.reports, Reports::Probes);
+    assert_eq!(config.load_report_source, LoadReportSource::Probes);
 }
 
 #[test]
@@ -46,8 +46,8 @@
         .replace("\"memory_mb\":192", "\"memory_mb\":64")
         .replace("\"n0\"", "\"n1\"");
     let new = parse(&other).unwrap();
-    assert_eq!(old.restart_needed(&new), ["limits", "name"]);
-    assert!(old.restart_needed(&old).is_empty());
+    assert_eq!(old.keys_needing_restart(&new), ["limits", "name"]);
+    assert!(old.keys_needing_restart(&old).is_empty());
 }
 
 /// A proxy that starts on half a configuration would serve by made-up limits.
--- a/crates/proxy/tests/unit_operator.rs
+++ b/crates/proxy/tests/unit_operator.rs
@@ -3,16 +3,16 @@
 use std::collections::BTreeMap;
 
 use std::time::Duration;
-use violetwind_proxy::fleet::settings::Of;
+use violetwind_proxy::fleet::settings::BudgetSubject;
 
-use violetwind_conf::{Problem, Problems, Section, Tree};
-use violetwind_consul::{Field, Identity};
-use violetwind_proxy::operator::*;
+use violetwind_conf::{ConfigTree, Problem, Problems, Section};
+use violetwind_consul::{FieldSource, Identity};
+use violetwind_proxy::operator_config::*;
 
-fn read(text: &str) -> Result<Operator, Vec<String>> {
-    let tree = Tree::parse("f.toml", text).unwrap();
+fn read(text: &str) -> Result<OperatorConfig, Vec<String>> {
+    let tree = ConfigTree::parse("f.toml", text).unwrap();
     let problems = Problems::default();
-    let operator = Operator::read(&Section::root(&tree, &problems));
+    let operator = OperatorConfig::read(&Section::root(&tree, &problems));
     let problems: Vec<String> = problems.into_vec().iter().map(Problem::to_string).collect();
     match problems.is_empty() {
         true => Ok(operator),
@@ -24,14 +24,17 @@
 fn an_empty_file_changes_nothing() {
     let operator = read("").unwrap();
     assert!(operator.sources.is_empty());
-    let (mut limits, before) = (Limits::new(Basis::default()), Limits::new(Basis::default()));
-    operator.limit(&mut limits);
+    let (mut limits, before) = (
+        Limits::new(LimitInputs::default()),
+        Limits::new(LimitInputs::default()),
+    );
+    operator.apply_limits(&mut limits);
     assert_eq!(format!("{limits:?}"), format!("{before:?}"));
     let default = violetwind_catalogue::Limits::default();
-    assert_eq!(operator.catalogue, default);
+    assert_eq!(operator.catalogue_limits, default);
 }
 
-use violetwind_proxy::limits::{Basis, Limits};
+use violetwind_proxy::limits::{LimitInputs, Limits};
 
 #[test]
 fn a_consul_source_is_read_with_its_rules() {
@@ -51,18 +54,18 @@
             server_kind = "tag:model="
         "#;
     let operator = read(text).unwrap();
-    let How::Consul(settings) = &operator.sources[0].how else {
+    let SourceKind::Consul(settings) = &operator.sources[0].kind else {
         panic!()
     };
     assert_eq!(settings.rules.identity, Identity::NodeAndId);
-    assert_eq!(settings.rules.zone, Field::Meta("az".into()));
-    assert_eq!(settings.rules.kind, Field::Tag("model=".into()));
+    assert_eq!(settings.rules.zone, FieldSource::Meta("az".into()));
+    assert_eq!(settings.rules.kind, FieldSource::TagPrefix("model=".into()));
     assert_eq!(settings.rules.zones["dc1"], "a");
-    let mut limits = Limits::new(Basis::default());
-    operator.limit(&mut limits);
+    let mut limits = Limits::new(LimitInputs::default());
+    operator.apply_limits(&mut limits);
     assert_eq!(limits.engine.drain_wait, Duration::from_secs(1));
     assert_eq!(
-        read("").unwrap().restart_needed(&operator),
+        read("").unwrap().sections_needing_restart(&operator),
         ["limits", "source"]
     );
 }
@@ -137,20 +140,20 @@
     let of = |of: &str, kind: &str| {
         let budget =
             format!("[[fleet.budget]]\nname = \"b\"\nwhole = 9\nof = \"{of}\"\nkind = \"{kind}\"");
-        read(&format!("{text}\n{budget}")).map(|operator| operator.fleet.unwrap().counted_by)
+        read(&format!("{text}\n{budget}")).map(|operator| operator.fleet.unwrap().balancer_budgets)
     };
     let counted = |of_what| Ok(BTreeMap::from([("b".to_string(), of_what)]));
-    assert_eq!(of("cold", "rate"), counted(Of::Cold));
-    assert_eq!(of("probes", "rate"), counted(Of::Probes));
-    assert_eq!(of("moves", "rate"), counted(Of::Moves));
+    assert_eq!(of("cold", "rate"), counted(BudgetSubject::Cold));
+    assert_eq!(of("probes", "rate"), counted(BudgetSubject::Probes));
+    assert_eq!(of("moves", "rate"), counted(BudgetSubject::Moves));
     let fault = of("moves", "held").unwrap_err();
     assert!(
         fault[0].starts_with("f.toml:16: `fleet.budget.0.kind`: retries, moves"),
         "{fault:?}"
     );
-    let fault = fleet.fits("c").unwrap_err();
+    let fault = fleet.check_node("c").unwrap_err();
     assert!(fault.contains("own name"), "{fault}");
-    let fault = fleet.fits("a").unwrap_err();
+    let fault = fleet.check_node("a").unwrap_err();
     assert!(fault.contains("fleet.dir"), "{fault}");
     assert!(read("").unwrap().fleet.is_none());
 }
--- a/crates/proxy/tests/unit_ring.rs
+++ b/crates/proxy/tests/unit_ring.rs
@@ -1,10 +1,10 @@
 //! `ring` by itself.
 
-use violetwind_proxy::ring::*;
+use violetwind_proxy::ring_buffer::*;
 
 #[test]
 fn lines_come_out_whole_and_in_order_past_the_end_of_the_buffer() {
-    let mut ring = Ring::new(16);
+    let mut ring = RingBuffer::new(16);
     for turn in 0..40 {
         let text = format!("n{turn:04}\r\n");
         assert!(ring.push(b"ab\r\n"));
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_full_ring_takes_no_more() {
-    let mut ring = Ring::new(4);
+    let mut ring = RingBuffer::new(4);
     assert!(ring.push(b"abcd"));
     assert!(!ring.push(b"e"));
     ring.truncate(2);
--- a/crates/proxy/tests/upgrade.rs
+++ b/crates/proxy/tests/upgrade.rs
@@ -7,12 +7,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{Answers, Discovery, End, Peer, Proxy, Server, without_loads};
+use common::{ConnectionEnd, Discovery, LineConnection, Pingable, Proxy, Server, without_loads};
 use serde_json::json;
-use violetwind_service::handover::{self, Message, Messages};
+use violetwind_service::handover::{self, Message, MessageDecoder};
 
 fn managed(server: &Server) -> (Discovery, Proxy) {
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     let proxy = Proxy::managed(&discovery, without_loads);
     // Its socket is there.
     proxy.logged("successors are awaited");
@@ -34,11 +34,12 @@
 fn no_client_meets_a_refusal_or_a_reset() {
     let server = Server::start("s-1");
     let (discovery, mut old) = managed(&server);
-    let mut standing: Vec<(Peer, Peer)> = (0..10).map(|_| old.up(&server)).collect();
+    let mut standing: Vec<(LineConnection, LineConnection)> =
+        (0..10).map(|_| old.up(&server)).collect();
     let mut waits = old.open("book");
-    let (_, mut answers_late) = server.opened();
-    let mut half = Peer::connect(old.addr);
-    half.send(b"OPEN 00000000000000aa 7f3a9c21e0b4");
+    let (_, mut answers_late) = server.next_open();
+    let mut half = LineConnection::connect(old.addr);
+    half.send_bytes(b"OPEN 00000000000000aa 7f3a9c21e0b4");
     let new = old.successor(discovery.addr);
     let mut met = vec![old.up(&server)];
     new.logged("operators are heard");
@@ -53,15 +54,15 @@
     assert!(old.no("HEALTH").contains("successor"));
     old.signal("-TERM");
     let at = Instant::now();
-    half.send(b"d655 c=watch,d=2000\r\n");
-    let (_, mut of_half) = server.opened();
-    of_half.say("UP 5");
-    assert_eq!(half.hear(), "UP 5");
-    answers_late.say("UP 7");
-    assert_eq!(waits.hear(), "UP 7");
+    half.send_bytes(b"d655 c=watch,d=2000\r\n");
+    let (_, mut of_half) = server.next_open();
+    of_half.send_line("UP 5");
+    assert_eq!(half.read_line(), "UP 5");
+    answers_late.send_line("UP 7");
+    assert_eq!(waits.read_line(), "UP 7");
     while old.alive() {
         met.push(new.up(&server));
-        assert!(new.pong());
+        assert!(new.answers_ping());
         thread::sleep(Duration::from_millis(20));
     }
     assert!(old.ended().success());
@@ -88,18 +89,18 @@
     // The newest moves them all when it is told to end: it has them in its books.
     newest.signal("-TERM");
     for (client, _conn) in standing.iter_mut().chain(&mut met) {
-        assert_eq!(client.hear(), "MOVE");
-        assert_eq!(client.end(), End::Closed);
+        assert_eq!(client.read_line(), "MOVE");
+        assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     }
     assert!(newest.ended().success());
 }
 
 /// A line goes both ways.
-fn talk(client: &mut Peer, conn: &mut Peer) {
-    client.say("SAY on");
-    assert_eq!(conn.hear(), "SAY on");
-    conn.say("OK on");
-    assert_eq!(client.hear(), "OK on");
+fn talk(client: &mut LineConnection, conn: &mut LineConnection) {
+    client.send_line("SAY on");
+    assert_eq!(conn.read_line(), "SAY on");
+    conn.send_line("OK on");
+    assert_eq!(client.read_line(), "OK on");
 }
 
 /// One within a line stays with the old process until the line is over; one that never ends it is moved.
@@ -107,27 +108,28 @@
 fn a_connection_within_a_line_follows_when_the_line_is_over() {
     let server = Server::start("s-1");
     let (discovery, mut old) = managed(&server);
-    let mut pairs: Vec<(Peer, Peer)> = (0..3).map(|_| old.up(&server)).collect();
+    let mut pairs: Vec<(LineConnection, LineConnection)> =
+        (0..3).map(|_| old.up(&server)).collect();
     let (client, conn) = &mut pairs[0];
-    client.send(b"SAY ");
-    assert_eq!(conn.hear_bytes(4), b"SAY ");
+    client.send_bytes(b"SAY ");
+    assert_eq!(conn.read_bytes(4), b"SAY ");
     let (client, conn) = &mut pairs[1];
-    conn.send(b"OK o");
+    conn.send_bytes(b"OK o");
     // Half a line stays here, or no word could follow should its end never come.
-    assert!(client.quiet_for(Duration::from_millis(50)));
+    assert!(client.is_quiet_for(Duration::from_millis(50)));
     let (client, conn) = &mut pairs[2];
-    client.send(b"SAY never");
-    assert_eq!(conn.hear_bytes(9), b"SAY never");
+    client.send_bytes(b"SAY never");
+    assert_eq!(conn.read_bytes(9), b"SAY never");
     let new = old.successor(discovery.addr);
     wait_health(&new);
     old.signal("-TERM");
     let (client, conn) = &mut pairs[0];
-    client.send(b"on\r\n");
-    assert_eq!(conn.hear(), "on");
+    client.send_bytes(b"on\r\n");
+    assert_eq!(conn.read_line(), "on");
     let (client, conn) = &mut pairs[1];
-    conn.send(b"n\r\n");
-    assert_eq!(client.hear(), "OK on");
-    assert_eq!(pairs[2].0.hear(), "MOVE");
+    conn.send_bytes(b"n\r\n");
+    assert_eq!(client.read_line(), "OK on");
+    assert_eq!(pairs[2].0.read_line(), "MOVE");
     assert!(old.ended().success());
     for (client, conn) in &mut pairs[..2] {
         talk(client, conn);
@@ -137,7 +139,7 @@
 /// Frames of a successor that is played by hand.
 fn frames(messages: &[Message]) -> Vec<u8> {
     let limits = violetwind_service::Limits::default();
-    let frame = |message| handover::frame(message, &limits).unwrap();
+    let frame = |message| handover::encode_frame(message, &limits).unwrap();
     messages.iter().flat_map(frame).collect()
 }
 
@@ -146,7 +148,11 @@
 #[test]
 fn a_connection_that_is_not_taken_over_stays() {
     let server = Server::start("s-1");
-    for answer in [None, Some(Message::NotTaken(1)), Some(Message::Taken(7))] {
+    for answer in [
+        None,
+        Some(Message::ConnectionDeclined(1)),
+        Some(Message::ConnectionAccepted(7)),
+    ] {
         let (_discovery, old) = managed(&server);
         let (mut client, mut conn) = old.up(&server);
         let mut stream = UnixStream::connect(old.dir().join("violetwind.sock")).unwrap();
@@ -156,13 +162,16 @@
         stream
             .write_all(&frames(&[Message::Hello, Message::Serving]))
             .unwrap();
-        let (mut messages, limits) = (Messages::default(), violetwind_service::Limits::default());
+        let (mut messages, limits) = (
+            MessageDecoder::default(),
+            violetwind_service::Limits::default(),
+        );
         let mut piece = [0; 512];
         loop {
             let got = stream.read(&mut piece).unwrap();
             messages.feed(&piece[..got]);
             let mut all = std::iter::from_fn(|| messages.next(&limits).unwrap());
-            if all.any(|message| matches!(message, Message::Connection(1, _))) {
+            if all.any(|message| matches!(message, Message::ConnectionOffer(1, _))) {
                 break;
             }
         }
@@ -170,15 +179,15 @@
             let answer = std::slice::from_ref(answer);
             stream.write_all(&frames(answer)).unwrap();
         }
-        client.say("SAY on");
-        if answer != Some(Message::NotTaken(1)) {
+        client.send_line("SAY on");
+        if answer != Some(Message::ConnectionDeclined(1)) {
             // Nothing is decided yet: the connection waits, and no line is lost once the other has gone.
-            assert!(conn.quiet_for(Duration::from_millis(100)));
+            assert!(conn.is_quiet_for(Duration::from_millis(100)));
             drop(stream);
         }
-        assert_eq!(conn.hear(), "SAY on");
-        conn.say("OK on");
-        assert_eq!(client.hear(), "OK on");
+        assert_eq!(conn.read_line(), "SAY on");
+        conn.send_line("OK on");
+        assert_eq!(client.read_line(), "OK on");
     }
 }
 
@@ -186,7 +195,7 @@
 #[test]
 fn bans_and_leaving_hold_for_both_processes() {
     let servers = ["s-1", "s-2"].map(Server::start);
-    let targets = servers.each_ref().map(|s| s.target("ready"));
+    let targets = servers.each_ref().map(|s| s.target_row("ready"));
     let discovery = Discovery::start(&targets);
     let old = Proxy::managed(&discovery, without_loads);
     old.logged("successors are awaited");
@@ -201,12 +210,12 @@
     for _ in 0..5 {
         new.up(&servers[0]);
     }
-    assert!(servers[1].nothing_opened());
+    assert!(servers[1].no_pending_open());
     old.yes("LEAVE");
-    assert!(!new.pong());
+    assert!(!new.answers_ping());
     assert!(new.yes("HEALTH").contains("left"));
     new.yes("JOIN");
-    assert!(new.pong());
+    assert!(new.answers_ping());
     old.signal("-KILL");
     new.logged("the earlier process has gone");
     assert!(new.yes("OFFLINE s-2").contains("already"));
@@ -220,10 +229,10 @@
     old.yes("LEAVE");
     let new = old.successor(discovery.addr);
     wait_health(&new);
-    assert!(!new.pong());
-    assert!(new.open("watch").hear().starts_with("BUSY"));
+    assert!(!new.answers_ping());
+    assert!(new.open("watch").read_line().starts_with("BUSY"));
     new.yes("JOIN");
-    assert!(new.pong());
+    assert!(new.answers_ping());
     new.up(&server);
 }
 
@@ -249,7 +258,7 @@
     old.logged("clients are served here again");
     old.yes("HEALTH");
     old.up(&server);
-    assert!(old.pong());
+    assert!(old.answers_ping());
     // The old one can be succeeded again, and by one whose file has other settings, with a reload meanwhile.
     old.signal("-HUP");
     let again = old.successor(discovery.addr);
@@ -260,8 +269,8 @@
     old.signal("-HUP");
     again.up(&server);
     // What it had taken over went with it.
-    assert!(client.try_hear().is_err());
-    assert!(conn.try_hear().is_err());
+    assert!(client.try_read_line().is_err());
+    assert!(conn.try_read_line().is_err());
 }
 
 #[test]
@@ -276,7 +285,7 @@
     old.ended();
     talk(&mut client, &mut conn);
     new.up(&server);
-    assert!(new.pong());
+    assert!(new.answers_ping());
     new.yes("OFFLINE s-1");
 }
 
@@ -331,25 +340,25 @@
 #[test]
 fn both_processes_share_one_limit_on_descriptors() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     let old = Proxy::managed(&discovery, |config| {
         without_loads(config);
         config["limits"]["sockets"] = json!(120);
     });
     old.logged("successors are awaited");
-    let _held: Vec<(Peer, Peer)> = (0..10).map(|_| old.up(&server)).collect();
+    let _held: Vec<(LineConnection, LineConnection)> = (0..10).map(|_| old.up(&server)).collect();
     let new = old.successor(discovery.addr);
     wait_health(&new);
     let mut pairs = Vec::new();
     loop {
         let mut client = new.open("watch");
-        let came = server.opened_or(|| !client.quiet_for(Duration::from_millis(1)));
+        let came = server.next_open_unless(|| !client.is_quiet_for(Duration::from_millis(1)));
         let Some((_, mut conn)) = came else {
-            assert_eq!(client.hear(), "BUSY");
+            assert_eq!(client.read_line(), "BUSY");
             break;
         };
-        conn.say("UP 1");
-        assert_eq!(client.hear(), "UP 1");
+        conn.send_line("UP 1");
+        assert_eq!(client.read_line(), "UP 1");
         pairs.push((client, conn));
         assert!(old.descriptors() + new.descriptors() <= 120);
     }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -7,12 +7,12 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use reader::{End, Reader};
+pub use reader::{Reader, RecordingEnd};
 pub use writer::{Limits, Recorder};
 
 pub const MAGIC: &[u8; 8] = b"VWREC01\n";
 /// The longest record that is written or read.
-pub const MOST_BYTES: usize = 4096;
+pub const MAX_RECORD_BYTES: usize = 4096;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
@@ -23,7 +23,7 @@
     },
     Request(Request),
     /// So many requests since the last record found no room on the way to the file.
-    Left(u64),
+    Dropped(u64),
 }
 
 /// One request, told when nothing more comes of it.
@@ -35,12 +35,12 @@
     pub tenant: Option<u16>,
     /// A hash of the group's name.
     pub group: Option<u64>,
-    pub patience_ms: u32,
+    pub timeout_ms: u32,
     pub answer: Answer,
     /// From its coming to its answer.
-    pub took_us: u64,
+    pub latency_us: u64,
     /// From the answer to the end of the connection; 0 for one that never was up.
-    pub held_ms: u64,
+    pub connected_ms: u64,
     /// The load last told, in microseconds of work a second.
     pub load: Option<u32>,
 }
@@ -51,13 +51,13 @@
     Refused,
     Failed,
     /// The client left before.
-    Gone,
+    ClientLeft,
 }
 
 /// A record as it stands in a file.
-pub(crate) fn framed(record: &Record) -> Option<Vec<u8>> {
+pub(crate) fn encode_record(record: &Record) -> Option<Vec<u8>> {
     let bytes = postcard::to_stdvec(record).ok()?;
-    if bytes.len() > MOST_BYTES {
+    if bytes.len() > MAX_RECORD_BYTES {
         return None;
     }
     let mut frame = Vec::with_capacity(8 + bytes.len());
--- a/crates/record/src/reader.rs
+++ b/crates/record/src/reader.rs
@@ -2,11 +2,11 @@
 
 use std::io::{ErrorKind, Read};
 
-use crate::{MAGIC, MOST_BYTES, Record};
+use crate::{MAGIC, MAX_RECORD_BYTES, Record};
 
 /// How a recording ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RecordingEnd {
     Whole,
     /// Within a record, at this byte.
     Cut(u64),
@@ -21,7 +21,7 @@
 pub struct Reader<R> {
     from: R,
     at: u64,
-    end: Option<End>,
+    end: Option<RecordingEnd>,
     begun: bool,
 }
 
@@ -36,32 +36,32 @@
     }
 
     /// How it ended; none before the last record was read.
-    pub fn end(&self) -> Option<End> {
+    pub fn end(&self) -> Option<RecordingEnd> {
         self.end
     }
 
     /// Fills a buffer, or says why not; an end before the first byte is the end of the file.
-    fn fill(&mut self, buffer: &mut [u8], may_end: bool) -> Result<(), End> {
+    fn fill(&mut self, buffer: &mut [u8], may_end: bool) -> Result<(), RecordingEnd> {
         let mut got = 0;
         while got < buffer.len() {
             match self.from.read(&mut buffer[got..]) {
-                Ok(0) if got == 0 && may_end => return Err(End::Whole),
-                Ok(0) => return Err(End::Cut(self.at + got as u64)),
+                Ok(0) if got == 0 && may_end => return Err(RecordingEnd::Whole),
+                Ok(0) => return Err(RecordingEnd::Cut(self.at + got as u64)),
                 Ok(more) => got += more,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Err(End::Unreadable(self.at + got as u64)),
+                Err(_) => return Err(RecordingEnd::Unreadable(self.at + got as u64)),
             }
         }
         self.at += got as u64;
         Ok(())
     }
 
-    fn record(&mut self) -> Result<Record, End> {
+    fn record(&mut self) -> Result<Record, RecordingEnd> {
         if !std::mem::replace(&mut self.begun, true) {
             let mut magic = [0; MAGIC.len()];
             self.fill(&mut magic, false)?;
             if magic != *MAGIC {
-                return Err(End::Foreign);
+                return Err(RecordingEnd::Foreign);
             }
         }
         let begin = self.at;
@@ -69,15 +69,15 @@
         self.fill(&mut length, true)?;
         self.fill(&mut sum, false)?;
         let length = u32::from_le_bytes(length) as usize;
-        if length > MOST_BYTES {
-            return Err(End::Altered(begin));
+        if length > MAX_RECORD_BYTES {
+            return Err(RecordingEnd::Altered(begin));
         }
         let mut bytes = vec![0; length];
         self.fill(&mut bytes, false)?;
         if crc32fast::hash(&bytes) != u32::from_le_bytes(sum) {
-            return Err(End::Altered(begin));
+            return Err(RecordingEnd::Altered(begin));
         }
-        postcard::from_bytes(&bytes).map_err(|_| End::Altered(begin))
+        postcard::from_bytes(&bytes).map_err(|_| RecordingEnd::Altered(begin))
     }
 }
 
--- a/crates/record/src/writer.rs
+++ b/crates/record/src/writer.rs
@@ -12,29 +12,29 @@
 
 use tracing::{info, warn};
 
-use crate::{MAGIC, Record, framed};
+use crate::{MAGIC, Record, encode_record};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// A file is closed at this length and the next begun; so many older ones are kept beside it.
-    pub file_bytes: u64,
-    pub files: usize,
+    pub max_file_bytes: u64,
+    pub max_old_files: usize,
     /// Records on the way to the file.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// After a failure nothing is tried for so long.
-    pub pause: Duration,
+    pub retry_delay: Duration,
     /// At the end the disk has so long to take what is queued; a stalled one must not hold up an exit.
-    pub farewell: Duration,
+    pub flush_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            file_bytes: 64 << 20,
-            files: 4,
-            queue: 4096,
-            pause: Duration::from_secs(5),
-            farewell: Duration::from_millis(200),
+            max_file_bytes: 64 << 20,
+            max_old_files: 4,
+            queue_capacity: 4096,
+            retry_delay: Duration::from_secs(5),
+            flush_timeout: Duration::from_millis(200),
         }
     }
 }
@@ -52,10 +52,10 @@
 impl Recorder {
     /// Begins a recording at `path`; older files of that name get `.1`, `.2` and so on.
     pub fn start(path: &Path, classes: Vec<String>, limits: Limits) -> std::io::Result<Self> {
-        let (queue, records) = sync_channel(limits.queue);
+        let (queue, records) = sync_channel(limits.queue_capacity);
         let left = Arc::new(AtomicU64::new(0));
         let (end, ended) = sync_channel(0);
-        let farewell = limits.farewell;
+        let farewell = limits.flush_timeout;
         let writer = Writer {
             path: path.to_path_buf(),
             classes,
@@ -80,7 +80,7 @@
     }
 
     /// Puts a record into the queue; with no room it is left out and counted.
-    pub fn put(&self, record: Record) {
+    pub fn enqueue(&self, record: Record) {
         let queued = self.queue.as_ref().map(|queue| queue.try_send(record));
         if !matches!(queued, Some(Ok(()))) {
             self.left.fetch_add(1, Ordering::Relaxed);
@@ -122,7 +122,7 @@
                 warn!(path = %self.path.display(), %error, left, "recording pauses");
                 // A file that may end within a record is not gone on with.
                 self.file = None;
-                self.paused_until = Some(Instant::now() + self.limits.pause);
+                self.paused_until = Some(Instant::now() + self.limits.retry_delay);
             }
         }
         let left = self.left.load(Ordering::Relaxed);
@@ -130,12 +130,12 @@
     }
 
     fn write(&mut self, record: &Record) -> std::io::Result<()> {
-        if self.file.is_none() || self.length >= self.limits.file_bytes {
+        if self.file.is_none() || self.length >= self.limits.max_file_bytes {
             self.begin()?;
         }
         let left = self.left.swap(0, Ordering::Relaxed);
         if left > 0
-            && let Err(error) = self.append(&Record::Left(left))
+            && let Err(error) = self.append(&Record::Dropped(left))
         {
             self.left.fetch_add(left, Ordering::Relaxed);
             return Err(error);
@@ -145,7 +145,7 @@
 
     fn append(&mut self, record: &Record) -> std::io::Result<()> {
         let too_long = || std::io::Error::other("a record that is too long");
-        let frame = framed(record).ok_or_else(too_long)?;
+        let frame = encode_record(record).ok_or_else(too_long)?;
         let file = self
             .file
             .as_mut()
@@ -162,13 +162,13 @@
             name.push(format!(".{n}"));
             name.into()
         };
-        for n in (1..self.limits.files).rev() {
+        for n in (1..self.limits.max_old_files).rev() {
             if numbered(n).exists() {
                 fs::rename(numbered(n), numbered(n + 1))?;
             }
         }
         if self.path.exists() {
-            match self.limits.files {
+            match self.limits.max_old_files {
                 0 => fs::remove_file(&self.path)?,
                 _ => fs::rename(&self.path, numbered(1))?,
             }
@@ -204,7 +204,7 @@
             ended,
             farewell: Duration::from_millis(20),
         };
-        recorder.put(Record::Left(1));
+        recorder.enqueue(Record::Dropped(1));
         drop(recorder);
     }
 }
--- a/crates/service/src/bans.rs
+++ b/crates/service/src/bans.rs
@@ -23,7 +23,7 @@
 
 /// What became of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum ChangeOutcome {
     Changed,
     /// It was so already.
     Same,
@@ -32,7 +32,7 @@
 }
 
 impl Bans {
-    pub fn is_out(&self, uid: &str) -> bool {
+    pub fn is_banned(&self, uid: &str) -> bool {
         self.out.contains_key(uid)
     }
 
@@ -41,13 +41,13 @@
     }
 
     /// The servers that are out.
-    pub fn out(&self) -> impl Iterator<Item = &str> {
+    pub fn banned_servers(&self) -> impl Iterator<Item = &str> {
         self.out.keys().map(String::as_str)
     }
 
     /// Takes over what an earlier process wrote down, which may have gone by another clock or before the machine was
     /// started anew: a time that is still to come counts as now.
-    pub fn taken_over(mut self, now: Millis) -> Self {
+    pub fn with_times_clamped(mut self, now: Millis) -> Self {
         for out in self.out.values_mut() {
             *out = (*out).min(now);
         }
@@ -58,24 +58,24 @@
     }
 
     /// Keeps a server out until it is called back, however often this is said.
-    pub fn put_out(&mut self, uid: &str, now: Millis, limits: &Limits) -> Kept {
-        if self.is_out(uid) {
-            return Kept::Same;
+    pub fn ban(&mut self, uid: &str, now: Millis, limits: &Limits) -> ChangeOutcome {
+        if self.is_banned(uid) {
+            return ChangeOutcome::Same;
         }
-        if self.out.len() >= limits.bans {
-            return Kept::Full;
+        if self.out.len() >= limits.max_bans {
+            return ChangeOutcome::Full;
         }
         self.back.remove(uid);
         self.out.insert(uid.to_string(), now);
-        Kept::Changed
+        ChangeOutcome::Changed
     }
 
     /// Uses a server again.
-    pub fn call_back(&mut self, uid: &str, now: Millis, limits: &Limits) -> Kept {
+    pub fn unban(&mut self, uid: &str, now: Millis, limits: &Limits) -> ChangeOutcome {
         let Some(out) = self.out.remove(uid) else {
-            return Kept::Same;
+            return ChangeOutcome::Same;
         };
-        if self.back.len() >= limits.bans {
+        if self.back.len() >= limits.max_bans {
             // The one that was called back longest ago is warm before any other.
             let oldest = self.back.iter().min_by_key(|(_, back)| back.at);
             if let Some(oldest) = oldest.map(|(uid, _)| uid.clone()) {
@@ -83,12 +83,12 @@
             }
         }
         self.back.insert(uid.to_string(), Back { out, at: now });
-        Kept::Changed
+        ChangeOutcome::Changed
     }
 
     /// When a server last started, given what the list says. It was restarted while it was out; until
     /// the list shows a start since then it may have been at the last moment, when it was called back.
-    pub fn born(&self, uid: &str, listed: Option<Millis>) -> Option<Millis> {
+    pub fn started_at(&self, uid: &str, listed: Option<Millis>) -> Option<Millis> {
         match self.back.get(uid) {
             Some(back) if listed.is_none_or(|at| at < back.out) => Some(back.at),
             _ => listed,
--- a/crates/service/src/leaving.rs
+++ b/crates/service/src/drain.rs
@@ -8,11 +8,17 @@
 use crate::Limits;
 
 /// What is taken so long after the word to leave, and when that changes.
-pub fn taking(since: Duration, limits: &Limits) -> (AdmissionMode, Option<Duration>) {
-    if since < limits.leave_refuse {
-        (AdmissionMode::All, Some(limits.leave_refuse))
-    } else if since < limits.leave_last {
-        (AdmissionMode::NothingNew, Some(limits.leave_last))
+pub fn admission_during_drain(
+    since: Duration,
+    limits: &Limits,
+) -> (AdmissionMode, Option<Duration>) {
+    if since < limits.drain_refuse_new_after {
+        (AdmissionMode::All, Some(limits.drain_refuse_new_after))
+    } else if since < limits.drain_refuse_all_after {
+        (
+            AdmissionMode::NothingNew,
+            Some(limits.drain_refuse_all_after),
+        )
     } else {
         (AdmissionMode::Nothing, None)
     }
--- a/crates/service/src/lib.rs
+++ b/crates/service/src/lib.rs
@@ -3,17 +3,17 @@
 //! and its successor say to each other ([`handover`]).
 
 pub mod bans;
-pub mod call;
+pub mod command;
+pub mod drain;
 pub mod handover;
-pub mod leaving;
 mod limits;
 pub mod machines;
 
-pub use bans::{Bans, Kept};
-pub use call::{Call, Calls, Change};
-pub use leaving::taking;
+pub use bans::{Bans, ChangeOutcome};
+pub use command::{CommandDecoder, OperatorChange, OperatorCommand};
+pub use drain::admission_during_drain;
 pub use limits::Limits;
-pub use machines::{Machines, Outs};
+pub use machines::{MachineMap, MachinesOut};
 
 /// Milliseconds of a clock that is never stepped and is the same for all processes of a machine.
 pub type Millis = u64;
--- a/crates/service/src/machines.rs
+++ b/crates/service/src/machines.rs
@@ -3,32 +3,35 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{Bans, Kept, Limits, Millis};
+use crate::{Bans, ChangeOutcome, Limits, Millis};
 
 /// Which machine a server runs on, by the operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Machines {
+pub struct MachineMap {
     /// The machine's name is the server's up to the first of these.
-    pub until: Option<String>,
+    pub name_delimiter: Option<String>,
     /// Servers whose machine the file names.
-    pub named: BTreeMap<String, String>,
+    pub by_server: BTreeMap<String, String>,
 }
 
-impl Machines {
+impl MachineMap {
     /// Without a rule each server is a machine of its own.
-    pub fn of<'a>(&'a self, uid: &'a str) -> &'a str {
-        if let Some(machine) = self.named.get(uid) {
+    pub fn machine_of<'a>(&'a self, uid: &'a str) -> &'a str {
+        if let Some(machine) = self.by_server.get(uid) {
             return machine;
         }
-        let until = self.until.as_deref().and_then(|until| uid.find(until));
+        let until = self
+            .name_delimiter
+            .as_deref()
+            .and_then(|until| uid.find(until));
         until.map_or(uid, |at| &uid[..at])
     }
 }
 
 /// The machines that orders have out, as this proxy goes by them.
 #[derive(Clone, Debug, Default)]
-pub struct Outs {
-    machines: Machines,
+pub struct MachinesOut {
+    machines: MachineMap,
     /// Out, by name, also of servers that no list has named yet.
     closed: BTreeSet<String>,
     /// Servers on them as the log has them: another proxy's file may say otherwise.
@@ -39,8 +42,8 @@
     times: Bans,
 }
 
-impl Outs {
-    pub fn new(machines: Machines) -> Self {
+impl MachinesOut {
+    pub fn new(machines: MachineMap) -> Self {
         Self {
             machines,
             ..Self::default()
@@ -48,55 +51,58 @@
     }
 
     pub fn machine_of<'a>(&'a self, uid: &'a str) -> &'a str {
-        self.machines.of(uid)
+        self.machines.machine_of(uid)
     }
 
     /// Whether an order has the server's machine out, whatever an operator says.
-    pub fn ordered(&self, uid: &str) -> bool {
+    pub fn is_out_by_order(&self, uid: &str) -> bool {
         !self.closed.is_empty()
-            && (self.closed.contains(self.machines.of(uid)) || self.on_them.contains(uid))
+            && (self.closed.contains(self.machines.machine_of(uid)) || self.on_them.contains(uid))
     }
 
     pub fn is_out(&self, uid: &str) -> bool {
-        self.ordered(uid) && !self.opened.contains(uid)
+        self.is_out_by_order(uid) && !self.opened.contains(uid)
     }
 
-    pub fn is_opened(&self, uid: &str) -> bool {
+    pub fn is_overridden(&self, uid: &str) -> bool {
         self.opened.contains(uid)
     }
 
     /// Takes the machines that are out from now on, with the servers on them.
-    pub fn set(&mut self, closed: BTreeMap<String, BTreeSet<String>>) {
+    pub fn replace_machines(&mut self, closed: BTreeMap<String, BTreeSet<String>>) {
         self.on_them = closed.values().flatten().cloned().collect();
         self.closed = closed.into_keys().collect();
         let opened = std::mem::take(&mut self.opened);
-        self.opened = opened.into_iter().filter(|uid| self.ordered(uid)).collect();
+        self.opened = opened
+            .into_iter()
+            .filter(|uid| self.is_out_by_order(uid))
+            .collect();
     }
 
     /// An operator wants a server used, or not any more. True if that changes what is out by an order.
-    pub fn word(&mut self, uid: &str, open: bool) -> bool {
+    pub fn set_override(&mut self, uid: &str, open: bool) -> bool {
         match open {
-            true => self.ordered(uid) && self.opened.insert(uid.to_string()),
+            true => self.is_out_by_order(uid) && self.opened.insert(uid.to_string()),
             false => self.opened.remove(uid),
         }
     }
 
     /// Notes when a server went out or came back: with its machine it may have been started anew.
-    pub fn note(&mut self, uid: &str, now: Millis, limits: &Limits) {
+    pub fn record_transition(&mut self, uid: &str, now: Millis, limits: &Limits) {
         let limits = Limits {
-            bans: limits.outs,
+            max_bans: limits.max_servers_out,
             ..limits.clone()
         };
         let kept = match self.is_out(uid) {
-            true => self.times.put_out(uid, now, &limits),
-            false => self.times.call_back(uid, now, &limits),
+            true => self.times.ban(uid, now, &limits),
+            false => self.times.unban(uid, now, &limits),
         };
         // Beyond the limit it is out all the same; when it comes back its start is as listed.
-        debug_assert!(kept != Kept::Full || self.times.count() >= limits.bans);
+        debug_assert!(kept != ChangeOutcome::Full || self.times.count() >= limits.max_bans);
     }
 
     /// When a server last started, given what the list says.
-    pub fn born(&self, uid: &str, listed: Option<Millis>) -> Option<Millis> {
-        self.times.born(uid, listed)
+    pub fn started_at(&self, uid: &str, listed: Option<Millis>) -> Option<Millis> {
+        self.times.started_at(uid, listed)
     }
 }
--- a/crates/simhost/src/codec.rs
+++ b/crates/simhost/src/codec.rs
@@ -51,7 +51,7 @@
     }
 }
 
-pub fn row(fields: &Fields) -> Result<ServerRow, String> {
+pub fn parse_row(fields: &Fields) -> Result<ServerRow, String> {
     Ok(ServerRow {
         server: fields.server()?,
         cell: fields.int_or("cluster", 0)?,
@@ -69,7 +69,7 @@
 }
 
 /// The event of a line, unless it means nothing to the module.
-pub fn event(
+pub fn parse_event(
     name: &str,
     fields: &Fields,
     names: &NameTable,
@@ -191,6 +191,6 @@
 }
 
 /// Tells that the decision code has broken.
-pub fn write_fault(out: &mut impl Write, text: &str) -> io::Result<()> {
+pub fn write_panic(out: &mut impl Write, text: &str) -> io::Result<()> {
     writeln!(out, "GIVE_IN message={}", text.replace(['\n', '\r'], " "))
 }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -13,14 +13,17 @@
 /// Why the host stopped before the end of its input.
 #[derive(Debug)]
 pub enum Error {
-    Malformed { line: usize, what: String },
+    Malformed { line: usize, message: String },
     Io(io::Error),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Malformed { line, what } => write!(f, "line {line}: {what}"),
+            Self::Malformed {
+                line,
+                message: what,
+            } => write!(f, "line {line}: {what}"),
             Self::Io(error) => write!(f, "{error}"),
         }
     }
@@ -64,16 +67,20 @@
     for line in input.lines() {
         let line = line?;
         number += 1;
-        let done = host
-            .line(&line)
-            .map_err(|what| Error::Malformed { line: number, what })?;
+        let done = host.line(&line).map_err(|what| Error::Malformed {
+            line: number,
+            message: what,
+        })?;
         if done {
             host.reply(&mut output)?;
         }
     }
     if host.now.is_some() {
         let what = "input ends within a batch; expected EOB".to_string();
-        return Err(Error::Malformed { line: number, what });
+        return Err(Error::Malformed {
+            line: number,
+            message: what,
+        });
     }
     Ok(())
 }
@@ -93,7 +100,7 @@
             self.lists
                 .entry(list)
                 .or_default()
-                .push(codec::row(&fields)?);
+                .push(codec::parse_row(&fields)?);
             self.reading = (left > 1).then(|| (list, left - 1));
             return Ok(false);
         }
@@ -148,7 +155,8 @@
                         "{name}: expected LAUNCH of instance {id} before it"
                     ));
                 };
-                if let Some(event) = codec::event(name, fields, &instance.names, &self.lists)? {
+                if let Some(event) = codec::parse_event(name, fields, &instance.names, &self.lists)?
+                {
                     self.hand(now, id, event);
                 }
             }
@@ -196,7 +204,7 @@
                 codec::write_action(output, action)?;
             }
             if let Some(text) = reply.panic {
-                codec::write_fault(output, &text)?;
+                codec::write_panic(output, &text)?;
             }
         }
         writeln!(output, "READY")?;
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -237,7 +237,7 @@
 #[test]
 fn broken_decision_code_is_told_in_one_line() {
     let mut output = Vec::new();
-    violetwind_simhost::codec::write_fault(&mut output, "index out of range\nat 7")
+    violetwind_simhost::codec::write_panic(&mut output, "index out of range\nat 7")
         .expect("written");
     assert_eq!(output, b"GIVE_IN message=index out of range at 7\n");
 }
--- a/crates/standins/src/bin/violetwind-standin-consul.rs
+++ b/crates/standins/src/bin/violetwind-standin-consul.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use violetwind_standins::consul::{Check, Consul, Instance, Maintenance, Mood};
+use violetwind_standins::consul::{Check, Consul, ConsulMode, Instance, Maintenance};
 
 /// A Consul that answers /v1/health/service/NAME and /v1/catalog/service/NAME, and lies on command.
 #[derive(Debug, Parser)]
@@ -79,7 +79,7 @@
     let with = |id: &str, alter: &dyn Fn(&mut Instance)| {
         let chosen = chosen(id);
         let chosen: Vec<&str> = chosen.iter().map(String::as_str).collect();
-        consul.alter(&chosen, alter);
+        consul.update_instances(&chosen, alter);
     };
     match words {
         ["pass", id] => with(id, &|i| i.check = Check::Passing),
@@ -97,18 +97,18 @@
         },
         ["reset"] => consul.reset_index(),
         ["mood", mood] => {
-            consul.set_mood(match *mood {
-                "works" => Mood::Works,
-                "silent" => Mood::Silent,
-                "resets" => Mood::Resets,
-                "429" => Mood::TooMany,
-                "500" => Mood::Fails,
-                "no-leader" => Mood::NoLeader,
-                "half" => Mood::HalfBody,
-                "endless" => Mood::Endless,
-                "stalls" => Mood::Stalls,
-                "zero" => Mood::IndexZero,
-                "garbles" => Mood::Garbles,
+            consul.set_mode(match *mood {
+                "works" => ConsulMode::Works,
+                "silent" => ConsulMode::Silent,
+                "resets" => ConsulMode::Resets,
+                "429" => ConsulMode::TooMany,
+                "500" => ConsulMode::Fails,
+                "no-leader" => ConsulMode::NoLeader,
+                "half" => ConsulMode::HalfBody,
+                "endless" => ConsulMode::Endless,
+                "stalls" => ConsulMode::Stalls,
+                "zero" => ConsulMode::IndexZero,
+                "garbles" => ConsulMode::Garbles,
                 _ => return false,
             });
         }
--- a/crates/standins/src/bin/violetwind-standin-receiver.rs
+++ b/crates/standins/src/bin/violetwind-standin-receiver.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use clap::Parser;
-use violetwind_standins::Peer;
+use violetwind_standins::LineConnection;
 use violetwind_standins::receiver::Receiver;
 
 /// Takes work with fencing numbers, or does it.
@@ -29,10 +29,10 @@
     if let Some(at) = options.work {
         let word = |name: &str| std::env::var(name).unwrap_or_default();
         let (duty, fence) = (word("VIOLETWIND_DUTY"), word("VIOLETWIND_FENCE"));
-        let mut peer = Peer::connect(at);
+        let mut peer = LineConnection::connect(at);
         loop {
-            peer.say(&format!("WORK {duty} {fence} {}", std::process::id()));
-            match peer.try_hear() {
+            peer.send_line(&format!("WORK {duty} {fence} {}", std::process::id()));
+            match peer.try_read_line() {
                 Ok(answer) if answer == "TAKEN" => sleep(Duration::from_millis(options.every_ms)),
                 answer => {
                     eprintln!("{answer:?}");
@@ -47,7 +47,7 @@
     println!("{}", receiver.addr);
     let mut shown = 0;
     loop {
-        let works = receiver.works();
+        let works = receiver.received_work();
         for work in &works[shown..] {
             println!("{work:?}");
         }
--- a/crates/standins/src/bin/violetwind-standin-relay.rs
+++ b/crates/standins/src/bin/violetwind-standin-relay.rs
@@ -29,12 +29,12 @@
     println!("{} to {}", relay.addr, options.to);
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
         let direction = match line.split_once(' ') {
-            Some(("there", way)) => way.parse().map(|way| (Direction::There, way)),
-            Some(("back", way)) => way.parse().map(|way| (Direction::Back, way)),
+            Some(("there", way)) => way.parse().map(|way| (Direction::Forward, way)),
+            Some(("back", way)) => way.parse().map(|way| (Direction::Reverse, way)),
             _ => Err("there WAY or back WAY".to_string()),
         };
         match direction {
-            Ok((direction, way)) => relay.set(direction, way),
+            Ok((direction, way)) => relay.set_mode(direction, way),
             Err(error) => eprintln!("{error}"),
         }
     }
--- a/crates/standins/src/callers.rs
+++ b/crates/standins/src/budget_workload.rs
@@ -8,36 +8,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::members::Members;
+use crate::fleet_harness::FleetHarness;
 
 /// What callers saw.
 #[derive(Default)]
-pub struct Books {
+pub struct WorkloadStats {
     /// Units in use by member and token.
-    pub units: BTreeMap<usize, BTreeSet<u64>>,
-    pub most: usize,
+    pub held_units: BTreeMap<usize, BTreeSet<u64>>,
+    pub max_in_use: usize,
     /// When a unit of a rate was asked for, and when the answer had come: it was used in between.
-    pub used: Vec<(Instant, Instant)>,
+    pub rate_uses: Vec<(Instant, Instant)>,
     pub refused: u64,
     /// Calls for a unit that had no answer in time: it may have been taken all the same.
     pub unanswered: u64,
     /// Calls to give a unit back that were answered with something else than that it was.
-    pub not_given: u64,
+    pub failed_releases: u64,
 }
 
-impl Books {
-    pub fn in_use(&self) -> usize {
-        self.units.values().map(BTreeSet::len).sum()
+impl WorkloadStats {
+    pub fn units_in_use(&self) -> usize {
+        self.held_units.values().map(BTreeSet::len).sum()
     }
 
-    pub fn take(&mut self, at: usize, token: u64) {
-        self.units.entry(at).or_default().insert(token);
-        self.most = self.most.max(self.in_use());
+    pub fn record_acquired(&mut self, at: usize, token: u64) {
+        self.held_units.entry(at).or_default().insert(token);
+        self.max_in_use = self.max_in_use.max(self.units_in_use());
     }
 
     /// The most uses of a rate that surely were within one window.
-    pub fn most_in(&self, window: Duration) -> usize {
-        let mut used = self.used.clone();
+    pub fn max_uses_within(&self, window: Duration) -> usize {
+        let mut used = self.rate_uses.clone();
         used.sort();
         let within = |from: Instant| {
             used.iter()
@@ -53,20 +53,20 @@
 
 /// What they take.
 #[derive(Clone, Debug)]
-pub struct Wants {
+pub struct WorkloadSpec {
     /// Callers of each member at the most.
-    pub each: u32,
+    pub workers_per_member: u32,
     /// A held budget, and how long each of its units is held.
-    pub held: String,
-    pub hold: Duration,
+    pub held_budget: String,
+    pub hold_time: Duration,
     /// All but the first of a member ask for the next unit while they hold one: they want whatever there is.
     pub greedy: bool,
     /// A rate, of which each takes a unit after every held one.
-    pub rate: Option<String>,
+    pub rate_budget: Option<String>,
 }
 
-pub struct Callers {
-    pub books: Arc<Mutex<Books>>,
+pub struct BudgetWorkload {
+    pub stats: Arc<Mutex<WorkloadStats>>,
     /// Callers that press each member.
     press: Arc<Vec<AtomicU32>>,
     over: Arc<AtomicBool>,
@@ -74,7 +74,7 @@
 }
 
 /// The answer to a call of operators, if one comes in time.
-pub(crate) fn call(at: SocketAddr, line: &str) -> Option<String> {
+pub(crate) fn call_management(at: SocketAddr, line: &str) -> Option<String> {
     let call = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect_timeout(&at, Duration::from_millis(300))?;
         stream.set_read_timeout(Some(Duration::from_millis(1200)))?;
@@ -93,8 +93,8 @@
     at: usize,
     greedy: bool,
     addr: SocketAddr,
-    wants: Wants,
-    books: Arc<Mutex<Books>>,
+    wants: WorkloadSpec,
+    books: Arc<Mutex<WorkloadStats>>,
     over: Arc<AtomicBool>,
 }
 
@@ -106,7 +106,7 @@
     fn take(&self, budget: &str, token: u64) -> bool {
         // Longer than any test: nothing comes back by itself.
         let line = format!("FLEET TAKE {budget} {token} 600000");
-        let answer = call(self.addr, &line);
+        let answer = call_management(self.addr, &line);
         if answer.is_none() {
             self.books.lock().unwrap().unanswered += 1;
         }
@@ -115,11 +115,11 @@
 
     /// One unit taken, held and given back; where that goes on behind, what to wait for in the end.
     fn hold(&self, token: u64) -> Option<thread::JoinHandle<()>> {
-        if !self.take(&self.wants.held, token) {
+        if !self.take(&self.wants.held_budget, token) {
             self.books.lock().unwrap().refused += 1;
             return None;
         }
-        self.books.lock().unwrap().take(self.at, token);
+        self.books.lock().unwrap().record_acquired(self.at, token);
         if !self.greedy {
             self.give(token);
             return None;
@@ -129,21 +129,21 @@
     }
 
     fn give(&self, token: u64) {
-        thread::sleep(self.wants.hold);
+        thread::sleep(self.wants.hold_time);
         let mut books = self.books.lock().unwrap();
         let there = books
-            .units
+            .held_units
             .get_mut(&self.at)
             .is_some_and(|of| of.remove(&token));
         drop(books);
         // Whoever was killed needs no unit back; one that is stopped gets it when it goes on.
-        let line = format!("FLEET GIVE {} {token}", self.wants.held);
+        let line = format!("FLEET GIVE {} {token}", self.wants.held_budget);
         while there && !self.ends() {
-            let answer = call(self.addr, &line);
+            let answer = call_management(self.addr, &line);
             if let Some(answer) = &answer
                 && !answer.starts_with("200 ")
             {
-                self.books.lock().unwrap().not_given += 1;
+                self.books.lock().unwrap().failed_releases += 1;
             }
             if answer.is_some() {
                 break;
@@ -157,34 +157,34 @@
         holds.extend(self.hold(token));
         holds.retain(|hold| !hold.is_finished());
         let asked = Instant::now();
-        if let Some(rate) = &self.wants.rate
+        if let Some(rate) = &self.wants.rate_budget
             && self.take(rate, token)
         {
             self.books
                 .lock()
                 .unwrap()
-                .used
+                .rate_uses
                 .push((asked, Instant::now()));
         }
     }
 }
 
-impl Callers {
+impl BudgetWorkload {
     /// Callers at each member; none presses until it is told to.
-    pub fn start(members: &Members, wants: &Wants) -> Self {
-        let books = Arc::new(Mutex::new(Books::default()));
-        let press = (0..members.count()).map(|_| AtomicU32::new(0));
+    pub fn start(members: &FleetHarness, wants: &WorkloadSpec) -> Self {
+        let stats = Arc::new(Mutex::new(WorkloadStats::default()));
+        let press = (0..members.member_count()).map(|_| AtomicU32::new(0));
         let press: Arc<Vec<AtomicU32>> = Arc::new(press.collect());
         let over = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
-        for at in 0..members.count() {
-            for number in 0..wants.each {
+        for at in 0..members.member_count() {
+            for number in 0..wants.workers_per_member {
                 let caller = Caller {
                     at,
                     greedy: wants.greedy && number > 0,
-                    addr: members.management(at),
+                    addr: members.management_addr(at),
                     wants: wants.clone(),
-                    books: books.clone(),
+                    books: stats.clone(),
                     over: over.clone(),
                 };
                 let press = press.clone();
@@ -201,34 +201,34 @@
             }
         }
         Self {
-            books,
+            stats,
             press,
             over,
             threads,
         }
     }
 
-    pub fn press(&self, at: usize, callers: u32) {
+    pub fn set_active_workers(&self, at: usize, callers: u32) {
         self.press[at].store(callers, Ordering::Relaxed);
     }
 
     /// The mean use of the held budget over a time.
-    pub fn mean(&self, span: Duration) -> f64 {
+    pub fn mean_units_in_use(&self, span: Duration) -> f64 {
         let (begun, mut sum, mut count) = (Instant::now(), 0, 0u32);
         while begun.elapsed() < span {
-            sum += self.books.lock().unwrap().in_use();
+            sum += self.stats.lock().unwrap().units_in_use();
             count += 1;
             thread::sleep(Duration::from_millis(2));
         }
         sum as f64 / f64::from(count)
     }
 
-    pub fn end(self) -> Books {
+    pub fn stop(self) -> WorkloadStats {
         self.over.store(true, Ordering::Relaxed);
         self.threads
             .into_iter()
             .for_each(|thread| thread.join().unwrap());
-        Arc::try_unwrap(self.books)
+        Arc::try_unwrap(self.stats)
             .ok()
             .expect("all callers have ended")
             .into_inner()
