--- a/crates/standins/src/consul.rs
+++ b/crates/standins/src/consul.rs
@@ -11,12 +11,12 @@
 
 use serde_json::{Value, json};
 
-use crate::PATIENCE;
-use crate::http::Call;
+use crate::WAIT_TIMEOUT;
+use crate::http::HttpRequest;
 
 /// How calls are dealt with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum ConsulMode {
     Works,
     /// Takes calls and says nothing, with the connection open.
     Silent,
@@ -71,7 +71,7 @@
     pub weights: (u64, u64),
     pub check: Check,
     pub maintenance: Maintenance,
-    pub dc: String,
+    pub datacenter: String,
     pub create_index: u64,
     pub modify_index: u64,
 }
@@ -89,7 +89,7 @@
             weights: (1, 1),
             check: Check::Passing,
             maintenance: Maintenance::None,
-            dc: "dc1".into(),
+            datacenter: "dc1".into(),
             create_index: 0,
             modify_index: 0,
         }
@@ -125,7 +125,7 @@
     pub fn health_row(&self, service: &str) -> Value {
         json!({
             "Node": {"ID": "", "Node": self.node, "Address": self.node_address,
-                     "Datacenter": self.dc, "TaggedAddresses": {}, "Meta": {},
+                     "Datacenter": self.datacenter, "TaggedAddresses": {}, "Meta": {},
                      "CreateIndex": self.create_index, "ModifyIndex": self.modify_index},
             "Service": {"ID": self.id, "Service": service, "Tags": self.tags,
                         "Address": self.address, "Port": self.port, "Meta": self.meta,
@@ -139,7 +139,7 @@
     /// A row of `/v1/catalog/service/NAME`.
     pub fn catalog_row(&self, service: &str) -> Value {
         json!({
-            "ID": "", "Node": self.node, "Address": self.node_address, "Datacenter": self.dc,
+            "ID": "", "Node": self.node, "Address": self.node_address, "Datacenter": self.datacenter,
             "ServiceID": self.id, "ServiceName": service, "ServiceTags": self.tags,
             "ServiceAddress": self.address, "ServicePort": self.port, "ServiceMeta": self.meta,
             "ServiceWeights": {"Passing": self.weights.0, "Warning": self.weights.1},
@@ -160,11 +160,11 @@
     service: String,
     index: u64,
     rows: BTreeMap<String, Rows>,
-    mood: Mood,
+    mood: ConsulMode,
     /// What an old answer holds.
     frozen: Option<(u64, String, String)>,
     token: Option<String>,
-    calls: Vec<(Instant, Call)>,
+    calls: Vec<(Instant, HttpRequest)>,
     /// The index of the last answer.
     told: u64,
     open: usize,
@@ -180,7 +180,10 @@
 
 impl State {
     fn body(&self, dc: &str, health: bool) -> String {
-        let rows = self.rows.values().filter(|row| row.instance.dc == dc);
+        let rows = self
+            .rows
+            .values()
+            .filter(|row| row.instance.datacenter == dc);
         let text = |row: &Rows| {
             if health {
                 row.health.len()
@@ -227,7 +230,7 @@
             service: service.to_string(),
             index: 10,
             rows: BTreeMap::new(),
-            mood: Mood::Works,
+            mood: ConsulMode::Works,
             frozen: None,
             token: None,
             calls: Vec::new(),
@@ -276,7 +279,7 @@
     }
 
     /// Changes instances in one step of the index.
-    pub fn alter(&self, ids: &[&str], alter: impl Fn(&mut Instance)) {
+    pub fn update_instances(&self, ids: &[&str], alter: impl Fn(&mut Instance)) {
         self.change(|state| {
             for id in ids {
                 if let Some(row) = state.rows.get(*id) {
@@ -289,12 +292,12 @@
     }
 
     pub fn set_check(&self, ids: &[&str], check: Check) {
-        self.alter(ids, |instance| instance.check = check);
+        self.update_instances(ids, |instance| instance.check = check);
     }
 
-    pub fn set_mood(&self, mood: Mood) {
+    pub fn set_mode(&self, mood: ConsulMode) {
         self.change(|state| {
-            if let Mood::Old(_) = mood {
+            if let ConsulMode::Old(_) = mood {
                 let (health, catalog) = (state.body("dc1", true), state.body("dc1", false));
                 state.frozen = Some((state.index, health, catalog));
             }
@@ -308,16 +311,16 @@
     }
 
     /// Calls without this token are turned away with 403.
-    pub fn want_token(&self, token: Option<&str>) {
+    pub fn require_token(&self, token: Option<&str>) {
         self.change(|state| state.token = token.map(str::to_string));
     }
 
     /// Waits until so many calls have come, and returns them.
-    pub fn calls(&self, count: usize) -> Vec<(Instant, Call)> {
+    pub fn wait_for_requests(&self, count: usize) -> Vec<(Instant, HttpRequest)> {
         let wait = self
             .state
             .1
-            .wait_timeout_while(self.state(), PATIENCE, |s| s.calls.len() < count);
+            .wait_timeout_while(self.state(), WAIT_TIMEOUT, |s| s.calls.len() < count);
         let (state, timeout) = wait.unwrap();
         assert!(
             !timeout.timed_out(),
@@ -327,22 +330,22 @@
         state.calls.clone()
     }
 
-    pub fn call_count(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.state().calls.len()
     }
 
     /// Waits until an answer holds all that was changed before.
-    pub fn wait_told(&self) {
+    pub fn wait_until_changes_served(&self) {
         let behind = |s: &mut State| s.told < s.index;
         let wait = self
             .state
             .1
-            .wait_timeout_while(self.state(), PATIENCE, behind);
+            .wait_timeout_while(self.state(), WAIT_TIMEOUT, behind);
         assert!(!wait.unwrap().1.timed_out(), "no answer");
     }
 
     /// The most connections that were open at a time.
-    pub fn most_open(&self) -> usize {
+    pub fn max_open_connections(&self) -> usize {
         self.state().most_open
     }
 
@@ -352,7 +355,7 @@
             state.most_open = state.most_open.max(state.open);
         });
         let mut reader = BufReader::new(stream);
-        while let Some(call) = Call::read(&mut reader) {
+        while let Some(call) = HttpRequest::read(&mut reader) {
             if !self.answer(call, reader.get_mut()) {
                 break;
             }
@@ -361,14 +364,16 @@
     }
 
     /// Answers one call; false ends the connection.
-    fn answer(&self, call: Call, stream: &mut TcpStream) -> bool {
-        let index: Option<u64> = call.query("index").and_then(|index| index.parse().ok());
+    fn answer(&self, call: HttpRequest, stream: &mut TcpStream) -> bool {
+        let index: Option<u64> = call
+            .query_param("index")
+            .and_then(|index| index.parse().ok());
         let wait = call
-            .query("wait")
+            .query_param("wait")
             .and_then(span)
             .unwrap_or(Duration::from_secs(300));
-        let dc = call.query("dc").unwrap_or("dc1").to_string();
-        let resource = call.resource().to_string();
+        let dc = call.query_param("dc").unwrap_or("dc1").to_string();
+        let resource = call.path().to_string();
         let mut state = self.state();
         state.calls.push((Instant::now(), call.clone()));
         self.state.1.notify_all();
@@ -382,7 +387,7 @@
         }
         // An index of zero never blocks; a longer wait than asked for is the API's own jitter.
         if let Some(index) = index.filter(|index| *index > 0) {
-            let idle = |s: &mut State| matches!(s.mood, Mood::Works) && s.index <= index;
+            let idle = |s: &mut State| matches!(s.mood, ConsulMode::Works) && s.index <= index;
             let most = wait + wait / 16;
             state = self
                 .state
@@ -393,7 +398,7 @@
         }
         let mood = state.mood;
         let (index, body) = match &state.frozen {
-            Some((index, health_body, catalog)) if matches!(mood, Mood::Old(_)) => {
+            Some((index, health_body, catalog)) if matches!(mood, ConsulMode::Old(_)) => {
                 (*index, if health { health_body } else { catalog }.clone())
             }
             _ => (state.index, state.body(&dc, health)),
@@ -413,35 +418,35 @@
             )
         };
         match mood {
-            Mood::Works => whole(index.to_string(), "true", 0, &body, stream),
-            Mood::Old(age) => whole(index.to_string(), "true", age, &body, stream),
-            Mood::NoLeader => whole(index.to_string(), "false", 0, &body, stream),
-            Mood::IndexZero => whole("0".into(), "true", 0, &body, stream),
-            Mood::NoIndex => respond(stream, "200 OK", &[leader("true")], &body),
-            Mood::Garbles => whole(index.to_string(), "true", 0, "[{\"Node\":7]", stream),
-            Mood::TooMany => respond(stream, "429 Too Many Requests", &[], "rate limited"),
-            Mood::Fails => respond(
+            ConsulMode::Works => whole(index.to_string(), "true", 0, &body, stream),
+            ConsulMode::Old(age) => whole(index.to_string(), "true", age, &body, stream),
+            ConsulMode::NoLeader => whole(index.to_string(), "false", 0, &body, stream),
+            ConsulMode::IndexZero => whole("0".into(), "true", 0, &body, stream),
+            ConsulMode::NoIndex => respond(stream, "200 OK", &[leader("true")], &body),
+            ConsulMode::Garbles => whole(index.to_string(), "true", 0, "[{\"Node\":7]", stream),
+            ConsulMode::TooMany => respond(stream, "429 Too Many Requests", &[], "rate limited"),
+            ConsulMode::Fails => respond(
                 stream,
                 "500 Internal Server Error",
                 &[],
                 "No cluster leader",
             ),
-            Mood::Resets => false,
-            Mood::Silent => {
+            ConsulMode::Resets => false,
+            ConsulMode::Silent => {
                 self.while_mood(mood);
                 false
             }
-            Mood::HalfBody | Mood::Stalls => {
+            ConsulMode::HalfBody | ConsulMode::Stalls => {
                 let head = head("200 OK", &[index_header, leader("true")], Some(body.len()));
                 let half = &body.as_bytes()[..body.len() / 2];
                 let _ = stream.write_all(head.as_bytes());
                 let _ = stream.write_all(half);
-                if mood == Mood::Stalls {
+                if mood == ConsulMode::Stalls {
                     self.while_mood(mood);
                 }
                 false
             }
-            Mood::Endless => {
+            ConsulMode::Endless => {
                 let head = head("200 OK", &[index_header, leader("true")], None);
                 let _ = stream.write_all(head.as_bytes());
                 let row = body.trim_matches(['[', ']']).as_bytes();
@@ -459,7 +464,7 @@
         }
     }
 
-    fn while_mood(&self, mood: Mood) {
+    fn while_mood(&self, mood: ConsulMode) {
         let same = |state: &mut State| state.mood == mood;
         drop(self.state.1.wait_while(self.state(), same).unwrap());
     }
--- a/crates/standins/src/books.rs
+++ b/crates/standins/src/duty_history.rs
@@ -7,7 +7,7 @@
 use crate::receiver::Work;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum DutyEventKind {
     Gained,
     /// Since when, in truth: a process that was stopped tells it late.
     Lost,
@@ -16,36 +16,36 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Record {
+pub struct DutyEvent {
     pub mono_ms: u64,
     pub node: String,
     pub duty: String,
     pub fence: u64,
-    pub what: What,
+    pub kind: DutyEventKind,
 }
 
 /// A log line in JSON as a record, if it is about a duty.
-pub fn read(node: &str, line: &str) -> Option<Record> {
+pub fn parse_log_line(node: &str, line: &str) -> Option<DutyEvent> {
     let line: Value = serde_json::from_str(line).ok()?;
     let what = match line["message"].as_str()? {
-        "duty gained" => What::Gained,
-        "duty lost" => What::Lost,
+        "duty gained" => DutyEventKind::Gained,
+        "duty lost" => DutyEventKind::Lost,
         _ => return None,
     };
     let mut mono_ms = line["mono_ms"].as_u64()?;
-    if what == What::Lost
+    if what == DutyEventKind::Lost
         && let Some(by) = line["why"]
             .as_str()
             .and_then(|why| why.strip_prefix("stopped for "))
     {
         mono_ms -= by.split(' ').next()?.parse::<u64>().ok()?;
     }
-    Some(Record {
+    Some(DutyEvent {
         mono_ms,
         node: node.to_string(),
         duty: line["duty"].as_str()?.to_string(),
         fence: line["fence"].as_u64()?,
-        what,
+        kind: what,
     })
 }
 
@@ -60,21 +60,21 @@
 }
 
 /// The holdings of all nodes in the order in which they began. Kills end what their node held.
-pub fn holdings(records: &[Record]) -> Vec<Holding> {
+pub fn reconstruct_holdings(records: &[DutyEvent]) -> Vec<Holding> {
     let mut records = records.to_vec();
     // Within a millisecond numbers tell the order; a holding may be no longer than that. Kills come last.
-    let order = |record: &Record| match record.what {
-        What::Gained => (record.fence, 0),
-        What::Lost => (record.fence, 1),
-        What::Killed => (u64::MAX, 2),
+    let order = |record: &DutyEvent| match record.kind {
+        DutyEventKind::Gained => (record.fence, 0),
+        DutyEventKind::Lost => (record.fence, 1),
+        DutyEventKind::Killed => (u64::MAX, 2),
     };
     records.sort_by_key(|record| (record.mono_ms, order(record)));
     let mut open: BTreeMap<(String, String), Holding> = BTreeMap::new();
     let mut all = Vec::new();
     for record in records {
         let key = (record.node.clone(), record.duty.clone());
-        match record.what {
-            What::Gained => {
+        match record.kind {
+            DutyEventKind::Gained => {
                 let holding = Holding {
                     node: record.node,
                     duty: record.duty,
@@ -84,11 +84,11 @@
                 };
                 all.extend(open.insert(key, holding));
             }
-            What::Lost => all.extend(open.remove(&key).map(|mut holding| {
+            DutyEventKind::Lost => all.extend(open.remove(&key).map(|mut holding| {
                 holding.until = record.mono_ms;
                 holding
             })),
-            What::Killed => {
+            DutyEventKind::Killed => {
                 let of = open.extract_if(.., |(node, _), _| *node == record.node);
                 all.extend(of.map(|(_, mut holding)| {
                     holding.until = record.mono_ms;
@@ -103,10 +103,10 @@
 }
 
 /// Every invariant that is broken, by name.
-pub fn broken(records: &[Record], works: &[Work]) -> Vec<String> {
+pub fn find_duty_violations(records: &[DutyEvent], works: &[Work]) -> Vec<String> {
     let mut broken = Vec::new();
     let mut last: BTreeMap<String, Holding> = BTreeMap::new();
-    for holding in holdings(records) {
+    for holding in reconstruct_holdings(records) {
         if let Some(before) = last.get(&holding.duty) {
             if holding.from < before.until {
                 broken.push(format!("One Holder: {before:?} and {holding:?}"));
@@ -134,8 +134,8 @@
 }
 
 /// For how long a duty was held by nobody at most, between its first holding and `until`.
-pub fn longest_free(records: &[Record], duty: &str, from: u64, until: u64) -> u64 {
-    let holdings = holdings(records);
+pub fn longest_unheld_ms(records: &[DutyEvent], duty: &str, from: u64, until: u64) -> u64 {
+    let holdings = reconstruct_holdings(records);
     let (mut held_until, mut longest) = (from, 0);
     for holding in holdings.iter().filter(|holding| holding.duty == duty) {
         if holding.until <= from || holding.from >= until {
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/echo_server.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::mono_ms;
+use crate::boottime_ms;
 
 /// How it goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,13 +43,13 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Worker {
+pub struct EchoServer {
     pub addr: SocketAddr,
     pub uid: String,
     state: Arc<Mutex<State>>,
 }
 
-impl Worker {
+impl EchoServer {
     /// Starts one with room for so many connections.
     pub fn start(uid: &str, room: usize) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -85,14 +85,14 @@
     }
 
     /// Resets every connection that it has, as a process that is killed.
-    pub fn reset_all(&self) {
+    pub fn reset_connections(&self) {
         for stream in self.state().streams.drain(..) {
             // One that has ended already needs no end.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.state().open
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// How many `OPEN` lines have come after a moment.
-    pub fn opened_after(&self, moment: Instant) -> usize {
+    pub fn count_opens_after(&self, moment: Instant) -> usize {
         let state = self.state();
         state.opened.iter().filter(|at| **at > moment).count()
     }
@@ -139,7 +139,7 @@
         if let Some(visit) = up {
             let mut state = self.state();
             state.open -= 1;
-            state.visits[visit].until = mono_ms();
+            state.visits[visit].until = boottime_ms();
         }
     }
 
@@ -156,7 +156,7 @@
         *up = Some(state.visits.len());
         state.visits.push(Visit {
             id: line.split_whitespace().nth(1).unwrap_or_default().into(),
-            from: mono_ms(),
+            from: boottime_ms(),
             until: u64::MAX,
         });
         let receipt = state.opened.len();
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -6,16 +6,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::PATIENCE;
+use crate::WAIT_TIMEOUT;
 
 /// The rules of one process, and the file that holds them.
 #[derive(Debug)]
-pub struct Faults {
+pub struct FaultInjector {
     file: PathBuf,
     version: AtomicU64,
 }
 
-impl Faults {
+impl FaultInjector {
     /// Rules that hold from the first call of a process that is started with [`Faults::preload`].
     pub fn new(dir: &Path, rules: &str) -> Self {
         let faults = Self {
@@ -37,10 +37,10 @@
     ///
     /// # Panics
     /// The process does not take them.
-    pub fn set(&self, rules: &str) {
+    pub fn set_rules(&self, rules: &str) {
         let first = self.write(rules);
         let seen = self.file.with_extension("seen");
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while std::fs::read_to_string(&seen).ok().as_deref() != Some(&first) {
             assert!(
                 Instant::now() < until,
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -5,13 +5,13 @@
 
 /// A request without its body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Call {
-    pub path: String,
+pub struct HttpRequest {
+    pub uri: String,
     /// Names in small letters.
     pub headers: Vec<(String, String)>,
 }
 
-impl Call {
+impl HttpRequest {
     /// The next request of a connection; none at its end.
     pub fn read(reader: &mut BufReader<TcpStream>) -> Option<Self> {
         let mut line = String::new();
@@ -19,7 +19,7 @@
             return None;
         }
         let mut call = Self {
-            path: line.split(' ').nth(1).unwrap_or("").to_string(),
+            uri: line.split(' ').nth(1).unwrap_or("").to_string(),
             headers: Vec::new(),
         };
         loop {
@@ -35,13 +35,13 @@
     }
 
     /// The path without its query.
-    pub fn resource(&self) -> &str {
-        self.path.split('?').next().unwrap_or("")
+    pub fn path(&self) -> &str {
+        self.uri.split('?').next().unwrap_or("")
     }
 
     /// A value of the query; empty for a name without one.
-    pub fn query(&self, name: &str) -> Option<&str> {
-        let (_, query) = self.path.split_once('?')?;
+    pub fn query_param(&self, name: &str) -> Option<&str> {
+        let (_, query) = self.uri.split_once('?')?;
         let mut pairs = query
             .split('&')
             .map(|pair| pair.split_once('=').unwrap_or((pair, "")));
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -6,33 +6,33 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-pub mod books;
-pub mod callers;
+pub mod budget_workload;
 pub mod consul;
+pub mod duty_history;
+pub mod echo_server;
 pub mod faults;
+pub mod fleet_harness;
 pub mod http;
-pub mod members;
-mod peer;
+mod line_connection;
 pub mod receiver;
 mod registry;
 pub mod relay;
 mod server;
-pub mod shift;
 pub mod soak;
-mod vanished;
-pub mod worker;
+mod unresponsive_host;
+pub mod work_orders;
 
-pub use peer::{End, Peer};
-pub use registry::{Discovery, Mood};
-pub use server::{Answers, Arrival, Server, target};
-pub use vanished::Vanished;
+pub use line_connection::{ConnectionEnd, LineConnection};
+pub use registry::{Discovery, DiscoveryMode};
+pub use server::{Arrival, Pingable, Server, target_row};
+pub use unresponsive_host::UnresponsiveHost;
 
 /// Far longer than anything should take: a wait that long is a failure.
-pub const PATIENCE: Duration = Duration::from_secs(15);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// An address that nothing listens on, and that nobody else is given: no other test has its host,
 /// and the system gives no such port to connections. A port that was free a moment ago may not be now.
-pub fn unused() -> SocketAddr {
+pub fn unused_addr() -> SocketAddr {
     static COUNT: AtomicU32 = AtomicU32::new(1);
     let id = std::process::id();
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -42,13 +42,13 @@
 
 /// Milliseconds of the machine's clock that does not go back, the same for all its processes: the one that the
 /// program writes into its log.
-pub fn mono_ms() -> u64 {
+pub fn boottime_ms() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     now.tv_sec as u64 * 1000 + now.tv_nsec as u64 / 1_000_000
 }
 
 /// Microseconds of CLOCK_MONOTONIC, as the program's log lines of attempts have them.
-pub fn mono_us() -> u64 {
+pub fn monotonic_us() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1000
 }
--- a/crates/standins/src/receiver.rs
+++ b/crates/standins/src/receiver.rs
@@ -6,8 +6,8 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use crate::mono_ms;
-use crate::peer::Peer;
+use crate::boottime_ms;
+use crate::line_connection::LineConnection;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Work {
@@ -46,9 +46,9 @@
             for stream in listener.incoming().flatten() {
                 let own = own.clone();
                 thread::spawn(move || {
-                    let mut peer = Peer::new(stream);
-                    while let Ok(line) = peer.try_hear() {
-                        peer.say(&own.take(&line));
+                    let mut peer = LineConnection::new(stream);
+                    while let Ok(line) = peer.try_read_line() {
+                        peer.send_line(&own.take(&line));
                     }
                 });
             }
@@ -72,7 +72,7 @@
         let newest = *newest;
         let (duty, by) = (duty.to_string(), by.to_string());
         all.works.push(Work {
-            mono_ms: mono_ms(),
+            mono_ms: boottime_ms(),
             duty,
             fence,
             by,
@@ -85,11 +85,11 @@
     }
 
     /// Takes whatever comes from now on.
-    pub fn unfenced(&self) {
+    pub fn disable_fencing(&self) {
         self.taken.lock().unwrap().unfenced = true;
     }
 
-    pub fn works(&self) -> Vec<Work> {
+    pub fn received_work(&self) -> Vec<Work> {
         self.taken.lock().unwrap().works.clone()
     }
 }
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -9,12 +9,12 @@
 
 use serde_json::{Value, json};
 
-use crate::PATIENCE;
-use crate::http::Call;
+use crate::WAIT_TIMEOUT;
+use crate::http::HttpRequest;
 
 /// How discovery deals with a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
+pub enum DiscoveryMode {
     Works,
     Refuses,
     Resets,
@@ -30,7 +30,7 @@
 struct Registry {
     rev: u64,
     targets: BTreeMap<String, (u64, Value)>,
-    mood: Mood,
+    mood: DiscoveryMode,
     /// The next answer is a whole list, as after a gap.
     whole: bool,
     calls: Vec<(Instant, String)>,
@@ -52,7 +52,7 @@
         let registry = Registry {
             rev: 0,
             targets: BTreeMap::new(),
-            mood: Mood::Works,
+            mood: DiscoveryMode::Works,
             whole: false,
             calls: Vec::new(),
             answered: Vec::new(),
@@ -63,7 +63,7 @@
             state: Arc::new((Mutex::new(registry), Condvar::new())),
         };
         for target in targets {
-            discovery.tell(target.clone());
+            discovery.upsert_target(target.clone());
         }
         let of_thread = discovery.clone();
         thread::spawn(move || {
@@ -76,7 +76,7 @@
     }
 
     /// Lists a target, or changes it.
-    pub fn tell(&self, target: Value) {
+    pub fn upsert_target(&self, target: Value) {
         let uid = target["uid"].as_str().unwrap_or("?").to_string();
         let mut registry = self.state.0.lock().unwrap();
         registry.rev += 1;
@@ -86,7 +86,7 @@
     }
 
     /// Takes a target off the list, which is then told as a whole.
-    pub fn forget(&self, uid: &str) {
+    pub fn remove_target(&self, uid: &str) {
         let mut registry = self.state.0.lock().unwrap();
         registry.rev += 1;
         registry.whole = true;
@@ -94,18 +94,18 @@
         self.state.1.notify_all();
     }
 
-    pub fn set_mood(&self, mood: Mood) {
+    pub fn set_mode(&self, mood: DiscoveryMode) {
         self.state.0.lock().unwrap().mood = mood;
         self.state.1.notify_all();
     }
 
     /// Waits until so many calls have come, and returns their times and paths.
-    pub fn calls(&self, count: usize) -> Vec<(Instant, String)> {
+    pub fn wait_for_requests(&self, count: usize) -> Vec<(Instant, String)> {
         let registry = self.state.0.lock().unwrap();
         let wait = self
             .state
             .1
-            .wait_timeout_while(registry, PATIENCE, |r| r.calls.len() < count);
+            .wait_timeout_while(registry, WAIT_TIMEOUT, |r| r.calls.len() < count);
         let (registry, timeout) = wait.unwrap();
         assert!(
             !timeout.timed_out(),
@@ -116,17 +116,17 @@
     }
 
     /// Bytes of lists so far.
-    pub fn list_bytes(&self) -> usize {
+    pub fn list_bytes_sent(&self) -> usize {
         self.state.0.lock().unwrap().bytes
     }
 
-    pub fn answered(&self) -> Vec<Instant> {
+    pub fn answer_times(&self) -> Vec<Instant> {
         self.state.0.lock().unwrap().answered.clone()
     }
 
     fn talk(&self, stream: TcpStream) {
         let mut reader = BufReader::new(stream);
-        while let Some(call) = Call::read(&mut reader) {
+        while let Some(call) = HttpRequest::read(&mut reader) {
             if !self.answer(&call, reader.get_mut()) {
                 return;
             }
@@ -134,15 +134,15 @@
     }
 
     /// Answers one call; false ends the connection.
-    fn answer(&self, call: &Call, stream: &mut TcpStream) -> bool {
-        let number = |name: &str| -> Option<u64> { call.query(name)?.parse().ok() };
+    fn answer(&self, call: &HttpRequest, stream: &mut TcpStream) -> bool {
+        let number = |name: &str| -> Option<u64> { call.query_param(name)?.parse().ok() };
         let after = number("after");
         let wait = Duration::from_millis(number("wait_ms").unwrap_or(0));
         let mut registry = self.state.0.lock().unwrap();
-        registry.calls.push((Instant::now(), call.path.clone()));
+        registry.calls.push((Instant::now(), call.uri.clone()));
         self.state.1.notify_all();
-        let works = |r: &Registry| matches!(r.mood, Mood::Works | Mood::Closes);
-        let forgot = registry.mood == Mood::Forgets && after.is_some();
+        let works = |r: &Registry| matches!(r.mood, DiscoveryMode::Works | DiscoveryMode::Closes);
+        let forgot = registry.mood == DiscoveryMode::Forgets && after.is_some();
         let idle = |r: &mut Registry| after == Some(r.rev) && works(r);
         let (mut registry, _) = self
             .state
@@ -159,17 +159,19 @@
         let body = json!({"rev": registry.rev, "all": whole, "targets": entries});
         let (status, body) = match registry.mood {
             _ if forgot => ("410 Gone", String::new()),
-            Mood::Works | Mood::Closes | Mood::Forgets => ("200 OK", body.to_string()),
-            Mood::Garbles => ("200 OK", "{\"rev\":99,\"targets\":7".to_string()),
-            Mood::Refuses => ("503 Service Unavailable", String::new()),
-            Mood::Resets => return false,
-            Mood::Hangs => {
-                let hangs = |r: &mut Registry| r.mood == Mood::Hangs;
+            DiscoveryMode::Works | DiscoveryMode::Closes | DiscoveryMode::Forgets => {
+                ("200 OK", body.to_string())
+            }
+            DiscoveryMode::Garbles => ("200 OK", "{\"rev\":99,\"targets\":7".to_string()),
+            DiscoveryMode::Refuses => ("503 Service Unavailable", String::new()),
+            DiscoveryMode::Resets => return false,
+            DiscoveryMode::Hangs => {
+                let hangs = |r: &mut Registry| r.mood == DiscoveryMode::Hangs;
                 drop(self.state.1.wait_while(registry, hangs).unwrap());
                 return false;
             }
         };
-        let closes = registry.mood == Mood::Closes;
+        let closes = registry.mood == DiscoveryMode::Closes;
         let connection = if closes { "close" } else { "keep-alive" };
         let length = body.len();
         let text = format!(
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -11,23 +11,23 @@
 
 /// What happens to the bytes of one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum LinkMode {
     Pass,
     /// Each piece comes so much later.
     Delay(Duration),
     /// So many bytes a second.
-    Trickle(u32),
+    Throttle(u32),
     /// Nothing is read: the sender's own buffers fill.
-    Hold,
+    Stall,
     /// Read, and thrown away.
-    Swallow,
+    Blackhole,
     /// Connections are reset, and new ones too.
-    Cut,
+    Reset,
     /// Half of the next piece is passed on, then the connection is reset; after that it passes.
-    CutInside,
+    ResetMidWrite,
 }
 
-impl FromStr for Way {
+impl FromStr for LinkMode {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
@@ -37,12 +37,12 @@
         };
         Ok(match text.split_once('=') {
             Some(("delay", ms)) => Self::Delay(Duration::from_millis(number(ms)?.into())),
-            Some(("trickle", bytes)) => Self::Trickle(number(bytes)?.max(1)),
+            Some(("trickle", bytes)) => Self::Throttle(number(bytes)?.max(1)),
             None if text == "pass" => Self::Pass,
-            None if text == "hold" => Self::Hold,
-            None if text == "swallow" => Self::Swallow,
-            None if text == "cut" => Self::Cut,
-            None if text == "cut-inside" => Self::CutInside,
+            None if text == "hold" => Self::Stall,
+            None if text == "swallow" => Self::Blackhole,
+            None if text == "cut" => Self::Reset,
+            None if text == "cut-inside" => Self::ResetMidWrite,
             _ => {
                 return Err(format!(
                     "\"{text}\": pass, delay=MS, trickle=BYTES, hold, swallow, cut or cut-inside"
@@ -55,19 +55,19 @@
 /// From who dials to who is dialled, and back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    There,
-    Back,
+    Forward,
+    Reverse,
 }
 
 #[derive(Debug)]
 struct Shared {
     to: SocketAddr,
     /// There, back.
-    ways: Mutex<[Way; 2]>,
+    ways: Mutex<[LinkMode; 2]>,
 }
 
 impl Shared {
-    fn way(&self, direction: Direction) -> Way {
+    fn way(&self, direction: Direction) -> LinkMode {
         self.ways.lock().unwrap()[direction as usize]
     }
 }
@@ -88,7 +88,7 @@
         let addr = listener.local_addr()?;
         let shared = Arc::new(Shared {
             to,
-            ways: Mutex::new([Way::Pass; 2]),
+            ways: Mutex::new([LinkMode::Pass; 2]),
         });
         let own = shared.clone();
         thread::spawn(move || {
@@ -100,11 +100,11 @@
         Ok(Self { addr, shared })
     }
 
-    pub fn set(&self, direction: Direction, way: Way) {
+    pub fn set_mode(&self, direction: Direction, way: LinkMode) {
         self.shared.ways.lock().unwrap()[direction as usize] = way;
     }
 
-    pub fn both(&self, way: Way) {
+    pub fn set_both_modes(&self, way: LinkMode) {
         *self.shared.ways.lock().unwrap() = [way; 2];
     }
 }
@@ -116,8 +116,8 @@
 }
 
 fn carry(from: TcpStream, shared: &Arc<Shared>) {
-    let cut = |direction| shared.way(direction) == Way::Cut;
-    if cut(Direction::There) || cut(Direction::Back) {
+    let cut = |direction| shared.way(direction) == LinkMode::Reset;
+    if cut(Direction::Forward) || cut(Direction::Reverse) {
         return reset(&from);
     }
     let Ok(to) = TcpStream::connect_timeout(&shared.to, Duration::from_secs(1)) else {
@@ -127,8 +127,8 @@
         return;
     };
     let own = shared.clone();
-    let back = thread::spawn(move || pass(to_too, from_too, &own, Direction::Back));
-    pass(from, to, shared, Direction::There);
+    let back = thread::spawn(move || pass(to_too, from_too, &own, Direction::Reverse));
+    pass(from, to, shared, Direction::Forward);
     let _ = back.join();
 }
 
@@ -146,13 +146,13 @@
     loop {
         let way = shared.way(direction);
         match way {
-            Way::Cut => return end(&from, &to),
-            Way::Hold => {
+            LinkMode::Reset => return end(&from, &to),
+            LinkMode::Stall => {
                 thread::sleep(LOOK);
                 continue;
             }
             // What follows something that was thrown away makes no sense.
-            _ if swallowed && way != Way::Swallow => return end(&from, &to),
+            _ if swallowed && way != LinkMode::Blackhole => return end(&from, &to),
             _ => {}
         }
         let got = match from.read(&mut piece) {
@@ -172,27 +172,27 @@
             Err(_) => return end(&from, &to),
         };
         let sent = match shared.way(direction) {
-            Way::Pass => to.write_all(&piece[..got]),
-            Way::Delay(by) => {
+            LinkMode::Pass => to.write_all(&piece[..got]),
+            LinkMode::Delay(by) => {
                 thread::sleep(by);
                 to.write_all(&piece[..got])
             }
-            Way::Trickle(bytes) => trickle(&mut to, &piece[..got], bytes, shared, direction),
-            Way::Swallow => {
+            LinkMode::Throttle(bytes) => trickle(&mut to, &piece[..got], bytes, shared, direction),
+            LinkMode::Blackhole => {
                 swallowed = true;
                 Ok(())
             }
-            Way::Hold => {
+            LinkMode::Stall => {
                 // It came in between: nothing of it goes on before the direction does.
-                while shared.way(direction) == Way::Hold {
+                while shared.way(direction) == LinkMode::Stall {
                     thread::sleep(LOOK);
                 }
                 to.write_all(&piece[..got])
             }
-            Way::Cut => return end(&from, &to),
-            Way::CutInside => {
+            LinkMode::Reset => return end(&from, &to),
+            LinkMode::ResetMidWrite => {
                 let _ = to.write_all(&piece[..got / 2]);
-                shared.ways.lock().unwrap()[direction as usize] = Way::Pass;
+                shared.ways.lock().unwrap()[direction as usize] = LinkMode::Pass;
                 return end(&from, &to);
             }
         };
@@ -213,7 +213,7 @@
     for (at, byte) in bytes.iter().enumerate() {
         let due = Duration::from_secs_f64(at as f64 / f64::from(a_second));
         while begun.elapsed() < due {
-            if shared.way(direction) != Way::Trickle(a_second) {
+            if shared.way(direction) != LinkMode::Throttle(a_second) {
                 return to.write_all(&bytes[at..]);
             }
             thread::sleep(LOOK.min(due));
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -7,8 +7,8 @@
 
 use serde_json::{Value, json};
 
-use crate::peer::Peer;
-use crate::{PATIENCE, mono_us};
+use crate::line_connection::LineConnection;
+use crate::{WAIT_TIMEOUT, monotonic_us};
 
 /// What a server answers a probe with, nothing if it is silent, and whether it has answered any.
 #[derive(Debug, Default)]
@@ -27,15 +27,15 @@
 }
 
 /// A program under test that answers `PING`.
-pub trait Answers {
-    fn pong(&self) -> bool;
+pub trait Pingable {
+    fn answers_ping(&self) -> bool;
 }
 
 /// A server that answers probes by itself and hands every `OPEN` to the test.
 pub struct Server {
     pub addr: SocketAddr,
     pub uid: String,
-    opened: mpsc::Receiver<(String, Peer)>,
+    opened: mpsc::Receiver<(String, LineConnection)>,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
     probes: Arc<Probes>,
 }
@@ -52,7 +52,9 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (opens, answer, arrived) = (opens.clone(), answer.clone(), arrived.clone());
-                thread::spawn(move || Self::talk(Peer::new(stream), &opens, &arrived, &answer));
+                thread::spawn(move || {
+                    Self::talk(LineConnection::new(stream), &opens, &arrived, &answer)
+                });
             }
         });
         Self {
@@ -65,21 +67,21 @@
     }
 
     fn talk(
-        mut peer: Peer,
-        opens: &mpsc::Sender<(String, Peer)>,
+        mut peer: LineConnection,
+        opens: &mpsc::Sender<(String, LineConnection)>,
         arrivals: &Mutex<Vec<Arrival>>,
         probes: &Probes,
     ) {
         peer.reader.get_ref().set_read_timeout(None).unwrap();
-        while let Ok(line) = peer.try_hear() {
+        while let Ok(line) = peer.try_read_line() {
             if line.starts_with("OPEN ") {
                 arrivals.lock().unwrap().push(Arrival {
                     line: line.clone(),
-                    read_us: mono_us(),
+                    read_us: monotonic_us(),
                 });
                 peer.reader
                     .get_ref()
-                    .set_read_timeout(Some(PATIENCE))
+                    .set_read_timeout(Some(WAIT_TIMEOUT))
                     .unwrap();
                 // A test that is over needs no more connections.
                 let _ = opens.send((line, peer));
@@ -88,7 +90,7 @@
             probes.came.lock().unwrap().push(Instant::now());
             let answer = probes.state.lock().unwrap().0.clone();
             if let Some(answer) = answer {
-                peer.say(&answer);
+                peer.send_line(&answer);
                 probes.state.lock().unwrap().1 = true;
                 probes.changed.notify_all();
             }
@@ -96,13 +98,16 @@
     }
 
     /// The next connection that a client wants, with its first line.
-    pub fn opened(&self) -> (String, Peer) {
-        self.opened.recv_timeout(PATIENCE).expect("an OPEN")
+    pub fn next_open(&self) -> (String, LineConnection) {
+        self.opened.recv_timeout(WAIT_TIMEOUT).expect("an OPEN")
     }
 
     /// The next connection, or none as soon as `answered` says that the client got an answer.
-    pub fn opened_or(&self, mut answered: impl FnMut() -> bool) -> Option<(String, Peer)> {
-        let until = Instant::now() + PATIENCE;
+    pub fn next_open_unless(
+        &self,
+        mut answered: impl FnMut() -> bool,
+    ) -> Option<(String, LineConnection)> {
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Ok(opened) = self.opened.try_recv() {
                 return Some(opened);
@@ -120,34 +125,34 @@
     }
 
     /// When probes came.
-    pub fn probed(&self) -> Vec<Instant> {
+    pub fn probe_times(&self) -> Vec<Instant> {
         self.probes.came.lock().unwrap().clone()
     }
 
-    pub fn nothing_opened(&self) -> bool {
+    pub fn no_pending_open(&self) -> bool {
         self.opened.try_recv().is_err()
     }
 
-    pub fn answer_probes(&self, with: Option<&str>) {
+    pub fn set_probe_answer(&self, with: Option<&str>) {
         self.probes.state.lock().unwrap().0 = with.map(str::to_string);
     }
 
     /// Waits until a probe is answered, and until the proxy has read the answer: it serves in turn,
     /// so the second of two calls that come after the answer finds it read.
-    pub fn wait_probed(&self, by: &impl Answers) {
+    pub fn wait_for_probe(&self, by: &impl Pingable) {
         let state = self.probes.state.lock().unwrap();
         let changed = &self.probes.changed;
-        let wait = changed.wait_timeout_while(state, PATIENCE, |(_, answered)| !*answered);
+        let wait = changed.wait_timeout_while(state, WAIT_TIMEOUT, |(_, answered)| !*answered);
         assert!(!wait.unwrap().1.timed_out(), "no probe");
-        assert!(by.pong() && by.pong());
+        assert!(by.answers_ping() && by.answers_ping());
     }
 
-    pub fn target(&self, state: &str) -> Value {
-        target(&self.uid, &self.addr.to_string(), state)
+    pub fn target_row(&self, state: &str) -> Value {
+        target_row(&self.uid, &self.addr.to_string(), state)
     }
 }
 
-pub fn target(uid: &str, endpoint: &str, state: &str) -> Value {
+pub fn target_row(uid: &str, endpoint: &str, state: &str) -> Value {
     json!({"uid": uid, "endpoint": endpoint, "az": "a", "model": "m", "pod_group": 0,
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
--- a/crates/standins/src/soak/client.rs
+++ b/crates/standins/src/soak/client.rs
@@ -9,22 +9,22 @@
 
 /// How a client behaves.
 #[derive(Clone, Debug)]
-pub struct Behaviour {
+pub struct ClientBehaviour {
     pub class: String,
     /// How long it waits for `UP`.
     pub deadline: Duration,
     /// It leaves so long after its line, if it has no answer by then.
-    pub leaves: Option<(Duration, Leave)>,
+    pub disconnect_after: Option<(Duration, DisconnectKind)>,
     /// How long it talks once it is served, and how often.
-    pub life: Duration,
-    pub every: Duration,
+    pub session_duration: Duration,
+    pub message_interval: Duration,
     /// It says `PING` first and rests for so long before its line.
-    pub rests: Option<Duration>,
+    pub pause_before_open: Option<Duration>,
 }
 
 /// How it leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leave {
+pub enum DisconnectKind {
     Close,
     HalfClose,
     Reset,
@@ -32,7 +32,7 @@
 
 /// What became of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum RequestOutcome {
     /// The proxy could not be reached, or turned it away before its line was written.
     NotTaken,
     Up,
@@ -50,7 +50,7 @@
 
 /// How a connection that was up ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum ConnectionOutcome {
     /// By the client itself, its last line answered.
     ByClient,
     Moved,
@@ -63,17 +63,17 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Account {
+pub struct RequestRecord {
     pub id: String,
     pub class: String,
     pub deadline: Duration,
     /// When its last byte was written.
-    pub sent: Instant,
-    pub answer: Answer,
-    pub answered: Instant,
-    pub left: Option<Instant>,
-    pub ending: Option<Ending>,
-    pub ended: Instant,
+    pub sent_at: Instant,
+    pub outcome: RequestOutcome,
+    pub answered_at: Instant,
+    pub disconnected_at: Option<Instant>,
+    pub connection_outcome: Option<ConnectionOutcome>,
+    pub ended_at: Instant,
 }
 
 /// Far past any time: what has not come by then never comes.
@@ -82,24 +82,24 @@
 const SILENT: Duration = Duration::from_secs(7);
 
 /// Asks at a proxy and stays until the end.
-pub fn ask(proxy: SocketAddr, id: &str, behaviour: &Behaviour) -> Account {
+pub fn run_client(proxy: SocketAddr, id: &str, behaviour: &ClientBehaviour) -> RequestRecord {
     let now = Instant::now();
-    let mut account = Account {
+    let mut account = RequestRecord {
         id: id.to_string(),
         class: behaviour.class.clone(),
         deadline: behaviour.deadline,
-        sent: now,
-        answer: Answer::NotTaken,
-        answered: now,
-        left: None,
-        ending: None,
-        ended: now,
+        sent_at: now,
+        outcome: RequestOutcome::NotTaken,
+        answered_at: now,
+        disconnected_at: None,
+        connection_outcome: None,
+        ended_at: now,
     };
     let Ok(mut stream) = TcpStream::connect(proxy) else {
         return account;
     };
     let _ = stream.set_nodelay(true);
-    if let Some(rest) = behaviour.rests {
+    if let Some(rest) = behaviour.pause_before_open {
         let pong = stream.write_all(b"PING\r\n").is_ok() && read_line(&mut stream, NEVER).is_ok();
         thread::sleep(rest);
         if !pong || ended(&stream) {
@@ -114,13 +114,13 @@
     if stream.write_all(line.as_bytes()).is_err() {
         return account;
     }
-    account.sent = Instant::now();
-    account.answer = first_answer(&mut stream, behaviour, &mut account.left);
-    account.answered = Instant::now();
-    if account.answer == Answer::Up {
-        account.ending = Some(talk(&mut stream, behaviour));
+    account.sent_at = Instant::now();
+    account.outcome = first_answer(&mut stream, behaviour, &mut account.disconnected_at);
+    account.answered_at = Instant::now();
+    if account.outcome == RequestOutcome::Up {
+        account.connection_outcome = Some(talk(&mut stream, behaviour));
     }
-    account.ended = Instant::now();
+    account.ended_at = Instant::now();
     account
 }
 
@@ -134,45 +134,47 @@
 
 fn first_answer(
     stream: &mut TcpStream,
-    behaviour: &Behaviour,
+    behaviour: &ClientBehaviour,
     left: &mut Option<Instant>,
-) -> Answer {
+) -> RequestOutcome {
     let patience = behaviour.deadline + NEVER;
     let within = behaviour
-        .leaves
+        .disconnect_after
         .map_or(patience, |(after, _)| after.min(patience));
     let line = match read_line(stream, within) {
         Ok(line) => line,
         Err(error) if is_timeout(&error) => {
-            let Some((_, how)) = behaviour.leaves else {
-                return Answer::Silence;
+            let Some((_, how)) = behaviour.disconnect_after else {
+                return RequestOutcome::Silence;
             };
             *left = Some(Instant::now());
             match how {
-                Leave::Close => {}
-                Leave::HalfClose => {
+                DisconnectKind::Close => {}
+                DisconnectKind::HalfClose => {
                     let _ = stream.shutdown(Shutdown::Write);
                     // It reads on: whatever comes, it has left.
                     let _ = read_line(stream, NEVER);
                 }
-                Leave::Reset => drop(SockRef::from(&*stream).set_linger(Some(Duration::ZERO))),
+                DisconnectKind::Reset => {
+                    drop(SockRef::from(&*stream).set_linger(Some(Duration::ZERO)))
+                }
             }
-            return Answer::Left;
+            return RequestOutcome::Left;
         }
-        Err(error) if error.kind() == ErrorKind::UnexpectedEof => return Answer::Closed,
-        Err(_) => return Answer::Reset,
+        Err(error) if error.kind() == ErrorKind::UnexpectedEof => return RequestOutcome::Closed,
+        Err(_) => return RequestOutcome::Reset,
     };
     match line.split(' ').next() {
-        Some("UP") => Answer::Up,
-        Some("BYE") => Answer::Bye,
-        Some("BUSY") => Answer::Busy,
-        _ => Answer::Failed(line),
+        Some("UP") => RequestOutcome::Up,
+        Some("BYE") => RequestOutcome::Bye,
+        Some("BUSY") => RequestOutcome::Busy,
+        _ => RequestOutcome::Failed(line),
     }
 }
 
 /// Talks on a connection that is up until its own end or another's.
-fn talk(stream: &mut TcpStream, behaviour: &Behaviour) -> Ending {
-    let until = Instant::now() + behaviour.life;
+fn talk(stream: &mut TcpStream, behaviour: &ClientBehaviour) -> ConnectionOutcome {
+    let until = Instant::now() + behaviour.session_duration;
     let mut number = 0;
     while Instant::now() < until {
         number += 1;
@@ -188,30 +190,30 @@
             Ok(line) if line == format!("OK SAY {number}") => {
                 let took = said.elapsed();
                 if took > Duration::from_secs(1) {
-                    return Ending::Held(took);
+                    return ConnectionOutcome::Held(took);
                 }
             }
-            Ok(line) if line == "MOVE" => return Ending::Moved,
-            Ok(line) => return Ending::Spoilt(line),
-            Err(error) if is_timeout(&error) => return Ending::Held(said.elapsed()),
-            Err(_) => return Ending::Cut,
+            Ok(line) if line == "MOVE" => return ConnectionOutcome::Moved,
+            Ok(line) => return ConnectionOutcome::Spoilt(line),
+            Err(error) if is_timeout(&error) => return ConnectionOutcome::Held(said.elapsed()),
+            Err(_) => return ConnectionOutcome::Cut,
         }
         thread::sleep(
             behaviour
-                .every
+                .message_interval
                 .min(until.saturating_duration_since(Instant::now())),
         );
     }
-    Ending::ByClient
+    ConnectionOutcome::ByClient
 }
 
-fn last_words(stream: &mut TcpStream, number: usize) -> Ending {
+fn last_words(stream: &mut TcpStream, number: usize) -> ConnectionOutcome {
     loop {
         match read_line(stream, NEVER) {
-            Ok(line) if line == "MOVE" => return Ending::Moved,
+            Ok(line) if line == "MOVE" => return ConnectionOutcome::Moved,
             Ok(line) if line == format!("OK SAY {number}") => {}
-            Ok(line) => return Ending::Spoilt(line),
-            Err(_) => return Ending::Cut,
+            Ok(line) => return ConnectionOutcome::Spoilt(line),
+            Err(_) => return ConnectionOutcome::Cut,
         }
     }
 }
--- a/crates/standins/src/soak/mod.rs
+++ b/crates/standins/src/soak/mod.rs
@@ -1,10 +1,10 @@
 //! Traffic whose every request is judged, by its client and by the servers that it reached.
 
+mod checker;
 mod client;
-mod judge;
-mod lateness;
 mod rng;
-pub mod run;
+pub mod runner;
+mod scheduling_delay;
 pub mod script;
 mod server;
 
@@ -14,16 +14,18 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-pub use client::{Account, Answer, Behaviour, Ending, Leave};
-pub use judge::{ColdStart, Drain, Effect, Evidence, Kill, Terms, judge};
-pub use lateness::Late;
+pub use checker::{CheckSettings, ColdStart, Drain, Idempotency, Kill, RunRecord, check_run};
+pub use client::{
+    ClientBehaviour, ConnectionOutcome, DisconnectKind, RequestOutcome, RequestRecord,
+};
+pub use scheduling_delay::SchedulingDelay;
 pub use script::Script;
-pub use server::{Arrival, Mode, SoakServer};
+pub use server::{AttemptRecord, ServerMode, SoakServer};
 
 /// Clients that come at a steady rate until they are stopped.
 pub struct Traffic {
     ids: Arc<AtomicU64>,
-    accounts: Arc<Mutex<Vec<Account>>>,
+    accounts: Arc<Mutex<Vec<RequestRecord>>>,
     running: Arc<AtomicBool>,
     source: Option<JoinHandle<Vec<JoinHandle<()>>>>,
 }
@@ -34,10 +36,10 @@
         proxy: SocketAddr,
         each: Duration,
         seed: u64,
-        behaviour: impl Fn(u64) -> Behaviour + Send + 'static,
+        behaviour: impl Fn(u64) -> ClientBehaviour + Send + 'static,
     ) -> Self {
         let ids = Arc::new(AtomicU64::new(0));
-        let accounts: Arc<Mutex<Vec<Account>>> = Arc::default();
+        let accounts: Arc<Mutex<Vec<RequestRecord>>> = Arc::default();
         let running = Arc::new(AtomicBool::new(true));
         let (own_ids, own_accounts, own_running) = (ids.clone(), accounts.clone(), running.clone());
         let source = thread::spawn(move || {
@@ -49,7 +51,7 @@
                 let id = format!("{:08x}{number:08x}", seed as u32);
                 let accounts = own_accounts.clone();
                 let client = thread::Builder::new().stack_size(128 << 10).spawn(move || {
-                    let account = client::ask(proxy, &id, &behaviour);
+                    let account = client::run_client(proxy, &id, &behaviour);
                     accounts.lock().unwrap().push(account);
                 });
                 clients.push(client.expect("a thread"));
@@ -71,12 +73,12 @@
         self.running.store(false, Ordering::Relaxed);
     }
 
-    pub fn asked(&self) -> u64 {
+    pub fn request_count(&self) -> u64 {
         self.ids.load(Ordering::Relaxed)
     }
 
     /// The accounts so far; clients that still talk are left to themselves.
-    pub fn finish_now(mut self) -> Vec<Account> {
+    pub fn finish_without_waiting(mut self) -> Vec<RequestRecord> {
         self.stop();
         if let Some(source) = self.source.take() {
             drop(source.join().unwrap());
@@ -85,7 +87,7 @@
     }
 
     /// All accounts, once the last client has ended.
-    pub fn finish(mut self) -> Vec<Account> {
+    pub fn finish(mut self) -> Vec<RequestRecord> {
         self.stop();
         for client in self
             .source
--- a/crates/standins/src/soak/rng.rs
+++ b/crates/standins/src/soak/rng.rs
@@ -18,15 +18,15 @@
     }
 
     /// A number from one to another, both included.
-    pub fn within(&mut self, from: u64, to: u64) -> u64 {
+    pub fn range_inclusive(&mut self, from: u64, to: u64) -> u64 {
         from + self.next() % (to - from + 1)
     }
 
     pub fn chance(&mut self, percent: u64) -> bool {
-        self.within(1, 100) <= percent
+        self.range_inclusive(1, 100) <= percent
     }
 
     pub fn pick<T: Copy>(&mut self, from: &[T]) -> T {
-        from[self.within(0, from.len() as u64 - 1) as usize]
+        from[self.range_inclusive(0, from.len() as u64 - 1) as usize]
     }
 }
--- a/crates/standins/src/soak/run.rs
+++ b/crates/standins/src/soak/runner.rs
@@ -13,14 +13,14 @@
 use serde_json::{Value, json};
 
 use super::Traffic;
-use super::client::{Answer, Behaviour, Leave};
-use super::judge::{ColdStart, Drain, Effect, Evidence, Kill, Terms, judge};
-use super::lateness::Lateness;
+use super::checker::{CheckSettings, ColdStart, Drain, Idempotency, Kill, RunRecord, check_run};
+use super::client::{ClientBehaviour, DisconnectKind, RequestOutcome};
 use super::rng::Rng;
+use super::scheduling_delay::DelayMonitor;
 use super::script::{Script, Site, Trouble};
-use super::server::{Mode, SoakServer};
-use crate::faults::Faults;
-use crate::{Discovery, Mood, unused};
+use super::server::{ServerMode, SoakServer};
+use crate::faults::FaultInjector;
+use crate::{Discovery, DiscoveryMode, unused_addr};
 
 const GRACE: Duration = Duration::from_millis(300);
 const COLD_FOR: Duration = Duration::from_secs(4);
@@ -53,7 +53,7 @@
 ///
 /// # Panics
 /// The program does not start, or never serves.
-pub fn play(program: &Path, dir: &Path, script: &Script) -> Report {
+pub fn run_script(program: &Path, dir: &Path, script: &Script) -> Report {
     let run = Run::start(program, dir, script);
     run.play(script)
 }
@@ -66,14 +66,14 @@
     proxy: Child,
     address: SocketAddr,
     discovery: Discovery,
-    faults: Faults,
+    faults: FaultInjector,
     /// The rules besides the step of the clock.
     rules: String,
     clock_step: i64,
     servers: Vec<SoakServer>,
     /// The starts of their present processes, as they are listed.
     boots_ms: Vec<u64>,
-    lateness: Lateness,
+    lateness: DelayMonitor,
     drains: Vec<Drain>,
     cold_starts: Vec<ColdStart>,
     /// From when to when discovery did not work.
@@ -106,16 +106,16 @@
             servers
                 .iter()
                 .step_by(2)
-                .for_each(|server| server.close_probes(true));
+                .for_each(|server| server.set_close_probes(true));
         }
         let targets: Vec<Value> = servers
             .iter()
-            .map(|server| server.target("ready", 0))
+            .map(|server| server.target_row("ready", 0))
             .collect();
         let discovery = Discovery::start(&targets);
-        let address = unused();
+        let address = unused_addr();
         write_config(&dir, &site, address, discovery.addr, false);
-        let faults = Faults::new(&dir, "");
+        let faults = FaultInjector::new(&dir, "");
         let log = std::fs::File::create(dir.join("log")).expect("a writable directory");
         let mut command = Command::new(program);
         faults.preload(&mut command);
@@ -140,7 +140,7 @@
             clock_step: 0,
             boots_ms: vec![0; servers.len()],
             servers,
-            lateness: Lateness::watch(),
+            lateness: DelayMonitor::start(),
             drains: Vec::new(),
             cold_starts: Vec::new(),
             outages: Vec::new(),
@@ -188,59 +188,59 @@
         self.terminate(script, &traffic);
         let accounts = traffic.finish();
         self.crowd.clear();
-        let arrivals = self.servers.iter().flat_map(SoakServer::arrivals).collect();
+        let arrivals = self.servers.iter().flat_map(SoakServer::attempts).collect();
         let kills = vec![Kill {
             at: Instant::now(),
-            outright: false,
+            without_sigterm: false,
         }];
-        let evidence = Evidence {
-            accounts,
-            arrivals,
+        let evidence = RunRecord {
+            requests: accounts,
+            attempts: arrivals,
             drains: std::mem::take(&mut self.drains),
             cold_starts: std::mem::take(&mut self.cold_starts),
             kills,
-            lateness: self.lateness.end(),
+            scheduling_delays: self.lateness.stop(),
         };
-        let count = |of: fn(&Answer) -> bool| {
+        let count = |of: fn(&RequestOutcome) -> bool| {
             evidence
-                .accounts
+                .requests
                 .iter()
-                .filter(|account| of(&account.answer))
+                .filter(|account| of(&account.outcome))
                 .count()
         };
-        let mut violations = judge(&self.terms(), &evidence, self.start);
+        let mut violations = check_run(&self.terms(), &evidence, self.start);
         let log = std::fs::read_to_string(self.dir.join("log")).unwrap_or_default();
         if let Some(line) = log.lines().find(|line| line.contains("panicked")) {
             violations.push(format!("crash: {line}"));
         }
         Report {
             seed: self.seed,
-            asked: evidence.accounts.len(),
-            served: count(|answer| matches!(answer, Answer::Up | Answer::Bye)),
-            refused: count(|answer| *answer == Answer::Busy),
-            failed: count(|answer| matches!(answer, Answer::Failed(_))),
+            asked: evidence.requests.len(),
+            served: count(|answer| matches!(answer, RequestOutcome::Up | RequestOutcome::Bye)),
+            refused: count(|answer| *answer == RequestOutcome::Busy),
+            failed: count(|answer| matches!(answer, RequestOutcome::Failed(_))),
             violations,
             log: self.dir.join("log"),
         }
     }
 
-    fn terms(&self) -> Terms {
-        Terms {
-            effects: BTreeMap::from([
-                ("watch".into(), Effect::Pure),
+    fn terms(&self) -> CheckSettings {
+        CheckSettings {
+            idempotency_by_class: BTreeMap::from([
+                ("watch".into(), Idempotency::Pure),
                 (
                     "hold".into(),
-                    Effect::Token(Duration::from_millis(self.site.window_ms)),
+                    Idempotency::Token(Duration::from_millis(self.site.window_ms)),
                 ),
-                ("book".into(), Effect::SideEffect),
-                (NEW_CLASS.into(), Effect::SideEffect),
+                ("book".into(), Idempotency::SideEffect),
+                (NEW_CLASS.into(), Idempotency::SideEffect),
             ]),
             max_attempts: self.site.max_attempts,
             drain_grace: GRACE,
-            cold_from: COLD_FROM,
-            cold_for: COLD_FOR,
-            fall_multiple: FALL_MULTIPLE,
-            fall_for: FALL_FOR,
+            slow_start_min_share: COLD_FROM,
+            slow_start_window: COLD_FOR,
+            overload_multiple: FALL_MULTIPLE,
+            overload_duration: FALL_FOR,
         }
     }
 
@@ -293,8 +293,8 @@
                 self.start_cold(self.servers.len() - 1);
             }
             Trouble::Discovery { mood, lasts } => {
-                self.discovery.set_mood(*mood);
-                if *mood != Mood::Closes {
+                self.discovery.set_mode(*mood);
+                if *mood != DiscoveryMode::Closes {
                     self.outages.push((now, None));
                 }
                 undo.push((now + ms(*lasts), Undo::Discovery));
@@ -343,7 +343,7 @@
             "seed {}\nclock {}\n{}",
             self.seed, self.clock_step, self.rules
         );
-        self.faults.set(&rules);
+        self.faults.set_rules(&rules);
     }
 
     fn be_rude(&mut self, clients: u64) {
@@ -367,11 +367,11 @@
         let due: Vec<(Instant, Undo)> = undo.extract_if(.., |(at, _)| *at <= now).collect();
         for (_, what) in due {
             match what {
-                Undo::Mode(server) => self.servers[server].set_mode(Mode::Serve(0)),
+                Undo::Mode(server) => self.servers[server].set_mode(ServerMode::Serve(0)),
                 Undo::Back(server) => {
                     let uid = self.servers[server].uid().to_string();
                     for drain in self.drains.iter_mut().filter(|drain| drain.server == uid) {
-                        drain.until.get_or_insert(now);
+                        drain.cancelled_at.get_or_insert(now);
                     }
                     self.tell(server, "ready");
                 }
@@ -380,7 +380,7 @@
                     self.start_cold(server);
                 }
                 Undo::Discovery => {
-                    self.discovery.set_mood(Mood::Works);
+                    self.discovery.set_mode(DiscoveryMode::Works);
                     for outage in &mut self.outages {
                         outage.1.get_or_insert(now);
                     }
@@ -401,14 +401,14 @@
         let boot_ms = (now.as_millis() as i64 + self.clock_step) as u64;
         let uid = self.servers[server].uid().to_string();
         for drain in self.drains.iter_mut().filter(|drain| drain.server == uid) {
-            drain.until.get_or_insert(Instant::now());
+            drain.cancelled_at.get_or_insert(Instant::now());
         }
         // A warm server carries as many as load it fully, each for as long as they live.
         let capacity = self.site.capacity as f64 / MEAN_LIFE.as_secs_f64();
         self.cold_starts.push(ColdStart {
             server: uid,
-            at: Instant::now(),
-            capacity,
+            started_at: Instant::now(),
+            warm_requests_per_s: capacity,
         });
         self.boots_ms[server] = boot_ms;
         self.tell(server, "ready");
@@ -416,9 +416,9 @@
 
     fn tell(&mut self, server: usize, state: &str) {
         let now = Instant::now();
-        let target = self.servers[server].target(state, self.boots_ms[server]);
+        let target = self.servers[server].target_row(state, self.boots_ms[server]);
         let uid = self.servers[server].uid().to_string();
-        self.discovery.tell(target);
+        self.discovery.upsert_target(target);
         if state == "draining" {
             let told = match self.outages.last() {
                 // It works again, but no watch may be open yet; or it does not work now.
@@ -428,8 +428,8 @@
             };
             self.drains.push(Drain {
                 server: uid,
-                told,
-                until: None,
+                announced_at: told,
+                cancelled_at: None,
             });
         }
     }
@@ -474,36 +474,46 @@
 /// A client's mean time on a server.
 const MEAN_LIFE: Duration = Duration::from_millis(700);
 
-fn behaviour(site: &Site, seed: u64, number: u64, new_class: bool, ending: bool) -> Behaviour {
+fn behaviour(
+    site: &Site,
+    seed: u64,
+    number: u64,
+    new_class: bool,
+    ending: bool,
+) -> ClientBehaviour {
     let mut rng = Rng::new(seed << 32 | number);
-    let class = rng.within(0, if new_class { 3 } else { 2 }) as usize;
+    let class = rng.range_inclusive(0, if new_class { 3 } else { 2 }) as usize;
     let names = ["watch", "hold", "book", NEW_CLASS];
     let whole = site.deadlines_ms[class.min(2)];
     let deadline = match rng.chance(8) {
-        true => rng.within(1, 40),
-        false => rng.within(whole / 2, whole),
+        true => rng.range_inclusive(1, 40),
+        false => rng.range_inclusive(whole / 2, whole),
     };
     let leaves = rng.chance(15).then(|| {
-        let after = Duration::from_millis(rng.within(0, (whole / 2).min(300)));
+        let after = Duration::from_millis(rng.range_inclusive(0, (whole / 2).min(300)));
         (
             after,
-            rng.pick(&[Leave::Close, Leave::HalfClose, Leave::Reset]),
+            rng.pick(&[
+                DisconnectKind::Close,
+                DisconnectKind::HalfClose,
+                DisconnectKind::Reset,
+            ]),
         )
     });
     // Who comes at the end, and some others, talk until they are moved.
     let life = match ending || rng.chance(10) {
         true => Duration::from_secs(30),
-        false => MEAN_LIFE.mul_f64(rng.within(2, 18) as f64 / 10.0),
+        false => MEAN_LIFE.mul_f64(rng.range_inclusive(2, 18) as f64 / 10.0),
     };
-    Behaviour {
+    ClientBehaviour {
         class: names[class].into(),
         deadline: Duration::from_millis(deadline),
-        leaves,
-        life,
-        every: Duration::from_millis(rng.within(20, 120)),
-        rests: rng
+        disconnect_after: leaves,
+        session_duration: life,
+        message_interval: Duration::from_millis(rng.range_inclusive(20, 120)),
+        pause_before_open: rng
             .chance(5)
-            .then(|| Duration::from_millis(rng.within(0, 1500))),
+            .then(|| Duration::from_millis(rng.range_inclusive(0, 1500))),
     }
 }
 
--- a/crates/standins/src/soak/lateness.rs
+++ b/crates/standins/src/soak/scheduling_delay.rs
@@ -11,20 +11,20 @@
 
 /// A thread that should have run at a moment did so this much later.
 #[derive(Clone, Copy, Debug)]
-pub struct Late {
-    pub at: Instant,
-    pub by: Duration,
+pub struct SchedulingDelay {
+    pub due_at: Instant,
+    pub delay: Duration,
 }
 
 /// A thread that measures.
 #[derive(Debug)]
-pub(crate) struct Lateness {
+pub(crate) struct DelayMonitor {
     running: Arc<AtomicBool>,
-    thread: Option<JoinHandle<Vec<Late>>>,
+    thread: Option<JoinHandle<Vec<SchedulingDelay>>>,
 }
 
-impl Lateness {
-    pub fn watch() -> Self {
+impl DelayMonitor {
+    pub fn start() -> Self {
         let running = Arc::new(AtomicBool::new(true));
         let own = running.clone();
         let thread = thread::spawn(move || {
@@ -34,7 +34,10 @@
                 thread::sleep(INTERVAL);
                 let by = due.elapsed();
                 if by > NOTED {
-                    found.push(Late { at: due, by });
+                    found.push(SchedulingDelay {
+                        due_at: due,
+                        delay: by,
+                    });
                 }
             }
             found
@@ -45,7 +48,7 @@
         }
     }
 
-    pub fn end(&mut self) -> Vec<Late> {
+    pub fn stop(&mut self) -> Vec<SchedulingDelay> {
         self.running.store(false, Ordering::Relaxed);
         self.thread
             .take()
--- a/crates/standins/src/soak/script.rs
+++ b/crates/standins/src/soak/script.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::rng::Rng;
-use super::server::Mode;
-use crate::Mood;
+use super::server::ServerMode;
+use crate::DiscoveryMode;
 
 /// The settings of a run that differ by seed.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
     /// A server behaves in another way for so many milliseconds.
     Server {
         server: usize,
-        mode: Mode,
+        mode: ServerMode,
         lasts: u64,
     },
     /// Its drain is told, and taken back after so long if that is given.
@@ -47,7 +47,7 @@
     },
     Join,
     Discovery {
-        mood: Mood,
+        mood: DiscoveryMode,
         lasts: u64,
     },
     /// SIGHUP so often, some milliseconds apart; a class is new from then on.
@@ -104,42 +104,42 @@
 ];
 
 impl Script {
-    pub fn new(seed: u64, lasts: Duration) -> Self {
+    pub fn from_seed(seed: u64, lasts: Duration) -> Self {
         let mut rng = Rng::new(seed.wrapping_mul(0x5851_f42d_4c95_7f2d));
         let site = Site {
-            servers: rng.within(4, 8) as usize,
-            capacity: rng.within(30, 60) as usize,
+            servers: rng.range_inclusive(4, 8) as usize,
+            capacity: rng.range_inclusive(30, 60) as usize,
             deadlines_ms: [
                 rng.pick(&[150, 400, 1000, 2000, 3000]),
                 rng.pick(&[300, 1000, 2000]),
                 rng.pick(&[150, 800, 2000]),
             ],
             window_ms: rng.pick(&[300, 800, 2000]),
-            max_attempts: rng.within(2, 5) as usize,
+            max_attempts: rng.range_inclusive(2, 5) as usize,
             tells_loads: rng.chance(60),
             may_probe: rng.chance(75),
             pushed: rng.chance(40),
             closes_probes: rng.chance(40),
             connect_timeout_ms: rng.pick(&[100, 250, 1000]),
-            each_ms: rng.within(8, 16),
+            each_ms: rng.range_inclusive(8, 16),
         };
         let span = lasts.as_millis() as u64;
-        let count = rng.within(8, 14);
+        let count = rng.range_inclusive(8, 14);
         let mut troubles: Vec<(u64, Trouble)> = (0..count)
             .map(|_| {
-                let at = rng.within(300, span - 300);
+                let at = rng.range_inclusive(300, span - 300);
                 (at, trouble(&mut rng, &site))
             })
             .collect();
         // Some trouble is there when the end begins.
         if rng.chance(70) {
-            let server = rng.within(0, site.servers as u64 - 1) as usize;
+            let server = rng.range_inclusive(0, site.servers as u64 - 1) as usize;
             let hang = Trouble::Server {
                 server,
-                mode: Mode::Hang,
+                mode: ServerMode::Hang,
                 lasts: 10_000,
             };
-            troubles.push((span - rng.within(50, 600), hang));
+            troubles.push((span - rng.range_inclusive(50, 600), hang));
         }
         troubles.sort_by_key(|(at, _)| *at);
         Self {
@@ -154,28 +154,28 @@
 }
 
 fn trouble(rng: &mut Rng, site: &Site) -> Trouble {
-    let server = rng.within(0, site.servers as u64 - 1) as usize;
-    let lasts = rng.within(300, 2500);
-    match rng.within(0, 12) {
+    let server = rng.range_inclusive(0, site.servers as u64 - 1) as usize;
+    let lasts = rng.range_inclusive(300, 2500);
+    match rng.range_inclusive(0, 12) {
         0..=2 => Trouble::Server {
             server,
             mode: rng.pick(&[
-                Mode::Hang,
-                Mode::Reset,
-                Mode::Close,
-                Mode::Error,
-                Mode::Busy,
-                Mode::Garble,
-                Mode::HalfLine,
-                Mode::Bye,
-                Mode::Serve(120),
-                Mode::Serve(450),
+                ServerMode::Hang,
+                ServerMode::Reset,
+                ServerMode::Close,
+                ServerMode::Error,
+                ServerMode::Busy,
+                ServerMode::Garble,
+                ServerMode::HalfLine,
+                ServerMode::Bye,
+                ServerMode::Serve(120),
+                ServerMode::Serve(450),
             ]),
             lasts,
         },
         3 | 4 => Trouble::Drain {
             server,
-            back_after: rng.chance(50).then(|| rng.within(50, 1500)),
+            back_after: rng.chance(50).then(|| rng.range_inclusive(50, 1500)),
         },
         5 => Trouble::Crash {
             server,
@@ -184,20 +184,20 @@
         6 => Trouble::Join,
         7 => Trouble::Discovery {
             mood: rng.pick(&[
-                Mood::Refuses,
-                Mood::Resets,
-                Mood::Hangs,
-                Mood::Garbles,
-                Mood::Closes,
+                DiscoveryMode::Refuses,
+                DiscoveryMode::Resets,
+                DiscoveryMode::Hangs,
+                DiscoveryMode::Garbles,
+                DiscoveryMode::Closes,
             ]),
             lasts,
         },
         8 => Trouble::Reload {
-            times: rng.within(1, 3),
+            times: rng.range_inclusive(1, 3),
             apart: rng.pick(&[0, 1, 5, 50]),
         },
         9 => Trouble::Stalls {
-            times: rng.within(1, 4),
+            times: rng.range_inclusive(1, 4),
         },
         10 => Trouble::Calls {
             rules: rng.pick(&CALLS),
@@ -208,11 +208,11 @@
                 step: rng.pick(&[-3_600_000, -5000, 5000, 3_600_000]),
             },
             false => Trouble::Rude {
-                clients: rng.within(5, 30),
+                clients: rng.range_inclusive(5, 30),
             },
         },
         _ => Trouble::Crowd {
-            connections: rng.within(20, 200),
+            connections: rng.range_inclusive(20, 200),
         },
     }
 }
--- a/crates/standins/src/soak/server.rs
+++ b/crates/standins/src/soak/server.rs
@@ -13,7 +13,7 @@
 
 /// How a server deals with an `OPEN` line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum ServerMode {
     /// `UP` after so many milliseconds, then an answer to each line.
     Serve(u64),
     /// The line is read and nothing comes back; open connections fall silent too.
@@ -34,34 +34,34 @@
     Bye,
 }
 
-impl Mode {
+impl ServerMode {
     /// Whether an attempt that met this may have run.
-    pub fn may_run(self) -> bool {
+    pub fn may_have_run(self) -> bool {
         self != Self::Busy
     }
 }
 
 /// One `OPEN` line that came in whole.
 #[derive(Clone, Debug)]
-pub struct Arrival {
+pub struct AttemptRecord {
     pub id: String,
     pub server: String,
     /// When its connection was accepted, and when its last byte had come.
-    pub accepted: Instant,
-    pub at: Instant,
-    pub mode: Mode,
+    pub accepted_at: Instant,
+    pub received_at: Instant,
+    pub mode: ServerMode,
     /// When the proxy ended the connection, or this server did.
-    pub ended: Option<Instant>,
+    pub ended_at: Option<Instant>,
     pub ended_by_server: bool,
 }
 
 #[derive(Debug)]
 struct Shared {
     uid: String,
-    mode: Mutex<Mode>,
+    mode: Mutex<ServerMode>,
     /// Whether idle probe connections are closed as soon as they are answered.
     closes_probes: Mutex<bool>,
-    arrivals: Mutex<Vec<Arrival>>,
+    arrivals: Mutex<Vec<AttemptRecord>>,
     open: AtomicUsize,
     /// Connections that load it fully.
     capacity: usize,
@@ -84,7 +84,7 @@
         let addr = listener.local_addr().expect("bound");
         let shared = Arc::new(Shared {
             uid: uid.to_string(),
-            mode: Mutex::new(Mode::Serve(0)),
+            mode: Mutex::new(ServerMode::Serve(0)),
             closes_probes: Mutex::new(false),
             arrivals: Mutex::default(),
             open: AtomicUsize::new(0),
@@ -101,17 +101,17 @@
         &self.shared.uid
     }
 
-    pub fn set_mode(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: ServerMode) {
         *self.shared.mode.lock().unwrap() = mode;
     }
 
-    pub fn close_probes(&self, closes: bool) {
+    pub fn set_close_probes(&self, closes: bool) {
         *self.shared.closes_probes.lock().unwrap() = closes;
     }
 
     /// The row of a list that shows it.
-    pub fn target(&self, state: &str, boot_ms: u64) -> Value {
-        let mut row = crate::target(self.uid(), &self.addr.to_string(), state);
+    pub fn target_row(&self, state: &str, boot_ms: u64) -> Value {
+        let mut row = crate::target_row(self.uid(), &self.addr.to_string(), state);
         row["boot_ms"] = json!(boot_ms);
         row
     }
@@ -130,11 +130,11 @@
     }
 
     /// Connections that came so far.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.shared.next.load(Ordering::Relaxed)
     }
 
-    pub fn arrivals(&self) -> Vec<Arrival> {
+    pub fn attempts(&self) -> Vec<AttemptRecord> {
         self.shared.arrivals.lock().unwrap().clone()
     }
 }
@@ -180,7 +180,7 @@
                 Some("PING") => writer.write_all(b"PONG\r\n")?,
                 Some("STATS") => {
                     let load = self.open.load(Ordering::Relaxed) as f64 / self.capacity as f64;
-                    if *self.mode.lock().unwrap() == Mode::Hang {
+                    if *self.mode.lock().unwrap() == ServerMode::Hang {
                         continue;
                     }
                     writer.write_all(format!("PONG x0={load:.3}\r\n").as_bytes())?;
@@ -202,13 +202,13 @@
         mut lines: BufReader<TcpStream>,
     ) -> io::Result<()> {
         let mode = *self.mode.lock().unwrap();
-        let arrival = Arrival {
+        let arrival = AttemptRecord {
             id: line.split(' ').nth(1).unwrap_or_default().to_string(),
             server: self.uid.clone(),
-            accepted,
-            at: Instant::now(),
+            accepted_at: accepted,
+            received_at: Instant::now(),
             mode,
-            ended: None,
+            ended_at: None,
             ended_by_server: false,
         };
         let number = {
@@ -220,7 +220,7 @@
         let by_server = self.answer(mode, number, &mut writer, &mut lines);
         self.open.fetch_sub(1, Ordering::Relaxed);
         let mut arrivals = self.arrivals.lock().unwrap();
-        arrivals[number].ended = Some(Instant::now());
+        arrivals[number].ended_at = Some(Instant::now());
         arrivals[number].ended_by_server = by_server;
         Ok(())
     }
@@ -228,40 +228,40 @@
     /// Deals with one attempt to its end; whether this server ended it.
     fn answer(
         &self,
-        mode: Mode,
+        mode: ServerMode,
         number: usize,
         writer: &mut TcpStream,
         lines: &mut BufReader<TcpStream>,
     ) -> bool {
         let mut say = |text: &[u8]| writer.write_all(text).is_ok();
         match mode {
-            Mode::Serve(delay) => {
+            ServerMode::Serve(delay) => {
                 if !lasts_for(lines, Duration::from_millis(delay)) {
                     return false;
                 }
                 say(format!("UP {:x}\r\n", number + 1).as_bytes());
                 return self.echo(writer, lines);
             }
-            Mode::Hang => {}
-            Mode::Reset => {
+            ServerMode::Hang => {}
+            ServerMode::Reset => {
                 reset(writer);
                 return true;
             }
-            Mode::Close => return true,
-            Mode::Error => {
+            ServerMode::Close => return true,
+            ServerMode::Error => {
                 say(b"ERR\r\n");
                 return true;
             }
-            Mode::Busy => {
+            ServerMode::Busy => {
                 say(b"BUSY\r\n");
                 return true;
             }
-            Mode::Bye => {
+            ServerMode::Bye => {
                 say(b"BYE\r\n");
                 return true;
             }
-            Mode::Garble => drop(say(b"\xffUPSIDE \x00down\r\n")),
-            Mode::HalfLine => drop(say(b"UP 77")),
+            ServerMode::Garble => drop(say(b"\xffUPSIDE \x00down\r\n")),
+            ServerMode::HalfLine => drop(say(b"UP 77")),
         }
         // Nothing more is said; the proxy gives it up.
         while let Ok(Some(_)) = read_line(lines) {}
@@ -271,7 +271,7 @@
     /// Answers each line until the proxy ends the connection; whether this server was told to crash meanwhile.
     fn echo(&self, writer: &mut TcpStream, lines: &mut BufReader<TcpStream>) -> bool {
         while let Ok(Some(line)) = read_line(lines) {
-            if *self.mode.lock().unwrap() == Mode::Hang {
+            if *self.mode.lock().unwrap() == ServerMode::Hang {
                 continue;
             }
             if writer
--- a/crates/standins/src/vanished.rs
+++ b/crates/standins/src/unresponsive_host.rs
@@ -6,19 +6,19 @@
 
 use socket2::{Domain, Socket, Type};
 
-use crate::PATIENCE;
+use crate::WAIT_TIMEOUT;
 
 /// The kernel's number for a connection whose peer has not answered yet.
 const SYN_SENT: &str = "02";
 
 /// A machine that takes no connection and refuses none: its queue of new ones is full.
-pub struct Vanished {
+pub struct UnresponsiveHost {
     pub addr: SocketAddr,
     listener: Socket,
     queue: Vec<Socket>,
 }
 
-impl Vanished {
+impl UnresponsiveHost {
     pub fn start() -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -45,10 +45,10 @@
     }
 
     /// Waits until others have so many dials under way, by the kernel's own list of sockets.
-    pub fn wait_dialled(&self, dials: usize) {
+    pub fn wait_for_dials(&self, dials: usize) {
         let own: Vec<u16> = self.own().iter().map(SocketAddr::port).collect();
         let port = |field: &str| u16::from_str_radix(field.rsplit(':').next()?, 16).ok();
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
             let under_way = table.lines().skip(1).filter(|line| {
@@ -70,12 +70,12 @@
     }
 
     /// It is there again: the next connection that somebody else has dialled, which comes up late.
-    pub fn take(&self) -> TcpStream {
+    pub fn recover_and_accept(&self) -> TcpStream {
         let own = self.own();
         // From here on its queue has room for all.
         self.listener.listen(128).unwrap();
         self.listener.set_nonblocking(true).unwrap();
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
             match self.listener.accept() {
                 Ok((socket, from)) if from.as_socket().is_none_or(|from| !own.contains(&from)) => {
--- a/crates/standins/src/shift.rs
+++ b/crates/standins/src/work_orders.rs
@@ -13,34 +13,34 @@
 
 use serde_json::{Value, json};
 
-use crate::callers::call;
-use crate::members::{Members, Spec, live, name};
-use crate::worker::{Visit, Worker};
-use crate::{mono_ms, target};
+use crate::budget_workload::call_management;
+use crate::echo_server::{EchoServer, Visit};
+use crate::fleet_harness::{FleetHarness, FleetSpec, count_live_members, node_name};
+use crate::{boottime_ms, target_row};
 
 /// A client waits so long for its final answer.
 const ANSWER: Duration = Duration::from_millis(2500);
 
 /// What clients saw, counted by themselves.
 #[derive(Debug, Default)]
-pub struct Seen {
-    pub asked: AtomicU64,
-    pub up: AtomicU64,
+pub struct ClientStats {
+    pub requests: AtomicU64,
+    pub established: AtomicU64,
     pub refused: AtomicU64,
     pub failed: AtomicU64,
     pub moved: AtomicU64,
     /// Connections that ended without a word; of proxies that were killed they do.
-    pub cut: AtomicU64,
+    pub dropped: AtomicU64,
     /// Requests without a final answer in time, where a proxy took them and lived on.
     pub lost: AtomicU64,
-    pub twice: AtomicU64,
+    pub duplicate_answers: AtomicU64,
     over: AtomicBool,
     /// Proxies that are killed, stopped or ended: what becomes of requests there is no promise.
     away: Mutex<BTreeSet<usize>>,
 }
 
-pub struct Clients {
-    pub seen: Arc<Seen>,
+pub struct ClientPool {
+    pub stats: Arc<ClientStats>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
@@ -48,12 +48,12 @@
     count.fetch_add(1, Ordering::Relaxed);
 }
 
-impl Clients {
+impl ClientPool {
     /// So many clients; each goes to the next proxy whenever it has to come again.
     pub fn start(proxies: Vec<SocketAddr>, clients: usize) -> Self {
-        let seen = Arc::new(Seen::default());
+        let stats = Arc::new(ClientStats::default());
         let threads = (0..clients).map(|number| {
-            let (seen, proxies) = (seen.clone(), proxies.clone());
+            let (seen, proxies) = (stats.clone(), proxies.clone());
             thread::spawn(move || {
                 let mut turn = number;
                 while !seen.over.load(Ordering::Relaxed) {
@@ -64,28 +64,28 @@
             })
         });
         let threads = threads.collect();
-        Self { seen, threads }
+        Self { stats, threads }
     }
 
     /// Nothing is promised of requests at this proxy from now on, or again.
-    pub fn away(&self, proxy: usize, is_away: bool) {
-        let mut away = self.seen.away.lock().unwrap();
+    pub fn set_proxy_excused(&self, proxy: usize, is_away: bool) {
+        let mut away = self.stats.away.lock().unwrap();
         match is_away {
             true => away.insert(proxy),
             false => away.remove(&proxy),
         };
     }
 
-    pub fn end(self) -> Arc<Seen> {
-        self.seen.over.store(true, Ordering::Relaxed);
+    pub fn stop(self) -> Arc<ClientStats> {
+        self.stats.over.store(true, Ordering::Relaxed);
         for thread in self.threads {
             thread.join().unwrap();
         }
-        self.seen
+        self.stats
     }
 }
 
-fn visit(number: usize, turn: usize, proxies: &[SocketAddr], seen: &Seen) {
+fn visit(number: usize, turn: usize, proxies: &[SocketAddr], seen: &ClientStats) {
     let proxy = turn % proxies.len();
     let away = || seen.away.lock().unwrap().contains(&proxy);
     let was_away = away();
@@ -97,13 +97,13 @@
     let mut out = stream.try_clone().expect("a descriptor");
     let mut reader = BufReader::new(stream);
     let id = (proxy as u64) << 48 | (number as u64) << 24 | turn as u64;
-    count(&seen.asked);
+    count(&seen.requests);
     let open = format!("OPEN {id:016x} {number:016x} c=watch,d=2000\r\n");
     let mut line = String::new();
     let answered = out.write_all(open.as_bytes()).is_ok()
         && reader.read_line(&mut line).is_ok_and(|bytes| bytes > 0);
     match line.split_whitespace().next() {
-        Some("UP") => count(&seen.up),
+        Some("UP") => count(&seen.established),
         Some("BUSY") => count(&seen.refused),
         _ if answered => count(&seen.failed),
         _ if was_away || away() => {}
@@ -122,12 +122,12 @@
         match line.split_whitespace().next() {
             _ if !heard => {
                 if !away() {
-                    count(&seen.cut);
+                    count(&seen.dropped);
                 }
                 return;
             }
             Some("MOVE") => return count(&seen.moved),
-            Some("UP" | "BUSY" | "ERR") => return count(&seen.twice),
+            Some("UP" | "BUSY" | "ERR") => return count(&seen.duplicate_answers),
             _ => {}
         }
         thread::sleep(Duration::from_millis(40));
@@ -148,21 +148,21 @@
 }
 
 /// Staff on duty: they ask now here and now there, work on what is empty, and say when it is done.
-pub struct Staff {
+pub struct SimulatedOperators {
     over: Arc<AtomicBool>,
-    pub books: Arc<Mutex<Vec<Emptied>>>,
+    pub emptied: Arc<Mutex<Vec<Emptied>>>,
     thread: thread::JoinHandle<()>,
 }
 
 /// The orders as a proxy shows them, with a leader's word behind it.
-pub fn orders(at: SocketAddr) -> Option<Value> {
-    let view = call(at, "FLEET WORK")?;
+pub fn fetch_work_orders(at: SocketAddr) -> Option<Value> {
+    let view = call_management(at, "FLEET WORK")?;
     let view: Value = serde_json::from_str(view.strip_prefix("200 ")?).ok()?;
     (view["settled"] == true).then_some(view)
 }
 
 /// Machines of a view that are in some place, by name.
-pub fn in_place(view: &Value, phase: &str) -> Vec<String> {
+pub fn machines_in_phase(view: &Value, phase: &str) -> Vec<String> {
     let orders = view["orders"].as_array().into_iter().flatten();
     let machines = orders.flat_map(|order| order["machines"].as_array().into_iter().flatten());
     let there = machines.filter(|machine| machine["phase"] == phase);
@@ -171,23 +171,23 @@
         .collect()
 }
 
-impl Staff {
+impl SimulatedOperators {
     /// Work on a machine takes so long.
     pub fn start(at: Vec<SocketAddr>, work: Duration) -> Self {
         let over = Arc::new(AtomicBool::new(false));
-        let books: Arc<Mutex<Vec<Emptied>>> = Arc::default();
-        let (is_over, own) = (over.clone(), books.clone());
+        let emptied: Arc<Mutex<Vec<Emptied>>> = Arc::default();
+        let (is_over, own) = (over.clone(), emptied.clone());
         let thread = thread::spawn(move || {
             let mut turn = 0;
             let mut since: BTreeMap<String, u64> = BTreeMap::new();
             while !is_over.load(Ordering::Relaxed) {
                 turn += 1;
                 thread::sleep(Duration::from_millis(10));
-                let Some(view) = orders(at[turn % at.len()]) else {
+                let Some(view) = fetch_work_orders(at[turn % at.len()]) else {
                     continue;
                 };
-                let now = mono_ms();
-                let empty = in_place(&view, "empty");
+                let now = boottime_ms();
+                let empty = machines_in_phase(&view, "empty");
                 since.retain(|machine, _| empty.contains(machine));
                 for machine in empty {
                     let from = *since.entry(machine.clone()).or_insert(now);
@@ -195,8 +195,8 @@
                         continue;
                     }
                     // From when it is said it may come back, whether or not the answer is heard.
-                    let until = mono_ms();
-                    call(at[turn % at.len()], &format!("FLEET WORK DONE {machine}"));
+                    let until = boottime_ms();
+                    call_management(at[turn % at.len()], &format!("FLEET WORK DONE {machine}"));
                     let mut books = own.lock().unwrap();
                     match books
                         .iter_mut()
@@ -214,15 +214,15 @@
         });
         Self {
             over,
-            books,
+            emptied,
             thread,
         }
     }
 
-    pub fn end(self) -> Vec<Emptied> {
+    pub fn stop(self) -> Vec<Emptied> {
         self.over.store(true, Ordering::Relaxed);
         self.thread.join().unwrap();
-        self.books.lock().unwrap().clone()
+        self.emptied.lock().unwrap().clone()
     }
 }
 
@@ -236,10 +236,10 @@
 }
 
 /// What the proxies' logs say of machines that are out.
-pub fn outs(members: &Members) -> Vec<Out> {
+pub fn collect_out_intervals(members: &FleetHarness) -> Vec<Out> {
     let mut open: BTreeMap<(usize, String), Out> = BTreeMap::new();
     let mut all = Vec::new();
-    for (proxy, line) in members.lines("a machine by the orders for work") {
+    for (proxy, line) in members.log_lines_containing("a machine by the orders for work") {
         let (Some(machine), Some(at)) = (line["machine"].as_str(), line["mono_ms"].as_u64()) else {
             continue;
         };
@@ -262,7 +262,7 @@
 }
 
 /// The most machines that some proxy went by as out at one instant.
-pub fn most_out(outs: &[Out]) -> (usize, u64) {
+pub fn max_machines_out(outs: &[Out]) -> (usize, u64) {
     let at = |moment: u64| {
         let there = outs
             .iter()
@@ -275,9 +275,14 @@
 }
 
 /// Everything that was promised and not kept, by name. Machines are named by their servers, up to a `/`.
-pub fn broken(outs: &[Out], emptied: &[Emptied], workers: &[Worker], most: usize) -> Vec<String> {
+pub fn find_work_violations(
+    outs: &[Out],
+    emptied: &[Emptied],
+    workers: &[EchoServer],
+    most: usize,
+) -> Vec<String> {
     let mut broken = Vec::new();
-    let (out, moment) = most_out(outs);
+    let (out, moment) = max_machines_out(outs);
     if out > most {
         broken.push(format!(
             "Never Too Many Out: {out} of {most} at {moment} ms"
@@ -314,30 +319,32 @@
 }
 
 /// The proxies' addresses for clients, in their order.
-pub fn doors(members: &Members) -> Vec<SocketAddr> {
-    (0..members.count()).map(|at| members.addr(at)).collect()
+pub fn client_addrs(members: &FleetHarness) -> Vec<SocketAddr> {
+    (0..members.member_count())
+        .map(|at| members.client_addr(at))
+        .collect()
 }
 
 /// And those for operators.
-pub fn desks(members: &Members) -> Vec<SocketAddr> {
-    (0..members.count())
-        .map(|at| members.management(at))
+pub fn management_addrs(members: &FleetHarness) -> Vec<SocketAddr> {
+    (0..members.member_count())
+        .map(|at| members.management_addr(at))
         .collect()
 }
 
 /// Who conducts by somebody's view, as a number.
-pub fn conductor(members: &Members, view: &Value) -> Option<usize> {
-    (0..members.count()).find(|at| view["conductor"] == name(*at).as_str())
+pub fn coordinator_index(members: &FleetHarness, view: &Value) -> Option<usize> {
+    (0..members.member_count()).find(|at| view["conductor"] == node_name(*at).as_str())
 }
 
 /// A fleet whose members each keep what is out, and machines of one server each in three zones.
-pub struct Night {
-    pub members: Members,
-    pub workers: Vec<Worker>,
+pub struct WorkOrderHarness {
+    pub fleet: FleetHarness,
+    pub servers: Vec<EchoServer>,
     program: PathBuf,
 }
 
-impl Night {
+impl WorkOrderHarness {
     /// Voters and others, and machines; `lines` go into `[fleet.work]`. Returns when everybody has to confirm.
     pub fn start(
         program: PathBuf,
@@ -349,50 +356,52 @@
             "[fleet.work]\nmachine_until = \"/\"\nfile = \"FILE\"\n{lines}\n\
              [[fleet.work.machine]]\nname = \"m-0\"\nservers = [\"s-1\"]\n"
         );
-        let members = Members::start(Spec {
+        let members = FleetHarness::start(FleetSpec {
             program: program.clone(),
             voters,
-            others,
+            non_voters: others,
             lease_ms: 1000,
-            election_ms: 200,
+            election_timeout_ms: 200,
             duties: Vec::new(),
-            cold_s: 0.3,
+            slow_start_window_s: 0.3,
             log_level: "info",
-            fleet_lines: String::new(),
-            lines,
+            fleet_toml: String::new(),
+            extra_toml: lines,
         });
         // The server that comes with the members takes nobody.
         let addr = members.server.addr.to_string();
-        members.list(target("s-1", &addr, "draining"));
-        let workers = (0..machines).map(|at| Worker::start(&format!("m-{at}/s"), 200).unwrap());
+        members.upsert_target(target_row("s-1", &addr, "draining"));
+        let workers = (0..machines).map(|at| EchoServer::start(&format!("m-{at}/s"), 200).unwrap());
         let night = Self {
-            workers: workers.collect(),
-            members,
+            servers: workers.collect(),
+            fleet: members,
             program,
         };
         for at in 0..machines {
-            night.list(at, &night.workers[at]);
+            night.list_server(at, &night.servers[at]);
         }
-        night.members.until("the fleet is whole", |members| {
-            let view = members.view(0).filter(|view| view["majority"] == true)?;
-            (live(&view) == Some(members.count())).then_some(())
+        night.fleet.wait_until("the fleet is whole", |members| {
+            let view = members
+                .fetch_view(0)
+                .filter(|view| view["majority"] == true)?;
+            (count_live_members(&view) == Some(members.member_count())).then_some(())
         });
-        let count = night.members.count();
-        night.until("everybody serves", |night| {
-            let view = night.view()?;
+        let count = night.fleet.member_count();
+        night.wait_until("everybody serves", |night| {
+            let view = night.fetch_work_view()?;
             (view["serving"].as_array()?.len() == count).then_some(())
         });
         night
     }
 
     /// Lists a server of a machine.
-    pub fn list(&self, machine: usize, worker: &Worker) {
-        let mut row = target(&worker.uid, &worker.addr.to_string(), "ready");
+    pub fn list_server(&self, machine: usize, worker: &EchoServer) {
+        let mut row = target_row(&worker.uid, &worker.addr.to_string(), "ready");
         row["az"] = json!(["a", "b", "c"][machine % 3]);
-        self.members.list(row);
+        self.fleet.upsert_target(row);
     }
 
-    pub fn until<T>(&self, what: &str, mut so: impl FnMut(&Self) -> Option<T>) -> T {
+    pub fn wait_until<T>(&self, what: &str, mut so: impl FnMut(&Self) -> Option<T>) -> T {
         let begun = Instant::now();
         loop {
             if let Some(found) = so(self) {
@@ -401,27 +410,29 @@
             assert!(
                 begun.elapsed() < Duration::from_secs(40),
                 "{what}: never\n{:?}\n{}",
-                self.view(),
-                self.members.log()
+                self.fetch_work_view(),
+                self.fleet.merged_log()
             );
             thread::sleep(Duration::from_millis(10));
         }
     }
 
     /// By the first member that has a leader's word.
-    pub fn view(&self) -> Option<Value> {
-        desks(&self.members).into_iter().find_map(orders)
+    pub fn fetch_work_view(&self) -> Option<Value> {
+        management_addrs(&self.fleet)
+            .into_iter()
+            .find_map(fetch_work_orders)
     }
 
     /// What `violetwind work` says at a member.
     ///
     /// # Errors
     /// What it says on standard error, if it does not end with 0.
-    pub fn staff(&self, at: usize, words: &[&str]) -> Result<String, String> {
+    pub fn run_work_command(&self, at: usize, words: &[&str]) -> Result<String, String> {
         let said = Command::new(&self.program)
             .arg("work")
             .args(words)
-            .args(["--at", &self.members.management(at).to_string()])
+            .args(["--at", &self.fleet.management_addr(at).to_string()])
             .output()
             .unwrap();
         let text = |bytes| String::from_utf8(bytes).unwrap();
@@ -432,7 +443,7 @@
     }
 
     /// An order for these machines; the sources' words may have to come first.
-    pub fn plan(&self, at: usize, name: &str, machines: &str, more: &[&str]) {
+    pub fn plan_work_order(&self, at: usize, name: &str, machines: &str, more: &[&str]) {
         let own = [
             "plan",
             name,
@@ -444,27 +455,29 @@
             "20",
         ];
         let words = [&own[..], more].concat();
-        self.until("it is planned", |night| match night.staff(at, &words) {
-            Ok(_) => Some(()),
-            Err(why) => {
-                assert!(why.contains("no such machine"), "{why}");
-                None
+        self.wait_until("it is planned", |night| {
+            match night.run_work_command(at, &words) {
+                Ok(_) => Some(()),
+                Err(why) => {
+                    assert!(why.contains("no such machine"), "{why}");
+                    None
+                }
             }
         });
     }
 
     /// An operator's call that has to be taken.
-    pub fn say(&self, at: usize, line: &str) {
-        self.until(line, |night| {
-            let said = night.members.call(at, line)?;
+    pub fn call_until_accepted(&self, at: usize, line: &str) {
+        self.wait_until(line, |night| {
+            let said = night.fleet.call_member(at, line)?;
             assert!(!said.starts_with("400 after FLEET"), "{said}");
             said.starts_with("200 ").then_some(())
         });
     }
 
     /// Where a machine is, by anybody with a leader's word.
-    pub fn phase(&self, machine: &str) -> Option<String> {
-        let view = self.view()?;
+    pub fn machine_phase(&self, machine: &str) -> Option<String> {
+        let view = self.fetch_work_view()?;
         let orders = view["orders"].as_array()?.iter();
         let mut machines =
             orders.flat_map(|order| order["machines"].as_array().into_iter().flatten());
@@ -472,21 +485,26 @@
         Some(known["phase"].as_str()?.to_string())
     }
 
-    pub fn is(&self, machine: &str, wanted: &str) {
-        self.until(&format!("{machine} is {wanted}"), |night| {
-            (night.phase(machine)? == wanted).then_some(())
+    pub fn wait_for_phase(&self, machine: &str, wanted: &str) {
+        self.wait_until(&format!("{machine} is {wanted}"), |night| {
+            (night.machine_phase(machine)? == wanted).then_some(())
         });
     }
 
     /// The view in which no order is left and some have ended.
-    pub fn ended(&self) -> Option<Value> {
-        let view = self.view()?;
+    pub fn finished_view(&self) -> Option<Value> {
+        let view = self.fetch_work_view()?;
         (view["orders"].as_array()?.is_empty() && !view["ended"].as_array()?.is_empty())
             .then_some(view)
     }
 
-    pub fn sound(&self, emptied: &[Emptied], most: usize) {
-        let broken = broken(&outs(&self.members), emptied, &self.workers, most);
-        assert_eq!(broken, Vec::<String>::new(), "{}", self.members.log());
+    pub fn assert_no_violations(&self, emptied: &[Emptied], most: usize) {
+        let broken = find_work_violations(
+            &collect_out_intervals(&self.fleet),
+            emptied,
+            &self.servers,
+            most,
+        );
+        assert_eq!(broken, Vec::<String>::new(), "{}", self.fleet.merged_log());
     }
 }
--- a/crates/store/src/directory.rs
+++ b/crates/store/src/directory.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use violetwind_consensus::NodeId;
 
-use crate::error::{StoreError, io_at};
+use crate::error::{StoreError, io_error_at};
 use crate::frame;
 
 const VERSION: u8 = 1;
@@ -31,14 +31,14 @@
 impl Directory {
     /// Makes the directory if need be, and locks it.
     pub fn open(path: &Path) -> Result<Self, StoreError> {
-        fs::create_dir_all(path).map_err(io_at(path))?;
+        fs::create_dir_all(path).map_err(io_error_at(path))?;
         let lock_path = path.join("lock");
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
             .open(&lock_path);
-        let lock = lock.map_err(io_at(&lock_path))?;
+        let lock = lock.map_err(io_error_at(&lock_path))?;
         let locked = flock(&lock, FlockOperation::NonBlockingLockExclusive);
         locked.map_err(|_| StoreError::InUse {
             path: path.to_path_buf(),
@@ -53,19 +53,19 @@
         &self.path
     }
 
-    pub fn file(&self, name: &str) -> PathBuf {
+    pub fn file_path(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 
-    pub fn segment(&self, number: u64) -> PathBuf {
+    pub fn segment_path(&self, number: u64) -> PathBuf {
         self.path.join(format!("log.{number}"))
     }
 
     /// The numbers of the segments, in order.
-    pub fn segments(&self) -> Result<Vec<u64>, StoreError> {
+    pub fn segment_numbers(&self) -> Result<Vec<u64>, StoreError> {
         let mut found = Vec::new();
-        for entry in fs::read_dir(&self.path).map_err(io_at(&self.path))? {
-            let name = entry.map_err(io_at(&self.path))?.file_name();
+        for entry in fs::read_dir(&self.path).map_err(io_error_at(&self.path))? {
+            let name = entry.map_err(io_error_at(&self.path))?.file_name();
             let number = name
                 .to_str()
                 .and_then(|name| name.strip_prefix("log."))
@@ -76,8 +76,8 @@
         Ok(found)
     }
 
-    pub fn read(&self, name: &str) -> Result<Option<Vec<u8>>, StoreError> {
-        let path = self.file(name);
+    pub fn read_file(&self, name: &str) -> Result<Option<Vec<u8>>, StoreError> {
+        let path = self.file_path(name);
         match fs::read(&path) {
             Ok(bytes) => Ok(Some(bytes)),
             Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
@@ -88,11 +88,11 @@
     /// Puts the names of files on disk.
     pub fn sync(&self) -> Result<(), StoreError> {
         let synced = File::open(&self.path).and_then(|directory| directory.sync_all());
-        synced.map_err(io_at(&self.path))
+        synced.map_err(io_error_at(&self.path))
     }
 
     /// Writes a file that has another name yet; its bytes are on disk when this returns.
-    pub fn write_aside(&self, name: &str, bytes: &[u8]) -> Result<File, StoreError> {
+    pub fn write_temp_file(&self, name: &str, bytes: &[u8]) -> Result<File, StoreError> {
         let path = self.aside(name);
         let mut file = OpenOptions::new()
             .create(true)
@@ -100,22 +100,22 @@
             .read(true)
             .write(true)
             .open(&path)
-            .map_err(io_at(&path))?;
-        file.write_all(bytes).map_err(io_at(&path))?;
-        file.sync_all().map_err(io_at(&path))?;
+            .map_err(io_error_at(&path))?;
+        file.write_all(bytes).map_err(io_error_at(&path))?;
+        file.sync_all().map_err(io_error_at(&path))?;
         Ok(file)
     }
 
     /// Gives such a file its name, which is not on disk before [`Directory::sync`].
-    pub fn put_in_place(&self, name: &str) -> Result<(), StoreError> {
-        let path = self.file(name);
-        fs::rename(self.aside(name), &path).map_err(io_at(&path))
+    pub fn rename_temp_file(&self, name: &str) -> Result<(), StoreError> {
+        let path = self.file_path(name);
+        fs::rename(self.aside(name), &path).map_err(io_error_at(&path))
     }
 
     /// Writes a small file so that it is there whole or not at all.
-    pub fn replace(&self, name: &str, bytes: &[u8]) -> Result<File, StoreError> {
-        let file = self.write_aside(name, bytes)?;
-        self.put_in_place(name)?;
+    pub fn replace_file(&self, name: &str, bytes: &[u8]) -> Result<File, StoreError> {
+        let file = self.write_temp_file(name, bytes)?;
+        self.rename_temp_file(name)?;
         self.sync()?;
         Ok(file)
     }
@@ -125,18 +125,18 @@
     }
 
     /// The owner that the directory names; a new one gets `fresh`.
-    pub fn owner(&self, fresh: Owner) -> Result<Owner, StoreError> {
-        let path = self.file("member");
-        let damaged = |what: String| StoreError::Damaged {
+    pub fn load_or_create_owner(&self, fresh: Owner) -> Result<Owner, StoreError> {
+        let path = self.file_path("member");
+        let damaged = |what: String| StoreError::Corrupted {
             path: path.clone(),
-            at: 0,
-            what,
+            offset: 0,
+            detail: what,
         };
-        let Some(bytes) = self.read("member")? else {
-            if !self.segments()?.is_empty() {
+        let Some(bytes) = self.read_file("member")? else {
+            if !self.segment_numbers()?.is_empty() {
                 return Err(damaged("it is missing, and there are records".into()));
             }
-            self.replace("member", &[&[VERSION][..], &frame::encode(&fresh)].concat())?;
+            self.replace_file("member", &[&[VERSION][..], &frame::encode(&fresh)].concat())?;
             return Ok(fresh);
         };
         let (&version, rest) = bytes.split_first().ok_or_else(|| damaged("empty".into()))?;
@@ -146,7 +146,7 @@
         }
         let (owner, _): (Owner, usize) = frame::decode(rest).map_err(damaged)?;
         if (&owner.fleet, &owner.node) != (&fresh.fleet, &fresh.node) {
-            return Err(StoreError::Foreign {
+            return Err(StoreError::WrongOwner {
                 path,
                 fleet: owner.fleet,
                 node: owner.node,
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -13,14 +13,14 @@
     Io { path: PathBuf, error: io::Error },
     #[error("{}: another process uses this directory", path.display())]
     InUse { path: PathBuf },
-    #[error("{}: byte {at}: {what}; nothing is guessed: empty the directory, and let it in anew", path.display())]
-    Damaged {
+    #[error("{}: byte {offset}: {detail}; nothing is guessed: empty the directory, and let it in anew", path.display())]
+    Corrupted {
         path: PathBuf,
-        at: u64,
-        what: String,
+        offset: u64,
+        detail: String,
     },
     #[error("{}: it belongs to \"{node}\" of fleet \"{fleet}\"", path.display())]
-    Foreign {
+    WrongOwner {
         path: PathBuf,
         fleet: String,
         node: String,
@@ -44,7 +44,7 @@
 }
 
 /// Names the path of a failed call.
-pub(crate) fn io_at(path: &Path) -> impl Fn(io::Error) -> StoreError + '_ {
+pub(crate) fn io_error_at(path: &Path) -> impl Fn(io::Error) -> StoreError + '_ {
     move |error| StoreError::Io {
         path: path.to_path_buf(),
         error,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -24,4 +24,4 @@
 
 pub use error::StoreError;
 pub use log::{Settings, Store};
-pub use writer::{DiskEvent, Records, run};
+pub use writer::{DiskEvent, RecordSender, spawn_writer};
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -8,18 +8,18 @@
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
 use violetwind_consensus::NodeId;
-use violetwind_fleet::{Record, Saved};
+use violetwind_fleet::{MemberRecord, SavedState};
 
 use crate::directory::{Directory, Owner};
-use crate::error::{StoreError, io_at};
+use crate::error::{StoreError, io_error_at};
 use crate::frame;
 
 /// What a segment consists of.
 #[derive(Debug, Serialize, Deserialize)]
 enum LogRecord {
     /// All that went before, the first record of a segment.
-    Snapshot(Saved),
-    Record(Record),
+    Snapshot(SavedState),
+    Record(MemberRecord),
 }
 
 /// Up to which byte of which segment records were acknowledged.
@@ -35,9 +35,9 @@
     pub fleet: String,
     pub node: String,
     /// Growth in bytes after which a segment is replaced by a snapshot.
-    pub segment_bytes: u64,
+    pub compaction_threshold_bytes: u64,
     /// Whether records are synced before they are acknowledged.
-    pub sync: bool,
+    pub sync_writes: bool,
 }
 
 /// A new segment whose name may or may not have been put in place.
@@ -65,7 +65,7 @@
     unsettled: Option<Replacement>,
     /// The size of the segment when it was new.
     base_bytes: u64,
-    state: Saved,
+    state: SavedState,
 }
 
 impl Store {
@@ -76,31 +76,31 @@
     /// In use, somebody else's, damaged, or a call failed.
     pub fn open(path: &Path, settings: Settings, fresh: NodeId) -> Result<Self, StoreError> {
         let directory = Directory::open(path)?;
-        let owner = directory.owner(Owner {
+        let owner = directory.load_or_create_owner(Owner {
             fleet: settings.fleet.clone(),
             node: settings.node.clone(),
             id: fresh,
         })?;
         let known = read_mark(&directory)?;
-        let mark_path = directory.file("acked");
+        let mark_path = directory.file_path("acked");
         let mark = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
             .open(&mark_path)
-            .map_err(io_at(&mark_path))?;
-        let newest = directory.segments()?.last().copied();
+            .map_err(io_error_at(&mark_path))?;
+        let newest = directory.segment_numbers()?.last().copied();
         if newest.unwrap_or(0) < known.segment {
-            return Err(StoreError::Damaged {
+            return Err(StoreError::Corrupted {
                 path: mark_path,
-                at: 0,
-                what: format!("log.{} is missing", known.segment),
+                offset: 0,
+                detail: format!("log.{} is missing", known.segment),
             });
         }
         let Some(segment) = newest else {
-            let state = Saved::new(owner.id);
+            let state = SavedState::new(owner.id);
             let bytes = frame::encode(&LogRecord::Snapshot(state.clone()));
-            let file = directory.replace("log.1", &bytes)?;
+            let file = directory.replace_file("log.1", &bytes)?;
             return Ok(Self::new(
                 directory,
                 settings,
@@ -111,14 +111,15 @@
                 state,
             ));
         };
-        let segment_path = directory.segment(segment);
+        let segment_path = directory.segment_path(segment);
         let mut file = OpenOptions::new()
             .read(true)
             .write(true)
             .open(&segment_path)
-            .map_err(io_at(&segment_path))?;
+            .map_err(io_error_at(&segment_path))?;
         let mut bytes = Vec::new();
-        file.read_to_end(&mut bytes).map_err(io_at(&segment_path))?;
+        file.read_to_end(&mut bytes)
+            .map_err(io_error_at(&segment_path))?;
         let acknowledged = match known.segment == segment {
             true => known.bytes as usize,
             false => 0,
@@ -146,7 +147,7 @@
         file: File,
         segment: u64,
         bytes: u64,
-        state: Saved,
+        state: SavedState,
     ) -> Self {
         Self {
             directory,
@@ -164,7 +165,7 @@
     }
 
     /// All that was acknowledged.
-    pub fn saved(&self) -> &Saved {
+    pub fn saved_state(&self) -> &SavedState {
         &self.state
     }
 
@@ -176,16 +177,16 @@
     ///
     /// # Errors
     /// A call failed; some files may have been moved.
-    pub fn set_aside(self, why: &str) -> Result<PathBuf, StoreError> {
+    pub fn quarantine(self, why: &str) -> Result<PathBuf, StoreError> {
         let id = self.state.id.0;
-        let aside = self.directory.file(&format!("{why}-{id:x}"));
-        fs::create_dir_all(&aside).map_err(io_at(&aside))?;
-        let segments = self.directory.segments()?;
+        let aside = self.directory.file_path(&format!("{why}-{id:x}"));
+        fs::create_dir_all(&aside).map_err(io_error_at(&aside))?;
+        let segments = self.directory.segment_numbers()?;
         let segments = segments.iter().map(|number| format!("log.{number}"));
         for name in segments.chain(["acked".into(), "member".into()]) {
-            let from = self.directory.file(&name);
+            let from = self.directory.file_path(&name);
             if from.exists() {
-                fs::rename(&from, aside.join(&name)).map_err(io_at(&from))?;
+                fs::rename(&from, aside.join(&name)).map_err(io_error_at(&from))?;
             }
         }
         Ok(aside)
@@ -196,30 +197,30 @@
     ///
     /// # Errors
     /// A call failed, or a record does not follow what is there.
-    pub fn append(&mut self, records: &[Record]) -> Result<(), StoreError> {
+    pub fn append(&mut self, records: &[MemberRecord]) -> Result<(), StoreError> {
         self.settle()?;
         self.drop_tail()?;
-        let path = self.directory.segment(self.segment);
-        let encode = |record: &Record| frame::encode(&LogRecord::Record(record.clone()));
+        let path = self.directory.segment_path(self.segment);
+        let encode = |record: &MemberRecord| frame::encode(&LogRecord::Record(record.clone()));
         let bytes: Vec<u8> = records.iter().flat_map(encode).collect();
         // From here on until the sync succeeds nothing is known of what lies behind.
         self.tail_dirty = true;
-        self.file.write_all(&bytes).map_err(io_at(&path))?;
-        if self.settings.sync {
-            self.file.sync_data().map_err(io_at(&path))?;
+        self.file.write_all(&bytes).map_err(io_error_at(&path))?;
+        if self.settings.sync_writes {
+            self.file.sync_data().map_err(io_error_at(&path))?;
         }
         self.tail_dirty = false;
         self.bytes += bytes.len() as u64;
         for record in records {
             let applied = self.state.apply(record.clone());
-            applied.map_err(|what| StoreError::Damaged {
+            applied.map_err(|what| StoreError::Corrupted {
                 path: path.clone(),
-                at: self.bytes,
-                what,
+                offset: self.bytes,
+                detail: what,
             })?;
         }
         self.write_mark();
-        if self.bytes > self.base_bytes + self.settings.segment_bytes {
+        if self.bytes > self.base_bytes + self.settings.compaction_threshold_bytes {
             self.compact();
         }
         Ok(())
@@ -228,13 +229,13 @@
     /// Removes what writes or syncs that failed have left behind the records.
     fn drop_tail(&mut self) -> Result<(), StoreError> {
         if self.tail_dirty {
-            let path = self.directory.segment(self.segment);
-            self.file.set_len(self.bytes).map_err(io_at(&path))?;
+            let path = self.directory.segment_path(self.segment);
+            self.file.set_len(self.bytes).map_err(io_error_at(&path))?;
         }
-        let path = self.directory.segment(self.segment);
+        let path = self.directory.segment_path(self.segment);
         self.file
             .seek(SeekFrom::Start(self.bytes))
-            .map_err(io_at(&path))?;
+            .map_err(io_error_at(&path))?;
         Ok(())
     }
 
@@ -246,7 +247,7 @@
             bytes: self.bytes,
         });
         if let Err(error) = self.mark.write_all_at(&mark, 0) {
-            warn!(file = %self.directory.file("acked").display(), %error, "the mark can't be written");
+            warn!(file = %self.directory.file_path("acked").display(), %error, "the mark can't be written");
         }
     }
 
@@ -269,13 +270,13 @@
         let bytes = frame::encode(&LogRecord::Snapshot(self.state.clone()));
         let segment = self.segment + 1;
         let name = format!("log.{segment}");
-        let file = self.directory.write_aside(&name, &bytes)?;
+        let file = self.directory.write_temp_file(&name, &bytes)?;
         let replacement = Replacement {
             segment,
             file,
             bytes: bytes.len() as u64,
         };
-        match self.directory.put_in_place(&name) {
+        match self.directory.rename_temp_file(&name) {
             Ok(()) => {
                 self.adopt(replacement);
                 Ok(())
@@ -299,7 +300,7 @@
     /// Finds out which segment counts at the next start, and has its name on disk.
     fn settle(&mut self) -> Result<(), StoreError> {
         if let Some(replacement) = self.unsettled.take() {
-            let path = self.directory.segment(replacement.segment);
+            let path = self.directory.segment_path(replacement.segment);
             match path.try_exists() {
                 Ok(true) => self.adopt(replacement),
                 Ok(false) => {}
@@ -313,10 +314,10 @@
             self.directory.sync()?;
             self.name_dirty = false;
             self.write_mark();
-            for older in self.directory.segments()? {
+            for older in self.directory.segment_numbers()? {
                 if older < self.segment {
                     // One that stays is passed over at the next start.
-                    let _ = fs::remove_file(self.directory.segment(older));
+                    let _ = fs::remove_file(self.directory.segment_path(older));
                 }
             }
         }
@@ -326,14 +327,14 @@
 
 /// Half of a mark says nothing: then a cut and an alteration look alike, and nothing counts as acknowledged.
 fn read_mark(directory: &Directory) -> Result<Mark, StoreError> {
-    let bytes = directory.read("acked")?;
+    let bytes = directory.read_file("acked")?;
     let mark = bytes.and_then(|bytes| frame::decode(&bytes).ok());
     Ok(mark.map_or_else(Mark::default, |(mark, _)| mark))
 }
 
 /// What a segment comes to.
 struct Replayed {
-    state: Saved,
+    state: SavedState,
     snapshot_bytes: u64,
     /// Up to the end of the last whole record.
     bytes: u64,
@@ -345,10 +346,10 @@
     acknowledged: usize,
     owner: NodeId,
 ) -> Result<Replayed, StoreError> {
-    let damaged = |at: usize, what: String| StoreError::Damaged {
+    let damaged = |at: usize, what: String| StoreError::Corrupted {
         path: path.to_path_buf(),
-        at: at as u64,
-        what,
+        offset: at as u64,
+        detail: what,
     };
     if bytes.len() < acknowledged {
         let what = format!("it ends before byte {acknowledged}, which was acknowledged");
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use tracing::{info, warn};
-use violetwind_fleet::{Number, Record};
+use violetwind_fleet::{MemberRecord, Number};
 
 use crate::error::StoreError;
 use crate::log::Store;
@@ -15,31 +15,31 @@
 #[derive(Debug)]
 pub enum DiskEvent {
     /// All records up to this number are on disk.
-    Saved(Number),
+    RecordsSaved(Number),
     /// Nothing more will be saved.
     WriteFailed(StoreError),
 }
 
 /// The way to the thread.
-pub type Records = mpsc::Sender<(Number, Record)>;
+pub type RecordSender = mpsc::Sender<(Number, MemberRecord)>;
 
 /// Starts the thread. While calls of the disk fail it tries again after each `retry` and acknowledges nothing. It ends
 /// with the channel, and returns the store then.
 ///
 /// # Errors
 /// No thread can be started.
-pub fn run(
+pub fn spawn_writer(
     mut store: Store,
     tell: impl Fn(DiskEvent) + Send + 'static,
     retry: Duration,
-) -> io::Result<(Records, thread::JoinHandle<Store>)> {
-    let (records, queue) = mpsc::channel::<(Number, Record)>();
+) -> io::Result<(RecordSender, thread::JoinHandle<Store>)> {
+    let (records, queue) = mpsc::channel::<(Number, MemberRecord)>();
     let thread = thread::Builder::new().name("fleet-disk".into());
     let thread = thread.spawn(move || {
         while let Ok(first) = queue.recv() {
             let mut batch: Vec<_> = std::iter::once(first).chain(queue.try_iter()).collect();
             match save(&mut store, &mut batch, &queue, retry) {
-                Ok(Some(last)) => tell(DiskEvent::Saved(last)),
+                Ok(Some(last)) => tell(DiskEvent::RecordsSaved(last)),
                 Ok(None) => return store,
                 Err(error) => {
                     tell(DiskEvent::WriteFailed(error));
@@ -56,13 +56,13 @@
 /// nobody waits for it any more.
 fn save(
     store: &mut Store,
-    batch: &mut Vec<(Number, Record)>,
-    queue: &mpsc::Receiver<(Number, Record)>,
+    batch: &mut Vec<(Number, MemberRecord)>,
+    queue: &mpsc::Receiver<(Number, MemberRecord)>,
     retry: Duration,
 ) -> Result<Option<Number>, StoreError> {
     let mut failed = false;
     loop {
-        let records: Vec<Record> = batch.iter().map(|(_, record)| record.clone()).collect();
+        let records: Vec<MemberRecord> = batch.iter().map(|(_, record)| record.clone()).collect();
         match store.append(&records) {
             Ok(()) => {
                 if failed {
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -3,8 +3,8 @@
 use std::fs;
 use std::path::PathBuf;
 
-use violetwind_consensus::{Disk, Entry, Member, Members, NodeId, Payload, Write};
-use violetwind_fleet::{Record, Saved};
+use violetwind_consensus::{DurableState, DurableWrite, Entry, Member, Members, NodeId, Payload};
+use violetwind_fleet::{MemberRecord, SavedState};
 use violetwind_store::{Settings, Store, StoreError};
 
 struct Dir(PathBuf);
@@ -21,8 +21,8 @@
         let settings = Settings {
             fleet: "f".into(),
             node: node.into(),
-            segment_bytes,
-            sync: true,
+            compaction_threshold_bytes: segment_bytes,
+            sync_writes: true,
         };
         Store::open(&self.0, settings, NodeId(id))
     }
@@ -54,34 +54,34 @@
     }
 }
 
-fn write(seq: u64) -> Record {
+fn write(seq: u64) -> MemberRecord {
     let entry = Entry {
         term: 1,
         index: seq,
         payload: Payload::Command(vec![seq as u8; 100]),
     };
-    Record::Write(Write {
+    MemberRecord::Write(DurableWrite {
         seq,
         term: 1,
-        append: vec![entry],
-        ..Write::default()
+        entries: vec![entry],
+        ..DurableWrite::default()
     })
 }
 
-fn filled(dir: &Dir, writes: u64) -> Saved {
+fn filled(dir: &Dir, writes: u64) -> SavedState {
     let mut store = dir.open().unwrap();
     let member = Member {
         name: "n".into(),
-        votes: true,
+        is_voter: true,
     };
     let members = Members([(NodeId(7), member)].into());
     store
-        .append(&[Record::Agreed(members), Record::Formed])
+        .append(&[MemberRecord::Agreed(members), MemberRecord::Formed])
         .unwrap();
     for seq in 1..=writes {
         store.append(&[write(seq)]).unwrap();
     }
-    store.saved().clone()
+    store.saved_state().clone()
 }
 
 #[test]
@@ -89,13 +89,13 @@
     let dir = Dir::new("again");
     let saved = filled(&dir, 5);
     let store = dir.open().unwrap();
-    assert_eq!(*store.saved(), saved);
-    assert_eq!(store.saved().disk.entries.len(), 5);
+    assert_eq!(*store.saved_state(), saved);
+    assert_eq!(store.saved_state().consensus_state.entries.len(), 5);
     assert!(matches!(dir.open(), Err(StoreError::InUse { .. })));
     drop(store);
     assert!(matches!(
         dir.open_as("m", 8, 1 << 20),
-        Err(StoreError::Foreign { .. })
+        Err(StoreError::WrongOwner { .. })
     ));
 }
 
@@ -116,12 +116,21 @@
         fs::write(&log, &longer[..cut]).unwrap();
         fs::write(dir.0.join("acked"), &mark).unwrap();
         let mut store = dir.open().unwrap();
-        assert_eq!(store.saved().disk.entries.len(), 3, "cut at {cut}");
+        assert_eq!(
+            store.saved_state().consensus_state.entries.len(),
+            3,
+            "cut at {cut}"
+        );
         // What follows stands in the place of what was torn.
         store.append(&[write(4)]).unwrap();
         drop(store);
         assert_eq!(
-            dir.open().unwrap().saved().disk.entries.len(),
+            dir.open()
+                .unwrap()
+                .saved_state()
+                .consensus_state
+                .entries
+                .len(),
             4,
             "cut at {cut}"
         );
@@ -129,7 +138,7 @@
     }
     // Shorter than what was acknowledged.
     fs::write(&log, &sound[..sound.len() - 1]).unwrap();
-    assert!(matches!(dir.open(), Err(StoreError::Damaged { .. })));
+    assert!(matches!(dir.open(), Err(StoreError::Corrupted { .. })));
 }
 
 /// A record that is whole but was never marked as acknowledged may be in memory alone: it is put on disk anew.
@@ -142,11 +151,19 @@
     fs::write(dir.0.join("acked"), &mark).unwrap();
     let before = dir.segments();
     let store = dir.open().unwrap();
-    assert_eq!(store.saved().disk.entries.len(), 4);
+    assert_eq!(store.saved_state().consensus_state.entries.len(), 4);
     drop(store);
     assert!(dir.segments() > before, "{before:?}");
     let settled = dir.segments();
-    assert_eq!(dir.open().unwrap().saved().disk.entries.len(), 4);
+    assert_eq!(
+        dir.open()
+            .unwrap()
+            .saved_state()
+            .consensus_state
+            .entries
+            .len(),
+        4
+    );
     assert_eq!(dir.segments(), settled, "once is enough");
 }
 
@@ -159,7 +176,7 @@
         let mut altered = sound.clone();
         altered[at] ^= 0x10;
         fs::write(dir.log(), &altered).unwrap();
-        let opened = dir.open().map(|store| store.saved().clone());
+        let opened = dir.open().map(|store| store.saved_state().clone());
         let error = opened.unwrap_err().to_string();
         assert!(error.contains("log.1: byte "), "{at}: {error}");
     }
@@ -168,7 +185,7 @@
     let mut member = fs::read(dir.0.join("member")).unwrap();
     *member.last_mut().unwrap() ^= 1;
     fs::write(dir.0.join("member"), member).unwrap();
-    assert!(matches!(dir.open(), Err(StoreError::Damaged { .. })));
+    assert!(matches!(dir.open(), Err(StoreError::Corrupted { .. })));
 }
 
 #[test]
@@ -178,11 +195,11 @@
     for seq in 1..=200 {
         store.append(&[write(seq)]).unwrap();
     }
-    let saved = store.saved().clone();
+    let saved = store.saved_state().clone();
     drop(store);
     assert!(dir.segments()[0] > 1, "written anew");
     assert_eq!(dir.segments().len(), 1, "older ones go");
-    assert_eq!(*dir.open().unwrap().saved(), saved);
+    assert_eq!(*dir.open().unwrap().saved_state(), saved);
     for segment in dir.segments() {
         fs::remove_file(dir.0.join(format!("log.{segment}"))).unwrap();
     }
@@ -194,9 +211,12 @@
 fn a_directory_that_is_put_aside_is_another_next_time() {
     let dir = Dir::new("aside");
     filled(&dir, 1);
-    let aside = dir.open().unwrap().set_aside("stale").unwrap();
+    let aside = dir.open().unwrap().quarantine("stale").unwrap();
     assert!(aside.join("member").exists());
     let store = dir.open_as("n", 9, 1 << 20).unwrap();
-    let found = (store.saved().id, store.saved().disk.clone());
-    assert_eq!(found, (NodeId(9), Disk::default()));
+    let found = (
+        store.saved_state().id,
+        store.saved_state().consensus_state.clone(),
+    );
+    assert_eq!(found, (NodeId(9), DurableState::default()));
 }
--- a/crates/storm/examples/budgets.rs
+++ b/crates/storm/examples/budgets.rs
@@ -4,23 +4,24 @@
 
 use std::time::Instant;
 
-use violetwind_fleet::budget::{Def, Kind};
-use violetwind_storm::fleet::{Planted, World, name};
+use violetwind_fleet::budget::{BudgetDefinition, BudgetKind};
+use violetwind_storm::fleet::{InjectedBug, World, node_name};
 
 const WHOLE: u64 = 100;
 
 fn world(voters: usize, members: usize, whole: u64, floor: u64) -> World {
-    let def = Def {
+    let def = BudgetDefinition {
         name: "tenant".into(),
-        kind: Kind::Held,
-        whole,
+        kind: BudgetKind::Concurrent,
+        total: whole,
         floor,
         window: 0,
-        members: members as u64,
+        max_members: members as u64,
         version: 1,
     };
-    let mut world = World::with_budgets(7, voters, members - voters, Planted::Nothing, vec![def]);
-    world.run(5000);
+    let mut world =
+        World::with_budgets(7, voters, members - voters, InjectedBug::Nothing, vec![def]);
+    world.run_for(5000);
     world
 }
 
@@ -33,7 +34,9 @@
         _ if at == second % members => 0.96,
         _ => 0.04 / (members - 1) as f64,
     };
-    world.press = (0..members).map(|at| (name(at), all * part(at))).collect();
+    world.demand = (0..members)
+        .map(|at| (node_name(at), all * part(at)))
+        .collect();
 }
 
 fn mean(world: &mut World, pattern: &str, members: usize) -> f64 {
@@ -45,11 +48,11 @@
             world.step();
             // The first seconds find the pressure.
             if second >= 4 {
-                (sum, steps) = (sum + world.in_use("tenant"), steps + 1);
+                (sum, steps) = (sum + world.units_in_use("tenant"), steps + 1);
             }
         }
     }
-    assert_eq!(world.wrong, None);
+    assert_eq!(world.violation, None);
     sum as f64 / f64::from(steps) / WHOLE as f64
 }
 
@@ -72,7 +75,7 @@
     }
     for delay in [0, 2, 10, 20] {
         let mut world = world(3, 5, WHOLE, 1);
-        world.delay = (0, delay);
+        world.delay_range = (0, delay);
         let divided = mean(&mut world, "moving", 5);
         println!("  moving, links of 0 to {delay} ms: {divided:.3}");
     }
@@ -81,21 +84,21 @@
     );
     for members in [5, 50, 300] {
         let mut world = world(3, members, 10 * members as u64, 1);
-        let before = world.frames;
-        world.run(5000);
-        let idle = (world.frames - before) as f64 / 5.0 / members as f64;
-        let (before, begun) = (world.frames, Instant::now());
+        let before = world.frames_sent;
+        world.run_for(5000);
+        let idle = (world.frames_sent - before) as f64 / 5.0 / members as f64;
+        let (before, begun) = (world.frames_sent, Instant::now());
         for second in 0..5 {
             press(&mut world, "moving", members, second, members as f64 / 10.0);
-            world.run(1000);
+            world.run_for(1000);
         }
-        let moving = (world.frames - before) as f64 / 5.0 / members as f64;
+        let moving = (world.frames_sent - before) as f64 / 5.0 / members as f64;
         let cpu = begun.elapsed().as_secs_f64() / 5.0 / members as f64;
-        world.press.clear();
-        world.run(4000);
-        world.press = [(name(members - 1), 20.0)].into();
+        world.demand.clear();
+        world.run_for(4000);
+        world.demand = [(node_name(members - 1), 20.0)].into();
         let begun = world.now;
-        while world.in_use("tenant") < 9 * members as u64 / 2 && world.now < begun + 20_000 {
+        while world.units_in_use("tenant") < 9 * members as u64 / 2 && world.now < begun + 20_000 {
             world.step();
         }
         let follow = world.now - begun;
@@ -103,6 +106,6 @@
             "  {members:4} {idle:10.1} {moving:6.1} {:8.2}% of a core (simulator's own included) {follow:6} ms",
             100.0 * cpu
         );
-        assert_eq!(world.wrong, None);
+        assert_eq!(world.violation, None);
     }
 }
--- a/crates/storm/examples/nights.rs
+++ b/crates/storm/examples/nights.rs
@@ -4,8 +4,8 @@
 
 use std::time::Instant;
 
-use violetwind_storm::night::Night;
-use violetwind_workorders::{Bounds, Spare};
+use violetwind_storm::work_orders::World;
+use violetwind_workorders::{Bounds, FailureTolerance};
 
 fn main() {
     println!(
@@ -14,21 +14,21 @@
     for (machines, proxies) in [(12, 5), (40, 5), (120, 5), (40, 300)] {
         let night = |most: usize, each: usize| {
             let bounds = Bounds {
-                most: most as u32,
-                zone_most: most as u32,
-                floor: 800,
-                spare: Spare::Machine,
+                max_out: most as u32,
+                max_out_per_zone: most as u32,
+                min_capacity_permille: 800,
+                failure_tolerance: FailureTolerance::Machine,
             };
-            let mut night = Night::even(7, machines, proxies, bounds, each);
+            let mut night = World::with_uniform_machines(7, machines, proxies, bounds, each);
             let begun = Instant::now();
-            night.work();
-            assert_eq!(night.wrong, None);
-            assert_eq!(night.emptied.len(), machines);
+            night.run_to_completion();
+            assert_eq!(night.violation, None);
+            assert_eq!(night.times_emptied.len(), machines);
             (
                 night.tick,
-                night.moved,
-                night.most_out,
-                begun.elapsed() / night.plans,
+                night.clients_moved,
+                night.peak_machines_out,
+                begun.elapsed() / night.plan_count,
             )
         };
         let (alone, planned) = (night(1, machines), night(machines, machines));
--- a/crates/storm/src/explore.rs
+++ b/crates/storm/src/explorer.rs
@@ -5,13 +5,13 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use violetwind_consensus::{
-    Body, Disk, Entry, Index, Input, Limits, Member, Members, Message, Node, NodeId, Output, Role,
-    Term, Write,
+    DurableState, DurableWrite, Entry, Index, Input, Limits, Member, Members, Message, MessageBody,
+    Node, NodeId, Output, Role, Term,
 };
 
 /// What is wrong with a host on purpose.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Planted {
+pub enum InjectedBug {
     Nothing,
     ForgetsVote,
     AckBeforeSync,
@@ -20,8 +20,8 @@
 #[derive(Clone)]
 struct Host {
     node: Node,
-    disk: Disk,
-    unsynced: Vec<Write>,
+    disk: DurableState,
+    unsynced: Vec<DurableWrite>,
 }
 
 #[derive(Clone)]
@@ -46,18 +46,18 @@
 }
 
 pub struct Explorer {
-    planted: Planted,
+    planted: InjectedBug,
     /// How deep it went from each state, by digest.
-    pub known: HashMap<u64, u8>,
+    pub explored_depths: HashMap<u64, u8>,
     /// The invariant that broke, and the way there.
-    pub found: Option<String>,
+    pub violation: Option<String>,
     path: Vec<Action>,
 }
 
 fn limits() -> Limits {
     Limits {
-        election: 1000,
-        heartbeat: 1_000_000,
+        election_timeout: 1000,
+        heartbeat_interval: 1_000_000,
         ..Limits::default()
     }
 }
@@ -76,14 +76,20 @@
                 NodeId(id),
                 Member {
                     name: format!("{id}"),
-                    votes: true,
+                    is_voter: true,
                 },
             )
         };
         let members = Members((1..=3).map(member).collect());
         let host = |id| Host {
-            node: Node::new(NodeId(id), Disk::genesis(members.clone()), limits(), 1, 0),
-            disk: Disk::genesis(members.clone()),
+            node: Node::new(
+                NodeId(id),
+                DurableState::bootstrap(members.clone()),
+                limits(),
+                1,
+                0,
+            ),
+            disk: DurableState::bootstrap(members.clone()),
             unsynced: Vec::new(),
         };
         let mut state = Self {
@@ -99,8 +105,8 @@
         // All are vouched for at the start.
         let seen = Message {
             term: 0,
-            durable: 0,
-            body: Body::Seen(0),
+            durable_seq: 0,
+            body: MessageBody::StalenessResponse(0),
         };
         for at in 0..3 {
             let from = NodeId((at as u64 + 1) % 3 + 1);
@@ -123,14 +129,14 @@
             if self.crashes > 0 {
                 actions.push(Action::Crash(at));
             }
-            if self.commands > 0 && host.node.leads() {
+            if self.commands > 0 && host.node.is_ready_leader() {
                 actions.push(Action::Command(at));
             }
         }
         actions
     }
 
-    fn act(&mut self, action: Action, planted: Planted) -> Option<String> {
+    fn act(&mut self, action: Action, planted: InjectedBug) -> Option<String> {
         let (at, input) = match action {
             Action::Deliver(message) => {
                 let (from, to, message) = self.flying.remove(message);
@@ -152,8 +158,8 @@
                 self.crashes -= 1;
                 let host = &mut self.hosts[at];
                 host.unsynced.clear();
-                if planted == Planted::ForgetsVote {
-                    host.disk.vote = None;
+                if planted == InjectedBug::ForgetsVote {
+                    host.disk.voted_for = None;
                 }
                 host.node = Node::new(host.node.id(), host.disk.clone(), limits(), 1, self.now);
                 (at, Input::Tick)
@@ -168,15 +174,15 @@
         self.carry_out(at, planted)
     }
 
-    fn carry_out(&mut self, at: usize, planted: Planted) -> Option<String> {
+    fn carry_out(&mut self, at: usize, planted: InjectedBug) -> Option<String> {
         let id = self.hosts[at].node.id();
-        for output in self.hosts[at].node.outputs() {
+        for output in self.hosts[at].node.take_outputs() {
             match output {
                 Output::Send(to, message) => self.flying.push((id, to, message)),
                 Output::Write(write) => {
                     let seq = write.seq;
                     self.hosts[at].unsynced.push(write);
-                    if planted == Planted::AckBeforeSync {
+                    if planted == InjectedBug::AckBeforeSync {
                         self.hosts[at].node.handle(self.now, Input::Persisted(seq));
                     }
                 }
@@ -195,12 +201,12 @@
             }
         }
         let host = &self.hosts[at];
-        if planted == Planted::AckBeforeSync && host.node.status().barred {
+        if planted == InjectedBug::AckBeforeSync && host.node.status().awaits_staleness_check {
             // The planted disk lies to the vouchers too.
             let seen = Message {
                 term: 0,
-                durable: 0,
-                body: Body::Seen(0),
+                durable_seq: 0,
+                body: MessageBody::StalenessResponse(0),
             };
             let from = NodeId((at as u64 + 1) % 3 + 1);
             self.hosts[at]
@@ -217,7 +223,7 @@
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for host in &self.hosts {
-            host.node.digest(&mut hasher);
+            host.node.hash_state(&mut hasher);
             host.unsynced.hash(&mut hasher);
         }
         // Messages on the way are a bag.
@@ -242,33 +248,33 @@
 
 impl Explorer {
     fn explore(&mut self, state: &State, depth: u8) {
-        if depth == 0 || self.found.is_some() {
+        if depth == 0 || self.violation.is_some() {
             return;
         }
         for action in state.actions() {
             let mut next = state.clone();
             self.path.push(action);
             if let Some(wrong) = next.act(action, self.planted) {
-                self.found = Some(format!("{wrong}: {:?}", self.path));
+                self.violation = Some(format!("{wrong}: {:?}", self.path));
                 return;
             }
-            let known = self.known.entry(next.digest()).or_default();
+            let known = self.explored_depths.entry(next.digest()).or_default();
             if *known < depth {
                 *known = depth;
                 self.explore(&next, depth - 1);
             }
             self.path.pop();
-            if self.found.is_some() {
+            if self.violation.is_some() {
                 return;
             }
         }
     }
 
-    pub fn run(planted: Planted, state: &State, depth: u8) -> Self {
+    pub fn run(planted: InjectedBug, state: &State, depth: u8) -> Self {
         let mut explorer = Self {
             planted,
-            known: HashMap::new(),
-            found: None,
+            explored_depths: HashMap::new(),
+            violation: None,
             path: Vec::new(),
         };
         explorer.explore(state, depth);
@@ -277,13 +283,16 @@
 }
 
 /// Goes a known way first, so that the search begins where it matters: two candidates of one term.
-pub fn two_candidates(planted: Planted) -> State {
+pub fn state_with_two_candidates(planted: InjectedBug) -> State {
     let mut state = State::new();
     for at in [0, 1] {
         state.act(Action::Elect(at), planted);
     }
     while let Some(at) = state.flying.iter().position(|(.., message)| {
-        matches!(message.body, Body::PreVote { .. } | Body::PreVoted { .. })
+        matches!(
+            message.body,
+            MessageBody::PreVoteRequest { .. } | MessageBody::PreVoteResponse { .. }
+        )
     }) {
         state.act(Action::Deliver(at), planted);
     }
@@ -292,7 +301,7 @@
     }
     state
         .flying
-        .retain(|(_, _, message)| matches!(message.body, Body::Vote { .. }));
+        .retain(|(_, _, message)| matches!(message.body, MessageBody::VoteRequest { .. }));
     state.elections = 1;
     state
 }
--- a/crates/storm/src/fleet.rs
+++ b/crates/storm/src/fleet.rs
@@ -11,23 +11,23 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use violetwind_consensus::{Millis, NodeId};
-use violetwind_fleet::budget::{Def, Kind, Part};
+use violetwind_fleet::budget::{BudgetDefinition, BudgetKind, Part};
 
-use crate::linear;
+use crate::linearizability;
 use violetwind_fleet::{
-    Answer, Call, Config, Event, Input, Limits, Member, Name, Number, Order, Output, Peer, Record,
-    Saved, Why,
+    Config, Event, FleetAction, Input, Limits, LossReason, Member, MemberRecord, Name, Number,
+    OperatorAnswer, OperatorCall, Output, PeerMessage, SavedState,
 };
 
 pub use faults::Fault;
-pub(crate) use faults::draw;
-pub use proxies::{Proxy, Shift};
+pub(crate) use faults::generate_fault;
+pub use proxies::{Maintenance, Proxy};
 
-pub const STEP: Millis = 5;
+pub const STEP_INTERVAL: Millis = 5;
 
 /// What is wrong with a host on purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Planted {
+pub enum InjectedBug {
     #[default]
     Nothing,
     /// Holders count a lease longer than leaders do.
@@ -58,7 +58,7 @@
     ForgetfulProxy,
 }
 
-impl Planted {
+impl InjectedBug {
     /// Every error, by the name that the command line knows it by.
     pub const NAMES: [(&str, Self); 13] = [
         ("longer-lease", Self::LongerLease),
@@ -85,7 +85,7 @@
 }
 
 impl Clock {
-    fn at(self, now: Millis) -> Millis {
+    fn local_time(self, now: Millis) -> Millis {
         self.offset + (now as i64 * (1000 + self.permille) / 1000) as Millis
     }
 
@@ -106,14 +106,14 @@
 
 pub struct Host {
     pub member: Option<Member>,
-    pub saved: Option<Saved>,
-    unsynced: VecDeque<(Millis, Number, Record)>,
+    pub persisted_state: Option<SavedState>,
+    unsynced: VecDeque<(Millis, Number, MemberRecord)>,
     clock: Clock,
-    pub stopped: Millis,
-    pub back: Option<Millis>,
-    pub sync: Millis,
+    pub stopped_until: Millis,
+    pub restart_at: Option<Millis>,
+    pub sync_latency: Millis,
     /// What lies in wait while it is stopped.
-    waiting: VecDeque<(Name, Peer)>,
+    waiting: VecDeque<(Name, PeerMessage)>,
     programs: BTreeMap<Name, Program>,
     calls: BTreeMap<Number, (Millis, Name)>,
     /// Units asked for, and units in use, by budget and token.
@@ -125,7 +125,7 @@
     words: VecDeque<(Millis, Name, Number)>,
     used: BTreeMap<Name, VecDeque<Millis>>,
     pub stale: bool,
-    pub quit: bool,
+    pub has_shut_down: bool,
 }
 
 pub struct World {
@@ -136,79 +136,84 @@
     peers: BTreeMap<Name, bool>,
     pub duties: Vec<Name>,
     queue: BinaryHeap<Reverse<(Millis, u64, Name, Name)>>,
-    flying: BTreeMap<u64, Peer>,
+    flying: BTreeMap<u64, PeerMessage>,
     sent: u64,
-    pub frames: u64,
-    pub cut: BTreeSet<(Name, Name)>,
-    pub loss: f64,
+    pub frames_sent: u64,
+    pub cut_links: BTreeSet<(Name, Name)>,
+    pub loss_rate: f64,
     /// Part of all frames that come twice.
-    pub repeat: f64,
+    pub duplicate_rate: f64,
     /// Calls about who is put out, by member: who called when, and when the answer came.
-    history: BTreeMap<Name, Vec<linear::Call>>,
-    asked_out: BTreeMap<Number, operators::Asked>,
+    call_history: BTreeMap<Name, Vec<linearizability::Call>>,
+    pending_operator_calls: BTreeMap<Number, operators::PendingCall>,
     /// Operators look at the fleet now and then.
-    pub looks: bool,
-    pub delay: (Millis, Millis),
-    pub planted: Planted,
-    next: Number,
+    pub views_enabled: bool,
+    pub delay_range: (Millis, Millis),
+    pub injected_bug: InjectedBug,
+    last_number: Number,
     // The books.
     newest: BTreeMap<Name, Number>,
     /// Since when nobody holds a duty.
     free: BTreeMap<Name, Millis>,
-    pub longest_free: Millis,
-    pub gained: usize,
-    pub lost: usize,
-    pub leads: usize,
-    pub answers: BTreeMap<Number, Answer>,
+    pub longest_unheld: Millis,
+    pub duties_gained: usize,
+    pub duties_lost: usize,
+    pub elections_won: usize,
+    pub answers: BTreeMap<Number, OperatorAnswer>,
     /// Machines that are worked on, if there are any.
-    pub shift: Option<Shift>,
-    pub budgets: Vec<Def>,
+    pub maintenance: Option<Maintenance>,
+    pub budgets: Vec<BudgetDefinition>,
     /// Budgets that are counted outside of the member, as the proxy's own module counts.
-    pub outside: BTreeSet<Name>,
+    pub external_budgets: BTreeSet<Name>,
     /// Clients press no more of the budgets than these, the first ones.
-    pub pressed: usize,
+    pub demanded_budget_count: usize,
     /// Members whose files have other budgets.
-    pub files: BTreeMap<Name, Vec<Def>>,
+    pub budget_overrides: BTreeMap<Name, Vec<BudgetDefinition>>,
     /// How hard each member is pressed: takes a step.
-    pub press: BTreeMap<Name, f64>,
+    pub demand: BTreeMap<Name, f64>,
     /// When units of rates were used.
     used: BTreeMap<Name, VecDeque<Millis>>,
-    pub taken: usize,
-    pub refused: usize,
+    pub units_taken: usize,
+    pub units_refused: usize,
     /// The most that was in use of a budget at once, or in a window.
-    pub most: BTreeMap<Name, u64>,
-    pub wrong: Option<String>,
-    pub told: Vec<String>,
+    pub peak_use: BTreeMap<Name, u64>,
+    pub violation: Option<String>,
+    pub event_log: Vec<String>,
 }
 
 impl Host {
     /// Units in use here.
-    pub fn units(&self) -> usize {
+    pub fn unit_count(&self) -> usize {
         self.units.len()
     }
 }
 
-pub fn name(at: usize) -> Name {
+pub fn node_name(at: usize) -> Name {
     format!("node-{at}")
 }
 
 impl World {
     /// `voters` members with directories, and `others` without.
     pub fn new(seed: u64, voters: usize, others: usize) -> Self {
-        Self::planted(seed, voters, others, Planted::Nothing)
+        Self::with_injected_bug(seed, voters, others, InjectedBug::Nothing)
     }
 
-    pub fn planted(seed: u64, voters: usize, others: usize, planted: Planted) -> Self {
+    pub fn with_injected_bug(
+        seed: u64,
+        voters: usize,
+        others: usize,
+        planted: InjectedBug,
+    ) -> Self {
         Self::with_budgets(seed, voters, others, planted, Vec::new())
     }
 
     /// The named budgets are counted outside of members, as a proxy's module counts.
-    pub fn counted_outside(mut self, names: &[&str]) -> Self {
-        self.outside = names.iter().map(|name| name.to_string()).collect();
+    pub fn with_external_budgets(mut self, names: &[&str]) -> Self {
+        self.external_budgets = names.iter().map(|name| name.to_string()).collect();
         let hosts: Vec<Name> = self.hosts.keys().cloned().collect();
         for name in hosts {
-            self.kill(&name);
-            self.start(&name);
+            self.kill_process(&name);
+            self.start_process(&name);
         }
         self
     }
@@ -217,57 +222,57 @@
         seed: u64,
         voters: usize,
         others: usize,
-        planted: Planted,
-        budgets: Vec<Def>,
+        planted: InjectedBug,
+        budgets: Vec<BudgetDefinition>,
     ) -> Self {
         let mut world = Self {
             now: 1000,
             rng: Pcg32::seed_from_u64(seed),
             limits: Limits {
-                snapshot_every: 30,
+                snapshot_interval_entries: 30,
                 ..Limits::default()
             },
             hosts: BTreeMap::new(),
             peers: (0..voters + others)
-                .map(|at| (name(at), at < voters))
+                .map(|at| (node_name(at), at < voters))
                 .collect(),
             duties: vec!["export".into(), "sweep".into()],
             queue: BinaryHeap::new(),
             flying: BTreeMap::new(),
             sent: 0,
-            frames: 0,
-            cut: BTreeSet::new(),
-            loss: 0.0,
-            repeat: 0.0,
-            history: BTreeMap::new(),
-            asked_out: BTreeMap::new(),
-            looks: false,
-            delay: (0, 10),
-            planted,
-            next: 0,
+            frames_sent: 0,
+            cut_links: BTreeSet::new(),
+            loss_rate: 0.0,
+            duplicate_rate: 0.0,
+            call_history: BTreeMap::new(),
+            pending_operator_calls: BTreeMap::new(),
+            views_enabled: false,
+            delay_range: (0, 10),
+            injected_bug: planted,
+            last_number: 0,
             newest: BTreeMap::new(),
             free: BTreeMap::new(),
-            longest_free: 0,
-            gained: 0,
-            lost: 0,
-            leads: 0,
+            longest_unheld: 0,
+            duties_gained: 0,
+            duties_lost: 0,
+            elections_won: 0,
             answers: BTreeMap::new(),
-            shift: None,
+            maintenance: None,
             budgets,
-            outside: BTreeSet::new(),
-            pressed: usize::MAX,
-            files: BTreeMap::new(),
-            press: BTreeMap::new(),
+            external_budgets: BTreeSet::new(),
+            demanded_budget_count: usize::MAX,
+            budget_overrides: BTreeMap::new(),
+            demand: BTreeMap::new(),
             used: BTreeMap::new(),
-            taken: 0,
-            refused: 0,
-            most: BTreeMap::new(),
-            wrong: None,
-            told: Vec::new(),
+            units_taken: 0,
+            units_refused: 0,
+            peak_use: BTreeMap::new(),
+            violation: None,
+            event_log: Vec::new(),
         };
         for at in 0..voters + others {
             let id = NodeId(world.rng.random_range(1..u64::MAX));
-            let wild = if planted == Planted::WildClocks {
+            let wild = if planted == InjectedBug::WildClocks {
                 250
             } else {
                 4
@@ -278,12 +283,12 @@
             };
             let host = Host {
                 member: None,
-                saved: (at < voters).then(|| Saved::new(id)),
+                persisted_state: (at < voters).then(|| SavedState::new(id)),
                 unsynced: VecDeque::new(),
                 clock,
-                stopped: 0,
-                back: None,
-                sync: 2,
+                stopped_until: 0,
+                restart_at: None,
+                sync_latency: 2,
                 waiting: VecDeque::new(),
                 programs: BTreeMap::new(),
                 calls: BTreeMap::new(),
@@ -294,24 +299,24 @@
                 words: VecDeque::new(),
                 used: BTreeMap::new(),
                 stale: false,
-                quit: false,
+                has_shut_down: false,
             };
-            world.hosts.insert(name(at), host);
+            world.hosts.insert(node_name(at), host);
         }
         let names: Vec<Name> = world.hosts.keys().cloned().collect();
-        names.iter().for_each(|name| world.start(name));
+        names.iter().for_each(|name| world.start_process(name));
         world
     }
 
-    pub fn start(&mut self, name: &str) {
+    pub fn start_process(&mut self, name: &str) {
         let seed = self.rng.random::<u64>() >> 2;
         let mut limits = self.limits.clone();
-        if self.planted == Planted::LongerLease && self.rng.random_bool(0.5) {
-            limits.lease *= 2;
+        if self.injected_bug == InjectedBug::LongerLease && self.rng.random_bool(0.5) {
+            limits.lease_duration *= 2;
         }
         let host = self.hosts.get_mut(name).unwrap();
         let config = Config {
-            work: self.shift.is_some(),
+            work_enabled: self.maintenance.is_some(),
             node: name.to_string(),
             // As in real files: who votes, and oneself.
             peers: self
@@ -321,25 +326,32 @@
                 .map(|(peer, votes)| (peer.clone(), *votes))
                 .collect(),
             duties: self.duties.clone(),
-            budgets: self.files.get(name).unwrap_or(&self.budgets).clone(),
-            outside: self.outside.clone(),
+            budgets: self
+                .budget_overrides
+                .get(name)
+                .unwrap_or(&self.budgets)
+                .clone(),
+            external_budgets: self.external_budgets.clone(),
             limits,
         };
-        let at = host.clock.at(self.now);
-        host.member = Some(Member::new(config, host.saved.clone(), seed, at));
-        (host.back, host.stopped, host.quit) = (None, 0, false);
+        let at = host.clock.local_time(self.now);
+        host.member = Some(Member::new(config, host.persisted_state.clone(), seed, at));
+        (host.restart_at, host.stopped_until, host.has_shut_down) = (None, 0, false);
         // Links are up at once, with the directories that are there.
         let ids: Vec<_> = self
             .hosts
             .iter()
-            .map(|(name, host)| (name.clone(), host.saved.as_ref().map(|s| s.id)))
+            .map(|(name, host)| (name.clone(), host.persisted_state.as_ref().map(|s| s.id)))
             .collect();
         for (other, id) in &ids {
             if other != name {
-                self.input(name, Input::Met(other.clone(), *id));
+                self.handle_input(name, Input::PeerConnected(other.clone(), *id));
             }
         }
-        let own = self.hosts[name].saved.as_ref().map(|saved| saved.id);
+        let own = self.hosts[name]
+            .persisted_state
+            .as_ref()
+            .map(|saved| saved.id);
         let others: Vec<Name> = self
             .hosts
             .keys()
@@ -347,21 +359,21 @@
             .cloned()
             .collect();
         for other in others {
-            self.input(&other, Input::Met(name.to_string(), own));
+            self.handle_input(&other, Input::PeerConnected(name.to_string(), own));
         }
     }
 
     /// SIGKILL. A program of an operator outlives the process and goes on for as long as it was told.
-    pub fn kill(&mut self, name: &str) {
+    pub fn kill_process(&mut self, name: &str) {
         let kept = self.rng.random_range(0..=2);
-        let planted = self.planted;
+        let planted = self.injected_bug;
         let host = self.hosts.get_mut(name).unwrap();
         host.member = None;
         host.waiting.clear();
         host.calls.clear();
         host.asked.clear();
         // Its connections end with it.
-        if planted != Planted::ConnectionsOutlive {
+        if planted != InjectedBug::ConnectionsOutlive {
             host.units.clear();
         }
         host.parts.clear();
@@ -369,12 +381,12 @@
         host.words.clear();
         host.used.clear();
         let unsynced: Vec<_> = host.unsynced.drain(..).collect();
-        self.proxy_killed(name);
+        self.restart_proxy(name);
         let host = self.hosts.get_mut(name).unwrap();
         if let Some(saved) = host
-            .saved
+            .persisted_state
             .as_mut()
-            .filter(|_| planted != Planted::AckBeforeSync)
+            .filter(|_| planted != InjectedBug::AckBeforeSync)
         {
             for (_, _, record) in unsynced.into_iter().take(kept) {
                 saved.apply(record).unwrap();
@@ -383,44 +395,47 @@
         let disk = self
             .hosts
             .get_mut(name)
-            .and_then(|host| host.saved.as_mut());
-        match (planted, disk.map(|saved| &mut saved.disk)) {
-            (Planted::LostSnapshot, Some(disk)) => {
+            .and_then(|host| host.persisted_state.as_mut());
+        match (planted, disk.map(|saved| &mut saved.consensus_state)) {
+            (InjectedBug::LostSnapshot, Some(disk)) => {
                 if let Some(snapshot) = disk.snapshot.as_mut().filter(|s| !s.data.is_empty()) {
                     snapshot.data = violetwind_fleet::State::default().encode();
                 }
             }
-            (Planted::ForgetsVote, Some(disk)) => {
+            (InjectedBug::ForgetsVote, Some(disk)) => {
                 let last = disk.entries.last().map(|entry| entry.term);
                 let kept = disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.term);
-                (disk.term, disk.vote) = (last.unwrap_or(kept), None);
+                (disk.term, disk.voted_for) = (last.unwrap_or(kept), None);
             }
             _ => {}
         }
     }
 
     /// An empty directory in the place of the old one: somebody else.
-    pub fn empty(&mut self, name: &str) {
-        self.kill(name);
+    pub fn wipe_directory(&mut self, name: &str) {
+        self.kill_process(name);
         let id = NodeId(self.rng.random_range(1..u64::MAX));
-        self.hosts.get_mut(name).unwrap().saved = Some(Saved::new(id));
+        self.hosts.get_mut(name).unwrap().persisted_state = Some(SavedState::new(id));
     }
 
-    pub fn run(&mut self, millis: Millis) {
+    pub fn run_for(&mut self, millis: Millis) {
         let until = self.now + millis;
-        while self.now < until && self.wrong.is_none() {
+        while self.now < until && self.violation.is_none() {
             self.step();
         }
     }
 
     pub fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_INTERVAL;
         let names: Vec<Name> = self.hosts.keys().cloned().collect();
         for name in &names {
-            if self.hosts[name].back.is_some_and(|back| self.now >= back) {
+            if self.hosts[name]
+                .restart_at
+                .is_some_and(|back| self.now >= back)
+            {
                 // One process of a directory at a time.
-                self.kill(name);
-                self.start(name);
+                self.kill_process(name);
+                self.start_process(name);
             }
         }
         while let Some(Reverse((due, number, from, to))) = self.queue.peek().cloned() {
@@ -430,19 +445,19 @@
             self.queue.pop();
             let peer = self.flying.remove(&number).unwrap();
             let host = self.hosts.get_mut(&to).unwrap();
-            if host.stopped > self.now && host.member.is_some() {
+            if host.stopped_until > self.now && host.member.is_some() {
                 host.waiting.push_back((from, peer));
             } else {
-                self.input(&to, Input::Peer(from, peer));
+                self.handle_input(&to, Input::PeerMessage(from, peer));
             }
         }
         for name in &names {
             let host = self.hosts.get_mut(name).unwrap();
-            if host.stopped > self.now {
+            if host.stopped_until > self.now {
                 continue;
             }
             while let Some((from, peer)) = self.hosts.get_mut(name).unwrap().waiting.pop_front() {
-                self.input(name, Input::Peer(from, peer));
+                self.handle_input(name, Input::PeerMessage(from, peer));
             }
             let host = self.hosts.get_mut(name).unwrap();
             let mut synced = None;
@@ -453,19 +468,23 @@
             {
                 let (_, number, record) = host.unsynced.pop_front().unwrap();
                 synced = Some(number);
-                host.saved.as_mut().unwrap().apply(record).unwrap();
+                host.persisted_state
+                    .as_mut()
+                    .unwrap()
+                    .apply(record)
+                    .unwrap();
             }
             if let Some(number) = synced {
-                self.input(name, Input::Saved(number));
+                self.handle_input(name, Input::RecordsSaved(number));
             }
-            self.input(name, Input::Tick);
+            self.handle_input(name, Input::Tick);
             self.work(name);
             self.count_outside(name);
             self.use_budgets(name);
-            self.serve(name);
+            self.step_proxy(name);
         }
-        self.look();
-        self.staff();
+        self.request_view();
+        self.issue_work_commands();
         self.check();
         self.check_work();
     }
@@ -481,9 +500,9 @@
                 let told = program.ends.is_some();
                 host.programs.remove(&duty);
                 if told {
-                    self.call(
+                    self.submit_call(
                         name,
-                        Call::Done {
+                        OperatorCall::EndHold {
                             duty: duty.clone(),
                             token: "p".into(),
                         },
@@ -491,17 +510,17 @@
                 }
             }
             if self.rng.random_bool(0.05) && self.hosts[name].member.is_some() {
-                let call = Call::Hold {
+                let call = OperatorCall::HoldDuty {
                     duty: duty.clone(),
                     token: "p".into(),
                 };
-                let number = self.next + 1;
+                let number = self.last_number + 1;
                 self.hosts
                     .get_mut(name)
                     .unwrap()
                     .calls
                     .insert(number, (now, duty));
-                self.call(name, call);
+                self.submit_call(name, call);
             }
         }
     }
@@ -515,26 +534,26 @@
             self.hosts.get_mut(name).unwrap().words.pop_front();
             let busy = self.busy_outside(name, &budget);
             let denied = self.hosts[name].denied.get(&budget).copied().unwrap_or(0);
-            self.input(
+            self.handle_input(
                 name,
-                Input::Used {
+                Input::ExternalUsage {
                     budget,
-                    part: number,
-                    busy,
+                    part_number: number,
+                    in_use: busy,
                     denied,
                 },
             );
         }
         if self.rng.random_bool(0.1) {
-            for budget in self.outside.clone() {
+            for budget in self.external_budgets.clone() {
                 let busy = self.busy_outside(name, &budget);
                 let denied = self.hosts[name].denied.get(&budget).copied().unwrap_or(0);
-                self.input(
+                self.handle_input(
                     name,
-                    Input::Used {
+                    Input::ExternalUsage {
                         budget,
-                        part: 0,
-                        busy,
+                        part_number: 0,
+                        in_use: busy,
                         denied,
                     },
                 );
@@ -545,7 +564,7 @@
     fn busy_outside(&mut self, name: &str, budget: &str) -> u64 {
         let now = self.now;
         let host = self.hosts.get_mut(name).unwrap();
-        let at = host.clock.at(now);
+        let at = host.clock.local_time(now);
         let span = host.parts.get(budget).map_or(0, |part| part.span);
         match self
             .budgets
@@ -553,7 +572,7 @@
             .find(|def| def.name == budget)
             .map(|def| def.kind)
         {
-            Some(Kind::Rate) => {
+            Some(BudgetKind::Rate) => {
                 let used = host.used.entry(budget.to_string()).or_default();
                 while used.front().is_some_and(|used| at >= *used + span) {
                     used.pop_front();
@@ -571,11 +590,11 @@
         if host.member.is_none() {
             return;
         }
-        let at = host.clock.at(now);
+        let at = host.clock.local_time(now);
         let Some(part) = host.parts.get(budget) else {
             return;
         };
-        let units = if at < part.until || self.planted == Planted::OverstaysPart {
+        let units = if at < part.until || self.injected_bug == InjectedBug::OverstaysPart {
             part.units
         } else {
             part.after
@@ -588,50 +607,57 @@
             self.unit(name, (budget.to_string(), token));
         } else {
             *host.denied.entry(budget.to_string()).or_default() += 1;
-            self.refused += 1;
+            self.units_refused += 1;
         }
     }
 
     /// Clients come and go: units are asked for and given back.
     /// One unit is wanted of each budget that is counted outside the member: whoever counts there goes on by the part that it was
     /// told also while the member's own thread is stalled.
-    pub fn want_outside(&mut self, name: &str) {
+    pub fn take_external_units(&mut self, name: &str) {
         let counted = self.budgets.iter().map(|def| def.name.clone());
-        let counted: Vec<Name> = counted.filter(|name| self.outside.contains(name)).collect();
+        let counted: Vec<Name> = counted
+            .filter(|name| self.external_budgets.contains(name))
+            .collect();
         for budget in counted {
-            self.next += 1;
-            let token = format!("t{}", self.next);
+            self.last_number += 1;
+            let token = format!("t{}", self.last_number);
             self.take_outside(name, &budget, token);
         }
     }
 
     fn use_budgets(&mut self, name: &str) {
-        let press = self.press.get(name).copied().unwrap_or(0.0);
+        let press = self.demand.get(name).copied().unwrap_or(0.0);
         if press == 0.0 && self.hosts[name].units.is_empty() {
             return;
         }
-        let pressed: Vec<Def> = self.budgets.iter().take(self.pressed).cloned().collect();
+        let pressed: Vec<BudgetDefinition> = self
+            .budgets
+            .iter()
+            .take(self.demanded_budget_count)
+            .cloned()
+            .collect();
         for def in pressed {
             let mut left = press;
             while left > 0.0 && self.rng.random_bool(left.min(1.0)) {
                 left -= 1.0;
-                let token = format!("t{}", self.next + 1);
+                let token = format!("t{}", self.last_number + 1);
                 let key = (def.name.clone(), token.clone());
-                if self.outside.contains(&def.name) {
-                    self.next += 1;
+                if self.external_budgets.contains(&def.name) {
+                    self.last_number += 1;
                     self.take_outside(name, &def.name, token);
                     continue;
                 }
-                let number = self.next + 1;
+                let number = self.last_number + 1;
                 self.hosts.get_mut(name).unwrap().asked.insert(number, key);
                 let wait = [0, 100][self.rng.random_range(0..2)];
-                self.call(
+                self.submit_call(
                     name,
-                    Call::Take {
+                    OperatorCall::AcquireUnit {
                         budget: def.name.clone(),
                         token,
-                        within: 1 << 40,
-                        wait,
+                        hold_timeout: 1 << 40,
+                        max_wait: wait,
                     },
                 );
             }
@@ -648,23 +674,24 @@
                     .unwrap()
                     .units
                     .remove(&(budget.clone(), token.clone()));
-                if self.outside.contains(&budget) {
+                if self.external_budgets.contains(&budget) {
                     continue;
                 }
-                self.call(name, Call::Give { budget, token });
+                self.submit_call(name, OperatorCall::ReleaseUnit { budget, token });
             }
         }
     }
 
     fn unit(&mut self, name: &str, (budget, token): (Name, Name)) {
-        self.taken += 1;
-        let extra = self.planted == Planted::ExtraUnit && self.taken.is_multiple_of(50);
+        self.units_taken += 1;
+        let extra =
+            self.injected_bug == InjectedBug::ExtraUnit && self.units_taken.is_multiple_of(50);
         let Some(def) = self.budgets.iter().find(|def| def.name == budget).cloned() else {
             return;
         };
         let now = self.now;
         let count = match def.kind {
-            Kind::Held => {
+            BudgetKind::Concurrent => {
                 let host = self.hosts.get_mut(name).unwrap();
                 host.units.insert((budget.clone(), token.clone()));
                 if extra {
@@ -674,7 +701,7 @@
                 let units = self.hosts.values().flat_map(|host| &host.units);
                 units.filter(|(of, _)| *of == budget).count() as u64
             }
-            Kind::Rate => {
+            BudgetKind::Rate => {
                 let used = self.used.entry(budget.clone()).or_default();
                 used.push_back(now);
                 if extra {
@@ -686,71 +713,74 @@
                 used.len() as u64
             }
         };
-        let most = self.most.entry(budget.clone()).or_default();
+        let most = self.peak_use.entry(budget.clone()).or_default();
         *most = count.max(*most);
-        if count > def.whole {
-            self.found(format!(
+        if count > def.total {
+            self.record_violation(format!(
                 "Never More Than The Whole: {count} of {} of {budget}, the last at {name}",
-                def.whole
+                def.total
             ));
         }
     }
 
     /// In use now, over all members.
-    pub fn in_use(&self, budget: &str) -> u64 {
+    pub fn units_in_use(&self, budget: &str) -> u64 {
         let units = self.hosts.values().flat_map(|host| &host.units);
         units.filter(|(of, _)| of == budget).count() as u64
     }
 
-    pub fn call(&mut self, name: &str, call: Call) -> Number {
-        self.next += 1;
-        let number = self.next;
-        self.input(name, Input::Call(number, call));
+    pub fn submit_call(&mut self, name: &str, call: OperatorCall) -> Number {
+        self.last_number += 1;
+        let number = self.last_number;
+        self.handle_input(name, Input::Call(number, call));
         number
     }
 
-    pub fn order(&mut self, name: &str, order: Order) -> Number {
-        self.call(name, Call::Order(order))
+    pub fn submit_order(&mut self, name: &str, order: FleetAction) -> Number {
+        self.submit_call(name, OperatorCall::FleetAction(order))
     }
 
-    pub fn quit(&mut self, name: &str) {
-        self.input(name, Input::Quit);
+    pub fn shut_down_process(&mut self, name: &str) {
+        self.handle_input(name, Input::Quit);
     }
 
-    fn fly(&mut self, due: Millis, from: &str, to: Name, peer: Peer) {
+    fn fly(&mut self, due: Millis, from: &str, to: Name, peer: PeerMessage) {
         self.sent += 1;
         self.flying.insert(self.sent, peer);
         self.queue
             .push(Reverse((due, self.sent, from.to_string(), to)));
     }
 
-    pub fn input(&mut self, name: &str, input: Input) {
+    pub fn handle_input(&mut self, name: &str, input: Input) {
         let now = self.now;
-        let planted = self.planted;
+        let planted = self.injected_bug;
         let host = self.hosts.get_mut(name).unwrap();
         let Some(member) = host.member.as_mut() else {
             return;
         };
         let mut acknowledged = None;
-        for output in member.handle(host.clock.at(now), input) {
+        for output in member.handle(host.clock.local_time(now), input) {
             match output {
                 Output::Send(to, peer) => {
-                    self.frames += 1;
-                    let lost = self.cut.contains(&(name.to_string(), to.clone()))
-                        || self.rng.random_bool(self.loss);
+                    self.frames_sent += 1;
+                    let lost = self.cut_links.contains(&(name.to_string(), to.clone()))
+                        || self.rng.random_bool(self.loss_rate);
                     if !lost && self.hosts.contains_key(&to) {
-                        let due = now + self.rng.random_range(self.delay.0..=self.delay.1);
-                        if self.repeat > 0.0 && self.rng.random_bool(self.repeat) {
+                        let due = now
+                            + self
+                                .rng
+                                .random_range(self.delay_range.0..=self.delay_range.1);
+                        if self.duplicate_rate > 0.0 && self.rng.random_bool(self.duplicate_rate) {
                             let again = due + self.rng.random_range(0..200);
                             self.fly(again, name, to.clone(), peer.clone());
                         }
                         self.fly(due, name, to, peer);
                     }
                 }
-                Output::Save(number, record) => {
+                Output::SaveRecord(number, record) => {
                     let host = self.hosts.get_mut(name).unwrap();
-                    let lies = planted == Planted::AckBeforeSync;
-                    let due = now + if lies { 300 } else { host.sync };
+                    let lies = planted == InjectedBug::AckBeforeSync;
+                    let due = now + if lies { 300 } else { host.sync_latency };
                     host.unsynced.push_back((due, number, record));
                     if lies {
                         acknowledged = Some(number);
@@ -764,11 +794,11 @@
                     host.parts.insert(budget.clone(), part);
                     host.words.push_back((now + late, budget, number));
                 }
-                Output::Work(version, list) => self.proxy_told(name, version, list),
+                Output::MachineList(version, list) => self.queue_list_write(name, version, list),
                 Output::Event(event) => self.event(name, event),
                 Output::Ended => {
                     let host = self.hosts.get_mut(name).unwrap();
-                    (host.member, host.quit) = (None, true);
+                    (host.member, host.has_shut_down) = (None, true);
                     host.asked.clear();
                     host.units.clear();
                     return;
@@ -776,24 +806,30 @@
             }
         }
         if let Some(number) = acknowledged {
-            self.input(name, Input::Saved(number));
+            self.handle_input(name, Input::RecordsSaved(number));
         }
     }
 
-    fn answered(&mut self, name: &str, number: Number, answer: Answer) {
-        if let Some(asked) = self.asked_out.remove(&number) {
-            return self.told_out(asked, &answer);
+    fn answered(&mut self, name: &str, number: Number, answer: OperatorAnswer) {
+        if let Some(asked) = self.pending_operator_calls.remove(&number) {
+            return self.record_answer(asked, &answer);
         }
         let host = self.hosts.get_mut(name).unwrap();
         if let Some(key) = host.asked.remove(&number) {
             match answer {
-                Answer::Taken => self.unit(name, key),
-                _ => self.refused += 1,
+                OperatorAnswer::UnitAcquired => self.unit(name, key),
+                _ => self.units_refused += 1,
             }
             return;
         }
         match (host.calls.remove(&number), answer) {
-            (Some((asked, duty)), Answer::Held { fence, left }) => {
+            (
+                Some((asked, duty)),
+                OperatorAnswer::Held {
+                    fence,
+                    remaining: left,
+                },
+            ) => {
                 let until = asked + host.clock.span(left);
                 let program = Program {
                     fence,
@@ -805,9 +841,9 @@
                     known.until = known.until.max(until);
                 }
             }
-            (Some((_, duty)), Answer::NotHeld(_)) => {
+            (Some((_, duty)), OperatorAnswer::NotHeld(_)) => {
                 let (now, slow) = (self.now, self.rng.random_range(0..100));
-                let deaf = self.planted == Planted::DeafProgram;
+                let deaf = self.injected_bug == InjectedBug::DeafProgram;
                 if let Some(program) = self.hosts.get_mut(name).unwrap().programs.get_mut(&duty) {
                     program.ends.get_or_insert(now + slow);
                     if deaf {
@@ -823,33 +859,34 @@
     }
 
     fn event(&mut self, name: &str, event: Event) {
-        self.told.push(format!("{} {name}: {event:?}", self.now));
+        self.event_log
+            .push(format!("{} {name}: {event:?}", self.now));
         match event {
             Event::Gained { duty, fence } => {
-                self.gained += 1;
+                self.duties_gained += 1;
                 let newest = self.newest.entry(duty.clone()).or_default();
                 if fence <= *newest {
                     let what = format!("Fencing: {name} gains {duty} with {fence} after {newest}");
-                    self.found(what);
+                    self.record_violation(what);
                 } else {
                     *newest = fence;
                 }
             }
             Event::Lost { why, .. } => {
-                self.lost += 1;
-                if matches!(why, Why::HandedOn | Why::Ending) {
+                self.duties_lost += 1;
+                if matches!(why, LossReason::HandedOn | LossReason::Ending) {
                     // Asked at once, as the program's caller would.
                     for duty in self.duties.clone() {
-                        let number = self.next + 1;
+                        let number = self.last_number + 1;
                         let now = self.now;
                         self.hosts
                             .get_mut(name)
                             .unwrap()
                             .calls
                             .insert(number, (now, duty.clone()));
-                        self.call(
+                        self.submit_call(
                             name,
-                            Call::Hold {
+                            OperatorCall::HoldDuty {
                                 duty,
                                 token: "p".into(),
                             },
@@ -857,7 +894,7 @@
                     }
                 }
             }
-            Event::Leads { .. } => self.leads += 1,
+            Event::Leads { .. } => self.elections_won += 1,
             Event::Stale { .. } => self.hosts.get_mut(name).unwrap().stale = true,
             _ => {}
         }
@@ -869,7 +906,10 @@
 
     fn holders(&self, duty: &str) -> Vec<(Name, Number)> {
         let holds = |(name, host): (&Name, &Host)| {
-            let fence = host.member.as_ref()?.holds(duty, host.clock.at(self.now))?;
+            let fence = host
+                .member
+                .as_ref()?
+                .held_fence(duty, host.clock.local_time(self.now))?;
             Some((name.clone(), fence))
         };
         self.hosts.iter().filter_map(holds).collect()
@@ -888,12 +928,12 @@
             }
             if holders.len() > 1 {
                 let what = format!("One Holder: {duty} is held by {holders:?}");
-                self.found(what);
+                self.record_violation(what);
             }
             match holders.is_empty() {
                 true => {
                     let since = *self.free.entry(duty).or_insert(self.now);
-                    self.longest_free = self.longest_free.max(self.now - since);
+                    self.longest_unheld = self.longest_unheld.max(self.now - since);
                 }
                 false => {
                     self.free.remove(&duty);
@@ -902,20 +942,20 @@
         }
     }
 
-    pub fn found(&mut self, what: String) {
+    pub fn record_violation(&mut self, what: String) {
         let at = self.now;
-        self.wrong.get_or_insert(format!("{at} ms: {what}"));
+        self.violation.get_or_insert(format!("{at} ms: {what}"));
     }
 
     pub fn leader(&self) -> Option<Name> {
         let leads = |(_, host): &(&Name, &Host)| {
-            let leads = host.member.as_ref().is_some_and(Member::leads);
-            leads && host.stopped <= self.now
+            let leads = host.member.as_ref().is_some_and(Member::is_ready_leader);
+            leads && host.stopped_until <= self.now
         };
         let term = |host: &Host| {
             host.member
                 .as_ref()
-                .and_then(|m| m.log())
+                .and_then(|m| m.consensus_status())
                 .map(|log| log.term)
         };
         let best = self
--- a/crates/storm/src/fleet/faults.rs
+++ b/crates/storm/src/fleet/faults.rs
@@ -4,10 +4,10 @@
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
 use violetwind_consensus::Millis;
-use violetwind_fleet::{Name, Order};
+use violetwind_fleet::{FleetAction, Name};
 
 use super::{Host, World};
-use crate::script::Moment;
+use crate::script::TimelineSample;
 
 /// One fault, as scripts name it. Spans are in milliseconds of true time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -85,7 +85,12 @@
 }
 
 /// The next fault among these members, if there is one: the same from the same chance.
-pub(crate) fn draw(rng: &mut Pcg32, names: &[Name], duty: &Name, machines: usize) -> Option<Fault> {
+pub(crate) fn generate_fault(
+    rng: &mut Pcg32,
+    names: &[Name],
+    duty: &Name,
+    machines: usize,
+) -> Option<Fault> {
     let any = |rng: &mut Pcg32| names[rng.random_range(0..names.len())].clone();
     Some(match rng.random_range(0..100) {
         0..3 => {
@@ -138,19 +143,19 @@
 
 impl World {
     /// Cuts a member off from some, in one direction or both.
-    pub fn part(&mut self, from: &[Name], to: &[Name], both: bool) {
+    pub fn cut_links(&mut self, from: &[Name], to: &[Name], both: bool) {
         for a in from {
             for b in to {
-                self.cut.insert((a.clone(), b.clone()));
+                self.cut_links.insert((a.clone(), b.clone()));
                 if both {
-                    self.cut.insert((b.clone(), a.clone()));
+                    self.cut_links.insert((b.clone(), a.clone()));
                 }
             }
         }
     }
 
     /// Lets it happen now. What names nobody who is there does nothing.
-    pub fn strike(&mut self, fault: &Fault) {
+    pub fn inject_fault(&mut self, fault: &Fault) {
         let there = |name: &Name| self.hosts.contains_key(name);
         if !fault.nodes().into_iter().all(there) {
             return;
@@ -158,48 +163,55 @@
         let now = self.now;
         match fault {
             Fault::Kill { node, back } => {
-                self.kill(node);
-                self.hosts.get_mut(node).unwrap().back = Some(now + back);
+                self.kill_process(node);
+                self.hosts.get_mut(node).unwrap().restart_at = Some(now + back);
             }
             Fault::Stop { node, lasts } => {
-                self.hosts.get_mut(node).unwrap().stopped = now + lasts;
+                self.hosts.get_mut(node).unwrap().stopped_until = now + lasts;
             }
-            Fault::Cut { from, to, both } => self.part(from, to, *both),
-            Fault::Heal => self.cut.clear(),
-            Fault::Slow { node, sync } => self.hosts.get_mut(node).unwrap().sync = *sync,
+            Fault::Cut { from, to, both } => self.cut_links(from, to, *both),
+            Fault::Heal => self.cut_links.clear(),
+            Fault::Slow { node, sync } => self.hosts.get_mut(node).unwrap().sync_latency = *sync,
             Fault::HandOn { by, duty, to } => {
                 let (duty, to) = (duty.clone(), to.clone());
-                self.order(by, Order::HandOn { duty, to });
+                self.submit_order(
+                    by,
+                    FleetAction::HandOffDuty {
+                        duty,
+                        preferred_holder: to,
+                    },
+                );
             }
             Fault::Quit { node, back } => {
-                self.quit(node);
-                self.hosts.get_mut(node).unwrap().back = Some(now + back);
+                self.shut_down_process(node);
+                self.hosts.get_mut(node).unwrap().restart_at = Some(now + back);
             }
-            Fault::PutOut { by, node } => self.vote_on(by, node, true),
-            Fault::LetIn { by, node } => self.vote_on(by, node, false),
-            Fault::Machine { number } => self.machine_fault(*number),
+            Fault::PutOut { by, node } => self.submit_membership_order(by, node, true),
+            Fault::LetIn { by, node } => self.submit_membership_order(by, node, false),
+            Fault::Machine { number } => self.toggle_machine(*number),
             Fault::Press { hot, even } => {
                 let press =
                     |name: &Name| (name.clone(), if *even || name == hot { 0.3 } else { 0.01 });
-                self.press = self.hosts.keys().map(press).collect();
+                self.demand = self.hosts.keys().map(press).collect();
             }
         }
     }
 
     /// Everybody as they are now, for a time line that begins at `start`.
-    pub fn moment(&self, start: Millis) -> Moment {
+    pub fn sample_timeline(&self, start: Millis) -> TimelineSample {
         let leader = self.leader();
-        let cut = |name: &Name| self.cut.iter().any(|(a, b)| a == name || b == name);
+        let cut = |name: &Name| self.cut_links.iter().any(|(a, b)| a == name || b == name);
         let holds = |host: &Host| {
             let member = host.member.as_ref();
-            let at = host.clock.at(self.now);
-            let holds = |duty: &Name| member.is_some_and(|member| member.holds(duty, at).is_some());
+            let at = host.clock.local_time(self.now);
+            let holds =
+                |duty: &Name| member.is_some_and(|member| member.held_fence(duty, at).is_some());
             self.duties.iter().any(holds)
         };
         let each = self.hosts.iter().map(|(name, host)| {
             let state = match () {
                 () if host.member.is_none() => 'x',
-                () if host.stopped > self.now => 's',
+                () if host.stopped_until > self.now => 's',
                 () if leader.as_ref() == Some(name) => 'L',
                 () if cut(name) => 'c',
                 () if holds(host) => 'h',
@@ -208,36 +220,39 @@
             (name.clone(), state)
         });
         let held = self.budgets.first().map(|def| def.name.clone());
-        Moment {
+        TimelineSample {
             at: self.now - start,
-            members: each.collect(),
-            in_use: held.map_or(0, |name| self.in_use(&name)),
-            out: self.work_state().map_or(0, |work| work.orders.out().len()),
+            member_states: each.collect(),
+            units_in_use: held.map_or(0, |name| self.units_in_use(&name)),
+            machines_out: self
+                .work_state()
+                .map_or(0, |work| work.orders.machines_out().len()),
         }
     }
 
     /// Whether an order has ended and none is left.
     pub fn work_ended(&self) -> bool {
-        self.work_state()
-            .is_some_and(|work| work.orders.orders().is_empty() && !work.orders.ended().is_empty())
+        self.work_state().is_some_and(|work| {
+            work.orders.orders().is_empty() && !work.orders.ended_orders().is_empty()
+        })
     }
 
     /// A day of trouble, drawn by the seed, and then quiet: everything has to be held again.
-    pub fn trouble(&mut self, millis: Millis) {
+    pub fn run_random_faults(&mut self, millis: Millis) {
         let until = self.now + millis;
         let names: Vec<Name> = self.hosts.keys().cloned().collect();
-        self.loss = [0.0, 0.0, 0.05][self.rng.random_range(0..3)];
-        self.delay = [(0, 5), (0, 20), (10, 120)][self.rng.random_range(0..3)];
-        while self.now < until && self.wrong.is_none() {
-            let machines = self.machines();
+        self.loss_rate = [0.0, 0.0, 0.05][self.rng.random_range(0..3)];
+        self.delay_range = [(0, 5), (0, 20), (10, 120)][self.rng.random_range(0..3)];
+        while self.now < until && self.violation.is_none() {
+            let machines = self.machine_count();
             let duty = self.duties[0].clone();
-            if let Some(fault) = draw(&mut self.rng, &names, &duty, machines) {
-                self.strike(&fault);
+            if let Some(fault) = generate_fault(&mut self.rng, &names, &duty, machines) {
+                self.inject_fault(&fault);
             }
             if !self.budgets.is_empty() && self.rng.random_bool(0.1) {
                 let hot = names[self.rng.random_range(0..names.len())].clone();
                 let even = self.rng.random_bool(0.2);
-                self.strike(&Fault::Press { hot, even });
+                self.inject_fault(&Fault::Press { hot, even });
             }
             let steps = self.rng.random_range(5..60);
             for _ in 0..steps {
@@ -245,26 +260,30 @@
                 self.step();
             }
         }
-        self.heal();
+        self.heal_and_check();
     }
 
-    pub fn heal(&mut self) {
-        self.cut.clear();
-        self.machines_up();
-        (self.loss, self.repeat, self.delay) = (0.0, 0.0, (0, 10));
+    pub fn heal_and_check(&mut self) {
+        self.cut_links.clear();
+        self.restore_machines();
+        (self.loss_rate, self.duplicate_rate, self.delay_range) = (0.0, 0.0, (0, 10));
         let now = self.now;
         for host in self.hosts.values_mut() {
-            (host.stopped, host.sync) = (0, 2);
+            (host.stopped_until, host.sync_latency) = (0, 2);
             // Who was to come back later has done so; the last fault is over.
-            if host.member.is_none() || host.back.is_some() {
-                host.back = Some(now + 10);
+            if host.member.is_none() || host.restart_at.is_some() {
+                host.restart_at = Some(now + 10);
             }
         }
         // An election, leases of those that died, and a session for whoever had none.
-        self.run(2 * self.limits.log.election + 2 * self.limits.granted() + 1500);
+        self.run_for(
+            2 * self.limits.consensus.election_timeout
+                + 2 * self.limits.granted_lease_duration()
+                + 1500,
+        );
         for duty in self.duties.clone() {
-            if self.wrong.is_none() && self.holder(&duty).is_none() {
-                self.found(format!("Held Again: nobody holds {duty}"));
+            if self.violation.is_none() && self.holder(&duty).is_none() {
+                self.record_violation(format!("Held Again: nobody holds {duty}"));
             }
         }
     }
