--- a/crates/storm/src/fleet/proxies.rs
+++ b/crates/storm/src/fleet/proxies.rs
@@ -5,29 +5,31 @@
 
 use rand::Rng;
 use violetwind_consensus::Millis;
-use violetwind_fleet::work::{List, Local, Staff, Work};
-use violetwind_fleet::{Call, Input, Name, Number};
-use violetwind_workorders::{Belief, Bounds, Machine, Order, Phase, Report, Server, Spans};
+use violetwind_fleet::work_orders::{LocalWorkStatus, MachineList, WorkAction, WorkState};
+use violetwind_fleet::{Input, Name, Number, OperatorCall};
+use violetwind_workorders::{
+    Bounds, Machine, MachineAvailability, MachineReport, Phase, PhaseTimeouts, Server, WorkOrder,
+};
 
-use super::{Planted, World};
+use super::{InjectedBug, World};
 
 /// One proxy. What is on disk outlives its process.
 #[derive(Clone, Debug, Default)]
 pub struct Proxy {
-    kept: Belief,
-    belief: Belief,
+    kept: MachineAvailability,
+    belief: MachineAvailability,
     clients: BTreeMap<Name, u64>,
     /// Lists on their way to the disk.
-    writes: VecDeque<(Millis, Number, List)>,
+    writes: VecDeque<(Millis, Number, MachineList)>,
 }
 
 /// Machines, staff, and the books.
 #[derive(Clone, Debug, Default)]
-pub struct Shift {
+pub struct Maintenance {
     pub machines: BTreeMap<Name, Machine>,
-    pub most: u32,
+    pub max_machines_out: u32,
     /// What staff want; they say it again until it is planned.
-    wanted: Option<Order>,
+    wanted: Option<WorkOrder>,
     proxies: BTreeMap<Name, Proxy>,
     /// Machines that are down, and those that are back and cold until then.
     down: BTreeSet<Name>,
@@ -36,8 +38,8 @@
     emptied: BTreeMap<Name, u32>,
     /// How far the orders were when they were last looked at: who starts anew reads them from the beginning.
     seen: (Number, Number),
-    pub done: usize,
-    pub steps: usize,
+    pub machines_done: usize,
+    pub machine_steps: usize,
 }
 
 impl Proxy {
@@ -65,81 +67,93 @@
             proxy: None,
         };
         let machines = (0..count).map(|at| (format!("m-{at}"), machine(at)));
-        self.shift = Some(Shift {
+        self.maintenance = Some(Maintenance {
             machines: machines.collect(),
-            most: bounds.most,
+            max_machines_out: bounds.max_out,
             proxies: self
                 .hosts
                 .keys()
                 .map(|name| (name.clone(), Proxy::default()))
                 .collect(),
-            ..Shift::default()
+            ..Maintenance::default()
         });
-        self.duties.push(violetwind_fleet::work::DUTY.into());
+        self.duties
+            .push(violetwind_fleet::work_orders::WORK_DUTY.into());
         let hosts: Vec<Name> = self.hosts.keys().cloned().collect();
         for name in hosts {
-            self.kill(&name);
-            self.start(&name);
+            self.kill_process(&name);
+            self.start_process(&name);
         }
         self
     }
 
     /// Staff call for work on all machines at some member.
     pub fn plan_work(&mut self, at: &str, name: &str, bounds: Bounds) {
-        let machines = self.shift.iter().flat_map(|shift| shift.machines.keys());
-        let order = Order {
+        let machines = self
+            .maintenance
+            .iter()
+            .flat_map(|shift| shift.machines.keys());
+        let order = WorkOrder {
             name: name.into(),
             machines: machines.cloned().collect(),
             bounds,
-            spans: Spans {
-                leave: 20_000,
-                work: 20_000,
-                back: 20_000,
+            timeouts: PhaseTimeouts {
+                drain_timeout: 20_000,
+                work_timeout: 20_000,
+                return_timeout: 20_000,
             },
             not_before: 0,
-            wait: true,
+            waits_for_done: true,
             paused: false,
             cancelled: false,
         };
-        if let Some(shift) = &mut self.shift {
+        if let Some(shift) = &mut self.maintenance {
             shift.wanted = Some(order.clone());
         }
-        self.call(at, Call::Staff(Staff::Plan(order)));
+        self.submit_call(at, OperatorCall::WorkAction(WorkAction::Plan(order)));
     }
 
     /// The orders as whoever has applied the most has them.
-    pub fn work_state(&self) -> Option<&Work> {
+    pub fn work_state(&self) -> Option<&WorkState> {
         let members = self.hosts.values().filter_map(|host| host.member.as_ref());
         let states = members.filter_map(|member| Some(member.state()?.work()));
-        states.max_by_key(|work| (work.version, work.roster))
+        states.max_by_key(|work| (work.version, work.roster_version))
     }
 
-    pub(super) fn proxy_killed(&mut self, name: &str) {
-        let forgets = self.planted == Planted::ServesUnlisted;
-        if let Some(proxy) = self.shift.as_mut().and_then(|s| s.proxies.get_mut(name)) {
+    pub(super) fn restart_proxy(&mut self, name: &str) {
+        let forgets = self.injected_bug == InjectedBug::ServesUnlisted;
+        if let Some(proxy) = self
+            .maintenance
+            .as_mut()
+            .and_then(|s| s.proxies.get_mut(name))
+        {
             if forgets {
-                proxy.kept = Belief::default();
+                proxy.kept = MachineAvailability::default();
             }
             proxy.restart();
         }
     }
 
-    pub(super) fn proxy_told(&mut self, name: &str, version: Number, list: List) {
-        let sync = self.hosts[name].sync;
+    pub(super) fn queue_list_write(&mut self, name: &str, version: Number, list: MachineList) {
+        let sync = self.hosts[name].sync_latency;
         let due = self.now + sync;
-        if let Some(proxy) = self.shift.as_mut().and_then(|s| s.proxies.get_mut(name)) {
+        if let Some(proxy) = self
+            .maintenance
+            .as_mut()
+            .and_then(|s| s.proxies.get_mut(name))
+        {
             proxy.writes.push_back((due, version, list));
         }
     }
 
     /// A step of one proxy that runs.
-    pub(super) fn serve(&mut self, name: &str) {
-        let Some(mut shift) = self.shift.take() else {
+    pub(super) fn step_proxy(&mut self, name: &str) {
+        let Some(mut shift) = self.maintenance.take() else {
             return;
         };
         let runs = self.hosts[name].member.is_some();
         let proxy = shift.proxies.get_mut(name).expect("one of each member");
-        let hasty = self.planted == Planted::HastyProxy;
+        let hasty = self.injected_bug == InjectedBug::HastyProxy;
         while runs
             && proxy
                 .writes
@@ -147,26 +161,28 @@
                 .is_some_and(|(due, ..)| *due <= self.now)
         {
             let (_, version, list) = proxy.writes.pop_front().expect("just seen");
-            let forgets = self.planted == Planted::ForgetfulProxy && proxy.kept.at() > 0;
+            let forgets =
+                self.injected_bug == InjectedBug::ForgetfulProxy && proxy.kept.list_version() > 0;
             if !forgets {
-                proxy.kept.hear(version, list.clone());
+                proxy.kept.apply_list(version, list.clone());
             }
             // One that confirms first and closes some time later.
             if !hasty || self.rng.random_bool(0.05) {
-                proxy.belief.hear(version, list);
+                proxy.belief.apply_list(version, list);
             }
         }
         // One that knows no list serves nobody yet.
-        let listed = proxy.belief.at() > 0 || self.planted == Planted::ServesUnlisted;
+        let listed =
+            proxy.belief.list_version() > 0 || self.injected_bug == InjectedBug::ServesUnlisted;
         if runs && listed && self.rng.random_bool(0.2) {
             let at = self.rng.random_range(0..shift.machines.len());
             let to = shift.machines.keys().nth(at).expect("in range").clone();
-            if !proxy.belief.closed(&to) && !shift.down.contains(&to) {
+            if !proxy.belief.is_closed(&to) && !shift.down.contains(&to) {
                 *proxy.clients.entry(to).or_default() += 1;
             }
         }
         for (machine, clients) in &mut proxy.clients {
-            let leaves = proxy.belief.closed(machine) || *clients > 3;
+            let leaves = proxy.belief.is_closed(machine) || *clients > 3;
             if leaves && self.rng.random_bool(0.1) {
                 *clients = clients.saturating_sub(1);
             }
@@ -174,15 +190,17 @@
         let report = runs && self.rng.random_bool(0.1);
         let local = report.then(|| shift.local(name, self.now, hasty));
         shift.cold.retain(|_, until| *until > self.now);
-        self.shift = Some(shift);
+        self.maintenance = Some(shift);
         if let Some(local) = local {
-            self.input(name, Input::Work(local));
+            self.handle_input(name, Input::LocalWorkStatus(local));
         }
     }
 
     /// Staff at some member: what is empty is worked on, what has failed is looked after.
-    pub(super) fn staff(&mut self) {
-        let Some(shift) = &self.shift else { return };
+    pub(super) fn issue_work_commands(&mut self) {
+        let Some(shift) = &self.maintenance else {
+            return;
+        };
         if !self.rng.random_bool(0.02) {
             return;
         }
@@ -191,25 +209,27 @@
         };
         let places = work.orders.orders().values().flat_map(|(_, places)| places);
         let words = places.filter_map(|(name, place)| match place.phase {
-            Phase::Empty => Some(Staff::Done(name.clone())),
-            Phase::Failed(_) => Some(Staff::Recall(name.clone())),
+            Phase::Drained => Some(WorkAction::MarkDone(name.clone())),
+            Phase::Failed(_) => Some(WorkAction::Recall(name.clone())),
             _ => None,
         });
-        let mut words: Vec<Staff> = words.collect();
-        if work.orders.orders().is_empty() && work.orders.ended().is_empty() {
-            words.extend(shift.wanted.clone().map(Staff::Plan));
+        let mut words: Vec<WorkAction> = words.collect();
+        if work.orders.orders().is_empty() && work.orders.ended_orders().is_empty() {
+            words.extend(shift.wanted.clone().map(WorkAction::Plan));
         }
         let at: Vec<Name> = shift.proxies.keys().cloned().collect();
         let at = at[self.rng.random_range(0..at.len())].clone();
         if !words.is_empty() {
             let word = words[self.rng.random_range(0..words.len())].clone();
-            self.call(&at, Call::Staff(word));
+            self.submit_call(&at, OperatorCall::WorkAction(word));
         }
     }
 
     /// Machines die and come back.
-    pub(super) fn machine_fault(&mut self, number: usize) {
-        let Some(shift) = &mut self.shift else { return };
+    pub(super) fn toggle_machine(&mut self, number: usize) {
+        let Some(shift) = &mut self.maintenance else {
+            return;
+        };
         let at = number % shift.machines.len();
         let name = shift.machines.keys().nth(at).expect("in range").clone();
         if !shift.down.remove(&name) && shift.down.is_empty() {
@@ -220,82 +240,88 @@
         }
     }
 
-    pub(super) fn machines(&self) -> usize {
-        self.shift.as_ref().map_or(0, |shift| shift.machines.len())
+    pub(super) fn machine_count(&self) -> usize {
+        self.maintenance
+            .as_ref()
+            .map_or(0, |shift| shift.machines.len())
     }
 
-    pub(super) fn machines_up(&mut self) {
-        if let Some(shift) = &mut self.shift {
+    pub(super) fn restore_machines(&mut self) {
+        if let Some(shift) = &mut self.maintenance {
             shift.down.clear();
         }
     }
 
     pub(super) fn check_work(&mut self) {
-        let Some(mut shift) = self.shift.take() else {
+        let Some(mut shift) = self.maintenance.take() else {
             return;
         };
         let wrong = match self.work_state() {
             Some(work) => shift.check(work, self.now, &self.hosts),
             None => None,
         };
-        self.shift = Some(shift);
+        self.maintenance = Some(shift);
         if let Some(what) = wrong {
-            self.found(what);
+            self.record_violation(what);
         }
     }
 }
 
-impl Shift {
-    fn local(&self, name: &str, now: Millis, hasty: bool) -> Local {
+impl Maintenance {
+    fn local(&self, name: &str, now: Millis, hasty: bool) -> LocalWorkStatus {
         let proxy = &self.proxies[name];
         let belief = if hasty { &proxy.kept } else { &proxy.belief };
         let reports = belief.machines().filter_map(|machine| {
             let clients = proxy.clients.get(machine).copied().unwrap_or(0);
             let warm = !self.down.contains(machine) && !self.cold.contains_key(machine);
-            let report: Report = belief.report(machine, if hasty { 0 } else { clients }, warm)?;
+            let report: MachineReport =
+                belief.report(machine, if hasty { 0 } else { clients }, warm)?;
             Some((machine.clone(), report))
         });
         let up = self
             .machines
             .keys()
             .filter(|name| !self.down.contains(*name));
-        Local {
-            heard: belief.at(),
+        LocalWorkStatus {
+            list_version: belief.list_version(),
             reports: reports.collect(),
             machines: self.machines.clone(),
-            up: up.cloned().collect(),
-            shut: BTreeSet::new(),
-            serves_nobody: false,
-            wall: now,
+            up_machines: up.cloned().collect(),
+            closed_machines: BTreeSet::new(),
+            has_stopped_serving: false,
+            unix_time_ms: now,
         }
     }
 
     /// The books against what whoever knows most has.
     fn check(
         &mut self,
-        work: &Work,
+        work: &WorkState,
         now: Millis,
         hosts: &BTreeMap<Name, super::Host>,
     ) -> Option<String> {
-        if (work.version, work.roster) < self.seen {
+        if (work.version, work.roster_version) < self.seen {
             return None;
         }
-        self.seen = (work.version, work.roster);
-        let mut out: BTreeSet<&Name> = work.orders.out().into_keys().collect();
+        self.seen = (work.version, work.roster_version);
+        let mut out: BTreeSet<&Name> = work.orders.machines_out().into_keys().collect();
         for (name, proxy) in &self.proxies {
             if hosts[name].member.is_some() {
                 let closed = proxy.belief.machines();
-                out.extend(closed.filter(|machine| proxy.belief.closed(machine)));
+                out.extend(closed.filter(|machine| proxy.belief.is_closed(machine)));
             }
         }
-        if out.len() > self.most as usize {
-            return Some(format!("Never Too Many Out: {out:?} of {}", self.most));
+        if out.len() > self.max_machines_out as usize {
+            return Some(format!(
+                "Never Too Many Out: {out:?} of {}",
+                self.max_machines_out
+            ));
         }
         for (_, places) in work.orders.orders().values() {
             for (name, place) in places {
                 let known = (place.version, place.phase.clone());
                 let before = self.phases.insert(name.clone(), known.clone());
-                if place.phase == Phase::Empty {
+                if place.phase == Phase::Drained {
                     let at = self.proxies.iter().filter(|(_, proxy)| {
                         proxy.clients.get(name).is_some_and(|clients| *clients > 0)
                     });
@@ -307,9 +333,9 @@
                 if before == Some(known) {
                     continue;
                 }
-                self.steps += 1;
+                self.machine_steps += 1;
                 match place.phase {
-                    Phase::Empty => {
+                    Phase::Drained => {
                         let times = self.emptied.entry(name.clone()).or_default();
                         *times += 1;
                         if *times > 1 {
@@ -319,7 +345,7 @@
                     Phase::Returning { .. } => {
                         self.cold.insert(name.clone(), now + 300);
                     }
-                    Phase::Done => self.done += 1,
+                    Phase::Done => self.machines_done += 1,
                     _ => {}
                 }
             }
--- a/crates/storm/src/lib.rs
+++ b/crates/storm/src/lib.rs
@@ -3,9 +3,9 @@
 //! all. The books are kept here, outside of what is tried, and each of them is shown to find an error that is
 //! planted in the host.
 
-pub mod explore;
+pub mod explorer;
 pub mod fleet;
-pub mod linear;
-pub mod log;
-pub mod night;
+pub mod linearizability;
+pub mod replicated_log;
 pub mod script;
+pub mod work_orders;
--- a/crates/storm/src/log.rs
+++ b/crates/storm/src/replicated_log.rs
@@ -5,15 +5,15 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use violetwind_consensus::{
-    Body, Change, Disk, Entry, Index, Input, Limits, Member, Members, Message, Millis, Node,
-    NodeId, Output, Payload, Refused, Role, Term, Write,
+    DurableState, DurableWrite, Entry, Index, Input, Limits, Member, Members, MembershipChange,
+    Message, MessageBody, Millis, Node, NodeId, Output, Payload, Rejection, Role, Term,
 };
 
-pub const STEP: Millis = 5;
+pub const STEP_INTERVAL: Millis = 5;
 
 /// What is wrong with a host on purpose, so that the books can be shown to find it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Planted {
+pub enum InjectedBug {
     #[default]
     Nothing,
     /// Writes are acknowledged before they are synced.
@@ -26,12 +26,12 @@
 
 pub struct Host {
     pub node: Option<Node>,
-    pub disk: Disk,
-    pub unsynced: VecDeque<(Millis, Write)>,
-    pub stopped: Millis,
-    pub back: Option<Millis>,
-    pub sync: Millis,
-    pub applied: Index,
+    pub disk: DurableState,
+    pub unsynced: VecDeque<(Millis, DurableWrite)>,
+    pub stopped_until: Millis,
+    pub restart_at: Option<Millis>,
+    pub sync_latency: Millis,
+    pub applied_index: Index,
     pub state: Vec<u64>,
     pub stale: bool,
 }
@@ -44,26 +44,26 @@
     queue: BinaryHeap<std::cmp::Reverse<(Millis, u64, NodeId, NodeId)>>,
     flying: BTreeMap<u64, Message>,
     sent: u64,
-    pub cut: BTreeSet<(NodeId, NodeId)>,
-    pub loss: f64,
-    pub repeat: f64,
-    pub delay: (Millis, Millis),
-    pub planted: Planted,
+    pub cut_links: BTreeSet<(NodeId, NodeId)>,
+    pub loss_rate: f64,
+    pub duplicate_rate: f64,
+    pub delay_range: (Millis, Millis),
+    pub injected_bug: InjectedBug,
     /// How often a node is killed at a write it asks for, or at a vote it gives.
-    pub kill_at_write: f64,
-    pub kill_at_vote: f64,
+    pub kill_on_write_rate: f64,
+    pub kill_on_vote_rate: f64,
     // The books.
     pub leaders: BTreeMap<Term, NodeId>,
     pub committed: BTreeMap<Index, Entry>,
-    pub elections: usize,
+    pub elections_won: usize,
     pub commits: u64,
     reads: BTreeMap<u64, Index>,
     next_command: u64,
-    pub read: usize,
-    pub wrong: Option<String>,
+    pub reads_completed: usize,
+    pub violation: Option<String>,
 }
 
-pub fn ids(count: u64) -> Vec<NodeId> {
+pub fn node_ids(count: u64) -> Vec<NodeId> {
     (1..=count).map(NodeId).collect()
 }
 
@@ -74,109 +74,109 @@
                 id,
                 Member {
                     name: format!("node-{}", id.0),
-                    votes: true,
+                    is_voter: true,
                 },
             )
         };
-        let members = Members(ids(voters).into_iter().map(member).collect());
+        let members = Members(node_ids(voters).into_iter().map(member).collect());
         let mut world = Self {
             now: 1000,
             rng: Pcg32::seed_from_u64(seed),
             limits: Limits {
-                piece_bytes: 256,
-                batch_bytes: 256,
+                snapshot_chunk_bytes: 256,
+                max_batch_bytes: 256,
                 ..Limits::default()
             },
             hosts: BTreeMap::new(),
             queue: BinaryHeap::new(),
             flying: BTreeMap::new(),
             sent: 0,
-            cut: BTreeSet::new(),
-            loss: 0.0,
-            repeat: 0.0,
-            delay: (0, 10),
-            planted: Planted::Nothing,
-            kill_at_write: 0.0,
-            kill_at_vote: 0.0,
+            cut_links: BTreeSet::new(),
+            loss_rate: 0.0,
+            duplicate_rate: 0.0,
+            delay_range: (0, 10),
+            injected_bug: InjectedBug::Nothing,
+            kill_on_write_rate: 0.0,
+            kill_on_vote_rate: 0.0,
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
-            elections: 0,
+            elections_won: 0,
             commits: 0,
             reads: BTreeMap::new(),
             next_command: 0,
-            read: 0,
-            wrong: None,
+            reads_completed: 0,
+            violation: None,
         };
-        for id in ids(voters) {
-            world.add(id, Disk::genesis(members.clone()));
+        for id in node_ids(voters) {
+            world.add_host(id, DurableState::bootstrap(members.clone()));
         }
         world
     }
 
-    pub fn add(&mut self, id: NodeId, disk: Disk) {
+    pub fn add_host(&mut self, id: NodeId, disk: DurableState) {
         let host = Host {
             node: None,
             disk,
             unsynced: VecDeque::new(),
-            stopped: 0,
-            back: None,
-            sync: 2,
-            applied: 0,
+            stopped_until: 0,
+            restart_at: None,
+            sync_latency: 2,
+            applied_index: 0,
             state: Vec::new(),
             stale: false,
         };
         self.hosts.insert(id, host);
-        self.start(id);
+        self.start_process(id);
     }
 
-    pub fn start(&mut self, id: NodeId) {
+    pub fn start_process(&mut self, id: NodeId) {
         let seed = self.rng.random();
         let host = self.hosts.get_mut(&id).unwrap();
         let node = Node::new(id, host.disk.clone(), self.limits.clone(), seed, self.now);
-        (host.node, host.back, host.stopped) = (Some(node), None, 0);
-        (host.applied, host.state) = (0, Vec::new());
-        self.carry_out(id);
+        (host.node, host.restart_at, host.stopped_until) = (Some(node), None, 0);
+        (host.applied_index, host.state) = (0, Vec::new());
+        self.process_outputs(id);
     }
 
     /// SIGKILL: what is not synced is lost, or a part of it is not.
-    pub fn kill(&mut self, id: NodeId) {
+    pub fn kill_process(&mut self, id: NodeId) {
         let kept = self.rng.random_range(0..=2);
-        let planted = self.planted;
+        let planted = self.injected_bug;
         let host = self.hosts.get_mut(&id).unwrap();
         host.node = None;
         for (_, write) in host.unsynced.drain(..).take(kept) {
-            if planted != Planted::AckBeforeSync {
+            if planted != InjectedBug::AckBeforeSync {
                 host.disk.apply(write).unwrap();
             }
         }
-        if planted == Planted::EmptiedUnderItsName {
+        if planted == InjectedBug::EmptiedUnderItsName {
             let snapshot = host
                 .disk
                 .snapshot
                 .clone()
                 .filter(|snapshot| snapshot.index == 0);
-            host.disk = Disk {
+            host.disk = DurableState {
                 snapshot,
-                ..Disk::default()
+                ..DurableState::default()
             };
         }
         host.unsynced.clear();
     }
 
-    pub fn run(&mut self, millis: Millis) {
+    pub fn run_for(&mut self, millis: Millis) {
         let until = self.now + millis;
-        while self.now < until && self.wrong.is_none() {
+        while self.now < until && self.violation.is_none() {
             self.step();
         }
     }
 
     pub fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_INTERVAL;
         let ids: Vec<NodeId> = self.hosts.keys().copied().collect();
         for id in &ids {
             let host = self.hosts.get_mut(id).unwrap();
-            if host.back.is_some_and(|back| self.now >= back) {
-                self.start(*id);
+            if host.restart_at.is_some_and(|back| self.now >= back) {
+                self.start_process(*id);
             }
         }
         // What was due while a process was stopped comes after it goes on.
@@ -189,15 +189,15 @@
             let Some(host) = self.hosts.get(&to) else {
                 continue;
             };
-            if host.stopped > self.now && host.node.is_some() {
-                self.fly(host.stopped, from, to, message);
+            if host.stopped_until > self.now && host.node.is_some() {
+                self.fly(host.stopped_until, from, to, message);
                 continue;
             }
-            self.input(to, Input::Message(from, message));
+            self.handle_input(to, Input::Message(from, message));
         }
         for id in ids {
             let host = self.hosts.get_mut(&id).unwrap();
-            if host.stopped > self.now {
+            if host.stopped_until > self.now {
                 continue;
             }
             let mut synced = None;
@@ -211,9 +211,9 @@
                 host.disk.apply(write).unwrap();
             }
             if let Some(seq) = synced {
-                self.input(id, Input::Persisted(seq));
+                self.handle_input(id, Input::Persisted(seq));
             }
-            self.input(id, Input::Tick);
+            self.handle_input(id, Input::Tick);
         }
     }
 
@@ -224,44 +224,50 @@
             .push(std::cmp::Reverse((due, self.sent, from, to)));
     }
 
-    pub fn input(&mut self, id: NodeId, input: Input) {
+    pub fn handle_input(&mut self, id: NodeId, input: Input) {
         let now = self.now;
         if let Some(node) = self.hosts.get_mut(&id).and_then(|host| host.node.as_mut()) {
             node.handle(now, input);
-            self.carry_out(id);
+            self.process_outputs(id);
         }
     }
 
     fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
-        if self.cut.contains(&(from, to)) || self.rng.random_bool(self.loss) {
+        if self.cut_links.contains(&(from, to)) || self.rng.random_bool(self.loss_rate) {
             return;
         }
-        if self.rng.random_bool(self.repeat) {
-            let due = self.now + self.rng.random_range(self.delay.0..=4 * self.delay.1);
+        if self.rng.random_bool(self.duplicate_rate) {
+            let due = self.now
+                + self
+                    .rng
+                    .random_range(self.delay_range.0..=4 * self.delay_range.1);
             self.fly(due, from, to, message.clone());
         }
-        let due = self.now + self.rng.random_range(self.delay.0..=self.delay.1);
+        let due = self.now
+            + self
+                .rng
+                .random_range(self.delay_range.0..=self.delay_range.1);
         self.fly(due, from, to, message);
     }
 
-    pub fn carry_out(&mut self, id: NodeId) {
+    pub fn process_outputs(&mut self, id: NodeId) {
         let node = self.hosts.get_mut(&id).and_then(|host| host.node.as_mut());
         let Some(node) = node else { return };
         let (term, role) = (node.status().term, node.status().role);
         let mut dies = false;
-        for output in node.outputs() {
+        for output in node.take_outputs() {
             match output {
                 Output::Send(to, message) => {
-                    let voted = message.body == Body::Voted { granted: true };
-                    dies |= voted && self.rng.random_bool(self.kill_at_vote);
+                    let voted = message.body == MessageBody::VoteResponse { granted: true };
+                    dies |= voted && self.rng.random_bool(self.kill_on_vote_rate);
                     self.send(id, to, message);
                 }
                 Output::Write(write) => {
-                    dies |= self.rng.random_bool(self.kill_at_write);
+                    dies |= self.rng.random_bool(self.kill_on_write_rate);
                     let host = self.hosts.get_mut(&id).unwrap();
-                    let due = self.now + host.sync;
+                    let due = self.now + host.sync_latency;
                     let seq = write.seq;
-                    if self.planted == Planted::AckBeforeSync {
+                    if self.injected_bug == InjectedBug::AckBeforeSync {
                         host.unsynced.push_back((due + 50, write));
                         host.node
                             .as_mut()
@@ -274,44 +280,44 @@
                 Output::Committed(entries) => entries
                     .into_iter()
                     .for_each(|entry| self.committed(id, entry)),
-                Output::Restored(snapshot) => {
+                Output::SnapshotInstalled(snapshot) => {
                     let host = self.hosts.get_mut(&id).unwrap();
                     host.state = snapshot
                         .data
                         .chunks(8)
                         .map(|b| u64::from_le_bytes(b.try_into().unwrap()))
                         .collect();
-                    host.applied = snapshot.index;
+                    host.applied_index = snapshot.index;
                     let state = self.hosts[&id].state.clone();
                     if state != self.expected(snapshot.index) {
-                        self.found(format!(
+                        self.record_violation(format!(
                             "State Machine Safety: {id:?} is restored to what was never"
                         ));
                     }
                 }
-                Output::Leads(_) => self.elections += 1,
-                Output::Read(token, index) => {
-                    self.read += 1;
+                Output::LeaderReady(_) => self.elections_won += 1,
+                Output::ReadReady(token, index) => {
+                    self.reads_completed += 1;
                     if let Some(least) = self.reads.remove(&token)
                         && index < least
                     {
-                        self.found(format!(
+                        self.record_violation(format!(
                             "Read Index: {id:?} reads at {index}, {least} was committed before"
                         ));
                     }
                 }
                 Output::Stale { .. } => self.hosts.get_mut(&id).unwrap().stale = true,
-                Output::Follows(_) | Output::ReadFailed(_) => {}
+                Output::SteppedDown(_) | Output::ReadFailed(_) => {}
             }
         }
         if dies {
-            self.kill(id);
-            self.hosts.get_mut(&id).unwrap().back = Some(self.now + STEP);
+            self.kill_process(id);
+            self.hosts.get_mut(&id).unwrap().restart_at = Some(self.now + STEP_INTERVAL);
         }
         if role == Role::Leader {
             let first = *self.leaders.entry(term).or_insert(id);
             if first != id {
-                self.found(format!(
+                self.record_violation(format!(
                     "Election Safety: {first:?} and {id:?} lead in term {term}"
                 ));
             }
@@ -333,13 +339,13 @@
 
     fn committed(&mut self, id: NodeId, entry: Entry) {
         let host = self.hosts.get_mut(&id).unwrap();
-        let skips = self.planted == Planted::SkipsEntry && entry.index.is_multiple_of(50);
-        if entry.index != host.applied + 1 {
-            let applied = host.applied;
-            self.found(format!("{id:?} applies {} after {applied}", entry.index));
+        let skips = self.injected_bug == InjectedBug::SkipsEntry && entry.index.is_multiple_of(50);
+        if entry.index != host.applied_index + 1 {
+            let applied = host.applied_index;
+            self.record_violation(format!("{id:?} applies {} after {applied}", entry.index));
             return;
         }
-        host.applied = entry.index;
+        host.applied_index = entry.index;
         if let Payload::Command(bytes) = &entry.payload
             && !skips
         {
@@ -349,7 +355,7 @@
         match self.committed.get(&entry.index) {
             Some(known) if *known != entry => {
                 let index = entry.index;
-                self.found(format!(
+                self.record_violation(format!(
                     "State Machine Safety: {id:?} commits another entry at {index}"
                 ));
             }
@@ -361,81 +367,90 @@
         }
     }
 
-    pub fn found(&mut self, what: String) {
+    pub fn record_violation(&mut self, what: String) {
         let at = self.now;
-        self.wrong.get_or_insert(format!("{at} ms: {what}"));
+        self.violation.get_or_insert(format!("{at} ms: {what}"));
     }
 
     pub fn leader(&self) -> Option<NodeId> {
         let leads = |(id, host): (&NodeId, &Host)| {
             let node = host.node.as_ref()?;
-            (node.leads() && host.stopped <= self.now).then_some((node.status().term, *id))
+            (node.is_ready_leader() && host.stopped_until <= self.now)
+                .then_some((node.status().term, *id))
         };
         self.hosts.iter().filter_map(leads).max().map(|(_, id)| id)
     }
 
-    pub fn propose(&mut self, id: NodeId) -> Result<(Term, Index), Refused> {
+    pub fn propose(&mut self, id: NodeId) -> Result<(Term, Index), Rejection> {
         self.next_command += 1;
         let mut command = self.next_command.to_le_bytes().to_vec();
         command.resize(40, 0);
         let node = self.hosts.get_mut(&id).and_then(|host| host.node.as_mut());
-        let result = node.map_or(Err(Refused::NotLeader(None)), |node| node.propose(command));
-        self.carry_out(id);
+        let result = node.map_or(Err(Rejection::NotLeader(None)), |node| {
+            node.propose(command)
+        });
+        self.process_outputs(id);
         result
     }
 
-    pub fn read(&mut self, id: NodeId) {
+    pub fn request_read(&mut self, id: NodeId) {
         let least = self.committed.keys().last().copied().unwrap_or(0);
         self.next_command += 1;
         let token = self.next_command;
         let node = self.hosts.get_mut(&id).and_then(|host| host.node.as_mut());
-        if node.is_some_and(|node| node.read(token).is_ok()) {
+        if node.is_some_and(|node| node.request_read(token).is_ok()) {
             self.reads.insert(token, least);
         }
-        self.carry_out(id);
+        self.process_outputs(id);
     }
 
-    pub fn compact(&mut self, id: NodeId) {
+    pub fn compact_log(&mut self, id: NodeId) {
         let host = self.hosts.get_mut(&id).unwrap();
-        let (applied, state) = (host.applied, host.state.clone());
+        let (applied, state) = (host.applied_index, host.state.clone());
         if let Some(node) = host.node.as_mut() {
             let data = state.iter().flat_map(|n| n.to_le_bytes()).collect();
             node.compact(applied, data);
         }
-        self.carry_out(id);
+        self.process_outputs(id);
     }
 
-    pub fn change(&mut self, id: NodeId, change: Change) -> Result<(Term, Index), Refused> {
+    pub fn change_membership(
+        &mut self,
+        id: NodeId,
+        change: MembershipChange,
+    ) -> Result<(Term, Index), Rejection> {
         let node = self.hosts.get_mut(&id).and_then(|host| host.node.as_mut());
-        let result = node.map_or(Err(Refused::NotLeader(None)), |node| node.change(change));
-        self.carry_out(id);
+        let result = node.map_or(Err(Rejection::NotLeader(None)), |node| {
+            node.change_membership(change)
+        });
+        self.process_outputs(id);
         result
     }
 
     /// A day of trouble, drawn by the seed, and then quiet: all has to be in agreement again.
-    pub fn trouble(&mut self, millis: Millis) {
+    pub fn run_random_faults(&mut self, millis: Millis) {
         let until = self.now + millis;
         let ids: Vec<NodeId> = self.hosts.keys().copied().collect();
         let any = |rng: &mut Pcg32| ids[rng.random_range(0..ids.len())];
-        self.loss = [0.0, 0.0, 0.05, 0.2][self.rng.random_range(0..4)];
-        self.repeat = [0.0, 0.1][self.rng.random_range(0..2)];
-        self.delay = [(0, 5), (0, 20), (10, 150)][self.rng.random_range(0..3)];
-        self.kill_at_write = [0.0, 0.003, 0.03][self.rng.random_range(0..3)];
-        self.kill_at_vote = [0.0, 0.2, 0.8][self.rng.random_range(0..3)];
-        while self.now < until && self.wrong.is_none() {
+        self.loss_rate = [0.0, 0.0, 0.05, 0.2][self.rng.random_range(0..4)];
+        self.duplicate_rate = [0.0, 0.1][self.rng.random_range(0..2)];
+        self.delay_range = [(0, 5), (0, 20), (10, 150)][self.rng.random_range(0..3)];
+        self.kill_on_write_rate = [0.0, 0.003, 0.03][self.rng.random_range(0..3)];
+        self.kill_on_vote_rate = [0.0, 0.2, 0.8][self.rng.random_range(0..3)];
+        while self.now < until && self.violation.is_none() {
             match self.rng.random_range(0..100) {
                 0..2 => {
                     let (id, away) = (any(&mut self.rng), self.rng.random_range(1..2000));
-                    self.kill(id);
-                    self.hosts.get_mut(&id).unwrap().back = Some(self.now + away);
+                    self.kill_process(id);
+                    self.hosts.get_mut(&id).unwrap().restart_at = Some(self.now + away);
                 }
                 2..4 => {
                     let (id, away) = (any(&mut self.rng), self.rng.random_range(100..2500));
-                    self.hosts.get_mut(&id).unwrap().stopped = self.now + away;
+                    self.hosts.get_mut(&id).unwrap().stopped_until = self.now + away;
                 }
                 4..8 => {
                     let (a, b) = (any(&mut self.rng), any(&mut self.rng));
-                    self.cut.insert((a, b));
+                    self.cut_links.insert((a, b));
                 }
                 8..10 => {
                     let side: BTreeSet<NodeId> = ids
@@ -446,24 +461,24 @@
                     for a in &ids {
                         for b in &ids {
                             if side.contains(a) != side.contains(b) {
-                                self.cut.insert((*a, *b));
+                                self.cut_links.insert((*a, *b));
                             }
                         }
                     }
                 }
-                10..16 => self.cut.clear(),
+                10..16 => self.cut_links.clear(),
                 16..18 => {
                     let (id, sync) = (any(&mut self.rng), self.rng.random_range(1..800));
-                    self.hosts.get_mut(&id).unwrap().sync = sync;
+                    self.hosts.get_mut(&id).unwrap().sync_latency = sync;
                 }
                 18..20 => {
                     let id = any(&mut self.rng);
-                    self.compact(id);
+                    self.compact_log(id);
                 }
                 20..21 => {
                     for id in &ids {
-                        self.kill(*id);
-                        self.hosts.get_mut(id).unwrap().back = Some(self.now + 50);
+                        self.kill_process(*id);
+                        self.hosts.get_mut(id).unwrap().restart_at = Some(self.now + 50);
                     }
                 }
                 21..23 => {
@@ -472,7 +487,7 @@
                         .leader()
                         .and_then(|id| self.hosts.get_mut(&id)?.node.as_mut())
                     {
-                        let _ = node.transfer(to);
+                        let _ = node.transfer_leadership(to);
                     }
                 }
                 _ => {}
@@ -484,41 +499,44 @@
                 }
                 if let Some(leader) = self.leader().filter(|_| self.rng.random_bool(0.3)) {
                     let _ = self.propose(leader);
-                    self.read(leader);
+                    self.request_read(leader);
                 }
                 self.step();
             }
         }
-        self.heal();
+        self.heal_and_check();
     }
 
-    pub fn heal(&mut self) {
-        self.cut.clear();
-        (self.loss, self.repeat, self.delay) = (0.0, 0.0, (0, 10));
-        (self.kill_at_write, self.kill_at_vote) = (0.0, 0.0);
+    pub fn heal_and_check(&mut self) {
+        self.cut_links.clear();
+        (self.loss_rate, self.duplicate_rate, self.delay_range) = (0.0, 0.0, (0, 10));
+        (self.kill_on_write_rate, self.kill_on_vote_rate) = (0.0, 0.0);
         for host in self.hosts.values_mut() {
-            (host.stopped, host.sync) = (0, 2);
-            host.back = host.back.map(|back| back.min(self.now + 10));
+            (host.stopped_until, host.sync_latency) = (0, 2);
+            host.restart_at = host.restart_at.map(|back| back.min(self.now + 10));
         }
-        self.run(6000);
-        if self.wrong.is_some() {
+        self.run_for(6000);
+        if self.violation.is_some() {
             return;
         }
         let Some(leader) = self.leader() else {
-            return self.found("Liveness: nobody leads 6 s after the last fault".into());
+            return self.record_violation("Liveness: nobody leads 6 s after the last fault".into());
         };
         if self.propose(leader).is_err() {
-            return self.found("Liveness: the leader takes nothing".into());
+            return self.record_violation("Liveness: the leader takes nothing".into());
         }
-        self.run(1000);
+        self.run_for(1000);
         let last = self.committed.keys().last().copied().unwrap_or(0);
         let behind = self
             .hosts
             .iter()
-            .find(|(_, host)| !host.stale && host.applied != last);
+            .find(|(_, host)| !host.stale && host.applied_index != last);
         if let Some((id, host)) = behind {
-            let what = format!("Liveness: {id:?} has applied {} of {last}", host.applied);
-            return self.found(what);
+            let what = format!(
+                "Liveness: {id:?} has applied {} of {last}",
+                host.applied_index
+            );
+            return self.record_violation(what);
         }
         let expected = self.expected(last);
         if let Some((id, _)) = self
@@ -527,7 +545,7 @@
             .find(|(_, host)| !host.stale && host.state != expected)
         {
             let what = format!("State Machine Safety: {id:?} holds another state");
-            self.found(what);
+            self.record_violation(what);
         }
     }
 }
--- a/crates/storm/src/script.rs
+++ b/crates/storm/src/script.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use violetwind_consensus::Millis;
 use violetwind_fleet::Name;
-use violetwind_fleet::budget::{Def, Kind};
-use violetwind_workorders::{Bounds, Spare};
+use violetwind_fleet::budget::{BudgetDefinition, BudgetKind};
+use violetwind_workorders::{Bounds, FailureTolerance};
 
-use crate::fleet::{Fault, Planted, World, draw, name};
+use crate::fleet::{Fault, InjectedBug, World, generate_fault, node_name};
 
 /// Before the first fault the fleet has so long to form.
-pub const FORM: Millis = 4000;
+pub const FORMATION_TIME: Millis = 4000;
 /// What an order for work may take once nothing fails any more.
 const WORK_ENDS: Millis = 120_000;
 
@@ -42,7 +42,7 @@
     pub lasts: Millis,
     /// In the order of their times, from the start.
     #[serde(default, rename = "fault")]
-    pub faults: Vec<Timed>,
+    pub faults: Vec<TimedFault>,
 }
 
 fn delay() -> (Millis, Millis) {
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Timed {
+pub struct TimedFault {
     pub at: Millis,
     #[serde(flatten)]
     pub fault: Fault,
@@ -58,110 +58,112 @@
 
 /// What a fleet has that a script is drawn for.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct ScriptParameters {
     pub voters: usize,
-    pub others: usize,
+    pub non_voters: usize,
     pub machines: usize,
-    pub budgets: bool,
-    pub lasts: Millis,
+    pub has_budgets: bool,
+    pub fault_duration: Millis,
 }
 
 /// What became of it.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
+pub struct ScriptOutcome {
     /// The first promise that was broken, by name, and when.
-    pub wrong: Option<String>,
-    pub millis: Millis,
-    pub leads: usize,
-    pub gained: usize,
-    pub lost: usize,
-    pub frames: u64,
+    pub violation: Option<String>,
+    pub simulated_ms: Millis,
+    pub elections_won: usize,
+    pub duties_gained: usize,
+    pub duties_lost: usize,
+    pub frames_sent: u64,
     /// Steps of machines, and machines that were worked on.
-    pub steps: usize,
-    pub done: usize,
-    pub taken: usize,
-    pub answers: usize,
+    pub machine_steps: usize,
+    pub machines_done: usize,
+    pub units_taken: usize,
+    pub answer_count: usize,
     /// What members told, in their own words.
-    pub told: Vec<String>,
+    pub event_log: Vec<String>,
     /// Samples for a time line: a moment, who leads, and each member as it was then.
-    pub line: Vec<Moment>,
+    pub timeline: Vec<TimelineSample>,
 }
 
 /// One moment of a time line.
 #[derive(Clone, Debug, Default)]
-pub struct Moment {
+pub struct TimelineSample {
     pub at: Millis,
     /// `L`eads, `h`olds a duty, `.` lives, `x` dead, `s`topped, `c`ut off from some.
-    pub members: Vec<(Name, char)>,
+    pub member_states: Vec<(Name, char)>,
     /// Units in use of the held budget, and machines out.
-    pub in_use: u64,
-    pub out: usize,
+    pub units_in_use: u64,
+    pub machines_out: usize,
 }
 
 fn bounds() -> Bounds {
     Bounds {
-        most: 2,
-        zone_most: 1,
-        floor: 500,
-        spare: Spare::Nothing,
+        max_out: 2,
+        max_out_per_zone: 1,
+        min_capacity_permille: 500,
+        failure_tolerance: FailureTolerance::Nothing,
     }
 }
 
-fn budgets(members: usize) -> Vec<Def> {
-    let def = |name: &str, kind, whole| Def {
+fn budgets(members: usize) -> Vec<BudgetDefinition> {
+    let def = |name: &str, kind, whole| BudgetDefinition {
         name: name.into(),
         kind,
-        whole,
+        total: whole,
         floor: 1,
         window: 1000,
-        members: members as u64,
+        max_members: members as u64,
         version: 1,
     };
     vec![
-        def("held", Kind::Held, 10 + members as u64),
-        def("rate", Kind::Rate, 10 + members as u64),
+        def("held", BudgetKind::Concurrent, 10 + members as u64),
+        def("rate", BudgetKind::Rate, 10 + members as u64),
     ]
 }
 
 impl Script {
     /// The script of a seed.
-    pub fn draw(seed: u64, shape: Shape) -> Self {
+    pub fn generate(seed: u64, shape: ScriptParameters) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed ^ 0x5709_4a11);
-        let names: Vec<Name> = (0..shape.voters + shape.others).map(name).collect();
+        let names: Vec<Name> = (0..shape.voters + shape.non_voters)
+            .map(node_name)
+            .collect();
         let mut faults = Vec::new();
-        let mut at = FORM;
-        while at < FORM + shape.lasts {
+        let mut at = FORMATION_TIME;
+        while at < FORMATION_TIME + shape.fault_duration {
             let duty = "export".to_string();
-            if let Some(fault) = draw(&mut rng, &names, &duty, shape.machines) {
-                faults.push(Timed { at, fault });
+            if let Some(fault) = generate_fault(&mut rng, &names, &duty, shape.machines) {
+                faults.push(TimedFault { at, fault });
             }
-            if shape.others > 0 && rng.random_bool(0.03) {
+            if shape.non_voters > 0 && rng.random_bool(0.03) {
                 let node = names[rng.random_range(shape.voters..names.len())].clone();
                 let by = names[rng.random_range(0..names.len())].clone();
                 let fault = match rng.random_bool(0.5) {
                     true => Fault::PutOut { by, node },
                     false => Fault::LetIn { by, node },
                 };
-                faults.push(Timed { at, fault });
+                faults.push(TimedFault { at, fault });
             }
-            if shape.budgets && rng.random_bool(0.1) {
+            if shape.has_budgets && rng.random_bool(0.1) {
                 let hot = names[rng.random_range(0..names.len())].clone();
                 let even = rng.random_bool(0.2);
                 let fault = Fault::Press { hot, even };
-                faults.push(Timed { at, fault });
+                faults.push(TimedFault { at, fault });
             }
             at += rng.random_range(25..300);
         }
         Self {
             seed,
             voters: shape.voters,
-            others: shape.others,
+            others: shape.non_voters,
             machines: shape.machines,
-            budgets: shape.budgets,
+            budgets: shape.has_budgets,
             loss: [0.0, 0.0, 0.05][rng.random_range(0..3)],
             repeat: [0.0, 0.05][rng.random_range(0..2)],
             delay: [(0, 5), (0, 20), (10, 120)][rng.random_range(0..3)],
-            lasts: FORM + shape.lasts,
+            lasts: FORMATION_TIME + shape.fault_duration,
             faults,
         }
     }
@@ -184,7 +186,7 @@
                     .into(),
             );
         }
-        let names: Vec<Name> = (0..script.voters + script.others).map(name).collect();
+        let names: Vec<Name> = (0..script.voters + script.others).map(node_name).collect();
         for timed in &script.faults {
             if let Some(stranger) = timed
                 .fault
@@ -203,7 +205,7 @@
     }
 
     /// Plays it; `sample` is how often the time line is looked at, 0 for never.
-    pub fn play(&self, planted: Planted, sample: Millis) -> Played {
+    pub fn run(&self, planted: InjectedBug, sample: Millis) -> ScriptOutcome {
         let defs = match self.budgets {
             true => budgets(self.voters + self.others),
             false => Vec::new(),
@@ -213,76 +215,77 @@
             world = world.with_machines(self.machines, bounds());
         }
         if self.budgets {
-            world = world.counted_outside(&["rate"]);
+            world = world.with_external_budgets(&["rate"]);
         }
         let start = world.now;
         let mut line = Vec::new();
-        let run = |world: &mut World, until: Millis, line: &mut Vec<Moment>| {
-            while world.now < start + until && world.wrong.is_none() {
+        let run = |world: &mut World, until: Millis, line: &mut Vec<TimelineSample>| {
+            while world.now < start + until && world.violation.is_none() {
                 world.step();
                 if sample > 0 && (world.now - start).is_multiple_of(sample) {
-                    line.push(world.moment(start));
+                    line.push(world.sample_timeline(start));
                 }
             }
         };
-        run(&mut world, FORM, &mut line);
+        run(&mut world, FORMATION_TIME, &mut line);
         if self.machines > 0 {
-            world.plan_work(&name(0), "storm", bounds());
+            world.plan_work(&node_name(0), "storm", bounds());
         }
-        (world.loss, world.repeat, world.delay) = (self.loss, self.repeat, self.delay);
-        world.looks = self.others > 0;
+        (world.loss_rate, world.duplicate_rate, world.delay_range) =
+            (self.loss, self.repeat, self.delay);
+        world.views_enabled = self.others > 0;
         for timed in &self.faults {
             run(&mut world, timed.at, &mut line);
-            world.strike(&timed.fault);
+            world.inject_fault(&timed.fault);
         }
         run(&mut world, self.lasts, &mut line);
-        world.heal();
-        world.let_all_in();
+        world.heal_and_check();
+        world.admit_all();
         world.check_history();
         if self.machines > 0 {
             let until = world.now + WORK_ENDS;
-            while world.wrong.is_none() && !world.work_ended() {
+            while world.violation.is_none() && !world.work_ended() {
                 if world.now >= until {
-                    world.found("Work Ends: the order comes to no end".into());
+                    world.record_violation("Work Ends: the order comes to no end".into());
                 }
-                world.run(500);
+                world.run_for(500);
             }
         }
         let (steps, done) = world
-            .shift
+            .maintenance
             .as_ref()
-            .map_or((0, 0), |shift| (shift.steps, shift.done));
-        Played {
-            wrong: world.wrong.clone(),
-            millis: world.now - start,
-            leads: world.leads,
-            gained: world.gained,
-            lost: world.lost,
-            frames: world.frames,
-            steps,
-            done,
-            taken: world.taken,
-            answers: world.answers.len(),
-            told: world.told,
-            line,
+            .map_or((0, 0), |shift| (shift.machine_steps, shift.machines_done));
+        ScriptOutcome {
+            violation: world.violation.clone(),
+            simulated_ms: world.now - start,
+            elections_won: world.elections_won,
+            duties_gained: world.duties_gained,
+            duties_lost: world.duties_lost,
+            frames_sent: world.frames_sent,
+            machine_steps: steps,
+            machines_done: done,
+            units_taken: world.units_taken,
+            answer_count: world.answers.len(),
+            event_log: world.event_log,
+            timeline: line,
         }
     }
 
     /// The least of it that still breaks the same promise: faults left out in ever smaller pieces, members and machines,
     /// then times. Plays no more than `most` times.
-    pub fn shrink(&self, planted: Planted, most: usize) -> (Self, usize) {
-        let promise = |played: &Played| {
-            let wrong = played.wrong.as_deref()?;
+    pub fn shrink(&self, planted: InjectedBug, most: usize) -> (Self, usize) {
+        let promise = |played: &ScriptOutcome| {
+            let wrong = played.violation.as_deref()?;
             let (_, what) = wrong.split_once(": ")?;
             Some(what.split(':').next().unwrap_or(what).to_string())
         };
-        let Some(wanted) = promise(&self.play(planted, 0)) else {
+        let Some(wanted) = promise(&self.run(planted, 0)) else {
             return (self.clone(), 1);
         };
         let (mut best, mut played) = (self.clone(), 1);
         let fails = |script: &Self, played: &mut usize| {
             *played += 1;
-            *played <= most && promise(&script.play(planted, 0)).as_ref() == Some(&wanted)
+            *played <= most && promise(&script.run(planted, 0)).as_ref() == Some(&wanted)
         };
         let mut piece = best.faults.len().div_ceil(2).max(1);
         loop {
@@ -312,8 +315,8 @@
         ] {
             let mut less = best.clone();
             change(&mut less);
-            let names: Vec<Name> = (0..less.voters + less.others).map(name).collect();
-            let there = |timed: &Timed| {
+            let names: Vec<Name> = (0..less.voters + less.others).map(node_name).collect();
+            let there = |timed: &TimedFault| {
                 timed
                     .fault
                     .nodes()
@@ -326,7 +329,7 @@
             }
         }
         // No longer than it takes.
-        let last = best.faults.last().map_or(FORM, |timed| timed.at);
+        let last = best.faults.last().map_or(FORMATION_TIME, |timed| timed.at);
         for lasts in [last, last + 500, last + 2000, last + 8000] {
             let less = Self {
                 lasts,
--- a/crates/storm/src/night.rs
+++ b/crates/storm/src/work_orders.rs
@@ -8,7 +8,7 @@
 use violetwind_workorders::*;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Planted {
+pub enum InjectedBug {
     Nothing,
     /// A proxy that confirms before it has closed.
     Hasty,
@@ -19,25 +19,25 @@
 /// What a proxy goes by: the places that it has heard of.
 #[derive(Clone, Default)]
 struct Proxy {
-    belief: Belief,
+    belief: MachineAvailability,
     clients: BTreeMap<Name, u64>,
     cut: bool,
 }
 
 #[derive(Clone, Default)]
 struct Conductor {
-    facts: Facts,
+    facts: PlannerInput,
     in_hand: Vec<(Number, Name, Number, Step)>,
     fence: Number,
     stalled: bool,
 }
 
 /// One fleet, its proxies and its orders. What goes wrong stops after a while, so that it can come to its end.
-pub struct Night {
+pub struct World {
     rng: Pcg64Mcg,
-    planted: Planted,
+    planted: InjectedBug,
     bounds: Bounds,
-    pub orders: Orders,
+    pub orders: WorkOrders,
     proxies: BTreeMap<Name, Proxy>,
     conductors: Vec<Conductor>,
     leads: usize,
@@ -45,15 +45,15 @@
     dead: BTreeSet<Name>,
     cold: BTreeMap<Name, u32>,
     since: BTreeMap<Number, Millis>,
-    pub emptied: BTreeMap<Name, u32>,
-    pub wrong: Option<String>,
+    pub times_emptied: BTreeMap<Name, u32>,
+    pub violation: Option<String>,
     calm: bool,
-    pub most_out: usize,
+    pub peak_machines_out: usize,
     pub tick: Millis,
     /// Clients moved off machines that leave.
-    pub moved: u64,
+    pub clients_moved: u64,
     /// How often somebody has planned.
-    pub plans: u32,
+    pub plan_count: u32,
 }
 
 fn server(machine: usize, kind: usize, room: u64) -> Server {
@@ -66,15 +66,19 @@
 }
 
 /// The same with phases that last longer than a stalled conductor.
-fn kernel(machines: &[Name], bounds: Bounds) -> Order {
+fn kernel(machines: &[Name], bounds: Bounds) -> WorkOrder {
     let names: Vec<&str> = machines.iter().map(String::as_str).collect();
-    let mut order = order(&names, bounds);
-    (order.spans.leave, order.spans.work, order.spans.back) = (400, 400, 400);
+    let mut order = build_order(&names, bounds);
+    (
+        order.timeouts.drain_timeout,
+        order.timeouts.work_timeout,
+        order.timeouts.return_timeout,
+    ) = (400, 400, 400);
     order
 }
 
-impl Night {
-    pub fn new(seed: u64, planted: Planted) -> Self {
+impl World {
+    pub fn new(seed: u64, planted: InjectedBug) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (count, zones, kinds) = (
             rng.random_range(4..14),
@@ -93,26 +97,28 @@
             machines.insert(format!("m-{at}"), machine);
         }
         let bounds = Bounds {
-            most: rng.random_range(1..4),
-            zone_most: rng.random_range(1..3),
-            floor: rng.random_range(0..700),
-            spare: if rng.random_bool(0.3) {
-                Spare::Machine
+            max_out: rng.random_range(1..4),
+            max_out_per_zone: rng.random_range(1..3),
+            min_capacity_permille: rng.random_range(0..700),
+            failure_tolerance: if rng.random_bool(0.3) {
+                FailureTolerance::Machine
             } else {
-                Spare::Nothing
+                FailureTolerance::Nothing
             },
         };
-        let mut orders = Orders::default();
-        orders.apply(Change::Machines(machines.clone())).unwrap();
+        let mut orders = WorkOrders::default();
+        orders
+            .apply(WorkOrderChange::SetMachines(machines.clone()))
+            .unwrap();
         let loose = Bounds {
-            most: bounds.most + u32::from(planted == Planted::OneTooMany),
+            max_out: bounds.max_out + u32::from(planted == InjectedBug::OneTooMany),
             ..bounds
         };
         let all: Vec<Name> = machines.keys().cloned().collect();
         let half = all.len() / 2;
         for part in [&all[..half], &all[half..]] {
             orders
-                .apply(Change::Plan(kernel(part, loose)))
+                .apply(WorkOrderChange::AddOrder(kernel(part, loose)))
                 .expect("sound");
         }
         let proxies = (0..rng.random_range(2..6)).map(|at| (format!("p-{at}"), Proxy::default()));
@@ -128,25 +134,31 @@
             dead: BTreeSet::new(),
             cold: BTreeMap::new(),
             since: BTreeMap::new(),
-            emptied: BTreeMap::new(),
-            wrong: None,
+            times_emptied: BTreeMap::new(),
+            violation: None,
             calm: false,
-            most_out: 0,
+            peak_machines_out: 0,
             tick: 0,
-            moved: 0,
-            plans: 0,
+            clients_moved: 0,
+            plan_count: 0,
         }
     }
 
-    pub fn places(&self) -> BTreeMap<Name, (Number, Phase)> {
+    pub fn machine_phases(&self) -> BTreeMap<Name, (Number, Phase)> {
         let each = self.orders.orders().values().flat_map(|(_, places)| places);
         each.map(|(name, place)| (name.clone(), (place.version, place.phase.clone())))
             .collect()
     }
 
     /// Machines of one kind in three zones, all of them to be worked on in orders of so many each, and nothing goes wrong.
-    pub fn even(seed: u64, machines: usize, proxies: usize, bounds: Bounds, each: usize) -> Self {
-        let mut night = Self::new(seed, Planted::Nothing);
+    pub fn with_uniform_machines(
+        seed: u64,
+        machines: usize,
+        proxies: usize,
+        bounds: Bounds,
+        each: usize,
+    ) -> Self {
+        let mut night = Self::new(seed, InjectedBug::Nothing);
         let machine = |at: usize| Machine {
             zone: format!("z-{}", at % 3),
             servers: vec![server(at, 0, 10)],
@@ -156,11 +168,13 @@
             .map(|at| (format!("m-{at}"), machine(at)))
             .collect();
         let names: Vec<Name> = all.keys().cloned().collect();
-        let mut orders = Orders::default();
-        orders.apply(Change::Machines(all)).expect("sound");
+        let mut orders = WorkOrders::default();
+        orders
+            .apply(WorkOrderChange::SetMachines(all))
+            .expect("sound");
         for part in names.chunks(each) {
             orders
-                .apply(Change::Plan(kernel(part, bounds)))
+                .apply(WorkOrderChange::AddOrder(kernel(part, bounds)))
                 .expect("sound");
         }
         (night.orders, night.bounds, night.calm) = (orders, bounds, true);
@@ -171,7 +185,7 @@
     }
 
     /// Until every order has ended.
-    pub fn work(&mut self) {
+    pub fn run_to_completion(&mut self) {
         while !self.orders.orders().is_empty() && self.tick < 1_000_000 {
             self.step();
         }
@@ -179,18 +193,18 @@
 
     /// A proxy hears what the log has; what is in no order is in.
     fn hear(&mut self, proxy: &Name) {
-        let list = Belief::list(&self.orders);
+        let list = MachineAvailability::list_machines(&self.orders);
         let own = self.proxies.get_mut(proxy).unwrap();
-        own.belief.hear(self.tick, list);
+        own.belief.apply_list(self.tick, list);
     }
 
     fn serve(&mut self, proxy: &Name) {
-        let hasty = self.planted == Planted::Hasty && proxy == "p-0";
+        let hasty = self.planted == InjectedBug::Hasty && proxy == "p-0";
         let machines: Vec<Name> = self.orders.machines().keys().cloned().collect();
         let to = machines[self.rng.random_range(0..machines.len())].clone();
         let leave = self.rng.random_bool(0.7);
         let own = self.proxies.get_mut(proxy).unwrap();
-        let closed = |name: &Name| !hasty && own.belief.closed(name);
+        let closed = |name: &Name| !hasty && own.belief.is_closed(name);
         if !closed(&to) {
             *own.clients.entry(to).or_default() += 1;
         }
@@ -204,7 +218,7 @@
             let here = own.clients.get_mut(&name).unwrap();
             let moved = (*here).min(if leave { 2 } else { 0 });
             *here -= moved;
-            self.moved += moved;
+            self.clients_moved += moved;
         }
         // Others end by themselves.
         own.clients
@@ -212,9 +226,9 @@
             .for_each(|clients| *clients = (*clients).min(4));
     }
 
-    fn report(&self, proxy: &Name) -> BTreeMap<Name, Report> {
+    fn report(&self, proxy: &Name) -> BTreeMap<Name, MachineReport> {
         let own = &self.proxies[proxy];
-        let hasty = self.planted == Planted::Hasty && proxy == "p-0";
+        let hasty = self.planted == InjectedBug::Hasty && proxy == "p-0";
         let each = own.belief.machines().filter_map(|name| {
             let up = !self.dead.contains(name) && !self.cold.contains_key(name);
             let clients = own.clients.get(name).copied().unwrap_or(0);
@@ -239,19 +253,19 @@
                 }
             }
             if self.rng.random_bool(0.5) {
-                conductor.facts.dead = self.dead.clone();
+                conductor.facts.unavailable = self.dead.clone();
             }
-            conductor.facts.since = self
+            conductor.facts.version_ages = self
                 .since
                 .iter()
                 .map(|(version, at)| (*version, self.tick - at))
                 .collect();
             if at == self.leads {
                 conductor.fence = self.fence;
-                self.plans += 1;
+                self.plan_count += 1;
                 conductor
                     .in_hand
-                    .extend(plan(&self.orders, &conductor.facts).steps);
+                    .extend(plan_steps(&self.orders, &conductor.facts).steps);
             }
         }
         let act = !conductor.stalled && self.rng.random_bool(0.7);
@@ -261,7 +275,7 @@
             .filter(|_| act)
             .collect::<Vec<_>>()
         {
-            let step = Change::Step {
+            let step = WorkOrderChange::Step {
                 order,
                 machine: machine.clone(),
                 version,
@@ -273,16 +287,16 @@
         self.conductors[at] = conductor;
     }
 
-    fn apply(&mut self, change: Change, machine: &Name) {
-        let before = self.places().get(machine).cloned();
+    fn apply(&mut self, change: WorkOrderChange, machine: &Name) {
+        let before = self.machine_phases().get(machine).cloned();
         let _ = self.orders.apply(change);
-        let after = self.places().get(machine).cloned();
+        let after = self.machine_phases().get(machine).cloned();
         if let Some((version, phase)) = &after
             && before.as_ref().map(|(version, _)| version) != Some(version)
         {
             self.since.insert(*version, self.tick);
-            if *phase == Phase::Empty {
-                *self.emptied.entry(machine.clone()).or_default() += 1;
+            if *phase == Phase::Drained {
+                *self.times_emptied.entry(machine.clone()).or_default() += 1;
             }
             if matches!(phase, Phase::Returning { .. }) {
                 self.cold.insert(machine.clone(), 10);
@@ -291,7 +305,7 @@
     }
 
     fn staff(&mut self) {
-        for (name, (version, phase)) in self.places() {
+        for (name, (version, phase)) in self.machine_phases() {
             let order = self
                 .orders
                 .orders()
@@ -299,12 +313,12 @@
                 .find(|(_, (_, places))| places.contains_key(&name));
             let order = *order.unwrap().0;
             let step = match phase {
-                Phase::Empty if self.rng.random_bool(0.1) => Step::Worked,
-                Phase::Empty if self.rng.random_bool(0.01) => Step::Fail(Why::Staff),
+                Phase::Drained if self.rng.random_bool(0.1) => Step::CompleteWork,
+                Phase::Drained if self.rng.random_bool(0.01) => Step::Fail(FailureReason::Staff),
                 Phase::Failed(_) if self.rng.random_bool(0.1) => Step::Recall,
                 _ => continue,
             };
-            let change = Change::Step {
+            let change = WorkOrderChange::Step {
                 order,
                 machine: name.clone(),
                 version,
@@ -361,50 +375,50 @@
     }
 
     fn check(&mut self) {
-        let mut out: BTreeSet<&Name> = self.orders.out().into_keys().collect();
+        let mut out: BTreeSet<&Name> = self.orders.machines_out().into_keys().collect();
         for proxy in self.proxies.values() {
             out.extend(
                 proxy
                     .belief
                     .machines()
-                    .filter(|name| proxy.belief.closed(name)),
+                    .filter(|name| proxy.belief.is_closed(name)),
             );
         }
-        self.most_out = self.most_out.max(out.len());
+        self.peak_machines_out = self.peak_machines_out.max(out.len());
         let mut wrong = None;
-        if out.len() > self.bounds.most as usize {
+        if out.len() > self.bounds.max_out as usize {
             wrong = Some(format!(
                 "Never Too Many Out: {out:?} of {}",
-                self.bounds.most
+                self.bounds.max_out
             ));
         }
         let machines = self.orders.machines();
-        let total: u64 = machines.values().map(Machine::room).sum();
+        let total: u64 = machines.values().map(Machine::capacity).sum();
         let left = machines.iter().filter(|(name, _)| !out.contains(name));
-        let left: u64 = left.map(|(_, machine)| machine.room()).sum();
-        if left * 1000 < total * u64::from(self.bounds.floor) {
+        let left: u64 = left.map(|(_, machine)| machine.capacity()).sum();
+        if left * 1000 < total * u64::from(self.bounds.min_capacity_permille) {
             wrong = Some(format!("Floor Held: {left} of {total}"));
         }
-        for (name, (_, phase)) in self.places() {
+        for (name, (_, phase)) in self.machine_phases() {
             let clients: u64 = self
                 .proxies
                 .values()
                 .filter_map(|p| p.clients.get(&name))
                 .sum();
-            if phase == Phase::Empty && clients > 0 {
+            if phase == Phase::Drained && clients > 0 {
                 wrong = Some(format!("Empty Means Empty: {clients} clients at {name}"));
             }
         }
-        if let Some((name, _)) = self.emptied.iter().find(|(_, times)| **times > 1) {
+        if let Some((name, _)) = self.times_emptied.iter().find(|(_, times)| **times > 1) {
             wrong = Some(format!("Once: {name} was told as empty again"));
         }
-        if self.wrong.is_none() {
-            self.wrong = wrong.map(|what| format!("tick {}: {what}", self.tick));
+        if self.violation.is_none() {
+            self.violation = wrong.map(|what| format!("tick {}: {what}", self.tick));
         }
     }
 
     /// A night of faults, and then calm until all is done that can be.
-    pub fn play(&mut self) {
+    pub fn run_with_faults(&mut self) {
         for _ in 0..400 {
             self.step();
         }
@@ -426,33 +440,33 @@
 }
 
 /// Work on these machines, with time enough for each phase.
-pub fn order(machines: &[&str], bounds: Bounds) -> Order {
-    Order {
+pub fn build_order(machines: &[&str], bounds: Bounds) -> WorkOrder {
+    WorkOrder {
         name: "kernel".into(),
         machines: machines.iter().map(|name| (*name).into()).collect(),
         bounds,
-        spans: Spans {
-            leave: 100,
-            work: 100,
-            back: 100,
+        timeouts: PhaseTimeouts {
+            drain_timeout: 100,
+            work_timeout: 100,
+            return_timeout: 100,
         },
         not_before: 0,
-        wait: true,
+        waits_for_done: true,
         paused: false,
         cancelled: false,
     }
 }
 
 /// Bounds that keep nothing in.
-pub const WIDE: Bounds = Bounds {
-    most: 9,
-    zone_most: 9,
-    floor: 0,
-    spare: Spare::Nothing,
+pub const PERMISSIVE_BOUNDS: Bounds = Bounds {
+    max_out: 9,
+    max_out_per_zone: 9,
+    min_capacity_permille: 0,
+    failure_tolerance: FailureTolerance::Nothing,
 };
 
 /// Machines `m-0` on, each of a zone, a kind, a room, and maybe a voter's.
-pub fn fleet(machines: &[(&str, usize, u64, bool)]) -> Orders {
+pub fn orders_with_machines(machines: &[(&str, usize, u64, bool)]) -> WorkOrders {
     let machines = machines
         .iter()
         .enumerate()
@@ -464,13 +478,15 @@
             };
             (format!("m-{at}"), machine)
         });
-    let mut orders = Orders::default();
-    orders.apply(Change::Machines(machines.collect())).unwrap();
+    let mut orders = WorkOrders::default();
+    orders
+        .apply(WorkOrderChange::SetMachines(machines.collect()))
+        .unwrap();
     orders
 }
 
 /// The order, the version and the phase of a machine.
-pub fn place(orders: &Orders, name: &str) -> (Number, Number, Phase) {
+pub fn machine_status(orders: &WorkOrders, name: &str) -> (Number, Number, Phase) {
     let each = orders.orders().iter().find_map(|(number, (_, places))| {
         places
             .get(name)
@@ -483,14 +499,14 @@
 ///
 /// # Errors
 /// What the log says against it.
-pub fn step(
-    orders: &mut Orders,
+pub fn apply_step(
+    orders: &mut WorkOrders,
     name: &str,
     step: Step,
     fence: Option<Number>,
-) -> Result<(), Refused> {
-    let (order, version, _) = place(orders, name);
-    orders.apply(Change::Step {
+) -> Result<(), Refusal> {
+    let (order, version, _) = machine_status(orders, name);
+    orders.apply(WorkOrderChange::Step {
         order,
         machine: name.into(),
         version,
--- a/crates/storm/tests/scripts.rs
+++ b/crates/storm/tests/scripts.rs
@@ -1,25 +1,30 @@
 //! Scripts of faults: drawn, written, read and played alike; planted errors are found and cut to a few faults.
 
-use violetwind_storm::fleet::{Fault, Planted};
-use violetwind_storm::script::{Script, Shape};
+use violetwind_storm::fleet::{Fault, InjectedBug};
+use violetwind_storm::script::{Script, ScriptParameters};
 
-const ALL: Shape = Shape {
+const ALL: ScriptParameters = ScriptParameters {
     voters: 3,
-    others: 2,
+    non_voters: 2,
     machines: 6,
-    budgets: true,
-    lasts: 15_000,
+    has_budgets: true,
+    fault_duration: 15_000,
 };
 
 #[test]
 fn a_script_is_read_as_written_and_plays_alike_on_any_thread() {
-    let script = Script::draw(11, ALL);
+    let script = Script::generate(11, ALL);
     assert!(script.faults.len() > 20);
     let read = Script::parse(&script.to_toml()).expect("as written");
     assert_eq!(read, script);
     let outcome = |script: &Script| {
-        let played = script.play(Planted::Nothing, 0);
-        (played.wrong, played.millis, played.frames, played.told)
+        let played = script.run(InjectedBug::Nothing, 0);
+        (
+            played.violation,
+            played.simulated_ms,
+            played.frames_sent,
+            played.event_log,
+        )
     };
     let here = outcome(&script);
     let there: Vec<_> = (0..2)
@@ -52,15 +57,15 @@
 #[test]
 fn a_handful_of_scripts_breaks_no_promise() {
     for (voters, others, machines) in [(3, 2, 6), (5, 0, 4), (1, 2, 3), (7, 0, 0)] {
-        let shape = Shape {
+        let shape = ScriptParameters {
             voters,
-            others,
+            non_voters: others,
             machines,
             ..ALL
         };
         for seed in 0..2 {
-            let played = Script::draw(seed, shape).play(Planted::Nothing, 0);
-            assert_eq!(played.wrong, None, "{voters} voters, seed {seed}");
+            let played = Script::generate(seed, shape).run(InjectedBug::Nothing, 0);
+            assert_eq!(played.violation, None, "{voters} voters, seed {seed}");
         }
     }
 }
@@ -68,8 +73,8 @@
 /// Seed 728: a leader that others had followed said at once that a member was let in, which stayed out.
 #[test]
 fn scripts_that_have_found_something_stay_clean() {
-    let played = Script::draw(728, ALL).play(Planted::Nothing, 0);
-    assert_eq!(played.wrong, None);
+    let played = Script::generate(728, ALL).run(InjectedBug::Nothing, 0);
+    assert_eq!(played.violation, None);
 }
 
 /// Each error at a seed that finds it, under the promise that it breaks; some are cut to the faults that matter. `overstays-part` is
@@ -92,18 +97,18 @@
         ("stale-views", 1, "One At A Time", false),
     ];
     let found = promises.map(|(name, seed, promise, cut)| {
-        let planted = Planted::NAMES.iter().find(|(known, _)| *known == name);
+        let planted = InjectedBug::NAMES.iter().find(|(known, _)| *known == name);
         let planted = planted.expect("a name").1;
         std::thread::spawn(move || {
-            let script = Script::draw(seed, ALL);
-            let wrong = script.play(planted, 0).wrong;
+            let script = Script::generate(seed, ALL);
+            let wrong = script.run(planted, 0).violation;
             assert!(
                 wrong.as_ref().is_some_and(|wrong| wrong.contains(promise)),
                 "{name}: {wrong:?}"
             );
             if cut {
                 let (least, _) = script.shrink(planted, 25);
-                assert!(least.play(planted, 0).wrong.is_some(), "{name}");
+                assert!(least.run(planted, 0).violation.is_some(), "{name}");
                 let (before, after) = (script.faults.len(), least.faults.len());
                 assert!(
                     after * 2 < before,
@@ -120,7 +125,7 @@
 /// A fault that is struck does what it says: a member that is cut off is not live, one that is killed comes back.
 #[test]
 fn faults_of_a_script_do_what_they_say() {
-    let mut script = Script::draw(1, ALL);
+    let mut script = Script::generate(1, ALL);
     let rest = vec![
         "node-0".into(),
         "node-1".into(),
@@ -141,10 +146,10 @@
     (script.faults[0].at, script.faults[0].fault) = (5000, cut);
     (script.faults[1].at, script.faults[1].fault) = (6000, kill);
     script.lasts = 9000;
-    let line = script.play(Planted::Nothing, 100).line;
+    let line = script.run(InjectedBug::Nothing, 100).timeline;
     let state = |at: u64, node: usize| {
         let moment = line.iter().find(|moment| moment.at == at).expect("sampled");
-        moment.members[node].1
+        moment.member_states[node].1
     };
     assert_eq!((state(4900, 2) == 'c', state(5500, 2)), (false, 'c'));
     assert_eq!((state(6100, 1), state(7000, 1) == 'x'), ('x', false));
--- a/crates/workorders/src/lib.rs
+++ b/crates/workorders/src/lib.rs
@@ -13,17 +13,17 @@
 //! - *Floor Held*: what is planned to be in has the room that the order's floor asks for, and some of each kind.
 //! - *Nobody Forgotten*: whatever ends an order, what is still out is listed.
 
-mod belief;
+mod availability;
 mod limits;
 mod orders;
 mod planner;
-mod words;
+mod types;
 
-pub use belief::{Belief, Turn};
-pub use limits::Caps;
-pub use orders::{Orders, Place, Refused};
-pub use planner::{Facts, Member, Next, Report, plan};
-pub use words::{
-    Bounds, Change, Listed, Machine, Millis, Name, Number, Order, Phase, Server, Spans, Spare,
-    Step, Why,
+pub use availability::{MachineAction, MachineAvailability};
+pub use limits::OrderLimits;
+pub use orders::{MachineProgress, Refusal, WorkOrders};
+pub use planner::{MachineReport, Member, PlannedSteps, PlannerInput, plan_steps};
+pub use types::{
+    Bounds, FailureReason, FailureTolerance, ListedMachine, Machine, Millis, Name, Number, Phase,
+    PhaseTimeouts, Server, Step, WorkOrder, WorkOrderChange,
 };
--- a/crates/workorders/src/orders.rs
+++ b/crates/workorders/src/orders.rs
@@ -5,60 +5,69 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::limits::Caps;
-use crate::words::{Change, Machine, Name, Number, Order, Phase, Spare, Step, Why};
+use crate::limits::OrderLimits;
+use crate::types::{
+    FailureReason, FailureTolerance, Machine, Name, Number, Phase, Step, WorkOrder, WorkOrderChange,
+};
 
 /// Why a change was not made, or a machine does not go yet: for staff to read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum Refusal {
     /// It names another version than there is, or another conductor has come since.
-    Late,
-    NoSuch(&'static str),
+    Superseded,
+    NotFound(&'static str),
     /// The step does not follow from where the machine is.
-    OutOfTurn,
-    Full(&'static str),
-    Unsound(&'static str),
+    InvalidTransition,
+    LimitReached(&'static str),
+    InvalidOrder(&'static str),
     Paused,
     /// Another order comes first.
     Queued(Number),
-    TooMany {
+    TooManyOut {
         out: usize,
-        most: u32,
+        max: u32,
     },
-    ZoneFull {
+    TooManyOutInZone {
         zone: Name,
         out: usize,
-        most: u32,
+        max: u32,
     },
     /// Room that would stay in, and that has to.
-    Floor {
-        left: u64,
-        least: u64,
+    BelowFloor {
+        remaining: u64,
+        required: u64,
     },
     OnlyOfKind(Name),
     OnlyOfCell(u64),
     /// A voter's machine, while another is out or no majority would be left.
-    Voters,
+    VoterQuorum,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Late => f.write_str("it has changed meanwhile"),
-            Self::NoSuch(what) => write!(f, "there is no such {what}"),
-            Self::OutOfTurn => f.write_str("that is not what comes next"),
-            Self::Full(what) => write!(f, "too many {what}"),
-            Self::Unsound(what) => f.write_str(what),
+            Self::Superseded => f.write_str("it has changed meanwhile"),
+            Self::NotFound(what) => write!(f, "there is no such {what}"),
+            Self::InvalidTransition => f.write_str("that is not what comes next"),
+            Self::LimitReached(what) => write!(f, "too many {what}"),
+            Self::InvalidOrder(what) => f.write_str(what),
             Self::Paused => f.write_str("the order is paused"),
             Self::Queued(before) => write!(f, "order {before} comes first"),
-            Self::TooMany { out, most } => write!(f, "{out} of {most} are out"),
-            Self::ZoneFull { zone, out, most } => write!(f, "{out} of {most} are out in {zone}"),
-            Self::Floor { left, least } => {
+            Self::TooManyOut { out, max: most } => write!(f, "{out} of {most} are out"),
+            Self::TooManyOutInZone {
+                zone,
+                out,
+                max: most,
+            } => write!(f, "{out} of {most} are out in {zone}"),
+            Self::BelowFloor {
+                remaining: left,
+                required: least,
+            } => {
                 write!(f, "room of {left} would be left, {least} has to be")
             }
             Self::OnlyOfKind(kind) => write!(f, "it has the only room of kind {kind}"),
             Self::OnlyOfCell(cell) => write!(f, "it has the only room of cell {cell}"),
-            Self::Voters => {
+            Self::VoterQuorum => {
                 f.write_str("another voter of the fleet is out, or too few would be left")
             }
         }
@@ -67,18 +76,18 @@
 
 /// Where a machine of an order is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct MachineProgress {
     pub phase: Phase,
     /// Never the same again; what proxies confirm names it.
     pub version: Number,
     /// How often it was told as empty.
-    pub emptied: u32,
+    pub times_drained: u32,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct WorkOrders {
     machines: BTreeMap<Name, Machine>,
-    orders: BTreeMap<Number, (Order, BTreeMap<Name, Place>)>,
+    orders: BTreeMap<Number, (WorkOrder, BTreeMap<Name, MachineProgress>)>,
     /// Orders that have ended, the newest last: name, machines done, machines spared.
     ended: VecDeque<(Number, Name, usize, usize)>,
     next: Number,
@@ -86,32 +95,33 @@
     fence: Number,
 }
 
-impl Orders {
+impl WorkOrders {
     pub fn machines(&self) -> &BTreeMap<Name, Machine> {
         &self.machines
     }
 
-    pub fn orders(&self) -> &BTreeMap<Number, (Order, BTreeMap<Name, Place>)> {
+    pub fn orders(&self) -> &BTreeMap<Number, (WorkOrder, BTreeMap<Name, MachineProgress>)> {
         &self.orders
     }
 
-    pub fn ended(&self) -> &VecDeque<(Number, Name, usize, usize)> {
+    pub fn ended_orders(&self) -> &VecDeque<(Number, Name, usize, usize)> {
         &self.ended
     }
 
     /// Machines that some proxy may hold for out, with the order and the phase: the list that outlives all.
-    pub fn out(&self) -> BTreeMap<&Name, (Number, &Place)> {
+    pub fn machines_out(&self) -> BTreeMap<&Name, (Number, &MachineProgress)> {
         let each = self.orders.iter().flat_map(|(number, (_, places))| {
-            let out = places.iter().filter(|(_, place)| place.phase.out());
+            let out = places.iter().filter(|(_, place)| place.phase.is_out());
             out.map(move |(name, place)| (name, (*number, place)))
         });
         each.collect()
     }
 
     /// The order whose machines may go: the first with one whose turn is to come.
-    pub fn running(&self) -> Option<Number> {
-        let moves =
-            |place: &Place| !place.phase.ended() && !matches!(place.phase, Phase::Failed(_));
+    pub fn active_order(&self) -> Option<Number> {
+        let moves = |place: &MachineProgress| {
+            !place.phase.is_terminal() && !matches!(place.phase, Phase::Failed(_))
+        };
         let mut each = self.orders.iter();
         let first = each.find(|(_, (_, places))| places.values().any(moves));
         first.map(|(number, _)| *number)
@@ -119,12 +129,14 @@
 
     /// # Errors
     /// What stands against it; nothing has changed then.
-    pub fn apply(&mut self, change: Change) -> Result<(), Refused> {
+    pub fn apply(&mut self, change: WorkOrderChange) -> Result<(), Refusal> {
         match change {
-            Change::Machines(machines) => {
-                let long = |machine: &Machine| machine.servers.len() > Caps::SERVERS;
-                if machines.len() > Caps::MACHINES || machines.values().any(long) {
-                    return Err(Refused::Full("machines"));
+            WorkOrderChange::SetMachines(machines) => {
+                let long = |machine: &Machine| {
+                    machine.servers.len() > OrderLimits::MAX_SERVERS_PER_MACHINE
+                };
+                if machines.len() > OrderLimits::MAX_MACHINES || machines.values().any(long) {
+                    return Err(Refusal::LimitReached("machines"));
                 }
                 let before = std::mem::replace(&mut self.machines, machines);
                 // What an order is about stays as it was last told, also where sources have forgotten it.
@@ -137,28 +149,28 @@
                 }
                 Ok(())
             }
-            Change::Plan(order) => self.add(order),
-            Change::Pause(number, paused) => {
+            WorkOrderChange::AddOrder(order) => self.add(order),
+            WorkOrderChange::SetPaused(number, paused) => {
                 let (order, _) = self
                     .orders
                     .get_mut(&number)
-                    .ok_or(Refused::NoSuch("order"))?;
+                    .ok_or(Refusal::NotFound("order"))?;
                 order.paused = paused;
                 Ok(())
             }
-            Change::Cancel(number) => {
+            WorkOrderChange::Cancel(number) => {
                 let (order, places) = self
                     .orders
                     .get_mut(&number)
-                    .ok_or(Refused::NoSuch("order"))?;
+                    .ok_or(Refusal::NotFound("order"))?;
                 order.cancelled = true;
                 for place in places.values_mut().filter(|p| p.phase == Phase::Waiting) {
-                    place.phase = Phase::Spared;
+                    place.phase = Phase::Skipped;
                 }
                 self.sweep();
                 Ok(())
             }
-            Change::Step {
+            WorkOrderChange::Step {
                 order,
                 machine,
                 version,
@@ -168,28 +180,33 @@
         }
     }
 
-    fn add(&mut self, order: Order) -> Result<(), Refused> {
-        let short = |name: &Name| !name.is_empty() && name.len() <= Caps::NAME;
+    fn add(&mut self, order: WorkOrder) -> Result<(), Refusal> {
+        let short = |name: &Name| !name.is_empty() && name.len() <= OrderLimits::MAX_NAME_BYTES;
         if !short(&order.name) || !order.machines.iter().all(short) {
-            return Err(Refused::Unsound("a name of 1 to 64 bytes"));
+            return Err(Refusal::InvalidOrder("a name of 1 to 64 bytes"));
         }
         if order.machines.is_empty() {
-            return Err(Refused::Unsound("an order is for one machine at least"));
+            return Err(Refusal::InvalidOrder(
+                "an order is for one machine at least",
+            ));
         }
         if !order
             .machines
             .iter()
             .all(|name| self.machines.contains_key(name))
         {
-            return Err(Refused::NoSuch("machine"));
+            return Err(Refusal::NotFound("machine"));
         }
-        if order.bounds.most == 0 || order.bounds.zone_most == 0 || order.bounds.floor > 1000 {
-            return Err(Refused::Unsound(
+        if order.bounds.max_out == 0
+            || order.bounds.max_out_per_zone == 0
+            || order.bounds.min_capacity_permille > 1000
+        {
+            return Err(Refusal::InvalidOrder(
                 "bounds of one at least, and a floor of 1000 at most",
             ));
         }
-        if self.orders.len() >= Caps::ORDERS {
-            return Err(Refused::Full("orders"));
+        if self.orders.len() >= OrderLimits::MAX_ORDERS {
+            return Err(Refusal::LimitReached("orders"));
         }
         // A machine has one place at a time: who wants more work done there waits for the first order.
         let taken = |name: &Name| {
@@ -198,17 +215,17 @@
                 .any(|(_, places)| places.contains_key(name))
         };
         if order.machines.iter().any(taken) {
-            return Err(Refused::Unsound(
+            return Err(Refusal::InvalidOrder(
                 "a machine of it is in an order that has not ended",
             ));
         }
         let mut places = BTreeMap::new();
         for name in &order.machines {
             self.next += 1;
-            let place = Place {
+            let place = MachineProgress {
                 phase: Phase::Waiting,
                 version: self.next,
-                emptied: 0,
+                times_drained: 0,
             };
             places.insert(name.clone(), place);
         }
@@ -224,64 +241,68 @@
         version: Number,
         step: Step,
         fence: Option<Number>,
-    ) -> Result<(), Refused> {
-        let (order, places) = self.orders.get(&number).ok_or(Refused::NoSuch("order"))?;
-        let place = places.get(name).ok_or(Refused::NoSuch("machine"))?;
+    ) -> Result<(), Refusal> {
+        let (order, places) = self.orders.get(&number).ok_or(Refusal::NotFound("order"))?;
+        let place = places.get(name).ok_or(Refusal::NotFound("machine"))?;
         if place.version != version || fence.is_some_and(|fence| fence < self.fence) {
-            return Err(Refused::Late);
+            return Err(Refusal::Superseded);
         }
         let staff = fence.is_none();
         let next = match (&place.phase, step) {
-            (Phase::Waiting, Step::Out) if !staff => {
-                self.may_go(number, name, &BTreeSet::new())?;
-                Phase::Leaving
+            (Phase::Waiting, Step::TakeOut) if !staff => {
+                self.check_take_out(number, name, &BTreeSet::new())?;
+                Phase::Draining
             }
-            (Phase::Leaving, Step::Empty) if !staff => Phase::Empty,
-            (Phase::Leaving, Step::Recall) if !staff => Phase::Returning { worked: false },
-            (Phase::Leaving, Step::Fail(Why::NeverEmpty))
-            | (Phase::Empty, Step::Fail(Why::NeverWorked))
-            | (Phase::Empty, Step::Fail(Why::Opened))
-            | (Phase::Returning { .. }, Step::Fail(Why::NeverBack))
+            (Phase::Draining, Step::MarkDrained) if !staff => Phase::Drained,
+            (Phase::Draining, Step::Recall) if !staff => Phase::Returning { work_done: false },
+            (Phase::Draining, Step::Fail(FailureReason::NeverEmpty))
+            | (Phase::Drained, Step::Fail(FailureReason::NeverWorked))
+            | (Phase::Drained, Step::Fail(FailureReason::Opened))
+            | (Phase::Returning { .. }, Step::Fail(FailureReason::NeverBack))
                 if !staff =>
             {
                 let Step::Fail(why) = step else {
-                    return Err(Refused::OutOfTurn);
+                    return Err(Refusal::InvalidTransition);
                 };
                 Phase::Failed(why)
             }
-            (Phase::Empty, Step::Worked) if staff == order.wait => {
-                Phase::Returning { worked: true }
+            (Phase::Drained, Step::CompleteWork) if staff == order.waits_for_done => {
+                Phase::Returning { work_done: true }
             }
-            (Phase::Empty, Step::Recall) if order.cancelled => Phase::Returning { worked: false },
-            (Phase::Empty | Phase::Returning { .. }, Step::Fail(Why::Staff)) if staff => {
-                Phase::Failed(Why::Staff)
+            (Phase::Drained, Step::Recall) if order.cancelled => {
+                Phase::Returning { work_done: false }
+            }
+            (Phase::Drained | Phase::Returning { .. }, Step::Fail(FailureReason::Staff))
+                if staff =>
+            {
+                Phase::Failed(FailureReason::Staff)
             }
             // Staff have looked after it. What was told as empty is not told so again.
-            (Phase::Failed(_), Step::Recall | Step::Worked) if staff => Phase::Returning {
-                worked: step == Step::Worked || place.emptied > 0,
+            (Phase::Failed(_), Step::Recall | Step::CompleteWork) if staff => Phase::Returning {
+                work_done: step == Step::CompleteWork || place.times_drained > 0,
             },
-            (Phase::Returning { worked }, Step::Back) if !staff => {
+            (Phase::Returning { work_done: worked }, Step::CompleteReturn) if !staff => {
                 match (worked, order.cancelled) {
                     (true, _) => Phase::Done,
-                    (false, true) => Phase::Spared,
+                    (false, true) => Phase::Skipped,
                     (false, false) => Phase::Waiting,
                 }
             }
-            _ => return Err(Refused::OutOfTurn),
+            _ => return Err(Refusal::InvalidTransition),
         };
         self.next += 1;
         let version = self.next;
         self.fence = self.fence.max(fence.unwrap_or(0));
         let (_, places) = self.orders.get_mut(&number).expect("just seen");
         let place = places.get_mut(name).expect("just seen");
-        place.emptied += u32::from(next == Phase::Empty);
+        place.times_drained += u32::from(next == Phase::Drained);
         (place.phase, place.version) = (next, version);
         self.sweep();
         Ok(())
     }
 
     /// The same with a machine in that is out now.
-    pub(crate) fn without(&self, name: &Name) -> Self {
+    pub(crate) fn with_machine_in(&self, name: &Name) -> Self {
         let mut orders = self.clone();
         for (order, places) in orders.orders.values_mut() {
             if let Some(place) = places.get_mut(name) {
@@ -295,35 +316,38 @@
     ///
     /// # Errors
     /// What stands against it.
-    pub fn may_go(
+    pub fn check_take_out(
         &self,
         number: Number,
         name: &Name,
         dead: &BTreeSet<Name>,
-    ) -> Result<(), Refused> {
-        let (order, _) = self.orders.get(&number).ok_or(Refused::NoSuch("order"))?;
-        let machine = self.machines.get(name).ok_or(Refused::NoSuch("machine"))?;
+    ) -> Result<(), Refusal> {
+        let (order, _) = self.orders.get(&number).ok_or(Refusal::NotFound("order"))?;
+        let machine = self
+            .machines
+            .get(name)
+            .ok_or(Refusal::NotFound("machine"))?;
         if order.paused || order.cancelled {
-            return Err(Refused::Paused);
+            return Err(Refusal::Paused);
         }
-        if let Some(first) = self.running().filter(|first| *first != number) {
-            return Err(Refused::Queued(first));
+        if let Some(first) = self.active_order().filter(|first| *first != number) {
+            return Err(Refusal::Queued(first));
         }
         let bounds = &order.bounds;
-        let mut out: BTreeSet<&Name> = self.out().into_keys().collect();
+        let mut out: BTreeSet<&Name> = self.machines_out().into_keys().collect();
         out.extend(dead.iter().filter(|dead| self.machines.contains_key(*dead)));
-        if out.len() >= bounds.most as usize {
-            let (out, most) = (out.len(), bounds.most);
-            return Err(Refused::TooMany { out, most });
+        if out.len() >= bounds.max_out as usize {
+            let (out, most) = (out.len(), bounds.max_out);
+            return Err(Refusal::TooManyOut { out, max: most });
         }
         let of = |name: &Name| self.machines.get(name);
         let in_zone = |name: &&&Name| of(name).is_some_and(|m| m.zone == machine.zone);
         let there = out.iter().filter(in_zone).count();
-        if there >= bounds.zone_most as usize {
-            return Err(Refused::ZoneFull {
+        if there >= bounds.max_out_per_zone as usize {
+            return Err(Refusal::TooManyOutInZone {
                 zone: machine.zone.clone(),
                 out: there,
-                most: bounds.zone_most,
+                max: bounds.max_out_per_zone,
             });
         }
         let votes = |machine: &Machine| machine.proxy.as_ref().is_some_and(|(_, votes)| *votes);
@@ -334,7 +358,7 @@
             .count();
         let voter_out = out.iter().any(|name| of(name).is_some_and(votes));
         if votes(machine) && (voter_out || voters < 3) {
-            return Err(Refused::Voters);
+            return Err(Refusal::VoterQuorum);
         }
         out.insert(name);
         let stays = || self.machines.iter().filter(|(name, _)| !out.contains(name));
@@ -345,7 +369,7 @@
                     .any(|s| s.kind == server.kind && s.room > 0)
             };
             if !stays().any(|(_, machine)| same(machine)) {
-                return Err(Refused::OnlyOfKind(server.kind.clone()));
+                return Err(Refusal::OnlyOfKind(server.kind.clone()));
             }
             // One that is alone in its cell has nobody to know its repeats at any time.
             let cell = |m: &Machine| {
@@ -358,32 +382,35 @@
                 .iter()
                 .any(|(other, m)| other != name && cell(m));
             if others && !stays().any(|(_, machine)| cell(machine)) {
-                return Err(Refused::OnlyOfCell(server.cell));
+                return Err(Refusal::OnlyOfCell(server.cell));
             }
         }
-        let total: u64 = self.machines.values().map(Machine::room).sum();
-        let left: u64 = stays().map(|(_, machine)| machine.room()).sum();
+        let total: u64 = self.machines.values().map(Machine::capacity).sum();
+        let left: u64 = stays().map(|(_, machine)| machine.capacity()).sum();
         let mut lost: BTreeMap<&Name, u64> = BTreeMap::new();
         for (name, machine) in stays() {
-            let part = match bounds.spare {
-                Spare::Nothing => continue,
-                Spare::Machine => name,
-                Spare::Zone => &machine.zone,
+            let part = match bounds.failure_tolerance {
+                FailureTolerance::Nothing => continue,
+                FailureTolerance::Machine => name,
+                FailureTolerance::Zone => &machine.zone,
             };
-            *lost.entry(part).or_default() += machine.room();
+            *lost.entry(part).or_default() += machine.capacity();
         }
         let left = left - lost.into_values().max().unwrap_or(0);
-        let least = (total * u64::from(bounds.floor)).div_ceil(1000);
+        let least = (total * u64::from(bounds.min_capacity_permille)).div_ceil(1000);
         match left >= least {
             true => Ok(()),
-            false => Err(Refused::Floor { left, least }),
+            false => Err(Refusal::BelowFloor {
+                remaining: left,
+                required: least,
+            }),
         }
     }
 
     /// Orders of which nothing is left to do are remembered in a line each.
     fn sweep(&mut self) {
-        let over = |_: &Number, (_, places): &mut (Order, BTreeMap<Name, Place>)| {
-            places.values().all(|place| place.phase.ended())
+        let over = |_: &Number, (_, places): &mut (WorkOrder, BTreeMap<Name, MachineProgress>)| {
+            places.values().all(|place| place.phase.is_terminal())
         };
         for (number, (order, places)) in self.orders.extract_if(.., over) {
             let done = places
@@ -392,7 +419,7 @@
                 .count();
             self.ended
                 .push_back((number, order.name, done, places.len() - done));
-            if self.ended.len() > Caps::ENDED {
+            if self.ended.len() > OrderLimits::MAX_ENDED_ORDERS {
                 self.ended.pop_front();
             }
         }
--- a/crates/workorders/src/planner.rs
+++ b/crates/workorders/src/planner.rs
@@ -5,12 +5,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::orders::{Orders, Place, Refused};
-use crate::words::{Millis, Name, Number, Phase, Step, Why};
+use crate::orders::{MachineProgress, Refusal, WorkOrders};
+use crate::types::{FailureReason, Millis, Name, Number, Phase, Step};
 
 /// What one proxy says of one machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct MachineReport {
     /// The version of the machine's place that it goes by.
     pub version: Number,
     /// Connections and attempts of its own there.
@@ -25,38 +25,38 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Member {
     pub live: bool,
-    pub reports: BTreeMap<Name, Report>,
+    pub reports: BTreeMap<Name, MachineReport>,
 }
 
 /// What is known of proxies and machines, as late and wrong as it may be.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Facts {
+pub struct PlannerInput {
     pub members: BTreeMap<Name, Member>,
     /// The time of day, in milliseconds since 1970.
-    pub wall: Millis,
+    pub unix_time_ms: Millis,
     /// Machines that are lost, or closed by an operator's own word, whatever orders say.
-    pub dead: BTreeSet<Name>,
+    pub unavailable: BTreeSet<Name>,
     /// Clients at machines whose turn has not come, over all proxies; of those no single reports are needed.
-    pub crowd: BTreeMap<Name, u64>,
+    pub client_counts: BTreeMap<Name, u64>,
     /// For how long each place has had its version, as far as whoever conducts knows.
-    pub since: BTreeMap<Number, Millis>,
+    pub version_ages: BTreeMap<Number, Millis>,
 }
 
 /// What is to be proposed, and what each machine waits for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Next {
+pub struct PlannedSteps {
     /// Order, machine, version and step.
     pub steps: Vec<(Number, Name, Number, Step)>,
-    pub why: Vec<(Name, String)>,
+    pub wait_reasons: Vec<(Name, String)>,
 }
 
-impl Facts {
+impl PlannerInput {
     /// Proxies that have not confirmed, for this version, what `confirms` asks for.
     fn lacking(
         &self,
         name: &Name,
         version: Number,
-        confirms: impl Fn(&Report) -> bool,
+        confirms: impl Fn(&MachineReport) -> bool,
     ) -> Vec<&Name> {
         let confirmed = |member: &Member| {
             let report = member.reports.get(name);
@@ -76,7 +76,7 @@
     }
 
     fn clients(&self, name: &Name) -> u64 {
-        if let Some(crowd) = self.crowd.get(name) {
+        if let Some(crowd) = self.client_counts.get(name) {
             return *crowd;
         }
         let of = |member: &Member| member.reports.get(name).map_or(0, |report| report.clients);
@@ -94,50 +94,56 @@
 }
 
 /// The steps that may be taken now, and why the others are not.
-pub fn plan(orders: &Orders, facts: &Facts) -> Next {
-    let mut next = Next::default();
+pub fn plan_steps(orders: &WorkOrders, facts: &PlannerInput) -> PlannedSteps {
+    let mut next = PlannedSteps::default();
     // What is out goes on, of every order.
     for (number, (order, places)) in orders.orders() {
         for (name, place) in places {
-            let since = facts.since.get(&place.version).copied().unwrap_or(0);
+            let since = facts.version_ages.get(&place.version).copied().unwrap_or(0);
             let step = match &place.phase {
-                Phase::Leaving => leaving(
+                Phase::Draining => leaving(
                     facts,
                     name,
                     place,
                     order.cancelled,
-                    since >= order.spans.leave,
+                    since >= order.timeouts.drain_timeout,
                 ),
-                Phase::Empty if order.cancelled => Ok(Step::Recall),
-                Phase::Empty if facts.opened(name, place.version) => Ok(Step::Fail(Why::Opened)),
-                Phase::Empty if since >= order.spans.work => Ok(Step::Fail(Why::NeverWorked)),
-                Phase::Empty if !order.wait => Ok(Step::Worked),
-                Phase::Empty => Err("it is empty, and waits for `work done`".into()),
-                Phase::Returning { .. } => returning(facts, name, place, since >= order.spans.back),
+                Phase::Drained if order.cancelled => Ok(Step::Recall),
+                Phase::Drained if facts.opened(name, place.version) => {
+                    Ok(Step::Fail(FailureReason::Opened))
+                }
+                Phase::Drained if since >= order.timeouts.work_timeout => {
+                    Ok(Step::Fail(FailureReason::NeverWorked))
+                }
+                Phase::Drained if !order.waits_for_done => Ok(Step::CompleteWork),
+                Phase::Drained => Err("it is empty, and waits for `work done`".into()),
+                Phase::Returning { .. } => {
+                    returning(facts, name, place, since >= order.timeouts.return_timeout)
+                }
                 Phase::Failed(why) => Err(format!(
                     "it is out and failed ({why:?}): staff say what becomes of it"
                 )),
-                Phase::Waiting | Phase::Done | Phase::Spared => continue,
+                Phase::Waiting | Phase::Done | Phase::Skipped => continue,
             };
             match step {
                 Ok(step) => next
                     .steps
                     .push((*number, name.clone(), place.version, step)),
-                Err(why) => next.why.push((name.clone(), why)),
+                Err(why) => next.wait_reasons.push((name.clone(), why)),
             }
         }
     }
     call_back(orders, facts, &mut next);
-    if let Some(number) = orders.running() {
+    if let Some(number) = orders.active_order() {
         go(orders, facts, number, &mut next);
     }
     next
 }
 
 fn leaving(
-    facts: &Facts,
+    facts: &PlannerInput,
     name: &Name,
-    place: &Place,
+    place: &MachineProgress,
     cancelled: bool,
     late: bool,
 ) -> Result<Step, String> {
@@ -149,10 +155,10 @@
         report.closed && report.clients == 0
     });
     if full.is_empty() {
-        return Ok(Step::Empty);
+        return Ok(Step::MarkDrained);
     }
     if late {
-        return Ok(Step::Fail(Why::NeverEmpty));
+        return Ok(Step::Fail(FailureReason::NeverEmpty));
     }
     match open.is_empty() {
         true => Err(format!(
@@ -164,14 +170,19 @@
     }
 }
 
-fn returning(facts: &Facts, name: &Name, place: &Place, late: bool) -> Result<Step, String> {
+fn returning(
+    facts: &PlannerInput,
+    name: &Name,
+    place: &MachineProgress,
+    late: bool,
+) -> Result<Step, String> {
     let closed = facts.lacking(name, place.version, |report| !report.closed);
     let cold = facts.lacking(name, place.version, |report| !report.closed && report.warm);
     if cold.is_empty() {
-        return Ok(Step::Back);
+        return Ok(Step::CompleteReturn);
     }
     if late {
-        return Ok(Step::Fail(Why::NeverBack));
+        return Ok(Step::Fail(FailureReason::NeverBack));
     }
     match closed.is_empty() {
         true => Err(format!("not up and warm yet, as {} see it", some(&cold))),
@@ -180,10 +191,10 @@
 }
 
 /// Where more is lost than bounds allow, one that is leaving is called back at a time.
-fn call_back(orders: &Orders, facts: &Facts, next: &mut Next) {
-    let out = orders.out();
+fn call_back(orders: &WorkOrders, facts: &PlannerInput, next: &mut PlannedSteps) {
+    let out = orders.machines_out();
     let lost: Vec<&Name> = facts
-        .dead
+        .unavailable
         .iter()
         .filter(|name| !out.contains_key(name))
         .collect();
@@ -193,8 +204,8 @@
     // As if it asked to go now, beside all others that are out.
     let short = |number: Number, name: &Name| {
         orders
-            .without(name)
-            .may_go(number, name, &facts.dead)
+            .with_machine_in(name)
+            .check_take_out(number, name, &facts.unavailable)
             .is_err()
     };
     let leaving = out.iter().filter(|(name, (number, place))| {
@@ -202,7 +213,7 @@
             .steps
             .iter()
             .any(|(_, stepping, ..)| stepping == **name);
-        place.phase == Phase::Leaving && !goes_on && short(*number, name)
+        place.phase == Phase::Draining && !goes_on && short(*number, name)
     });
     // The one that is farthest from empty; another, if that is not enough, once it is back.
     let first = leaving.max_by_key(|(name, _)| (facts.clients(name), **name));
@@ -213,12 +224,12 @@
 }
 
 /// The emptiest that may go, one at a time: the next is weighed with this one out.
-fn go(orders: &Orders, facts: &Facts, number: Number, next: &mut Next) {
+fn go(orders: &WorkOrders, facts: &PlannerInput, number: Number, next: &mut PlannedSteps) {
     let (order, places) = &orders.orders()[&number];
     let waiting = places
         .iter()
         .filter(|(_, place)| place.phase == Phase::Waiting);
-    let mut waiting: Vec<(&Name, &Place)> = waiting.collect();
+    let mut waiting: Vec<(&Name, &MachineProgress)> = waiting.collect();
     // Where a proxy is, its clients come back all at once: such machines go last.
     let proxy = |name: &Name| {
         orders
@@ -229,21 +240,21 @@
     waiting.sort_by_key(|(name, _)| (proxy(name), facts.clients(name), (*name).clone()));
     let mut gone = None;
     for (name, place) in waiting {
-        let refused = match (facts.dead.contains(name), gone) {
-            _ if facts.wall < order.not_before => Err("its time has not come".to_string()),
+        let refused = match (facts.unavailable.contains(name), gone) {
+            _ if facts.unix_time_ms < order.not_before => Err("its time has not come".to_string()),
             (true, _) => Err("it is lost, or closed by an operator".to_string()),
             (false, Some(first)) => Err(format!("{first} goes first")),
             (false, None) => orders
-                .may_go(number, name, &facts.dead)
-                .map_err(|why: Refused| why.to_string()),
+                .check_take_out(number, name, &facts.unavailable)
+                .map_err(|why: Refusal| why.to_string()),
         };
         match refused {
             Ok(()) => {
                 gone = Some(name);
                 next.steps
-                    .push((number, name.clone(), place.version, Step::Out));
+                    .push((number, name.clone(), place.version, Step::TakeOut));
             }
-            Err(why) => next.why.push((name.clone(), why)),
+            Err(why) => next.wait_reasons.push((name.clone(), why)),
         }
     }
 }
--- a/crates/workorders/src/words.rs
+++ b/crates/workorders/src/types.rs
@@ -29,7 +29,7 @@
 
 /// What a proxy goes by of a machine that is in an order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// The version of its place.
     pub version: Number,
     /// Nothing new goes there, and what is there is moved.
@@ -38,7 +38,7 @@
 }
 
 impl Machine {
-    pub fn room(&self) -> u64 {
+    pub fn capacity(&self) -> u64 {
         self.servers.iter().map(|server| server.room).sum()
     }
 }
@@ -46,16 +46,16 @@
 /// What may be out at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bounds {
-    pub most: u32,
-    pub zone_most: u32,
+    pub max_out: u32,
+    pub max_out_per_zone: u32,
     /// Thousandths of all machines' room that stay in.
-    pub floor: u32,
-    pub spare: Spare,
+    pub min_capacity_permille: u32,
+    pub failure_tolerance: FailureTolerance,
 }
 
 /// What may be lost besides, with the floor still held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Spare {
+pub enum FailureTolerance {
     #[default]
     Nothing,
     /// Any one machine more.
@@ -64,7 +64,7 @@
     Zone,
 }
 
-impl Spare {
+impl FailureTolerance {
     pub const NAMES: [(&str, Self); 3] = [
         ("nothing", Self::Nothing),
         ("machine", Self::Machine),
@@ -79,26 +79,26 @@
 
 /// How long each phase may last, by the clock of whoever conducts; counted anew by a successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spans {
+pub struct PhaseTimeouts {
     /// Until it is empty: then it is put back, and listed as failed.
-    pub leave: Millis,
+    pub drain_timeout: Millis,
     /// Until staff say that the work is done: then it is listed as failed, and stays out.
-    pub work: Millis,
+    pub work_timeout: Millis,
     /// Until it serves and is warm: likewise.
-    pub back: Millis,
+    pub return_timeout: Millis,
 }
 
 /// What staff asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct WorkOrder {
     pub name: Name,
     pub machines: BTreeSet<Name>,
     pub bounds: Bounds,
-    pub spans: Spans,
+    pub timeouts: PhaseTimeouts,
     /// Nothing goes out before, in milliseconds since 1970; 0 for at once.
     pub not_before: Millis,
     /// Staff say when an empty machine is done; otherwise it comes back at once.
-    pub wait: bool,
+    pub waits_for_done: bool,
     pub paused: bool,
     /// Nothing more goes out; what is out comes back.
     pub cancelled: bool,
@@ -110,22 +110,22 @@
     /// Its turn has not come.
     Waiting,
     /// Nothing new goes there, and its clients are moved.
-    Leaving,
+    Draining,
     /// Told to staff, who work on it.
-    Empty,
+    Drained,
     /// Put back; cold until warm. `worked` is false where it was called back before its work.
     Returning {
-        worked: bool,
+        work_done: bool,
     },
     Done,
     /// Out, and nobody's turn until staff say what becomes of it.
-    Failed(Why),
+    Failed(FailureReason),
     /// Not worked on, and in: the order was cancelled.
-    Spared,
+    Skipped,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum FailureReason {
     NeverEmpty,
     NeverWorked,
     NeverBack,
@@ -137,40 +137,40 @@
 
 impl Phase {
     /// Whether some proxy may hold it for out.
-    pub fn out(&self) -> bool {
+    pub fn is_out(&self) -> bool {
         matches!(
             self,
-            Self::Leaving | Self::Empty | Self::Returning { .. } | Self::Failed(_)
+            Self::Draining | Self::Drained | Self::Returning { .. } | Self::Failed(_)
         )
     }
 
     /// Whether nothing is left to do about it.
-    pub fn ended(&self) -> bool {
-        matches!(self, Self::Done | Self::Spared)
+    pub fn is_terminal(&self) -> bool {
+        matches!(self, Self::Done | Self::Skipped)
     }
 }
 
 /// A machine's way from one phase to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
-    Out,
-    Empty,
+    TakeOut,
+    MarkDrained,
     /// Staff: the work is done.
-    Worked,
+    CompleteWork,
     /// It comes back before its work: room is short, or the order was cancelled.
     Recall,
     /// Every proxy has it back, and it is warm.
-    Back,
-    Fail(Why),
+    CompleteReturn,
+    Fail(FailureReason),
 }
 
 /// A change of the log's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
+pub enum WorkOrderChange {
     /// All machines, as the sources tell them now.
-    Machines(BTreeMap<Name, Machine>),
-    Plan(Order),
-    Pause(Number, bool),
+    SetMachines(BTreeMap<Name, Machine>),
+    AddOrder(WorkOrder),
+    SetPaused(Number, bool),
     Cancel(Number),
     /// One step of one machine, upon that version of it, by who conducts under that fencing number; staff's own steps
     /// (`Worked`, `Fail(Staff)`, and `Recall` of what has failed) have none.
--- a/crates/workorders/tests/properties.rs
+++ b/crates/workorders/tests/properties.rs
@@ -122,30 +122,32 @@
     let machines: BTreeMap<Name, Machine> =
         fleet.machines.iter().enumerate().map(machine).collect();
     let count = machines.len();
-    let mut orders = Orders::default();
+    let mut orders = WorkOrders::default();
     orders
-        .apply(Change::Machines(machines.clone()))
+        .apply(WorkOrderChange::SetMachines(machines.clone()))
         .expect("sound");
-    let order = Order {
+    let order = WorkOrder {
         name: "all".into(),
         machines: machines.into_keys().collect(),
         bounds: Bounds {
-            most: fleet.most + loose,
-            zone_most: fleet.zone_most + loose,
-            floor: fleet.floor,
-            spare: Spare::NAMES[usize::from(fleet.spare)].1,
+            max_out: fleet.most + loose,
+            max_out_per_zone: fleet.zone_most + loose,
+            min_capacity_permille: fleet.floor,
+            failure_tolerance: FailureTolerance::NAMES[usize::from(fleet.spare)].1,
         },
-        spans: Spans {
-            leave: u64::MAX,
-            work: u64::MAX,
-            back: u64::MAX,
+        timeouts: PhaseTimeouts {
+            drain_timeout: u64::MAX,
+            work_timeout: u64::MAX,
+            return_timeout: u64::MAX,
         },
         not_before: 0,
-        wait: true,
+        waits_for_done: true,
         paused: false,
         cancelled: false,
     };
-    orders.apply(Change::Plan(order)).expect("sound");
+    orders
+        .apply(WorkOrderChange::AddOrder(order))
+        .expect("sound");
     let mut clients = vec![1u64; count];
     let mut dead: BTreeSet<usize> = BTreeSet::new();
     let mut emptied = vec![0u32; count];
@@ -155,15 +157,15 @@
             Event::Clients(at, there) => clients[at % count] = *there,
             Event::Dies(at) => drop(dead.insert(at % count)),
             Event::Returns(at) => drop(dead.remove(&(at % count))),
-            Event::Pause(paused) => drop(orders.apply(Change::Pause(number, *paused))),
+            Event::Pause(paused) => drop(orders.apply(WorkOrderChange::SetPaused(number, *paused))),
             Event::Worked(at) => {
                 let places = orders.orders().get(&number).map(|(_, places)| places);
                 if let Some(place) = places.and_then(|places| places.get(&name(at % count))) {
-                    let step = Change::Step {
+                    let step = WorkOrderChange::Step {
                         order: number,
                         machine: name(at % count),
                         version: place.version,
-                        step: Step::Worked,
+                        step: Step::CompleteWork,
                         fence: None,
                     };
                     let _ = orders.apply(step);
@@ -173,12 +175,12 @@
                 let places = orders.orders().values().flat_map(|(_, places)| places);
                 let reports = places.map(|(machine, place)| {
                     let at: usize = machine[2..].parse().expect("named here");
-                    let report = Report {
+                    let report = MachineReport {
                         version: place.version,
                         clients: clients[at],
                         closed: matches!(
                             place.phase,
-                            Phase::Leaving | Phase::Empty | Phase::Failed(_)
+                            Phase::Draining | Phase::Drained | Phase::Failed(_)
                         ),
                         warm: !dead.contains(&at),
                     };
@@ -188,14 +190,14 @@
                     live: true,
                     reports: reports.collect(),
                 };
-                let facts = Facts {
+                let facts = PlannerInput {
                     members: [("p".to_string(), member)].into(),
-                    dead: dead.iter().map(|at| name(*at)).collect(),
-                    ..Facts::default()
+                    unavailable: dead.iter().map(|at| name(*at)).collect(),
+                    ..PlannerInput::default()
                 };
-                for (order, machine, version, step) in plan(&orders, &facts).steps {
+                for (order, machine, version, step) in plan_steps(&orders, &facts).steps {
                     let at: usize = machine[2..].parse().expect("named here");
-                    let change = Change::Step {
+                    let change = WorkOrderChange::Step {
                         order,
                         machine: machine.clone(),
                         version,
@@ -205,17 +207,17 @@
                     if orders.apply(change).is_err() {
                         continue;
                     }
-                    let out = orders.out();
+                    let out = orders.machines_out();
                     let out: BTreeSet<usize> = out
                         .keys()
                         .map(|name| name[2..].parse().expect("named"))
                         .collect();
-                    if step == Step::Out
+                    if step == Step::TakeOut
                         && let Some(what) = breaks(fleet, at, &out, &dead)
                     {
                         return Err(format!("{machine} goes: {what}"));
                     }
-                    if step == Step::Empty {
+                    if step == Step::MarkDrained {
                         emptied[at] += 1;
                         if clients[at] > 0 || emptied[at] > 1 {
                             return Err(format!(
