--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -1,13 +1,13 @@
-//! The interface of the decision module: settings at start-up, events in, actions out.
+//! The interface of the decision engine: settings at the start, events in, actions out.
 
-/// A moment or a span, in seconds. The clock has no special start; it only goes forward.
+/// A point in time or a duration, in seconds. The clock's origin is arbitrary, and it never goes back.
 pub type Seconds = f64;
-/// A server, the same at every balancer and across restarts of its process.
+/// Identifies a server, with the same value at every balancer and across restarts of the server's process.
 pub type ServerId = u32;
-/// A request and, once it has begun, its connection.
+/// Identifies a request and, once that has begun, its connection.
 pub type RequestId = u64;
 
-/// What may happen when a request of a class runs more than once.
+/// When a request of a class may safely run more than once: always, while servers remember its key, or never.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     Safe,
@@ -15,7 +15,7 @@
     Unsafe,
 }
 
-/// The servers that drop each other's repeats of a keyed request.
+/// The set of servers that drop repeats of a keyed request that ran on another server of the set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     All,
@@ -23,24 +23,27 @@
     Cell,
 }
 
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     pub effect: Idempotency,
     pub scope: DedupScope,
-    /// How long servers remember a keyed request, from the first attempt that may have run.
+    /// How long servers remember a keyed request, counted from the first attempt that may have run.
     pub window: Seconds,
-    /// The wanted time of the set-up.
+    /// The target time for the set-up of a connection.
     pub aim: Seconds,
+    /// The worth of serving one request, relative to other classes.
     pub worth: f64,
 }
 
+/// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Connections that all balancers together may hold within the tenant's share.
+    /// The tenant's share: the number of connections that all balancers together may hold for it at full worth.
     pub quota: Option<f64>,
 }
 
-/// The values a load report can hold.
+/// The values that a load report can contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
     Load,
@@ -50,8 +53,8 @@
     Errors,
 }
 
-/// How many attempts beyond each request's first a balancer may make in any span of time: so many, and such
-/// a part of the requests that came to it in that span.
+/// The number of retries that a balancer may make in any period of `span` seconds: `free`, plus `ratio` times the
+/// number of requests that arrived at it in that period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     pub free: f64,
@@ -59,72 +62,75 @@
     pub span: Seconds,
 }
 
-/// What a whole of many balancers is about.
+/// A resource whose use is limited by a quota that several balancers share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QuotaKind {
-    /// Attempts beyond a request's first, within any span of the allowance's length.
+    /// Retries, within any period of the allowance's span.
     Further,
-    /// Connections moved off servers for their load, within any such span. Drains are none of them.
+    /// Connections moved off servers because of load, within any period of the allowance's span. Drains don't count.
     Moves,
-    /// Probes, within any such span.
+    /// Probes, within any period of the allowance's span.
     Probes,
-    /// Attempts at any one cold server, within any such span; and of what all balancers may give it as it warms up,
-    /// this one's part of the whole.
+    /// Attempts at any one cold server, within any period of the allowance's span. The ratio of the allowance to the
+    /// whole is also this balancer's part of the connections that all balancers may place there during the warm-up.
     Cold,
-    /// Connections at once, attempts that are out among them: of a class, or of a tenant.
+    /// Concurrent connections of a class, with attempts in flight.
     Class(usize),
+    /// Concurrent connections of a tenant, with attempts in flight and waiting requests.
     Tenant(usize),
 }
 
-/// A balancer's part of such a whole: so much until a moment, and so much from then on.
+/// A balancer's part of such a quota: `units` until the lease ends at `until`, and `after` from then on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
     pub units: u64,
     pub until: Seconds,
     pub after: u64,
-    /// Of matters that are counted within a span.
+    /// The length of the period for quotas that are counted within one.
     pub span: Seconds,
-    /// What all balancers have together.
+    /// The units of all balancers together.
     pub whole: u64,
-    /// An exchange among balancers may bring more within so long of a request's coming; 0 where it would not.
+    /// How long after its arrival a request may wait for an exchange among balancers to bring more units; 0 where none
+    /// is to be expected.
     pub wait: Seconds,
 }
 
-/// Why a request was given up, for the log.
+/// The reason for which a request was given up, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// The balancer takes nothing more.
+    /// The balancer accepts no more requests.
     NotTaking,
     DeadlineOver,
-    /// It has had all the attempts that it may have.
+    /// The request has used all attempts that it may have.
     Attempts,
-    /// Far more fails than succeeds, or clients are cut off.
+    /// Adaptive throttling: far more attempts fail than succeed, or connections are being reset.
     Throttled,
-    /// The budget of further attempts, or this balancer's part of one, is used up.
+    /// The retry budget or this balancer's allowance of retries is used up.
     FurtherAttempts,
-    /// This balancer's part has no room for it.
+    /// This balancer's allowance of the quota is used up.
     Part(QuotaKind),
-    /// No server has room for it.
+    /// No server has room for the request.
     NoServer,
 }
 
-/// What a balancer uses of a part that it has.
+/// A balancer's use of one of its allowances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaUsage {
     pub quota: QuotaKind,
     pub in_use: u64,
-    /// How often the part was too small, since the start.
+    /// How often the allowance was too small, since the start.
     pub denied: u64,
 }
 
-/// What the balancer is told at its start, and the only thing it may act on besides events.
+/// The balancer's settings. Apart from events, they are its only input.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// The number of balancers.
     pub fleet_size: usize,
     /// This balancer's number among them.
     pub me: u64,
     pub zone: Option<usize>,
-    /// How many zones there are.
+    /// The number of zones.
     pub zones: usize,
     pub classes: Vec<Class>,
     pub tenants: Vec<Tenant>,
@@ -134,29 +140,36 @@
     pub may_retry_after: bool,
     pub may_probe: bool,
     pub may_cancel: bool,
-    /// The server list comes only when asked for.
+    /// The server list arrives only after a request for it.
     pub must_ask: bool,
+    /// The longest time within which a lost list must be requested again.
     pub ask_within: Seconds,
+    /// The fraction of its capacity that a server has at its start.
     pub cold_from: f64,
+    /// The length of a server's warm-up.
     pub cold_for: Seconds,
+    /// A cold server is overloaded by this multiple of the rate of new connections that its present capacity allows, if
+    /// that rate lasts for `fall_for`.
     pub fall_multiple: f64,
+    /// The window of the overload limit.
     pub fall_for: Seconds,
     /// Connections of one group share work on a server.
     pub groups: bool,
-    /// What a request that crosses zones costs, and a probe for each request, and what a request
-    /// beyond its tenant's share is worth.
+    /// The price of a request that crosses zones, the price of a probe relative to a request, and the factor on the
+    /// worth of a request beyond its tenant's share.
     pub price_cross_zone: f64,
     pub price_probe: f64,
     pub over_share_worth: f64,
     pub budget: Option<Budget>,
-    /// The shortest time in which clients want an answer on an open connection, where that is told.
+    /// The shortest target time for an answer on an open connection, where the settings give one.
     pub message_aim: Option<Seconds>,
 }
 
+/// The status of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     Up,
-    /// Whoever lists servers doubts that it is there: nothing new goes to it while others have room.
+    /// The source of the list suspects that the server is gone: it gets no new connections while others have room.
     Suspected,
     Draining,
     Gone,
@@ -170,12 +183,13 @@
     pub zone: Option<usize>,
     pub kind: Option<usize>,
     pub cell: u64,
-    /// Its size beside others' in the list, where the list tells sizes.
+    /// The size relative to other servers in the list, where the list gives sizes.
     pub size: Option<f64>,
-    /// When the process last started, unless that is long ago.
+    /// When the server's process last started, unless that is long ago.
     pub born: Option<Seconds>,
 }
 
+/// The kind of a message about the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that changed.
@@ -184,10 +198,11 @@
     Replace,
     /// The whole list as it was last known, possibly stale.
     Restored,
-    /// A call for the list failed or the subscription was dropped.
+    /// A request for the list failed, or the subscription was dropped.
     Unavailable,
 }
 
+/// A request of a client for a connection.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: RequestId,
@@ -195,35 +210,35 @@
     pub tenant: Option<usize>,
     /// A stable hash of the group's name.
     pub group: Option<u64>,
-    /// Expected load in seconds of work a second, where the site gives it.
+    /// The expected load in seconds of work per second, where the site gives it.
     pub hint: Option<f64>,
-    /// Time until the client stops waiting.
+    /// The time until the client stops waiting.
     pub patience: Seconds,
-    /// The client asked for this before, and was refused, failed, cut off or moved; false where clients
-    /// don't mark it.
+    /// The request is a repeat of one that was refused, failed, cut off or moved; false where clients don't mark
+    /// repeats.
     pub again: bool,
 }
 
-/// A server's own word on its load; each value is absent where the site does not report it.
+/// A server's report of its load; each value is absent where the site does not report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Load asked over what the server can do.
+    /// Demanded load over the server's capacity.
     pub load: Option<f64>,
     pub connections: Option<f64>,
     pub queue: Option<f64>,
     pub utilisation: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors: Option<f64>,
 }
 
-/// What a balancer takes: one that operators empty takes nothing new, and at last nothing at all.
+/// Which requests a balancer accepts. While operators drain it, it accepts no new ones, and finally none at all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdmissionMode {
     #[default]
     All,
-    /// New requests are turned away; what was taken goes on.
+    /// New requests are refused; accepted ones continue.
     NothingNew,
-    /// Requests that still wait are answered too.
+    /// Requests that are not open yet are given up too.
     Nothing,
 }
 
@@ -238,7 +253,7 @@
     Reset,
     Cancelled,
     NotSent,
-    /// This machine was short of what an attempt takes: none was made, and no server is to blame.
+    /// This machine lacked the resources for an attempt: none was made, and the outcome counts against no server.
     LocalFailure,
 }
 
@@ -258,57 +273,59 @@
     pub id: RequestId,
     pub server: ServerId,
     pub outcome: Outcome,
-    /// The request is finished; nothing is owed for it.
+    /// The request is finished and needs no answer.
     pub last: bool,
     pub report: Report,
 }
 
+/// An input of the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The balancer has come to life; a `Servers` event follows.
+    /// The balancer has started; a `Servers` event follows.
     Start,
     Servers(ListKind, Vec<Entry>),
     Request(Request),
     /// A connection that is already open on `server` at the balancer's start.
     Open(Request, ServerId),
-    /// The line of the latest attempt, at this server, was written just now. Only wanted where
-    /// [`Balancer::awaits_write`](crate::Balancer::awaits_write) says so.
+    /// The line of the latest attempt, at this server, was written just now. Needed only where
+    /// [`Balancer::awaits_write`](crate::Balancer::awaits_write) is true.
     Written(RequestId, ServerId),
-    /// The connection is up; time-out and deadline stop.
+    /// The connection is open; its time-out and deadline no longer apply.
     Begun(RequestId, ServerId),
     Outcome(Ended),
-    /// The client left; nothing is owed any more.
+    /// The client has left; no answer is needed.
     Gone(RequestId),
-    /// The connection's load now, in seconds of work a second.
+    /// The connection's present load, in seconds of work per second.
     LoadNote(RequestId, f64),
-    /// How long a message takes at the connection's server now.
+    /// The present delay of a message at the server.
     DelayNote(ServerId, Seconds),
     Probed(ServerId, Outcome, Report),
     Taking(AdmissionMode),
-    /// A part of a whole from now on; of what none is told is no part.
+    /// The balancer's allowance of a quota from now on. A quota without an allowance is not limited.
     Allowance(QuotaKind, Allowance),
-    /// Other settings hold from now on. Classes, tenants, zones and kinds that were there keep their
-    /// numbers, also those that are named no more: requests under way go by them to their end.
+    /// New settings apply from now on. Classes, tenants, zones and kinds keep their numbers, even if they are no longer
+    /// named: requests under way refer to them until their end.
     Settings(Box<Settings>),
     Timer(u64),
 }
 
+/// An output of the balancer, for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt, with its time-out; and where a repeat is harmless only for a time, or a part that it uses is
-    /// leased, how long from now it may begin at its server: a dial takes a part of that.
+    /// Start an attempt, with its time-out. Where a repeat is harmless only for a time, or the attempt uses a leased
+    /// unit, the last value is how long from now it may begin at its server; the dial takes a part of that time.
     Send(RequestId, ServerId, Seconds, Option<Seconds>),
-    /// Final: turned away, harmless to repeat, perhaps with a time to come back after.
+    /// Final answer: refused; a repeat is harmless, and may come with a time to wait before it.
     Refuse(RequestId, Option<Seconds>),
-    /// Final: failed, without a promise.
+    /// Final answer: failed; a repeat may not be harmless.
     Fail(RequestId),
-    /// Close an open connection politely; its client comes again.
+    /// Close an open connection with a request to reconnect.
     Move(RequestId),
-    /// Stop waiting for an attempt, by its number.
+    /// Cancel an attempt, given by its number.
     Cancel(RequestId, usize),
     Probe(ServerId),
-    /// Ask for the server list and its changes from now on.
+    /// Request the server list and its changes from now on.
     Subscribe,
-    /// Ask for a `Timer` event with this token after a while.
+    /// Send a `Timer` event with this token after this time.
     Timer(Seconds, u64),
 }
--- a/crates/balancer/src/decay.rs
+++ b/crates/balancer/src/decay.rs
@@ -1,21 +1,23 @@
-//! A sum that forgets: what is added fades with a time constant.
+//! A sum with exponential decay.
 
 use crate::api::Seconds;
 
+/// A sum in which every amount decays exponentially from the moment when it is added.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingSum {
     sum: f64,
-    at: Seconds,
+    updated_at: Seconds,
 }
 
 impl DecayingSum {
-    /// The sum at `now`, when what was added fades by a factor e in `span`.
-    pub fn value_at(&self, now: Seconds, span: Seconds) -> f64 {
-        self.sum * ((self.at - now).min(0.0) / span).exp()
+    /// The sum at `now`, where amounts decay by a factor of e in `time_constant` seconds.
+    pub fn value_at(&self, now: Seconds, time_constant: Seconds) -> f64 {
+        self.sum * ((self.updated_at - now).min(0.0) / time_constant).exp()
     }
 
-    pub fn add(&mut self, now: Seconds, span: Seconds, amount: f64) {
-        self.sum = self.value_at(now, span) + amount;
-        self.at = now;
+    /// Adds `amount` at `now`, after the decay of the sum so far with `time_constant` in seconds.
+    pub fn add(&mut self, now: Seconds, time_constant: Seconds, amount: f64) {
+        self.sum = self.value_at(now, time_constant) + amount;
+        self.updated_at = now;
     }
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of the violetwind balancer.
+//! The decision engine of the violetwind load balancer.
 //!
-//! The library does no input or output and reads no clock: a host feeds events to
-//! [`Balancer::handle`] with the present time and carries out the actions that come back.
-//! The same settings, seed and events always give the same actions.
+//! The library does no input or output and reads no clock: a host passes events with the present time to
+//! [`Balancer::handle_event`] and carries out the actions that it returns. The same settings, seed and events always
+//! give the same actions.
 
 pub mod api;
 mod decay;
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -1,4 +1,4 @@
-//! Every decision of the balancer; its interface is `api.rs`, and `state.rs` keeps the books.
+//! All decisions of the balancer. `api.rs` defines its interface, and `state.rs` keeps its state.
 //!
 //! The design (docs/design.md): probe each server for load, place a connection on the lowest-ranked
 //! server, and move a connection off a server whose probed load passes a threshold.
@@ -13,183 +13,209 @@
 use crate::decay::DecayingSum;
 use crate::state::{Connection, Phase, Server, State};
 
-/// Load over capacity beyond which a connection is moved off a server, and no server is given more.
-const THRESHOLD: f64 = 0.85;
-/// Where only connection counts are known: the count over the servers' mean that triggers a move.
-const COUNT_TRIGGER: f64 = 1.3;
-/// The part of `THRESHOLD` that all servers are filled to when room begins to be short.
-const SCARCE: f64 = 0.7;
-/// The part of `THRESHOLD` that is kept from what is worth nothing for its load.
-const LESS_ROOM: f64 = 0.1;
-/// What lacks worth for its load is refused so many times as often, where clients are cut off.
-const SHED: f64 = 2.0;
-/// Load over capacity beyond which connections go at once, even if there is no room for them elsewhere.
-const DROWNING: f64 = 0.93;
-/// What moves at once over what a figure shows to be too much: it is late.
-const HASTE: f64 = 2.0;
-/// Time between two probes of a server, if they are cheap, and the design's longest.
-const PROBE_EVERY: Seconds = 1.0;
-const PROBE_RARELY: Seconds = 5.0;
-/// What probing may cost of the worth of the requests that come meanwhile.
-const PROBE_BUDGET: f64 = 0.01;
-/// A report may show the state of so long ago; own placements since then are added to it.
-const REPORT_AGE: Seconds = 2.0;
-/// By this much load a server that the list doubts ranks behind all others that have room.
-const DOUBT: f64 = 1e6;
-/// Load that a price of one for a zone crossing is worth.
-const CROSS_LOAD: f64 = 6.0;
-/// Connections' worth of load that a group is taken to cost on each server that holds any of it.
+/// Load, as a fraction of capacity, above which connections are moved off a server and none are added.
+const LOAD_THRESHOLD: f64 = 0.85;
+/// Where servers report only connection counts: the ratio of a server's count to the mean of all servers
+/// above which a connection is moved off it.
+const COUNT_MOVE_RATIO: f64 = 1.3;
+/// Mean load of all servers, as a fraction of `LOAD_THRESHOLD`, at which room begins to be scarce.
+const SCARCITY_START: f64 = 0.7;
+/// Fraction of `LOAD_THRESHOLD` that is withheld from a request of no worth for its load.
+const LOW_WORTH_RESERVE: f64 = 0.1;
+/// Where servers report no load: the probability of refusing a request, per unit of its worth deficit and
+/// of the level of connection resets.
+const SHEDDING_FACTOR: f64 = 2.0;
+/// Load, as a fraction of capacity, above which connections are moved at once, even without room elsewhere.
+const CRITICAL_LOAD: f64 = 0.93;
+/// Ratio of the load that is moved at once to the excess that a report shows, as reports arrive late.
+const EXCESS_MOVE_FACTOR: f64 = 2.0;
+/// Interval between two probes of a server while probes are cheap.
+const MIN_PROBE_INTERVAL: Seconds = 1.0;
+/// The longest interval between two probes of a server that the design allows.
+const MAX_PROBE_INTERVAL: Seconds = 5.0;
+/// Allowed cost of probes, as a fraction of the worth of the requests that arrive in the same time.
+const PROBE_COST_SHARE: f64 = 0.01;
+/// Longest time by which a report may lag behind the server's state; own placements within this time are
+/// added to the reported metric.
+const MAX_REPORT_DELAY: Seconds = 2.0;
+/// Load added to the rank of a server that the list marks as suspected: it ranks behind all others that
+/// have room.
+const SUSPECTED_PENALTY: f64 = 1e6;
+/// Load that is equivalent to a cross-zone price of 1.
+const CROSS_ZONE_LOAD: f64 = 6.0;
+/// Assumed load of a group on each server that holds any of its connections, in connections of mean load.
 const GROUP_COST: f64 = 2.0;
-/// By this many times its cost a server without the group ranks behind: the cost stays for long.
-const GROUP_SHUN: f64 = 8.0;
-/// By the same again a server ranks behind for each so many places in the group's common order.
-const PLACES: f64 = 1.5;
-/// How many servers of a common order, of the own zone and of the others, are ranked for a request.
+/// Multiple of the group's cost that is added to the rank of a server without the group, as the cost
+/// remains for a long time.
+const GROUP_PENALTY_FACTOR: f64 = 8.0;
+/// Number of places in the group's common order of servers for which the same penalty is added again.
+const PLACES_PER_PENALTY: f64 = 1.5;
+/// Number of servers of a common order that are ranked for a request, in the own zone and in the others
+/// each.
 const CANDIDATES: usize = 32;
-/// So many usual connections a server is taken to hold until it is learned.
-const USUAL_HELD: f64 = 50.0;
-/// That guess weighs as much as so many own connections on each server.
-const GUESS_WEIGHT: f64 = 5.0;
-/// The highest load over capacity that is believed.
-const PLAUSIBLE: f64 = 10.0;
-/// By this a cold server is taken to be smaller than guessed, as far as its size is only guessed.
-const GUESS_CARE: f64 = 3.0;
-/// A turn at a cold server is kept for so many times the span that the fall budget is for.
-const TURN_KEPT: f64 = 1.5;
-/// Time constant of the judgement on failures, of a server and of the service as a whole.
-const FORGIVE: Seconds = 5.0;
-/// Attempts per success beyond which the service as a whole is taken to be failing.
-const TOLERATED: f64 = 2.0;
-/// The part of its aim that a request may wait for a fresh figure of its server.
-const ASK_PART: f64 = 0.3;
-/// How many servers are asked for a figure for one request at most.
-const ASKS: usize = 4;
-/// A figure so old means nothing.
-const FORGOTTEN: Seconds = 7.0;
-/// How often requests that wait are tried again, and at most sizes are learned.
-const OFTEN: Seconds = 0.05;
-/// Recent failures beyond which a server is ejected until they are forgiven.
-const EJECT: f64 = 3.0;
-/// The part of its aim that an attempt must have had for its silence to count against a server.
-const FAIR_TIME: f64 = 0.5;
-/// Whoever has turned so many away in a row, and sent none for so long, lets one try.
-const STUCK: usize = 12;
-const STUCK_FOR: Seconds = 3.5;
-
-/// The load that a server counts at where own messages are late, and for how long after the last of them.
-const SLOW: f64 = 1.2;
-const SLOW_FOR: Seconds = 2.0;
-
-const TIMER_ASK: u64 = 0;
-const TIMER_WAIT: u64 = 1;
-/// Probe timers carry the server's id above this.
-const TIMER_PROBE: u64 = 1 << 32;
+/// Number of connections of mean load that a server is assumed to hold until its capacity is estimated.
+const DEFAULT_CAPACITY: f64 = 50.0;
+/// Weight of that assumption, in own connections on each server.
+const DEFAULT_WEIGHT: f64 = 5.0;
+/// Highest reported load over capacity that is used as it is. Also the largest factor between the default
+/// capacity and one that is computed from reported connections.
+const MAX_PLAUSIBLE_LOAD: f64 = 10.0;
+/// Factor by which a server's capacity is assumed to be smaller than the default, as far as it is not known
+/// from reports: while the server is cold, and shortly after a start of this balancer.
+const CONSERVATIVE_FACTOR: f64 = 3.0;
+/// How long a turn at a cold server may be used, in multiples of the overload window `Settings::fall_for`.
+const TURN_VALIDITY: f64 = 1.5;
+/// Time constant of the decay of failure counts, of a server and of the service as a whole.
+const FAILURE_DECAY: Seconds = 5.0;
+/// Attempts per success above which the service as a whole counts as failing.
+const TOLERATED_ATTEMPTS: f64 = 2.0;
+/// Fraction of its target set-up time that a request may wait for a recent report of its server.
+const PROBE_WAIT_SHARE: f64 = 0.3;
+/// Most servers that are probed on demand for one request.
+const MAX_PROBED_SERVERS: usize = 4;
+/// Age beyond which a reported metric is ignored.
+const METRIC_MAX_AGE: Seconds = 7.0;
+/// Interval at which waiting requests are tried again, and the shortest between two capacity estimates.
+const RETRY_INTERVAL: Seconds = 0.05;
+/// Decayed number of failures above which a server is ejected, until it has decayed below that.
+const EJECTION_THRESHOLD: f64 = 3.0;
+/// Fraction of the target set-up time that an attempt must have been given for its time-out to count
+/// against the server.
+const MIN_TIMEOUT_SHARE: f64 = 0.5;
+/// Consecutive refusals after which one request is sent in spite of the load limit, if no attempt was made
+/// for `TRIAL_INTERVAL` either.
+const TRIAL_REJECTIONS: usize = 12;
+/// Time without an attempt that `TRIAL_REJECTIONS` requires.
+const TRIAL_INTERVAL: Seconds = 3.5;
 
+/// Least load assumed of a server while messages of own connections are late there.
+const SLOW_SERVER_LOAD: f64 = 1.2;
+/// How long a server counts as slow after the last late message.
+const SLOW_ANSWER_MAX_AGE: Seconds = 2.0;
+
+const TIMER_SUBSCRIBE: u64 = 0;
+const TIMER_RETRY: u64 = 1;
+/// First token of probe timers: the server's id is added to it.
+const TIMER_PROBE_BASE: u64 = 1 << 32;
+
+/// The decision engine of one load balancer. The host passes events in and carries out the actions that it
+/// returns.
 #[derive(Debug)]
 pub struct Balancer {
-    set: Settings,
+    settings: Settings,
     rng: Pcg64Mcg,
     state: State,
-    waiting: BTreeMap<RequestId, Option<ServerId>>,
-    wait_timer: bool,
+    /// Waiting requests, with the server whose probe result a request waits for, if there is one.
+    waiting_requests: BTreeMap<RequestId, Option<ServerId>>,
+    retry_timer_pending: bool,
     subscribed: bool,
-    taking: AdmissionMode,
+    admission_mode: AdmissionMode,
     failures: DecayingSum,
     successes: DecayingSum,
-    cut_off: DecayingSum,
+    /// Resets of connections that were open.
+    connection_resets: DecayingSum,
     given_up: Vec<(RequestId, GiveUpReason)>,
 }
 
 impl Balancer {
-    pub fn new(set: Settings, seed: u64) -> Self {
+    /// Creates a balancer. `seed` determines its random choices.
+    pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            state: State::new(&set, [1.0 / USUAL_HELD, GUESS_CARE / USUAL_HELD]),
-            waiting: BTreeMap::new(),
-            wait_timer: false,
+            state: State::new(
+                &settings,
+                [
+                    1.0 / DEFAULT_CAPACITY,
+                    CONSERVATIVE_FACTOR / DEFAULT_CAPACITY,
+                ],
+            ),
+            waiting_requests: BTreeMap::new(),
+            retry_timer_pending: false,
             subscribed: false,
-            taking: AdmissionMode::All,
+            admission_mode: AdmissionMode::All,
             failures: DecayingSum::default(),
             successes: DecayingSum::default(),
-            cut_off: DecayingSum::default(),
+            connection_resets: DecayingSum::default(),
             given_up: Vec::new(),
-            set,
+            settings,
         }
     }
 
-    /// Takes one event at `now` and appends what is to be done about it.
+    /// Handles one event at `now` and appends the resulting actions to `out`.
     pub fn handle_event(&mut self, now: Seconds, event: Event, out: &mut Vec<Action>) {
         self.state.now = now;
         self.given_up.clear();
         self.state.started_at.get_or_insert(now);
         match event {
-            Event::Servers(kind, entries) => self.on_list(kind, entries, out),
+            Event::Servers(kind, entries) => self.on_server_list(kind, entries, out),
             Event::Request(request) => {
-                let id = self.state.on_request(request, &self.set);
-                if self.state.start_learning_if_due(PROBE_EVERY) {
-                    self.learn_units();
+                let id = self.state.on_request(request, &self.settings);
+                if self.state.start_estimate_if_due(MIN_PROBE_INTERVAL) {
+                    self.estimate_metric_per_load();
                 }
-                match self.taking {
-                    AdmissionMode::All => self.place(id, out),
-                    _ => self.give_up(id, GiveUpReason::NotTaking, out),
+                match self.admission_mode {
+                    AdmissionMode::All => self.place_request(id, out),
+                    _ => self.give_up_request(id, GiveUpReason::NotTaking, out),
                 }
             }
             Event::Open(request, server) => {
                 self.state.on_open(request, server);
-                self.start_probing(server, out);
+                self.start_periodic_probes(server, out);
             }
             Event::Written(id, server) => self.state.on_written(id, server),
             Event::Begun(id, server) => {
-                self.successes.add(now, FORGIVE, 1.0);
+                self.successes.add(now, FAILURE_DECAY, 1.0);
                 self.state.mark_open(id, server);
             }
             Event::Outcome(ended) => {
-                self.hear(ended.server, ended.report);
+                self.record_report(ended.server, ended.report);
                 self.on_outcome(ended, out);
             }
             Event::Gone(id) => {
-                let out_there = |conn: &Connection| matches!(conn.phase, Phase::InFlight(_));
-                if let Some(conn) = self.state.remove_request(id).filter(out_there)
-                    && self.set.may_cancel
+                let is_in_flight = |conn: &Connection| matches!(conn.phase, Phase::InFlight(_));
+                if let Some(conn) = self.state.remove_request(id).filter(is_in_flight)
+                    && self.settings.may_cancel
                 {
                     out.push(Action::Cancel(id, conn.attempts - 1));
                 }
             }
             Event::LoadNote(id, load) => self.state.on_load(id, load),
             Event::Probed(server, outcome, report) => {
-                self.hear(server, report);
-                self.on_probed(server, outcome, out);
-                self.place_waiting(Some(server), out);
+                self.record_report(server, report);
+                self.on_probe_result(server, outcome, out);
+                self.retry_waiting_requests(Some(server), out);
             }
-            Event::Taking(taking) => self.on_taking(taking, out),
-            Event::Allowance(matter, part) => {
-                self.state.quotas.set_allowance(matter, part);
-                self.place_waiting(None, out);
+            Event::Taking(mode) => self.on_admission_mode(mode, out),
+            Event::Allowance(kind, allowance) => {
+                self.state.quotas.set_allowance(kind, allowance);
+                self.retry_waiting_requests(None, out);
             }
-            Event::Settings(set) => {
-                self.state.resize_counts(&set);
+            Event::Settings(settings) => {
+                self.state.resize_counts(&settings);
                 self.state.clear_server_orders();
-                self.set = *set;
+                self.settings = *settings;
+            }
+            Event::Timer(TIMER_SUBSCRIBE) => self.subscribe_if_needed(out),
+            Event::Timer(TIMER_RETRY) => {
+                self.retry_timer_pending = false;
+                self.retry_waiting_requests(None, out);
             }
-            Event::Timer(TIMER_ASK) => self.ask(out),
-            Event::Timer(TIMER_WAIT) => {
-                self.wait_timer = false;
-                self.place_waiting(None, out);
+            Event::Timer(token) if token >= TIMER_PROBE_BASE => {
+                self.on_probe_timer(token as u32, out)
             }
-            Event::Timer(token) if token >= TIMER_PROBE => self.on_probe_timer(token as u32, out),
-            Event::DelayNote(server, delay) => self.on_delay(server, delay, out),
+            Event::DelayNote(server, delay) => self.on_message_delay(server, delay, out),
             Event::Start | Event::Timer(_) => {}
         }
     }
 
     // The server list.
 
-    fn on_list(&mut self, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
+    fn on_server_list(&mut self, kind: ListKind, entries: Vec<Entry>, out: &mut Vec<Action>) {
         if kind == ListKind::Unavailable {
-            // A random wait, so that proxies that lost the list together don't ask together.
+            // The delay is random, so that proxies that lost the list together don't request it together.
             self.subscribed = false;
-            let after = self.set.ask_within * self.rng.random_range(0.05..0.2);
-            return out.push(Action::Timer(after, TIMER_ASK));
+            let delay = self.settings.ask_within * self.rng.random_range(0.05..0.2);
+            return out.push(Action::Timer(delay, TIMER_SUBSCRIBE));
         }
         if kind != ListKind::Update {
             self.state.mark_unlisted_gone(&entries);
@@ -198,71 +224,77 @@
         for entry in entries {
             let id = entry.server;
             let server = self.state.servers.entry(id).or_default();
-            let fresh = server.entry.as_ref().map(|old| old.born) != Some(entry.born);
-            if fresh {
-                // What is known of an old process no longer holds.
+            let is_new_process = server.entry.as_ref().map(|old| old.born) != Some(entry.born);
+            if is_new_process {
+                // Measurements of the previous process don't apply to the new one.
                 (server.metric, server.unresponsive, server.errors) = Default::default();
             }
             server.entry = Some(entry);
-            if fresh {
-                // Proxies hear of a cold server together: their first connections are spread out.
+            if is_new_process {
+                // Proxies learn of a cold server at the same time: a random phase spreads out their first
+                // connections.
                 self.state
                     .reset_slow_start(id, self.rng.random_range(0.0..1.0));
             }
-            self.start_probing(id, out);
+            self.start_periodic_probes(id, out);
         }
-        self.ask(out);
+        self.subscribe_if_needed(out);
     }
 
-    fn ask(&mut self, out: &mut Vec<Action>) {
-        if self.set.must_ask && !self.subscribed {
+    fn subscribe_if_needed(&mut self, out: &mut Vec<Action>) {
+        if self.settings.must_ask && !self.subscribed {
             self.subscribed = true;
             out.push(Action::Subscribe);
         }
     }
 
-    /// A proxy that is emptied: what still waits at the end gets its answer, and must not go on.
-    fn on_taking(&mut self, taking: AdmissionMode, out: &mut Vec<Action>) {
-        self.taking = taking;
-        if taking != AdmissionMode::Nothing {
+    /// Sets the admission mode. At [`AdmissionMode::Nothing`] every request that is not open yet is given
+    /// up: it gets its final answer and no further attempt.
+    fn on_admission_mode(&mut self, mode: AdmissionMode, out: &mut Vec<Action>) {
+        self.admission_mode = mode;
+        if mode != AdmissionMode::Nothing {
             return;
         }
-        let waits = |(_, conn): &(&RequestId, &Connection)| !matches!(conn.phase, Phase::Open(_));
-        let left = self.state.connections.iter().filter(waits);
-        for id in left.map(|(id, _)| *id).collect::<Vec<_>>() {
+        let is_not_open =
+            |(_, conn): &(&RequestId, &Connection)| !matches!(conn.phase, Phase::Open(_));
+        let pending = self.state.connections.iter().filter(is_not_open);
+        for id in pending.map(|(id, _)| *id).collect::<Vec<_>>() {
             if let Some(attempt) = self
                 .state
                 .abandon_attempt(id)
-                .filter(|_| self.set.may_cancel)
+                .filter(|_| self.settings.may_cancel)
             {
                 out.push(Action::Cancel(id, attempt));
             }
-            self.waiting.remove(&id);
-            self.give_up(id, GiveUpReason::NotTaking, out);
+            self.waiting_requests.remove(&id);
+            self.give_up_request(id, GiveUpReason::NotTaking, out);
         }
     }
 
-    // Probes and what they tell.
+    // Probes and load reports.
 
-    /// The time between two probes of a server for which `probed` of them cost what they may.
+    /// The probe interval per server at which probing `probed` servers stays within the allowed cost.
     fn probe_interval(&self, probed: usize) -> Seconds {
-        let affordable = (self.state.new_request_rate() * PROBE_BUDGET).max(f64::MIN_POSITIVE);
-        (self.set.price_probe * probed as f64 / affordable).max(PROBE_EVERY)
+        let allowed_cost_rate =
+            (self.state.new_request_rate() * PROBE_COST_SHARE).max(f64::MIN_POSITIVE);
+        (self.settings.price_probe * probed as f64 / allowed_cost_rate).max(MIN_PROBE_INTERVAL)
     }
 
-    /// Whether to probe a server: all where that costs little, else those in use, and silent ones.
-    fn worth_probing(&self, server: &Server) -> bool {
-        let used = server.unresponsive || !server.own_requests.is_empty();
-        let all = || self.probe_interval(self.state.servers.len()) <= PROBE_RARELY;
-        server.is_available() && self.set.may_probe && (used || all())
+    /// Whether to probe a server: all servers where that is cheap, otherwise those in use and unresponsive
+    /// ones.
+    fn should_probe(&self, server: &Server) -> bool {
+        let in_use = server.unresponsive || !server.own_requests.is_empty();
+        let is_affordable_for_all =
+            || self.probe_interval(self.state.servers.len()) <= MAX_PROBE_INTERVAL;
+        server.is_available() && self.settings.may_probe && (in_use || is_affordable_for_all())
     }
 
-    fn start_probing(&mut self, id: ServerId, out: &mut Vec<Action>) {
+    fn start_periodic_probes(&mut self, id: ServerId, out: &mut Vec<Action>) {
         let server = &self.state.servers[&id];
-        if !server.is_probed && self.worth_probing(server) {
+        if !server.is_probed && self.should_probe(server) {
             self.state.set_probed(id, true);
-            // Servers heard of together are not probed together for good.
-            self.probe(id, 0.0..1.0, out);
+            // The first interval is random, so that servers listed together are not always probed together.
+            self.send_periodic_probe(id, 0.0..1.0, out);
         }
     }
 
@@ -270,19 +302,20 @@
         let Some(server) = self.state.servers.get(&id).filter(|s| s.is_probed) else {
             return;
         };
-        if self.worth_probing(server) {
-            return self.probe(id, 0.9..1.1, out);
+        if self.should_probe(server) {
+            return self.send_periodic_probe(id, 0.9..1.1, out);
         }
-        // An old figure says nothing; the server counts at the others' mean again.
+        // An outdated metric is dropped; the server counts at the mean of the others again.
         self.state.update_server(id, |server| server.metric = None);
         self.state.set_probed(id, false);
     }
 
-    /// Probes a server, and again after such a part of the present interval.
-    fn probe(&mut self, id: ServerId, part: Range<f64>, out: &mut Vec<Action>) {
-        let every = self
+    /// Probes a server, if the quota allows it, and schedules its next probe after a random fraction,
+    /// within `fraction`, of the current interval.
+    fn send_periodic_probe(&mut self, id: ServerId, fraction: Range<f64>, out: &mut Vec<Action>) {
+        let interval = self
             .probe_interval(self.state.probed_servers)
-            .min(PROBE_RARELY);
+            .min(MAX_PROBE_INTERVAL);
         if self.state.check_quota(QuotaKind::Probes, 0) {
             self.state
                 .quotas
@@ -291,387 +324,473 @@
                 .update_server(id, |server| server.periodic_probe_pending = true);
             out.push(Action::Probe(id));
         }
-        let again = every * self.rng.random_range(part);
-        out.push(Action::Timer(again, TIMER_PROBE + u64::from(id)));
+        let delay = interval * self.rng.random_range(fraction);
+        out.push(Action::Timer(delay, TIMER_PROBE_BASE + u64::from(id)));
     }
 
-    fn on_probed(&mut self, id: ServerId, outcome: Outcome, out: &mut Vec<Action>) {
+    fn on_probe_result(&mut self, id: ServerId, outcome: Outcome, out: &mut Vec<Action>) {
         let Some(server) = self.state.servers.get_mut(&id) else {
             return;
         };
         server.last_result_at = Some(self.state.now);
-        // Asking more often must not move more: one probe a round may.
-        let in_round = std::mem::take(&mut server.periodic_probe_pending);
+        // Additional probes must not cause additional moves: only one probe per interval may.
+        let was_periodic = std::mem::take(&mut server.periodic_probe_pending);
         match outcome {
-            // A server that turns probes away is alive.
+            // A server that rejects probes is alive.
             Outcome::Full | Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFailure => {}
             Outcome::Ok => server.unresponsive = false,
-            _ => self.suspect(id),
+            _ => self.mark_unresponsive(id),
         }
-        if in_round && outcome == Outcome::Ok {
-            self.relieve(id, out);
+        if was_periodic && outcome == Outcome::Ok {
+            self.move_excess_connections(id, out);
         }
-        // Requests make probes affordable after the list has come; till then all is probed that is used.
+        // Requests make probes of all servers affordable after the list has arrived; until then only
+        // servers in use are probed.
         let (probed, all) = (self.state.probed_servers, self.state.servers.len());
-        if probed < all && self.probe_interval(all) <= PROBE_RARELY {
+        if probed < all && self.probe_interval(all) <= MAX_PROBE_INTERVAL {
             for id in self.state.unprobed_servers() {
-                self.start_probing(id, out);
+                self.start_periodic_probes(id, out);
             }
         }
     }
 
-    /// What own connections meet outweighs a report: while messages are late a server is past its capacity.
-    fn on_delay(&mut self, id: ServerId, delay: Seconds, out: &mut Vec<Action>) {
-        let late = self.set.message_aim.is_some_and(|aim| delay > aim);
-        let at = late.then_some(self.state.now);
+    /// Records a message delay at a server. It outweighs reports: while messages of own connections are
+    /// late, the server counts as past its capacity.
+    fn on_message_delay(&mut self, id: ServerId, delay: Seconds, out: &mut Vec<Action>) {
+        let is_late = self.settings.message_aim.is_some_and(|aim| delay > aim);
+        let slow_answer_at = is_late.then_some(self.state.now);
         self.state
-            .update_server(id, |server| server.last_slow_answer_at = at);
-        let told = |server: &Server| server.metric_since(self.state.now - FORGOTTEN);
-        let untrue = |server: &Server| told(server).is_some_and(|load| load <= THRESHOLD);
-        if late && self.state.servers.get(&id).is_some_and(untrue) {
-            self.relieve(id, out);
+            .update_server(id, |server| server.last_slow_answer_at = slow_answer_at);
+        let reported_load = |server: &Server| server.metric_since(self.state.now - METRIC_MAX_AGE);
+        let reports_room =
+            |server: &Server| reported_load(server).is_some_and(|load| load <= LOAD_THRESHOLD);
+        if is_late && self.state.servers.get(&id).is_some_and(reports_room) {
+            self.move_excess_connections(id, out);
         }
     }
 
-    /// A server's load as its report and own connections tell it.
-    fn felt(&self, server: &Server, figure: f64) -> f64 {
-        let by_load = self.set.report_fields.contains(&ReportField::Load);
-        match by_load && server.had_slow_answer_since(self.state.now - SLOW_FOR) {
-            true => figure.max(SLOW),
-            false => figure,
+    /// A server's load according to its report, or `SLOW_SERVER_LOAD` if that is more while messages are
+    /// late there.
+    fn effective_load(&self, server: &Server, metric: f64) -> f64 {
+        let reports_load = self.settings.report_fields.contains(&ReportField::Load);
+        match reports_load && server.had_slow_answer_since(self.state.now - SLOW_ANSWER_MAX_AGE) {
+            true => metric.max(SLOW_SERVER_LOAD),
+            false => metric,
         }
     }
 
-    /// Takes the figure of a report, in the design's metric order.
-    fn hear(&mut self, id: ServerId, report: Report) {
-        let figure = report.load.or(report.connections).or(report.queue);
-        // What is no figure says nothing; a huge one no more than a large one, or it would set all sizes.
-        if let Some(figure) = figure.filter(|f| f.is_finite() && *f >= 0.0) {
-            let most = report.load.map_or(f64::MAX, |_| PLAUSIBLE);
+    /// Stores the metric of a report, in the design's metric order: load, connections, queue.
+    fn record_report(&mut self, id: ServerId, report: Report) {
+        let metric = report.load.or(report.connections).or(report.queue);
+        // Invalid metrics are ignored, and huge ones capped, or one would dominate all capacity estimates.
+        if let Some(metric) = metric.filter(|f| f.is_finite() && *f >= 0.0) {
+            let max_metric = report.load.map_or(f64::MAX, |_| MAX_PLAUSIBLE_LOAD);
             let now = self.state.now;
             self.state.update_server(id, |server| {
-                server.metric = Some(figure.min(most));
+                server.metric = Some(metric.min(max_metric));
                 server.last_result_at = Some(now);
                 server.reported_connections = report.connections.filter(|_| report.load.is_some());
                 server
                     .pending_placements
-                    .retain(|(at, _)| *at > now - REPORT_AGE);
+                    .retain(|(at, _)| *at > now - MAX_REPORT_DELAY);
             });
-            if self.state.start_learning_if_due(OFTEN) {
-                self.learn_units();
+            if self.state.start_estimate_if_due(RETRY_INTERVAL) {
+                self.estimate_metric_per_load();
             }
         }
     }
 
-    /// How many balancers place on the same servers: zones keep to themselves while they can.
-    fn sharers(&self) -> f64 {
-        (self.set.fleet_size as f64 / self.set.zones.max(1) as f64).max(1.0)
+    /// The number of balancers that place on the same servers: balancers stay within their zone while they
+    /// can.
+    fn balancers_per_zone(&self) -> f64 {
+        (self.settings.fleet_size as f64 / self.settings.zones.max(1) as f64).max(1.0)
     }
 
-    /// Learns what a unit of load adds to a figure, by kind, most from servers that hold most own load.
-    fn learn_units(&mut self) {
-        let (sums, peers) = (self.state.sum_metrics(&self.set, FORGOTTEN), self.sharers());
-        // After an own restart little own load says little: a guess weighs more, or all seem tiny for good.
-        let usual = self.state.mean_load();
-        let unit = 1.0 / USUAL_HELD / usual;
-        let mut units = BTreeMap::from([(None, [unit, unit * GUESS_CARE])]);
+    /// Estimates how much a unit of load adds to a server's metric, for each kind of server. Servers that
+    /// hold more own load have more weight.
+    fn estimate_metric_per_load(&mut self) {
+        let (sums, peers) = (
+            self.state.sum_metrics(&self.settings, METRIC_MAX_AGE),
+            self.balancers_per_zone(),
+        );
+        // After a restart of this balancer there is too little own load for an estimate: the default has
+        // more weight, or all servers would seem tiny for good.
+        let mean_load = self.state.mean_load();
+        let default_estimate = 1.0 / DEFAULT_CAPACITY / mean_load;
+        let mut estimates = BTreeMap::from([(
+            None,
+            [default_estimate, default_estimate * CONSERVATIVE_FACTOR],
+        )]);
         for (kind, sum) in sums {
-            let weight = sum.servers * (GUESS_WEIGHT * usual).powi(2);
-            let guess = weight * unit / sum.relative_size;
-            let told =
-                |guess| (sum.metric_times_load / peers + guess) / (sum.load_squared + weight);
-            // Where servers tell their connections too, nothing is left to guess.
-            let counted = sum.metric / (sum.connections * usual);
-            let exact = [counted.clamp(unit / PLAUSIBLE, unit * PLAUSIBLE); 2];
-            let guessed = [told(guess), told(guess * GUESS_CARE)];
-            let known = sum.connections > 0.0;
-            units.insert(kind, if known { exact } else { guessed });
+            let weight = sum.servers * (DEFAULT_WEIGHT * mean_load).powi(2);
+            let default_sum = weight * default_estimate / sum.relative_size;
+            let estimate = |default_sum| {
+                (sum.metric_times_load / peers + default_sum) / (sum.load_squared + weight)
+            };
+            // Where servers report their connections beside the load, the default is not needed.
+            let from_connections = sum.metric / (sum.connections * mean_load);
+            let measured = [from_connections.clamp(
+                default_estimate / MAX_PLAUSIBLE_LOAD,
+                default_estimate * MAX_PLAUSIBLE_LOAD,
+            ); 2];
+            let blended = [
+                estimate(default_sum),
+                estimate(default_sum * CONSERVATIVE_FACTOR),
+            ];
+            let reports_connections = sum.connections > 0.0;
+            estimates.insert(
+                kind,
+                if reports_connections {
+                    measured
+                } else {
+                    blended
+                },
+            );
         }
-        self.state.metric_per_load = units;
+        self.state.metric_per_load = estimates;
     }
 
     // Requests.
 
     fn on_outcome(&mut self, ended: Ended, out: &mut Vec<Action>) {
         let (id, server, outcome) = (ended.id, ended.server, ended.outcome);
-        let Some(was_out) = self.state.end_attempt(&ended) else {
+        let Some(was_in_flight) = self.state.end_attempt(&ended) else {
             return;
         };
         let now = self.state.now;
-        if was_out && self.blames(&ended) {
-            let silent = matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut);
-            // A server out of reach says nothing about what all servers share.
-            self.failures.add(now, FORGIVE, f64::from(!silent));
+        if was_in_flight && self.counts_against_server(&ended) {
+            let is_unresponsive = matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut);
+            // An unreachable server says nothing about the dependencies that all servers share.
+            self.failures
+                .add(now, FAILURE_DECAY, f64::from(!is_unresponsive));
             self.state
-                .update_server(server, |server| server.errors.add(now, FORGIVE, 1.0));
-            if silent {
-                self.suspect(server);
+                .update_server(server, |server| server.errors.add(now, FAILURE_DECAY, 1.0));
+            if is_unresponsive {
+                self.mark_unresponsive(server);
             }
-            self.start_probing(server, out);
+            self.start_periodic_probes(server, out);
         }
-        if !was_out && outcome == Outcome::Reset {
-            self.cut_off.add(now, FORGIVE, 1.0);
+        if !was_in_flight && outcome == Outcome::Reset {
+            self.connection_resets.add(now, FAILURE_DECAY, 1.0);
         }
         if ended.last {
             self.state.remove_request(id);
-        } else if was_out {
+        } else if was_in_flight {
             self.state.detach_from_server(id);
             if outcome == Outcome::LocalFailure {
-                // Any server would meet the same shortage now.
+                // An attempt at any server would fail now for the same shortage on this machine.
                 self.state.revert_attempt(id);
-                return self.wait(id, None, out);
+                return self.enqueue_request(id, None, out);
             }
-            self.place(id, out);
+            self.place_request(id, out);
         }
     }
 
-    /// Whether the end of an attempt says anything against its server. One that had little of the time in
-    /// which an answer is wanted was given up too early to tell.
-    fn blames(&self, ended: &Ended) -> bool {
+    /// Whether the outcome of an attempt counts against its server. A time-out does not if the attempt was
+    /// given too small a fraction of the target set-up time.
+    fn counts_against_server(&self, ended: &Ended) -> bool {
         match ended.outcome {
             Outcome::Ok | Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFailure => false,
             Outcome::TimedOut => self.state.connections.get(&ended.id).is_none_or(|conn| {
-                let aim = self.set.classes[conn.request.class].aim;
-                conn.deadline - conn.sent_at >= aim * FAIR_TIME
+                let aim = self.settings.classes[conn.request.class].aim;
+                conn.deadline - conn.sent_at >= aim * MIN_TIMEOUT_SHARE
             }),
             _ => true,
         }
     }
 
-    /// A silent server is avoided until it answers a probe, or, where nobody may probe, as failures fade.
-    fn suspect(&mut self, id: ServerId) {
-        let (now, probed) = (self.state.now, self.set.may_probe);
+    /// Marks a server as unresponsive until it answers a probe or, where probes are not permitted, adds
+    /// failures that eject it until they decay.
+    fn mark_unresponsive(&mut self, id: ServerId) {
+        let (now, probed) = (self.state.now, self.settings.may_probe);
         self.state.update_server(id, |server| match probed {
             true => server.unresponsive = true,
-            false => server.errors.add(now, FORGIVE, 2.0 * EJECT),
+            false => server
+                .errors
+                .add(now, FAILURE_DECAY, 2.0 * EJECTION_THRESHOLD),
         });
     }
 
-    /// Sends a request to its lowest-ranked server, lets it wait while none is open, or answers it at once.
-    fn place(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Sends a request to its lowest-ranked server, lets it wait while no server accepts connections, or
+    /// gives it up at once.
+    fn place_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(conn) = self.state.connections.get(&id) else {
             return;
         };
         let now = self.state.now;
-        let left = conn.deadline - now;
-        let aim = self.set.classes[conn.request.class].aim;
+        let time_left = conn.deadline - now;
+        let aim = self.settings.classes[conn.request.class].aim;
         let attempts = conn.tried_servers.len();
-        let (waited, may_ask) = (conn.request.patience - left, self.may_ask(conn));
-        if let Some(reason) = self.barred(id, left) {
-            return self.give_up(id, reason, out);
-        }
-        if let Some((matter, wait)) = self.lacks_part(id, waited < OFTEN / 2.0) {
-            return match waited < wait && left > aim {
-                true => self.wait(id, None, out),
-                false => self.give_up(id, GiveUpReason::Part(matter), out),
+        let (waited, may_probe) = (
+            conn.request.patience - time_left,
+            self.may_probe_on_demand(conn),
+        );
+        if let Some(reason) = self.find_refusal_reason(id, time_left) {
+            return self.give_up_request(id, reason, out);
+        }
+        if let Some((kind, max_wait)) = self.find_full_quota(id, waited < RETRY_INTERVAL / 2.0) {
+            return match waited < max_wait && time_left > aim {
+                true => self.enqueue_request(id, None, out),
+                false => self.give_up_request(id, GiveUpReason::Part(kind), out),
             };
         }
-        let Some(to) = self.choose(id) else {
-            // A restarted or wholly cold fleet: a server may turn up soon. A full one is no reason.
-            let open = self.state.servers.iter().any(|(id, s)| self.open(*id, s));
-            if open || attempts > 0 || left <= aim {
-                return self.give_up(id, GiveUpReason::NoServer, out);
+        let Some(target) = self.choose_server(id) else {
+            // In a fleet that is restarted or wholly cold a server may become available soon, so the
+            // request waits; in a full one it does not.
+            let any_available = self
+                .state
+                .servers
+                .iter()
+                .any(|(id, s)| self.accepts_placement(*id, s));
+            if any_available || attempts > 0 || time_left <= aim {
+                return self.give_up_request(id, GiveUpReason::NoServer, out);
             }
-            return self.wait(id, None, out);
+            return self.enqueue_request(id, None, out);
         };
-        let server = &self.state.servers[&to];
-        if may_ask && !server.has_result_since(now - REPORT_AGE) {
-            // Balancers that never used a server would all take it for a usual one, full or not.
-            if !server.probed_on_demand_since(now - REPORT_AGE) {
-                out.push(Action::Probe(to));
+        let server = &self.state.servers[&target];
+        if may_probe && !server.has_result_since(now - MAX_REPORT_DELAY) {
+            // Without a probe, balancers that never used this server would all assume the mean load, even
+            // if it is full.
+            if !server.probed_on_demand_since(now - MAX_REPORT_DELAY) {
+                out.push(Action::Probe(target));
                 self.state.quotas.spend_unit(QuotaKind::Probes, now);
-                self.state.record_on_demand_probe(to, id);
+                self.state.record_on_demand_probe(target, id);
             }
-            return self.wait(id, Some(to), out);
+            return self.enqueue_request(id, Some(target), out);
         }
-        let (turned, gap) = (self.turns(server, now), self.set.fall_for / 4.0);
-        let cold = server.remaining_warm_up(now, &self.set) > 0.0;
+        let (turns, gap) = (
+            self.cold_turns_at(server, now),
+            self.settings.fall_for / 4.0,
+        );
+        let is_cold = server.remaining_warm_up(now, &self.settings) > 0.0;
         let conn = &self.state.connections[&id];
-        let load = conn.load + self.group_load(conn, server);
-        // Servers forget a keyed request: up to then a repeat does no harm.
-        let class = &self.set.classes[conn.request.class];
-        let repeats = conn
+        let load = conn.load + self.added_group_load(conn, server);
+        // A repeat of a keyed request is harmless only until servers forget the request.
+        let class = &self.settings.classes[conn.request.class];
+        let first_keyed_run = conn
             .first_possible_run
             .filter(|_| class.effect == Idempotency::Keyed);
-        let repeat_within = repeats.map(|(_, at)| at + class.window - now);
+        let repeat_within = first_keyed_run.map(|(_, sent_at)| sent_at + class.window - now);
         if attempts > 0 {
-            self.state.record_retry(id, &self.set);
+            self.state.record_retry(id, &self.settings);
         }
-        self.state.attach_to_server(id, to, Phase::InFlight(to));
-        self.state.record_placement(to, load, turned, gap);
-        if cold {
+        self.state
+            .attach_to_server(id, target, Phase::InFlight(target));
+        self.state.record_placement(target, load, turns, gap);
+        if is_cold {
             self.state
                 .quotas
-                .reserve_unit(id, QuotaKind::Cold, Some(to));
-        }
-        self.start_probing(to, out);
-        let time_out = left.min(aim.max(left / 2.0));
-        // A part that is leased may be given to another balancer once the lease is over.
-        let further = (attempts > 0).then_some((QuotaKind::Further, None));
-        let cold = cold.then_some((QuotaKind::Cold, Some(to)));
-        let leases = [further, cold].into_iter().flatten();
-        let leases = leases.filter_map(|(of, at)| self.state.quotas.remaining_lease(of, at, now));
+                .reserve_unit(id, QuotaKind::Cold, Some(target));
+        }
+        self.start_periodic_probes(target, out);
+        let timeout = time_left.min(aim.max(time_left / 2.0));
+        // A leased unit may be granted to another balancer once the lease has expired.
+        let retry = (attempts > 0).then_some((QuotaKind::Further, None));
+        let cold = is_cold.then_some((QuotaKind::Cold, Some(target)));
+        let leases = [retry, cold].into_iter().flatten();
+        let leases = leases
+            .filter_map(|(kind, server)| self.state.quotas.remaining_lease(kind, server, now));
         let begin_within = leases.chain(repeat_within).min_by(Seconds::total_cmp);
-        out.push(Action::Send(id, to, time_out, begin_within));
+        out.push(Action::Send(id, target, timeout, begin_within));
     }
 
-    /// Whether something counts from the writing of the line of a request's latest attempt: then the host is
-    /// to tell it by [`Event::Written`].
+    /// Whether a quota or the budget counts from the moment when the line of a request's latest attempt is
+    /// written. If so, the host reports that write with [`Event::Written`].
     pub fn awaits_write(&self, id: RequestId) -> bool {
         self.state.awaits_write(id)
     }
 
-    /// Why a request gets no attempt now, whatever servers there are.
-    fn barred(&mut self, id: RequestId, left: Seconds) -> Option<GiveUpReason> {
+    /// The reason for which a request gets no attempt now, whichever servers are available, if there is
+    /// one.
+    fn find_refusal_reason(&mut self, id: RequestId, time_left: Seconds) -> Option<GiveUpReason> {
         let attempts = self.state.connections[&id].tried_servers.len();
-        if left <= 0.0 {
+        if time_left <= 0.0 {
             return Some(GiveUpReason::DeadlineOver);
         }
-        if attempts >= self.set.max_attempts {
+        if attempts >= self.settings.max_attempts {
             return Some(GiveUpReason::Attempts);
         }
-        if self.taking == AdmissionMode::Nothing {
+        if self.admission_mode == AdmissionMode::Nothing {
             return Some(GiveUpReason::NotTaking);
         }
-        if self.throttled(id) {
+        if self.should_throttle(id) {
             return Some(GiveUpReason::Throttled);
         }
-        // Further attempts may be rationed, and so may what all balancers have in common.
-        let affordable = attempts == 0 || self.affordable();
-        (!affordable).then_some(GiveUpReason::FurtherAttempts)
+        // Retries may be limited by the settings' budget and by a quota that balancers share.
+        let is_within_budget = attempts == 0 || self.has_retry_budget_left();
+        (!is_within_budget).then_some(GiveUpReason::FurtherAttempts)
     }
 
-    /// Whether the budget of attempts has room for one more beyond a request's first.
-    fn affordable(&mut self) -> bool {
-        let budget = self.set.budget;
+    /// Whether the retry budget and this balancer's retry quota have room for one more attempt.
+    fn has_retry_budget_left(&mut self) -> bool {
+        let budget = self.settings.budget;
         budget.is_none_or(|budget| self.state.remaining_retry_budget(&budget) >= 1.0)
             && self.state.check_quota(QuotaKind::Further, 0)
     }
 
-    /// Whether one more of its class or tenant is beyond this balancer's part, and how long after its
-    /// coming an exchange may bring it. What has just come is counted as turned away from the part.
-    fn lacks_part(&mut self, id: RequestId, came: bool) -> Option<(QuotaKind, Seconds)> {
+    /// The quota of a request's class or tenant that has no unit left for it, if there is one, and how long
+    /// after its arrival an exchange among balancers may still bring one. Only a request that has just
+    /// arrived is counted as denied.
+    fn find_full_quota(
+        &mut self,
+        id: RequestId,
+        just_arrived: bool,
+    ) -> Option<(QuotaKind, Seconds)> {
         let request = &self.state.connections[&id].request;
-        // The tenant's count has the request from the moment it came.
+        // The tenant's count includes the request from its arrival.
         let tenant = request.tenant.map(|tenant| (QuotaKind::Tenant(tenant), 1));
-        let parts = [Some((QuotaKind::Class(request.class), 0)), tenant];
-        let lacks = |(matter, own): &(QuotaKind, u64)| !self.state.has_quota_left(*matter, *own);
-        let (matter, _) = parts.into_iter().flatten().find(lacks)?;
-        if came {
-            self.state.quotas.record_denial(matter);
+        let quotas = [Some((QuotaKind::Class(request.class), 0)), tenant];
+        let is_exhausted =
+            |(kind, own_units): &(QuotaKind, u64)| !self.state.has_quota_left(*kind, *own_units);
+        let (kind, _) = quotas.into_iter().flatten().find(is_exhausted)?;
+        if just_arrived {
+            self.state.quotas.record_denial(kind);
         }
-        Some((matter, self.state.quotas.max_wait(matter)))
+        Some((kind, self.state.quotas.max_wait(kind)))
     }
 
-    /// What is used of each part of a whole that was told.
+    /// The usage of each quota for which an allowance was set.
     pub fn quota_usage(&mut self, now: Seconds) -> Vec<QuotaUsage> {
         self.state.quota_usage(now)
     }
 
-    fn wait(&mut self, id: RequestId, asked: Option<ServerId>, out: &mut Vec<Action>) {
-        self.waiting.insert(id, asked);
-        if !std::mem::replace(&mut self.wait_timer, true) {
-            out.push(Action::Timer(OFTEN, TIMER_WAIT));
+    fn enqueue_request(&mut self, id: RequestId, awaited: Option<ServerId>, out: &mut Vec<Action>) {
+        self.waiting_requests.insert(id, awaited);
+        if !std::mem::replace(&mut self.retry_timer_pending, true) {
+            out.push(Action::Timer(RETRY_INTERVAL, TIMER_RETRY));
         }
     }
 
-    /// Tries again what waits for a server, or all: all at each answer took a burst of requests long.
-    fn place_waiting(&mut self, answered: Option<ServerId>, out: &mut Vec<Action>) {
-        let due = |asked: &Option<ServerId>| answered.is_none() || *asked == answered;
-        let ready = self.waiting.extract_if(.., |_, asked| due(asked));
+    /// Retries the requests that wait for the server `answered`, or all. Retrying all of them at each
+    /// answer took too long in a burst of requests.
+    fn retry_waiting_requests(&mut self, answered: Option<ServerId>, out: &mut Vec<Action>) {
+        let is_due = |awaited: &Option<ServerId>| answered.is_none() || *awaited == answered;
+        let ready = self
+            .waiting_requests
+            .extract_if(.., |_, awaited| is_due(awaited));
         for (id, _) in ready.collect::<Vec<_>>() {
-            self.place(id, out);
+            self.place_request(id, out);
         }
     }
 
-    /// When far more fails than begins, what servers share fails: more keeps it down (adaptive throttling).
-    fn throttled(&mut self, id: RequestId) -> bool {
-        let successes = self.successes.value_at(self.state.now, FORGIVE);
-        let ended = self.failures.value_at(self.state.now, FORGIVE) + successes;
-        let excess = (ended - TOLERATED * successes - 5.0) / (ended + 1.0);
-        // Full servers shed the newest, whatever it is worth. Who holds nothing knows of nothing usual.
-        let knows = self.state.active_connections().min(1) as f64;
-        let crowded =
-            SHED * self.cut_off() * knows * self.lack_of_worth(&self.state.connections[&id]);
-        self.rng.random::<f64>() < excess.max(crowded)
+    /// Whether to refuse a request by adaptive throttling: where far more attempts fail than succeed, a
+    /// dependency that servers share fails, and more requests would keep it down.
+    fn should_throttle(&mut self, id: RequestId) -> bool {
+        let successes = self.successes.value_at(self.state.now, FAILURE_DECAY);
+        let attempts = self.failures.value_at(self.state.now, FAILURE_DECAY) + successes;
+        let failure_excess = (attempts - TOLERATED_ATTEMPTS * successes - 5.0) / (attempts + 1.0);
+        // Full servers shed the newest connections, whatever their worth. A balancer without connections
+        // has no mean worth to compare with.
+        let has_connections = self.state.active_connections().min(1) as f64;
+        let shedding_probability = SHEDDING_FACTOR
+            * self.reset_level()
+            * has_connections
+            * self.worth_deficit(&self.state.connections[&id]);
+        self.rng.random::<f64>() < failure_excess.max(shedding_probability)
     }
 
-    /// The load over capacity up to which a server may be filled with this request: what is worth less for
-    /// its load than is usual here is refused the sooner. Figures of a few may have all refused for long.
-    fn limit(&self, conn: &Connection) -> f64 {
-        let by_load = self.set.report_fields.contains(&ReportField::Load);
-        if !by_load || self.state.is_rejecting_all(STUCK, STUCK_FOR) {
+    /// The load over capacity up to which a server may be filled with this request. It is lower for a
+    /// request that is worth less for its load than the mean here. After a long series of refusals there is
+    /// no limit, as the metrics of a few servers may have caused them.
+    fn load_limit(&self, conn: &Connection) -> f64 {
+        let reports_load = self.settings.report_fields.contains(&ReportField::Load);
+        if !reports_load
+            || self
+                .state
+                .is_rejecting_all(TRIAL_REJECTIONS, TRIAL_INTERVAL)
+        {
             return f64::INFINITY;
         }
-        THRESHOLD * (1.0 - LESS_ROOM * self.lack_of_worth(conn))
+        LOAD_THRESHOLD * (1.0 - LOW_WORTH_RESERVE * self.worth_deficit(conn))
     }
 
-    /// How much less a request is worth for its load than is usual here, from 0 to 1.
-    fn lack_of_worth(&self, conn: &Connection) -> f64 {
-        let usual = self.state.worth_held(&self.set);
-        let worth = self.worth(&conn.request)
+    /// How far a request's worth for its load is below the mean of the connections here, from 0 to 1.
+    fn worth_deficit(&self, conn: &Connection) -> f64 {
+        let total_worth = self.state.worth_held(&self.settings);
+        let scaled_worth = self.request_worth(&conn.request)
             * self.state.mean_load()
             * self.state.active_connections() as f64;
-        1.0 - (worth / (conn.load * usual).max(f64::MIN_POSITIVE)).min(1.0)
+        1.0 - (scaled_worth / (conn.load * total_worth).max(f64::MIN_POSITIVE)).min(1.0)
     }
 
-    /// Where no load is told, clients cut off show that servers are full: how much, from 0 to 1.
-    fn cut_off(&self) -> f64 {
-        let by_load = self.set.report_fields.contains(&ReportField::Load);
-        f64::from(!by_load) * self.cut_off.value_at(self.state.now, FORGIVE).min(1.0)
+    /// The level of recent connection resets, from 0 to 1. Where servers report no load, resets show that
+    /// they are full; elsewhere it is 0.
+    fn reset_level(&self) -> f64 {
+        let reports_load = self.settings.report_fields.contains(&ReportField::Load);
+        f64::from(!reports_load)
+            * self
+                .connection_resets
+                .value_at(self.state.now, FAILURE_DECAY)
+                .min(1.0)
     }
 
-    /// What a request is worth; little beyond its tenant's share.
-    fn worth(&self, request: &Request) -> f64 {
-        let over = request.tenant.is_some_and(|tenant| {
-            let quota = self.set.tenants[tenant].quota.unwrap_or(f64::INFINITY);
-            let share = quota / self.set.fleet_size as f64;
-            // In a large fleet a share is a few connections, and chance alone brings as many more.
+    /// A request's worth, which is reduced while its tenant exceeds its share.
+    fn request_worth(&self, request: &Request) -> f64 {
+        let is_over_share = request.tenant.is_some_and(|tenant| {
+            let quota = self.settings.tenants[tenant].quota.unwrap_or(f64::INFINITY);
+            let share = quota / self.settings.fleet_size as f64;
+            // In a large fleet a share is a few connections, and random variation alone adds as many.
             self.state.tenant_counts[tenant] as f64 > share + share.sqrt()
         });
-        let part = if over { self.set.over_share_worth } else { 1.0 };
-        part * self.set.classes[request.class].worth
+        let factor = if is_over_share {
+            self.settings.over_share_worth
+        } else {
+            1.0
+        };
+        factor * self.settings.classes[request.class].worth
     }
 
-    /// The requests that were given up at the latest event, and why.
+    /// The requests that were given up at the latest event, with the reasons.
     pub fn given_up_requests(&self) -> &[(RequestId, GiveUpReason)] {
         &self.given_up
     }
 
-    fn give_up(&mut self, id: RequestId, reason: GiveUpReason, out: &mut Vec<Action>) {
+    fn give_up_request(&mut self, id: RequestId, reason: GiveUpReason, out: &mut Vec<Action>) {
         let Some(conn) = self.state.reject_request(id) else {
             return;
         };
         self.given_up.push((id, reason));
-        let class = &self.set.classes[conn.request.class];
-        let keyed_for_all = class.effect == Idempotency::Keyed && class.scope == DedupScope::All;
-        // A refusal promises that a repeat is harmless.
-        if conn.first_possible_run.is_none() || class.effect == Idempotency::Safe || keyed_for_all {
-            let wait = self.set.max_retry_after * self.rng.random_range(0.5..1.0);
-            out.push(Action::Refuse(id, self.set.may_retry_after.then_some(wait)));
+        let class = &self.settings.classes[conn.request.class];
+        let is_keyed_everywhere =
+            class.effect == Idempotency::Keyed && class.scope == DedupScope::All;
+        // A refusal guarantees that a repeat is harmless.
+        if conn.first_possible_run.is_none()
+            || class.effect == Idempotency::Safe
+            || is_keyed_everywhere
+        {
+            let retry_after = self.settings.max_retry_after * self.rng.random_range(0.5..1.0);
+            out.push(Action::Refuse(
+                id,
+                self.settings.may_retry_after.then_some(retry_after),
+            ));
         } else {
             out.push(Action::Fail(id));
         }
     }
 
-    /// Whether another attempt on `server` could do no harm by running twice.
-    fn harmless(&self, conn: &Connection, server: &Server) -> bool {
-        let class = &self.set.classes[conn.request.class];
-        let Some((first, at)) = conn.first_possible_run else {
+    /// Whether another attempt on `server` is harmless even if an earlier one has run.
+    fn is_retry_safe(&self, conn: &Connection, server: &Server) -> bool {
+        let class = &self.settings.classes[conn.request.class];
+        let Some((first_server, sent_at)) = conn.first_possible_run else {
             return true;
         };
-        let together = self.state.shares_dedup_scope(class.scope, first, server);
+        let shares_scope = self
+            .state
+            .shares_dedup_scope(class.scope, first_server, server);
         class.effect == Idempotency::Safe
-            || class.effect == Idempotency::Keyed && together && self.state.now < at + class.window
+            || class.effect == Idempotency::Keyed
+                && shares_scope
+                && self.state.now < sent_at + class.window
     }
 
     // Ranking.
 
-    /// The lowest-ranked server with room for a request, of the first in the order of its group, or our own.
-    fn choose(&mut self, id: RequestId) -> Option<ServerId> {
-        let key = self.state.server_order_key(id, &self.set);
-        let ranked = self.rank(id, key);
-        if self.kept_from_cold(key) {
+    /// Chooses the lowest-ranked server with room for a request, among the first in the order of its group
+    /// or, without a group, of this balancer.
+    fn choose_server(&mut self, id: RequestId) -> Option<ServerId> {
+        let key = self.state.server_order_key(id, &self.settings);
+        let ranked = self.rank_servers(id, key);
+        if self.is_denied_cold_server(key) {
             self.state.quotas.record_denial(QuotaKind::Cold);
         }
         // Ties are broken at random.
@@ -680,190 +799,235 @@
         ties.choose(&mut self.rng).map(|r| r.1)
     }
 
-    fn rank(&self, id: RequestId, key: u64) -> Vec<(f64, ServerId)> {
+    fn rank_servers(&self, id: RequestId, key: u64) -> Vec<(f64, ServerId)> {
         let conn = &self.state.connections[&id];
         let (now, scarcity) = (self.state.now, self.scarcity());
-        let (limit, may_ask, crowd) = (self.limit(conn), self.may_ask(conn), self.crowd());
-        // Who is cut off finds full servers: turns at cold ones go first.
-        let by_load = self.set.report_fields.contains(&ReportField::Load);
-        let swamped = !by_load && (conn.request.again || self.cut_off() > 0.5);
+        let (limit, may_probe, placers) = (
+            self.load_limit(conn),
+            self.may_probe_on_demand(conn),
+            self.concurrent_placers(),
+        );
+        // Repeated requests and connection resets show that servers are full: turns at cold servers are
+        // used first.
+        let reports_load = self.settings.report_fields.contains(&ReportField::Load);
+        let prefers_cold = !reports_load && (conn.request.again || self.reset_level() > 0.5);
         let servers = self.state.first_servers_in_order(key, CANDIDATES);
-        let servers = servers.map(|(place, id)| (place, id, &self.state.servers[&id]));
-        let open: Vec<_> = servers.filter(|(_, id, s)| self.open(*id, s)).collect();
-        // Outlier ejection: silent and failing servers get nothing while there are others.
-        let sound = open.iter().any(|(_, _, server)| !self.ejected(server));
-        // Room before rank, or a group's full server hides an idle one; short room bars further shares.
+        let servers = servers.map(|(position, id)| (position, id, &self.state.servers[&id]));
+        let candidates: Vec<_> = servers
+            .filter(|(_, id, s)| self.accepts_placement(*id, s))
+            .collect();
+        // Outlier ejection: unresponsive and failing servers get no requests while there are others.
+        let any_healthy = candidates
+            .iter()
+            .any(|(_, _, server)| !self.is_ejected(server));
+        // Servers without room are left out before ranking, or a group's full server would hide an idle
+        // one. While room is scarce, a group is not spread over further servers.
         let mut ranked = Vec::new();
-        for (place, id, server) in open {
-            let barred = conn.tried_servers.contains(&id) || !self.harmless(conn, server);
-            if barred || sound && self.ejected(server) {
+        for (position, id, server) in candidates {
+            let is_excluded = conn.tried_servers.contains(&id) || !self.is_retry_safe(conn, server);
+            if is_excluded || any_healthy && self.is_ejected(server) {
                 continue;
             }
-            let group_load = self.group_load(conn, server) * self.state.metric_per_load_of(server);
-            let shun = match swamped && server.remaining_warm_up(now, &self.set) > 0.0 {
-                true => place as f64 / CANDIDATES as f64 - 1.0,
-                false => GROUP_SHUN * (1.0 + place as f64 / PLACES) * group_load,
+            let group_load =
+                self.added_group_load(conn, server) * self.state.metric_per_load_of(server);
+            let penalty = match prefers_cold && server.remaining_warm_up(now, &self.settings) > 0.0
+            {
+                true => position as f64 / CANDIDATES as f64 - 1.0,
+                false => {
+                    GROUP_PENALTY_FACTOR * (1.0 + position as f64 / PLACES_PER_PENALTY) * group_load
+                }
             };
-            let after = self.load_after(conn, server, crowd);
-            // Room on an unknown server is asked, not guessed, unless all are likely to be swamped.
-            let guessed = server.metric_since(now - FORGOTTEN).is_none();
-            let asked =
-                guessed && may_ask && (scarcity < 0.5 || self.state.reporting_servers < ASKS);
-            if asked || after + shun * scarcity <= limit {
-                ranked.push((after + shun + self.surcharge(server), id));
+            let load = self.load_with_request(conn, server, placers);
+            // The room on a server without a recent metric is probed, not estimated, unless all servers are
+            // probably overloaded.
+            let lacks_metric = server.metric_since(now - METRIC_MAX_AGE).is_none();
+            let will_probe = lacks_metric
+                && may_probe
+                && (scarcity < 0.5 || self.state.reporting_servers < MAX_PROBED_SERVERS);
+            if will_probe || load + penalty * scarcity <= limit {
+                ranked.push((load + penalty + self.rank_penalty(server), id));
             }
         }
         ranked
     }
 
-    fn open(&self, id: ServerId, server: &Server) -> bool {
-        // A turn that lies beyond the warm-up falls away with it: in a large fleet most do.
+    fn accepts_placement(&self, id: ServerId, server: &Server) -> bool {
+        // Turns apply only during the warm-up: in a large fleet most of them would come after its end.
         let now = self.state.now;
-        if !server.is_available() || server.remaining_warm_up(now, &self.set) == 0.0 {
+        if !server.is_available() || server.remaining_warm_up(now, &self.settings) == 0.0 {
             return server.is_available();
         }
         if !self.state.has_cold_quota_left(id) {
             return false;
         }
-        // One that was not used for long is missed, or all together would be a blow.
-        let each = self.state.fleet_turns_per_own_turn(&self.set);
-        let turn = server.turn_at_last_placement + each * server.turn_offset;
-        let missed = self.turns(server, now - TURN_KEPT * self.set.fall_for) - turn;
-        let turn = turn + each * (missed / each).ceil().max(0.0);
-        now >= server.next_placement_at && self.turns(server, now) >= turn
+        // A turn that was not used in time is lost, or all balancers could use their saved turns at once
+        // and overload the server.
+        let turn_interval = self.state.fleet_turns_per_own_turn(&self.settings);
+        let turn = server.turn_at_last_placement + turn_interval * server.turn_offset;
+        let missed_turns =
+            self.cold_turns_at(server, now - TURN_VALIDITY * self.settings.fall_for) - turn;
+        let turn = turn + turn_interval * (missed_turns / turn_interval).ceil().max(0.0);
+        now >= server.next_placement_at && self.cold_turns_at(server, now) >= turn
     }
 
-    /// Whether this balancer's part of a whole keeps it from a cold server.
-    fn kept_from_cold(&self, key: u64) -> bool {
+    /// Whether this balancer's quota for cold servers keeps it from using one of them.
+    fn is_denied_cold_server(&self, key: u64) -> bool {
         if !self.state.quotas.is_limited(QuotaKind::Cold) {
             return false;
         }
-        let cold =
-            |s: &Server| s.is_available() && s.remaining_warm_up(self.state.now, &self.set) > 0.0;
+        let is_cold = |s: &Server| {
+            s.is_available() && s.remaining_warm_up(self.state.now, &self.settings) > 0.0
+        };
         let first = self.state.first_servers_in_order(key, CANDIDATES);
         let mut servers = first.map(|(_, id)| (id, &self.state.servers[&id]));
-        servers.any(|(id, s)| cold(s) && !self.open(id, s))
+        servers.any(|(id, s)| is_cold(s) && !self.accepts_placement(id, s))
     }
 
-    fn ejected(&self, server: &Server) -> bool {
-        server.unresponsive || server.errors.value_at(self.state.now, FORGIVE) > EJECT
+    fn is_ejected(&self, server: &Server) -> bool {
+        server.unresponsive
+            || server.errors.value_at(self.state.now, FAILURE_DECAY) > EJECTION_THRESHOLD
     }
 
-    /// A server's load with the request on it, and with what its group then costs there: the probed
-    /// figure, and own placements since, with as many by each peer that is taken to place here too.
-    fn load_after(&self, conn: &Connection, server: &Server, crowd: f64) -> f64 {
-        let added = server.pending_load() * crowd + conn.load + self.group_load(conn, server);
-        let figure = server.metric_since(self.state.now - FORGOTTEN);
-        // A cold server holds no more than the turns that all balancers have had.
-        let cold = server.remaining_warm_up(self.state.now, &self.set) > 0.0;
-        let guess = if cold { 0.0 } else { self.state.mean_metric };
-        self.felt(server, figure.unwrap_or(guess)) + added * self.state.metric_per_load_of(server)
+    /// A server's load with the request on it, and with its group's cost there: the reported metric, and
+    /// own placements since then, multiplied by the number of balancers that are assumed to place there
+    /// too.
+    fn load_with_request(&self, conn: &Connection, server: &Server, placers: f64) -> f64 {
+        let added =
+            server.pending_load() * placers + conn.load + self.added_group_load(conn, server);
+        let metric = server.metric_since(self.state.now - METRIC_MAX_AGE);
+        // A cold server without a metric counts as empty: the turns of all balancers limit what it holds.
+        let is_cold = server.remaining_warm_up(self.state.now, &self.settings) > 0.0;
+        let assumed_metric = if is_cold { 0.0 } else { self.state.mean_metric };
+        self.effective_load(server, metric.unwrap_or(assumed_metric))
+            + added * self.state.metric_per_load_of(server)
     }
 
-    /// Whether a request may still wait for a figure.
-    fn may_ask(&self, conn: &Connection) -> bool {
+    /// Whether a request may still wait for an on-demand probe.
+    fn may_probe_on_demand(&self, conn: &Connection) -> bool {
         let waited = self.state.now - (conn.deadline - conn.request.patience);
-        let most = ASK_PART * self.set.classes[conn.request.class].aim;
-        let probes = self.set.may_probe && self.state.has_quota_left(QuotaKind::Probes, 0);
-        probes && waited <= most && conn.on_demand_probes < ASKS
+        let max_wait = PROBE_WAIT_SHARE * self.settings.classes[conn.request.class].aim;
+        let may_probe = self.settings.may_probe && self.state.has_quota_left(QuotaKind::Probes, 0);
+        may_probe && waited <= max_wait && conn.on_demand_probes < MAX_PROBED_SERVERS
     }
 
-    /// How many balancers place where this one does before reports show it: those of its zone, or all as
-    /// room gets short; no more than connections that all of them then give a server.
-    fn crowd(&self) -> f64 {
-        let fleet = self.set.fleet_size as f64;
-        let peers = self.sharers() + (fleet - self.sharers()) * self.scarcity();
-        let given = fleet * self.state.placement_rate() * REPORT_AGE;
-        peers.min(1.0 + given / self.state.servers.len().max(1) as f64)
+    /// The number of balancers that are assumed to place on the same server before reports show it: those
+    /// of this zone, and all of them as room gets scarce. The number of connections that the whole fleet
+    /// places on a server in that time bounds it.
+    fn concurrent_placers(&self) -> f64 {
+        let fleet_size = self.settings.fleet_size as f64;
+        let peers =
+            self.balancers_per_zone() + (fleet_size - self.balancers_per_zone()) * self.scarcity();
+        let fleet_placements = fleet_size * self.state.placement_rate() * MAX_REPORT_DELAY;
+        peers.min(1.0 + fleet_placements / self.state.servers.len().max(1) as f64)
     }
 
-    /// How short room is, from 0 to 1.
+    /// How scarce room is on the servers, from 0 to 1.
     fn scarcity(&self) -> f64 {
-        ((self.state.mean_metric / THRESHOLD - SCARCE) / (1.0 - SCARCE)).clamp(0.0, 1.0)
+        ((self.state.mean_metric / LOAD_THRESHOLD - SCARCITY_START) / (1.0 - SCARCITY_START))
+            .clamp(0.0, 1.0)
     }
 
-    /// What a connection's group costs on a server that holds none of it yet.
-    fn group_load(&self, conn: &Connection, server: &Server) -> f64 {
-        let held = |group| !self.set.groups || server.group_counts.contains_key(&group);
-        let brings = !conn.request.group.is_none_or(held);
-        f64::from(brings) * GROUP_COST * self.state.mean_load()
+    /// The load that a connection's group adds to a server that holds none of its connections yet,
+    /// otherwise 0.
+    fn added_group_load(&self, conn: &Connection, server: &Server) -> f64 {
+        let costs_nothing =
+            |group| !self.settings.groups || server.group_counts.contains_key(&group);
+        let adds_group = !conn.request.group.is_none_or(costs_nothing);
+        f64::from(adds_group) * GROUP_COST * self.state.mean_load()
     }
 
-    /// What else counts against a server: doubt, failures, and the price of another zone.
-    fn surcharge(&self, server: &Server) -> f64 {
-        let crosses = f64::from(server.is_in_other_zone(self.set.zone));
-        f64::from(server.is_suspected()) * DOUBT
-            + crosses * CROSS_LOAD * self.set.price_cross_zone
-            + server.errors.value_at(self.state.now, FORGIVE)
+    /// The load that is added to a server's rank for suspicion, failures and the cross-zone price.
+    fn rank_penalty(&self, server: &Server) -> f64 {
+        let crosses_zone = f64::from(server.is_in_other_zone(self.settings.zone));
+        f64::from(server.is_suspected()) * SUSPECTED_PENALTY
+            + crosses_zone * CROSS_ZONE_LOAD * self.settings.price_cross_zone
+            + server.errors.value_at(self.state.now, FAILURE_DECAY)
     }
 
-    /// How many connections all balancers together may have given a cold server since it was listed: what
-    /// it can do grows as it warms up, and so does what they give it. Each has its turn among them.
-    fn turns(&self, server: &Server, at: Seconds) -> f64 {
-        // The fall budget, as if a warm server fills over the warm-up.
-        let full = 1.0
+    /// The number of connections that all balancers together may have placed on a cold server from its
+    /// listing to `at`. It grows with the server's capacity during the warm-up. Each connection is one
+    /// turn, and each balancer takes its own turns.
+    fn cold_turns_at(&self, server: &Server, at: Seconds) -> f64 {
+        // The overload limit, based on a warm server that would fill up within the length of a warm-up.
+        let capacity = 1.0
             / (self.state.conservative_metric_per_load_of(server) * self.state.mean_load())
                 .max(1e-3);
-        self.set.fall_multiple * full / self.set.cold_for
-            * server.capacity_weighted_uptime(at, &self.set)
+        self.settings.fall_multiple * capacity / self.settings.cold_for
+            * server.capacity_weighted_uptime(at, &self.settings)
     }
 
     // Moves.
 
-    /// Moves the connection worth least for its load off a server that its probe shows past the threshold,
-    /// where another has room for it. One close to its capacity serves nobody well: there this balancer's
-    /// part of the excess goes, room or not, and comes again to be placed or refused.
-    fn relieve(&mut self, id: ServerId, out: &mut Vec<Action>) {
-        let by_load = self.set.report_fields.contains(&ReportField::Load);
-        let by_count = COUNT_TRIGGER * self.state.mean_metric;
-        let limit = if by_load { THRESHOLD } else { by_count };
+    /// Moves the connection with the least worth for its load off a server above the threshold, if another
+    /// server has room for it. A server close to its capacity serves all its clients badly: this balancer's
+    /// part of its excess is moved even without room elsewhere, and those clients reconnect to be placed or
+    /// refused.
+    fn move_excess_connections(&mut self, id: ServerId, out: &mut Vec<Action>) {
+        let reports_load = self.settings.report_fields.contains(&ReportField::Load);
+        let count_limit = COUNT_MOVE_RATIO * self.state.mean_metric;
+        let limit = if reports_load {
+            LOAD_THRESHOLD
+        } else {
+            count_limit
+        };
         let server = &self.state.servers[&id];
-        let told = server.metric.unwrap_or(0.0);
-        let load_now = self.felt(server, told);
-        if load_now <= limit || !server.is_available() {
+        let reported = server.metric.unwrap_or(0.0);
+        let server_load = self.effective_load(server, reported);
+        if server_load <= limit || !server.is_available() {
             return;
         }
         let conn = |id: &RequestId| &self.state.connections[id];
-        let open = |id: &&RequestId| matches!(conn(id).phase, Phase::Open(_));
-        let mut own: Vec<RequestId> = server.own_requests.iter().filter(open).copied().collect();
-        let worth =
-            |id: &RequestId| self.worth(&conn(id).request) / self.leaving_load(conn(id), server);
-        own.sort_by(|a, b| worth(a).total_cmp(&worth(b)));
-        let Some(&first) = own.first() else { return };
-        let own_part = server.own_load / load_now;
-        // Moving onto a server that would pass the threshold itself only spreads the trouble.
-        let key = self.state.server_order_key(first, &self.set);
-        let (conn, crowd) = (&self.state.connections[&first], self.crowd());
-        let fits = |s: &Server| self.load_after(conn, s, crowd) < limit;
+        let is_open = |id: &&RequestId| matches!(conn(id).phase, Phase::Open(_));
+        let mut own_open: Vec<RequestId> = server
+            .own_requests
+            .iter()
+            .filter(is_open)
+            .copied()
+            .collect();
+        let worth_per_load = |id: &RequestId| {
+            self.request_worth(&conn(id).request) / self.load_freed_by(conn(id), server)
+        };
+        own_open.sort_by(|a, b| worth_per_load(a).total_cmp(&worth_per_load(b)));
+        let Some(&first) = own_open.first() else {
+            return;
+        };
+        let own_share = server.own_load / server_load;
+        // A move to a server that would itself exceed the threshold only spreads the overload.
+        let key = self.state.server_order_key(first, &self.settings);
+        let (conn, placers) = (&self.state.connections[&first], self.concurrent_placers());
+        let has_room = |s: &Server| self.load_with_request(conn, s, placers) < limit;
         let servers = self.state.first_servers_in_order(key, CANDIDATES);
         let mut servers = servers.map(|(_, id)| (id, &self.state.servers[&id]));
-        let room = servers
-            .any(|(id, s)| self.open(id, s) && !s.unresponsive && !s.is_suspected() && fits(s));
+        let room_elsewhere = servers.any(|(id, s)| {
+            self.accepts_placement(id, s) && !s.unresponsive && !s.is_suspected() && has_room(s)
+        });
         drop(servers);
-        let many = by_load && told > DROWNING;
-        if !room && !many {
+        let is_critical = reports_load && reported > CRITICAL_LOAD;
+        if !room_elsewhere && !is_critical {
             return;
         }
-        let limit = if room { limit } else { DROWNING };
-        let most = if many { own.len() } else { 1 };
-        // Peers see the same figure: all together should move what is over, not each of them.
-        let mut part = HASTE * own_part * (load_now - limit);
-        for id in own.into_iter().take(most) {
+        let limit = if room_elsewhere { limit } else { CRITICAL_LOAD };
+        let max_moves = if is_critical { own_open.len() } else { 1 };
+        // Peers see the same metric: all balancers together should move the excess, not each of them.
+        let mut excess = EXCESS_MOVE_FACTOR * own_share * (server_load - limit);
+        for id in own_open.into_iter().take(max_moves) {
             let load = self.state.connections[&id].load;
-            if self.rng.random::<f64>() * load < part && self.state.check_quota(QuotaKind::Moves, 0)
+            if self.rng.random::<f64>() * load < excess
+                && self.state.check_quota(QuotaKind::Moves, 0)
             {
                 self.state
                     .quotas
                     .spend_unit(QuotaKind::Moves, self.state.now);
                 out.push(Action::Move(id));
             }
-            part -= load;
+            excess -= load;
         }
     }
 
-    /// The load that leaves with a connection, its part of its group's cost there included.
-    fn leaving_load(&self, conn: &Connection, server: &Server) -> f64 {
-        let group = conn.request.group.filter(|_| self.set.groups);
+    /// The load that a move of the connection takes off the server, with its part of the group's cost
+    /// there.
+    fn load_freed_by(&self, conn: &Connection, server: &Server) -> f64 {
+        let group = conn.request.group.filter(|_| self.settings.groups);
         let holders = group.and_then(|group| server.group_counts.get(&group));
         let group_load = holders.map_or(0.0, |&n| GROUP_COST / n as f64);
         (conn.load + group_load * self.state.mean_load()).max(f64::MIN_POSITIVE)
--- a/crates/balancer/src/quotas.rs
+++ b/crates/balancer/src/quotas.rs
@@ -1,204 +1,211 @@
-//! What this balancer may use of what several balancers share, and what it uses of that. Bookkeeping without decisions.
+//! This balancer's allowances of the quotas that several balancers share, and its use of them. Bookkeeping only, no
+//! decisions.
 //!
-//! A unit that counts within a span is in use from the decision until a whole span after the line that it is for was
-//! written. The dial in between may take long, and servers count lines: counted from the decision, units of two
-//! spans would meet within one.
+//! A unit of a quota with a span is in use from the decision until a whole span after its request's line was written.
+//! The dial in between may take long, and servers count lines: if units counted from the decision, the lines of two
+//! spans could be written within one.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::{Allowance, QuotaKind, RequestId, Seconds, ServerId};
 
-/// Whoever counts at the other end may see a line so much sooner or later.
-const SLACK: Seconds = 0.05;
+/// Difference by which an observer at the server may see a line earlier or later than this balancer.
+const COUNTING_TOLERANCE: Seconds = 0.05;
 
-/// What units are counted of: a matter as a whole, or at one server.
+/// The key under which units are counted: a quota as a whole, or a quota at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Counter {
-    matter: QuotaKind,
+    kind: QuotaKind,
     server: Option<ServerId>,
 }
 
+/// The allowance of one quota.
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct Limit {
     allowance: Allowance,
-    /// How often it was too small.
+    /// How often the allowance was too small.
     denied: u64,
 }
 
+/// The quotas of a balancer, with the units of them that are in use.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    parts: BTreeMap<QuotaKind, Part>,
-    /// When units that count within a span were used.
-    used: BTreeMap<Counter, VecDeque<Seconds>>,
-    /// Units of attempts whose lines have not been written yet, and how many there are of each kind.
-    unwritten: BTreeMap<RequestId, Vec<Counter>>,
-    pending: BTreeMap<Counter, u64>,
+    limits: BTreeMap<QuotaKind, Limit>,
+    /// When units of quotas with a span were used.
+    spent_at: BTreeMap<Counter, VecDeque<Seconds>>,
+    /// Units of attempts whose lines have not been written yet, and the number of such units for each counter.
+    unwritten_units: BTreeMap<RequestId, Vec<Counter>>,
+    pending_units: BTreeMap<Counter, u64>,
 }
 
 impl Quotas {
-    /// A part from now on.
-    pub fn set_allowance(&mut self, matter: QuotaKind, allowance: Allowance) {
-        let part = self.parts.entry(matter).or_insert(Part {
+    /// Sets the allowance of a quota from now on.
+    pub fn set_allowance(&mut self, kind: QuotaKind, allowance: Allowance) {
+        let limit = self.limits.entry(kind).or_insert(Limit {
             allowance,
             denied: 0,
         });
-        part.allowance = allowance;
+        limit.allowance = allowance;
     }
 
-    pub fn is_limited(&self, matter: QuotaKind) -> bool {
-        self.parts.contains_key(&matter)
+    pub fn is_limited(&self, kind: QuotaKind) -> bool {
+        self.limits.contains_key(&kind)
     }
 
-    /// All parts, with how often each was too small.
+    /// All quotas that have an allowance, with the number of denials of each.
     pub fn denials(&self) -> Vec<(QuotaKind, u64)> {
-        let denied = |(matter, part): (&QuotaKind, &Part)| (*matter, part.denied);
-        self.parts.iter().map(denied).collect()
+        let denials = |(kind, limit): (&QuotaKind, &Limit)| (*kind, limit.denied);
+        self.limits.iter().map(denials).collect()
     }
 
-    /// The units that may be used now; none where no part was told.
-    pub fn allowed_units(&self, matter: QuotaKind, now: Seconds) -> Option<u64> {
-        let allowance = self.parts.get(&matter)?.allowance;
-        let leased = now < allowance.until;
-        Some(if leased {
+    /// The units that may be used now; `None` without an allowance, where the use is not limited.
+    pub fn allowed_units(&self, kind: QuotaKind, now: Seconds) -> Option<u64> {
+        let allowance = self.limits.get(&kind)?.allowance;
+        let is_leased = now < allowance.until;
+        Some(if is_leased {
             allowance.units
         } else {
             allowance.after
         })
     }
 
-    /// The units of all balancers together.
-    pub fn fleet_units(&self, matter: QuotaKind) -> Option<u64> {
-        Some(self.parts.get(&matter)?.allowance.whole)
+    /// The units that all balancers have together; `None` without an allowance.
+    pub fn fleet_units(&self, kind: QuotaKind) -> Option<u64> {
+        Some(self.limits.get(&kind)?.allowance.whole)
     }
 
-    /// How long after its coming a request may wait for a part that has no room for it.
-    pub fn max_wait(&self, matter: QuotaKind) -> Seconds {
-        let part = self.parts.get(&matter);
-        part.map_or(0.0, |part| part.allowance.wait)
+    /// How long after its arrival a request may wait for a unit of a quota that has none left.
+    pub fn max_wait(&self, kind: QuotaKind) -> Seconds {
+        let limit = self.limits.get(&kind);
+        limit.map_or(0.0, |limit| limit.allowance.wait)
     }
 
-    /// A larger part would have been used.
-    pub fn record_denial(&mut self, matter: QuotaKind) {
-        if let Some(part) = self.parts.get_mut(&matter) {
-            part.denied += 1;
+    /// Counts that a larger allowance would have been used.
+    pub fn record_denial(&mut self, kind: QuotaKind) {
+        if let Some(limit) = self.limits.get_mut(&kind) {
+            limit.denied += 1;
         }
     }
 
-    /// One unit is used now, if there is such a part.
-    pub fn spend_unit(&mut self, matter: QuotaKind, now: Seconds) {
+    /// Counts one unit as used now, if the quota has an allowance.
+    pub fn spend_unit(&mut self, kind: QuotaKind, now: Seconds) {
         let server = None;
-        self.add(Counter { matter, server }, now);
+        self.record_spent(Counter { kind, server }, now);
     }
 
-    /// One unit is in use for an attempt whose line is still to be written, if there is such a part.
-    pub fn reserve_unit(&mut self, id: RequestId, matter: QuotaKind, server: Option<ServerId>) {
-        if self.is_limited(matter) {
-            let counter = Counter { matter, server };
-            self.unwritten.entry(id).or_default().push(counter);
-            *self.pending.entry(counter).or_default() += 1;
+    /// Reserves one unit for an attempt whose line is still to be written, if the quota has an allowance.
+    pub fn reserve_unit(&mut self, id: RequestId, kind: QuotaKind, server: Option<ServerId>) {
+        if self.is_limited(kind) {
+            let counter = Counter { kind, server };
+            self.unwritten_units.entry(id).or_default().push(counter);
+            *self.pending_units.entry(counter).or_default() += 1;
         }
     }
 
-    /// Whether the writing of a request's line starts a span.
+    /// Whether the span of a unit starts when the line of this request is written.
     pub fn awaits_write(&self, id: RequestId) -> bool {
-        self.unwritten.contains_key(&id)
+        self.unwritten_units.contains_key(&id)
     }
 
-    /// The line of the latest attempt was written by now.
+    /// Records that the line of the latest attempt has been written: the spans of its units start now.
     pub fn mark_written(&mut self, id: RequestId, now: Seconds) {
         for counter in self.take_reserved(id) {
-            self.add(counter, now);
+            self.record_spent(counter, now);
         }
     }
 
-    /// The latest attempt ended without a line: its units are free.
+    /// Releases the units of the latest attempt, which ended before its line was written.
     pub fn release_units(&mut self, id: RequestId) {
         self.take_reserved(id);
     }
 
     fn take_reserved(&mut self, id: RequestId) -> Vec<Counter> {
-        let counters = self.unwritten.remove(&id).unwrap_or_default();
+        let counters = self.unwritten_units.remove(&id).unwrap_or_default();
         for counter in &counters {
-            let pending = self.pending.get_mut(counter).expect("reserved before");
+            let pending = self
+                .pending_units
+                .get_mut(counter)
+                .expect("reserved units are counted");
             *pending -= 1;
             if *pending == 0 {
-                self.pending.remove(counter);
+                self.pending_units.remove(counter);
             }
         }
         counters
     }
 
-    /// How much longer a unit that was just taken may be used: those beyond what is left after the lease end with it.
+    /// How much longer a unit that was just taken may be used. Units beyond those that remain after the lease end with
+    /// it; `None` for the others.
     pub fn remaining_lease(
         &self,
-        matter: QuotaKind,
+        kind: QuotaKind,
         server: Option<ServerId>,
         now: Seconds,
     ) -> Option<Seconds> {
-        let allowance = self.parts.get(&matter)?.allowance;
-        let used = self.used_of(Counter { matter, server }, now);
-        let leased = now < allowance.until && used > allowance.after;
-        leased.then_some(allowance.until - now)
+        let allowance = self.limits.get(&kind)?.allowance;
+        let units = self.units_in_use(Counter { kind, server }, now);
+        let is_leased = now < allowance.until && units > allowance.after;
+        is_leased.then_some(allowance.until - now)
     }
 
-    /// What is in use of a part that counts within a span; of one that counts at each server, at `server`.
-    pub fn used_at_server(&self, matter: QuotaKind, server: ServerId, now: Seconds) -> u64 {
+    /// The units in use at `server`, of a quota with a span that counts for each server.
+    pub fn used_at_server(&self, kind: QuotaKind, server: ServerId, now: Seconds) -> u64 {
         let server = Some(server);
-        self.used_of(Counter { matter, server }, now)
+        self.units_in_use(Counter { kind, server }, now)
     }
 
-    /// The same where most is in use.
-    pub fn max_used(&self, matter: QuotaKind, now: Seconds) -> u64 {
-        let first = Counter {
-            matter,
-            server: None,
-        };
+    /// The units in use of a quota with a span; for one that counts for each server, the most at any server.
+    pub fn max_used(&self, kind: QuotaKind, now: Seconds) -> u64 {
+        let first = Counter { kind, server: None };
         let last = Counter {
-            matter,
+            kind,
             server: Some(ServerId::MAX),
         };
-        let used = self.used.range(first..=last).map(|(counter, _)| *counter);
-        let pending = self
-            .pending
+        let with_spent = self
+            .spent_at
+            .range(first..=last)
+            .map(|(counter, _)| *counter);
+        let with_pending = self
+            .pending_units
             .range(first..=last)
             .map(|(counter, _)| *counter);
-        let each = used
-            .chain(pending)
-            .map(|counter| self.used_of(counter, now));
-        each.max().unwrap_or(0)
+        let units = with_spent
+            .chain(with_pending)
+            .map(|counter| self.units_in_use(counter, now));
+        units.max().unwrap_or(0)
     }
 
-    fn used_of(&self, counter: Counter, now: Seconds) -> u64 {
-        let since = self.since(counter.matter, now);
-        let used = self.used.get(&counter);
-        let used = used.map_or(0, |used| {
-            used.len() - used.partition_point(|at| *at < since)
+    fn units_in_use(&self, counter: Counter, now: Seconds) -> u64 {
+        let span_start = self.span_start(counter.kind, now);
+        let spent = self.spent_at.get(&counter);
+        let spent = spent.map_or(0, |spent| {
+            spent.len() - spent.partition_point(|at| *at < span_start)
         });
-        used as u64 + self.pending.get(&counter).copied().unwrap_or(0)
+        spent as u64 + self.pending_units.get(&counter).copied().unwrap_or(0)
     }
 
-    /// Units that were used before this are free again.
-    fn since(&self, matter: QuotaKind, now: Seconds) -> Seconds {
+    /// The start of the current span: units that were used before it are free again.
+    fn span_start(&self, kind: QuotaKind, now: Seconds) -> Seconds {
         let span = self
-            .parts
-            .get(&matter)
-            .map_or(0.0, |part| part.allowance.span);
-        now - span - SLACK
+            .limits
+            .get(&kind)
+            .map_or(0.0, |limit| limit.allowance.span);
+        now - span - COUNTING_TOLERANCE
     }
 
-    fn add(&mut self, counter: Counter, now: Seconds) {
-        if !self.is_limited(counter.matter) {
+    fn record_spent(&mut self, counter: Counter, now: Seconds) {
+        if !self.is_limited(counter.kind) {
             return;
         }
-        let since = self.since(counter.matter, now);
-        let own = self.used.entry(counter).or_default();
-        own.push_back(now);
-        while own.front().is_some_and(|at| *at < since) {
-            own.pop_front();
+        let span_start = self.span_start(counter.kind, now);
+        let spent = self.spent_at.entry(counter).or_default();
+        spent.push_back(now);
+        while spent.front().is_some_and(|at| *at < span_start) {
+            spent.pop_front();
         }
-        // A server that gets nothing more is not cold for ever.
-        self.used.retain(|of, used| {
-            of.matter != counter.matter || used.back().is_some_and(|at| *at >= since)
+        // Counters whose spans are over are removed: a server that gets no more units is not cold forever.
+        self.spent_at.retain(|other, spent_units| {
+            other.kind != counter.kind || spent_units.back().is_some_and(|at| *at >= span_start)
         });
     }
 }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,5 +1,5 @@
-//! What a balancer knows: servers, connections, and who holds what. Bookkeeping without decisions;
-//! those are in `policy.rs`.
+//! The state of a balancer: servers, connections, and which server holds which connection. Bookkeeping only;
+//! the decisions are in `policy.rs`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,88 +8,91 @@
 use crate::decay::DecayingSum;
 use crate::quotas::Quotas;
 
-/// Time constant of the usual load of a class, and of the own rate of requests.
-const MEMORY: Seconds = 15.0;
+/// Time constant of the decaying averages: of the loads of each class, and of the rates of own requests and attempts.
+const AVERAGING_TIME: Seconds = 15.0;
 
-/// What the servers of a kind, or all, tell of their size.
+/// Sums over the servers of a kind, or over all servers, from which their capacity is estimated.
 #[derive(Debug, Default)]
 pub struct KindTotals {
     pub servers: f64,
     pub metric_times_load: f64,
-    /// Figures, and connections where they are told beside the load.
+    /// Sum of the metrics, and of the connections that servers report beside their load.
     pub metric: f64,
     pub connections: f64,
     pub load_squared: f64,
-    /// The listed size over the mean of all, or 1 where none is listed.
+    /// Listed size over the mean of all servers; a server without a listed size counts as 1.
     pub relative_size: f64,
 }
 
-/// How long a balancer has only guesses of how much servers hold.
-const YOUNG: Seconds = 4.0;
+/// How long a balancer that started without connections uses the conservative estimates of server capacity.
+const CONSERVATIVE_SPAN: Seconds = 4.0;
 
-/// Loads told that are too few to know what is usual.
-const FEW: f64 = 16.0;
+/// Decayed number of load reports below which their mean is not reliable yet.
+const MIN_LOAD_REPORTS: f64 = 16.0;
 
-/// Whoever counts a budget may see things come and go so much sooner or later.
-const SLACK: Seconds = 0.05;
+/// Difference by which an observer that checks the budget may see requests and attempts earlier or later than this
+/// balancer.
+const COUNTING_TOLERANCE: Seconds = 0.05;
 
-/// Requests that a budget counts at the most: more buy no further attempts.
-const COUNTED: usize = 1 << 16;
+/// Most requests that the budget counts: more than this allow no further retries.
+const MAX_COUNTED_REQUESTS: usize = 1 << 16;
 
-/// So long a placement is kept that no report has ended.
-const FORGOTTEN: Seconds = 20.0;
+/// Time after which a pending placement is dropped if no report has confirmed it.
+const PENDING_MAX_AGE: Seconds = 20.0;
 
+/// A server, as the list, its reports and own connections show it.
 #[derive(Debug, Default)]
 pub struct Server {
-    /// The list's latest word on it.
+    /// The latest list entry.
     pub entry: Option<Entry>,
-    /// The probed figure in the design's metric order, once heard.
+    /// The last reported metric, in the design's metric order: load, connections, queue.
     pub metric: Option<f64>,
-    /// The connections it told beside its load.
+    /// The connections that were reported beside the load.
     pub reported_connections: Option<f64>,
-    /// Own placements that the figure may not hold yet, with the load each adds. Departures don't
-    /// count: a server that has just dropped all its connections is not idle.
+    /// Own placements that the metric may not include yet: when each was made, and the load that it adds. Ended
+    /// connections are not subtracted: a server that has just dropped all its connections is not idle.
     pub pending_placements: Vec<(Seconds, f64)>,
-    /// Own connections and attempts, their load, and how many of them are of each group.
+    /// Own connections and attempts, their load, and their number in each group.
     pub own_requests: BTreeSet<RequestId>,
     pub own_load: f64,
     pub group_counts: BTreeMap<u64, usize>,
-    /// It answered neither a probe nor a connect since it last did.
+    /// A probe or a connect has failed, and nothing since then has shown that the server answers.
     pub unresponsive: bool,
     pub errors: DecayingSum,
-    /// When an own connection last met an answer later than is wanted, until one comes in time.
+    /// When an own connection last got an answer later than its target time; cleared by one that is in time.
     pub last_slow_answer_at: Option<Seconds>,
-    /// A cold server may get its next connection not before this, and so much of the time between two turns after
-    /// so many of all balancers.
+    /// Earliest time of the next connection to a cold server. Its next turn comes `turn_offset` turn intervals after
+    /// `turn_at_last_placement`, which counts the turns of all balancers.
     pub next_placement_at: Seconds,
     pub turn_at_last_placement: f64,
     pub turn_offset: f64,
-    /// When its present process was first told of.
+    /// When the present process of the server was first listed.
     pub listed_at: Seconds,
     pub is_probed: bool,
-    /// When a probe was last answered, and last sent for a request; whether one of a round is out.
+    /// When a probe result or report last arrived, when a probe was last sent for a request, and whether a periodic
+    /// probe has no result yet.
     pub last_result_at: Option<Seconds>,
     pub last_on_demand_probe_at: Option<Seconds>,
     pub periodic_probe_pending: bool,
 }
 
 impl Server {
-    /// Whether it may be given connections at all.
+    /// Whether connections may be placed on the server at all.
     pub fn is_available(&self) -> bool {
         let status = self.entry.as_ref().map(|entry| entry.status);
         matches!(status, Some(Status::Up | Status::Suspected))
     }
 
-    /// Whether the list doubts that it is there.
+    /// Whether the list marks the server as suspected.
     pub fn is_suspected(&self) -> bool {
         let status = self.entry.as_ref().map(|entry| entry.status);
         status == Some(Status::Suspected)
     }
 
-    /// Counts a placement. Where no report ever ends the count, old ones are forgotten.
+    /// Adds a pending placement. Old ones are dropped, as in some deployments no report ever clears them.
     pub fn add_pending_placement(&mut self, now: Seconds, load: f64) {
         self.pending_placements
-            .retain(|(at, _)| *at > now - FORGOTTEN);
+            .retain(|(at, _)| *at > now - PENDING_MAX_AGE);
         self.pending_placements.push((now, load));
     }
 
@@ -97,17 +100,17 @@
         self.pending_placements.iter().map(|(_, load)| load).sum()
     }
 
-    /// Whether a probe was answered, or sent for a request, since then.
+    /// Whether a probe result or report has arrived since `then`.
     pub fn has_result_since(&self, then: Seconds) -> bool {
         self.last_result_at.is_some_and(|at| at >= then)
     }
 
-    /// The probed figure, if it is no older.
+    /// The reported metric, if it is not older than `then`.
     pub fn metric_since(&self, then: Seconds) -> Option<f64> {
         self.metric.filter(|_| self.has_result_since(then))
     }
 
-    /// Whether own connections have met late answers since then.
+    /// Whether an own connection has had a late answer since `then`.
     pub fn had_slow_answer_since(&self, then: Seconds) -> bool {
         self.last_slow_answer_at.is_some_and(|at| at >= then)
     }
@@ -116,23 +119,26 @@
         self.last_on_demand_probe_at.is_some_and(|at| at >= then)
     }
 
-    /// The part of the warm-up that is still to come; 0 for a warm server.
-    pub fn remaining_warm_up(&self, now: Seconds, set: &Settings) -> f64 {
+    /// The fraction of the warm-up that is left; 0 for a warm server.
+    pub fn remaining_warm_up(&self, now: Seconds, settings: &Settings) -> f64 {
         let born = self.entry.as_ref().and_then(|entry| entry.born);
-        let rest = born.map_or(0.0, |born| (born + set.cold_for - now) / set.cold_for);
-        rest.clamp(0.0, 1.0)
+        let remaining = born.map_or(0.0, |born| {
+            (born + settings.cold_for - now) / settings.cold_for
+        });
+        remaining.clamp(0.0, 1.0)
     }
 
-    /// The time from when it was listed, counted by the part of its capacity that it had.
-    pub fn capacity_weighted_uptime(&self, now: Seconds, set: &Settings) -> Seconds {
+    /// The time since the server was listed, weighted by the fraction of its capacity that it had at each moment.
+    pub fn capacity_weighted_uptime(&self, now: Seconds, settings: &Settings) -> Seconds {
         let now = now.max(self.listed_at);
-        let lacked = |at| {
-            (1.0 - set.cold_from) * set.cold_for / 2.0 * self.remaining_warm_up(at, set).powi(2)
+        let lost_until = |at| {
+            (1.0 - settings.cold_from) * settings.cold_for / 2.0
+                * self.remaining_warm_up(at, settings).powi(2)
         };
-        now - self.listed_at + lacked(now) - lacked(self.listed_at)
+        now - self.listed_at + lost_until(now) - lost_until(self.listed_at)
     }
 
-    /// Whether it is known to be in another zone than this.
+    /// Whether the server is known to be in another zone than `zone`.
     pub fn is_in_other_zone(&self, zone: Option<usize>) -> bool {
         let own = self.entry.as_ref().and_then(|entry| entry.zone);
         own.is_some() && own != zone
@@ -143,6 +149,7 @@
     }
 }
 
+/// The phase of a request: without a server, attempted at one, or open on one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
     Waiting,
@@ -150,109 +157,112 @@
     Open(ServerId),
 }
 
+/// A request that has no final answer yet, or its open connection.
 #[derive(Debug)]
 pub struct Connection {
     pub request: Request,
     pub deadline: Seconds,
     pub phase: Phase,
     pub sent_at: Seconds,
-    /// The attempts so far: the next has this number.
+    /// The number of attempts so far, which is also the number of the next one.
     pub attempts: usize,
-    /// The servers of those that count: of all but those that a shortage of this machine kept from being made.
+    /// The servers of the attempts that count: attempts that a resource shortage of this machine prevented don't.
     pub tried_servers: Vec<ServerId>,
-    /// How many servers were asked for their figure for it.
+    /// How many servers were probed on demand for this request.
     pub on_demand_probes: usize,
-    /// The first attempt that may have run: where and when it was sent.
+    /// The first attempt that may have run: its server, and when it was sent.
     pub first_possible_run: Option<(ServerId, Seconds)>,
-    /// Its load in seconds of work a second: as last told, or else as usual for its class.
+    /// The load in seconds of work per second: as last reported, otherwise the request's hint or the mean of its class.
     pub load: f64,
     pub load_reported: bool,
 }
 
+/// The whole state of a balancer.
 #[derive(Debug)]
 pub struct State {
     pub now: Seconds,
     pub servers: BTreeMap<ServerId, Server>,
     pub connections: BTreeMap<RequestId, Connection>,
     /// The load of own connections and attempts.
-    load: f64,
-    /// What one unit of load adds to the figure of a server of each kind, and of any (`None`): as
-    /// is likely, and as is careful to assume.
+    own_load: f64,
+    /// What one unit of load adds to the metric of a server of each kind, and of any kind (`None`): the likely and the
+    /// conservative estimate.
     pub metric_per_load: BTreeMap<Option<usize>, [f64; 2]>,
-    /// When sizes were last learned.
-    learned_at: Option<Seconds>,
-    /// How many servers' figures are known, and their mean.
+    /// When `metric_per_load` was last estimated.
+    estimated_at: Option<Seconds>,
+    /// The number of servers with a recent metric, and the mean of those metrics.
     pub reporting_servers: usize,
     pub mean_metric: f64,
-    /// The number of servers that are probed.
+    /// The number of servers that are probed periodically.
     pub probed_servers: usize,
-    /// Requests that clients make for the first time lately, attempts, and when the first request came.
+    /// Recent requests that clients have made for the first time, recent attempts, and when the first request arrived.
     new_requests: DecayingSum,
     attempts: DecayingSum,
-    first_request: Option<Seconds>,
-    /// When requests came, and when attempts beyond a request's first were made, as far as a budget asks.
-    came: VecDeque<Seconds>,
-    further: VecDeque<Seconds>,
-    /// Parts of what all balancers share, and what is used of them.
+    first_request_at: Option<Seconds>,
+    /// When requests arrived and when retries were made, as far as the budget needs them.
+    request_times: VecDeque<Seconds>,
+    retry_times: VecDeque<Seconds>,
+    /// This balancer's allowances of the quotas that balancers share, and their use.
     pub quotas: Quotas,
-    /// When the balancer came to life.
+    /// When the balancer handled its first event.
     pub started_at: Option<Seconds>,
-    /// When an attempt was last made, and how many were turned away since without one.
-    sent_at: Option<Seconds>,
-    turned_away: usize,
-    /// When the first request came, if nothing was held then.
-    began_empty: Option<Seconds>,
+    /// When an attempt was last made, and how many requests have been rejected since then without an attempt.
+    last_attempt_at: Option<Seconds>,
+    rejections_since_attempt: usize,
+    /// When the first request arrived, if there were no connections then.
+    started_empty_at: Option<Seconds>,
     /// Own connections and attempts of each class.
     pub class_counts: Vec<usize>,
     /// Own requests of each tenant.
     pub tenant_counts: Vec<usize>,
-    /// Listed servers by key in an order common to all balancers, the own zone's and the others'.
-    orders: BTreeMap<u64, [Vec<ServerId>; 2]>,
-    /// Per class: loads told and their number.
-    loads: Vec<(DecayingSum, DecayingSum)>,
+    /// Available servers for each key, in an order common to all balancers: those of the own zone and the others.
+    server_orders: BTreeMap<u64, [Vec<ServerId>; 2]>,
+    /// For each class: the decaying sum of the reported loads, and their number.
+    reported_loads: Vec<(DecayingSum, DecayingSum)>,
 }
 
 impl State {
-    pub fn new(set: &Settings, unit: [f64; 2]) -> Self {
+    pub fn new(settings: &Settings, estimates: [f64; 2]) -> Self {
         Self {
             now: 0.0,
             servers: BTreeMap::new(),
             connections: BTreeMap::new(),
-            load: 0.0,
-            metric_per_load: BTreeMap::from([(None, unit)]),
-            learned_at: None,
+            own_load: 0.0,
+            metric_per_load: BTreeMap::from([(None, estimates)]),
+            estimated_at: None,
             reporting_servers: 0,
             mean_metric: 0.0,
             probed_servers: 0,
             new_requests: DecayingSum::default(),
             attempts: DecayingSum::default(),
-            first_request: None,
-            came: VecDeque::new(),
-            further: VecDeque::new(),
+            first_request_at: None,
+            request_times: VecDeque::new(),
+            retry_times: VecDeque::new(),
             quotas: Quotas::default(),
             started_at: None,
-            sent_at: None,
-            turned_away: 0,
-            began_empty: None,
-            class_counts: vec![0; set.classes.len()],
-            tenant_counts: vec![0; set.tenants.len()],
-            orders: BTreeMap::new(),
-            loads: vec![Default::default(); set.classes.len()],
+            last_attempt_at: None,
+            rejections_since_attempt: 0,
+            started_empty_at: None,
+            class_counts: vec![0; settings.classes.len()],
+            tenant_counts: vec![0; settings.tenants.len()],
+            server_orders: BTreeMap::new(),
+            reported_loads: vec![Default::default(); settings.classes.len()],
         }
     }
 
-    /// Makes room for classes and tenants that are new.
-    pub fn resize_counts(&mut self, set: &Settings) {
-        let (classes, tenants) = (set.classes.len(), set.tenants.len());
+    /// Extends the counters for classes and tenants that are new.
+    pub fn resize_counts(&mut self, settings: &Settings) {
+        let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
         self.class_counts
             .resize(classes.max(self.class_counts.len()), 0);
-        self.loads
+        self.reported_loads
             .resize(self.class_counts.len(), Default::default());
         self.tenant_counts
             .resize(tenants.max(self.tenant_counts.len()), 0);
     }
 
-    /// A server's process is told of for the first time: so much of the time between two turns is to pass.
+    /// Starts the slow start of a newly listed process. Its first turn comes after the fraction `phase` of a turn
+    /// interval.
     pub fn reset_slow_start(&mut self, id: ServerId, phase: f64) {
         let now = self.now;
         self.update_server(id, |server| {
@@ -261,8 +271,9 @@
         });
     }
 
-    /// A placement is counted, and if the server is cold as a turn after so many of all; the next not before `gap`.
-    pub fn record_placement(&mut self, id: ServerId, load: f64, turned: f64, gap: Seconds) {
+    /// Records a placement. For a cold server it is also a turn, after `turns` turns of all balancers; the next one
+    /// comes `min_gap` later at the earliest.
+    pub fn record_placement(&mut self, id: ServerId, load: f64, turns: f64, min_gap: Seconds) {
         let now = self.now;
         self.update_server(id, |server| {
             server.add_pending_placement(now, load);
@@ -270,7 +281,7 @@
                 server.turn_at_last_placement,
                 server.turn_offset,
                 server.next_placement_at,
-            ) = (turned, 1.0, now + gap);
+            ) = (turns, 1.0, now + min_gap);
         });
     }
 
@@ -279,84 +290,88 @@
         self.servers.get_mut(&id).map(change);
     }
 
-    /// A server that a whole list leaves out is gone.
+    /// Marks the servers as gone that are missing from a complete list.
     pub fn mark_unlisted_gone(&mut self, entries: &[Entry]) {
         let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
-        let left_out = |(id, _): &(&ServerId, &mut Server)| !listed.contains(id);
-        for (_, server) in self.servers.iter_mut().filter(left_out) {
+        let is_unlisted = |(id, _): &(&ServerId, &mut Server)| !listed.contains(id);
+        for (_, server) in self.servers.iter_mut().filter(is_unlisted) {
             if let Some(entry) = &mut server.entry {
                 entry.status = Status::Gone;
             }
         }
     }
 
-    /// A balancer that held nothing when its first request came has only guesses, and its clients may
-    /// all come at once, as after a restart: for a while it goes by the careful ones.
+    /// The estimate in use of what one unit of load adds to a server's metric. A balancer that had no connections at
+    /// its first request has only default estimates, and all clients may reconnect at once, as after a restart: for
+    /// `CONSERVATIVE_SPAN` it uses the conservative estimate.
     pub fn metric_per_load_of(&self, server: &Server) -> f64 {
-        let young = self.began_empty.is_some_and(|at| self.now < at + YOUNG);
-        self.units_of(server)[usize::from(young)]
+        let is_young = self
+            .started_empty_at
+            .is_some_and(|at| self.now < at + CONSERVATIVE_SPAN);
+        self.metric_per_load_estimates(server)[usize::from(is_young)]
     }
 
     pub fn conservative_metric_per_load_of(&self, server: &Server) -> f64 {
-        self.units_of(server)[1]
+        self.metric_per_load_estimates(server)[1]
     }
 
-    fn units_of(&self, server: &Server) -> [f64; 2] {
-        let of_any = &self.metric_per_load[&None];
-        *self.metric_per_load.get(&server.kind()).unwrap_or(of_any)
+    fn metric_per_load_estimates(&self, server: &Server) -> [f64; 2] {
+        let of_all = &self.metric_per_load[&None];
+        *self.metric_per_load.get(&server.kind()).unwrap_or(of_all)
     }
 
-    /// The key of the common order for a request: its group, or this balancer. It is made if need be.
-    pub fn server_order_key(&mut self, id: RequestId, set: &Settings) -> u64 {
-        let key = self.connections[&id].request.group.unwrap_or(set.me);
-        if !self.orders.contains_key(&key) {
-            self.make_order(key, set.zone);
+    /// The key of the common order of servers for a request: its group or, without one, this balancer's number. Builds
+    /// the order if it does not exist yet.
+    pub fn server_order_key(&mut self, id: RequestId, settings: &Settings) -> u64 {
+        let key = self.connections[&id].request.group.unwrap_or(settings.me);
+        if !self.server_orders.contains_key(&key) {
+            self.build_server_order(key, settings.zone);
         }
         key
     }
 
-    fn make_order(&mut self, key: u64, zone: Option<usize>) {
+    fn build_server_order(&mut self, key: u64, zone: Option<usize>) {
         let mut order = [Vec::new(), Vec::new()];
         for (&id, server) in self.servers.iter().filter(|(_, s)| s.is_available()) {
             order[usize::from(server.is_in_other_zone(zone))].push(id);
         }
-        for part in &mut order {
-            part.sort_by_cached_key(|id| spread(key, *id));
+        for zone_order in &mut order {
+            zone_order.sort_by_cached_key(|id| rendezvous_hash(key, *id));
         }
-        self.orders.insert(key, order);
+        self.server_orders.insert(key, order);
     }
 
-    /// The first servers in the common order of a key, with their places in it.
+    /// The first `count` servers of each zone order of a key, with their positions.
     pub fn first_servers_in_order(
         &self,
         key: u64,
-        first: usize,
+        count: usize,
     ) -> impl Iterator<Item = (usize, ServerId)> {
-        let parts = self.orders.get(&key).into_iter().flatten();
-        parts.flat_map(move |part| part.iter().copied().take(first).enumerate())
+        let zone_orders = self.server_orders.get(&key).into_iter().flatten();
+        zone_orders.flat_map(move |zone_order| zone_order.iter().copied().take(count).enumerate())
     }
 
-    /// What is known of the order of servers no longer holds.
+    /// Discards the common orders, which are rebuilt on demand.
     pub fn clear_server_orders(&mut self) {
-        self.orders.clear();
+        self.server_orders.clear();
     }
 
-    pub fn set_probed(&mut self, id: ServerId, probing: bool) {
-        self.update_server(id, |server| server.is_probed = probing);
-        self.probed_servers = if probing {
+    pub fn set_probed(&mut self, id: ServerId, is_probed: bool) {
+        self.update_server(id, |server| server.is_probed = is_probed);
+        self.probed_servers = if is_probed {
             self.probed_servers + 1
         } else {
             self.probed_servers - 1
         };
     }
 
-    /// The servers that are not probed; most often there are none.
+    /// The servers that are not probed periodically; usually there are none.
     pub fn unprobed_servers(&self) -> Vec<ServerId> {
         let unprobed = self.servers.iter().filter(|(_, server)| !server.is_probed);
         unprobed.map(|(id, _)| *id).collect()
     }
 
-    /// A server is asked for its figure for a request.
+    /// Records that a server is probed on demand for a request.
     pub fn record_on_demand_probe(&mut self, server: ServerId, id: RequestId) {
         let now = self.now;
         self.update_server(server, |server| server.last_on_demand_probe_at = Some(now));
@@ -365,56 +380,56 @@
         }
     }
 
-    pub fn on_request(&mut self, request: Request, set: &Settings) -> RequestId {
-        if self.first_request.is_none() {
-            self.first_request = Some(self.now);
-            self.began_empty = (self.active_connections() == 0).then_some(self.now);
+    pub fn on_request(&mut self, request: Request, settings: &Settings) -> RequestId {
+        if self.first_request_at.is_none() {
+            self.first_request_at = Some(self.now);
+            self.started_empty_at = (self.active_connections() == 0).then_some(self.now);
         }
-        if set.budget.is_some() {
-            self.came.push_back(self.now);
-            if self.came.len() > COUNTED {
-                self.came.pop_front();
+        if settings.budget.is_some() {
+            self.request_times.push_back(self.now);
+            if self.request_times.len() > MAX_COUNTED_REQUESTS {
+                self.request_times.pop_front();
             }
         }
         if !request.again {
-            self.new_requests.add(self.now, MEMORY, 1.0);
+            self.new_requests.add(self.now, AVERAGING_TIME, 1.0);
         }
-        self.adopt(request)
+        self.add_request(request)
     }
 
     pub fn on_open(&mut self, request: Request, server: ServerId) {
-        let id = self.adopt(request);
+        let id = self.add_request(request);
         self.attach_to_server(id, server, Phase::Open(server));
     }
 
-    /// A connection is up on its server, which is alive then.
-    pub fn mark_open(&mut self, id: RequestId, on: ServerId) {
+    /// Marks a connection as open. Its server is responsive then.
+    pub fn mark_open(&mut self, id: RequestId, server_id: ServerId) {
         self.quotas.mark_written(id, self.now);
         if let Some(conn) = self.connections.get_mut(&id) {
-            conn.phase = Phase::Open(on);
-            self.update_server(on, |server| server.unresponsive = false);
+            conn.phase = Phase::Open(server_id);
+            self.update_server(server_id, |server| server.unresponsive = false);
         }
     }
 
-    /// Whether an attempt of a request that is held was still out when it ended so.
+    /// Records the end of an attempt. Returns whether the attempt was still in flight; `None` for an unknown request.
     pub fn end_attempt(&mut self, ended: &Ended) -> Option<bool> {
         let conn = self.connections.get_mut(&ended.id)?;
-        let was_out = conn.phase == Phase::InFlight(ended.server);
-        if was_out {
+        let was_in_flight = conn.phase == Phase::InFlight(ended.server);
+        if was_in_flight {
             match ended.outcome {
                 Outcome::LocalFailure => self.quotas.release_units(ended.id),
-                // No word came of its line, which may have been written, in part at least.
+                // No write was reported, but the line may have been written, at least in part.
                 _ => self.quotas.mark_written(ended.id, self.now),
             }
         }
-        if was_out && !ended.outcome.never_ran() {
+        if was_in_flight && !ended.outcome.never_ran() {
             conn.first_possible_run
                 .get_or_insert((ended.server, conn.sent_at));
         }
-        Some(was_out)
+        Some(was_in_flight)
     }
 
-    /// An attempt that is out is waited for no more: it may have run. Its number among the request's.
+    /// Stops waiting for an attempt in flight, which may have run. Returns its number among the request's attempts.
     pub fn abandon_attempt(&mut self, id: RequestId) -> Option<usize> {
         let conn = self.connections.get_mut(&id)?;
         let Phase::InFlight(server) = conn.phase else {
@@ -426,97 +441,108 @@
         Some(conn.attempts - 1)
     }
 
-    /// How many attempts beyond a request's first the budget has room for now. The span ends now: what
-    /// came just after its start counts for nothing, what was made just before it counts still.
+    /// The number of retries that the budget allows now. Its span ends now. With `COUNTING_TOLERANCE`, requests that
+    /// arrived just after its start are not counted, and retries that were made just before its start are.
     pub fn remaining_retry_budget(&mut self, budget: &Budget) -> f64 {
         let since = self.now - budget.span;
-        while self.came.front().is_some_and(|at| *at <= since + SLACK) {
-            self.came.pop_front();
+        while self
+            .request_times
+            .front()
+            .is_some_and(|at| *at <= since + COUNTING_TOLERANCE)
+        {
+            self.request_times.pop_front();
         }
-        while self.further.front().is_some_and(|at| *at < since - SLACK) {
-            self.further.pop_front();
+        while self
+            .retry_times
+            .front()
+            .is_some_and(|at| *at < since - COUNTING_TOLERANCE)
+        {
+            self.retry_times.pop_front();
         }
-        budget.free + budget.ratio * self.came.len() as f64 - self.further.len() as f64
+        budget.free + budget.ratio * self.request_times.len() as f64 - self.retry_times.len() as f64
     }
 
-    /// The latest attempt of a request was never made: it counts for nothing.
+    /// Removes the latest attempt of a request, which was never made, from its counted attempts and from the budget.
     pub fn revert_attempt(&mut self, id: RequestId) {
         let Some(conn) = self.connections.get_mut(&id) else {
             return;
         };
         conn.tried_servers.pop();
         if !conn.tried_servers.is_empty()
-            && let Some(at) = self.further.iter().rposition(|at| *at == conn.sent_at)
+            && let Some(at) = self.retry_times.iter().rposition(|at| *at == conn.sent_at)
         {
-            self.further.remove(at);
+            self.retry_times.remove(at);
         }
     }
 
-    /// An attempt is made; it is not its request's first.
-    pub fn record_retry(&mut self, id: RequestId, set: &Settings) {
-        if set.budget.is_some() {
-            self.further.push_back(self.now);
+    /// Records a retry: an attempt that is not its request's first.
+    pub fn record_retry(&mut self, id: RequestId, settings: &Settings) {
+        if settings.budget.is_some() {
+            self.retry_times.push_back(self.now);
         }
         self.quotas.reserve_unit(id, QuotaKind::Further, None);
     }
 
-    /// The line of a request's attempt at a server was written by now: what counts lines counts from here on.
-    pub fn on_written(&mut self, id: RequestId, to: ServerId) {
-        let out = |conn: &Connection| conn.phase == Phase::InFlight(to);
-        if !self.connections.get(&id).is_some_and(out) {
+    /// Records that the line of a request's attempt at a server has been written: quotas and the budget count from now.
+    pub fn on_written(&mut self, id: RequestId, server: ServerId) {
+        let is_in_flight = |conn: &Connection| conn.phase == Phase::InFlight(server);
+        if !self.connections.get(&id).is_some_and(is_in_flight) {
             return;
         }
         self.quotas.mark_written(id, self.now);
-        if let Some(decided) = self.further_attempt(id) {
-            self.further.remove(decided);
-            self.further.push_back(self.now);
+        if let Some(index) = self.find_retry(id) {
+            self.retry_times.remove(index);
+            self.retry_times.push_back(self.now);
         }
     }
 
-    /// Where the latest attempt of a request stands among those that a budget counts, if it is one of them.
-    fn further_attempt(&self, id: RequestId) -> Option<usize> {
+    /// The index in `retry_times` of the latest attempt of a request, if the budget counts that attempt.
+    fn find_retry(&self, id: RequestId) -> Option<usize> {
         let conn = self
             .connections
             .get(&id)
             .filter(|conn| conn.tried_servers.len() > 1)?;
-        self.further.iter().rposition(|at| *at == conn.sent_at)
+        self.retry_times.iter().rposition(|at| *at == conn.sent_at)
     }
 
-    /// Whether something counts from the writing of the line of a request's latest attempt.
+    /// Whether a quota or the budget counts from the moment when the line of a request's latest attempt is written.
     pub fn awaits_write(&self, id: RequestId) -> bool {
-        self.quotas.awaits_write(id) || self.further_attempt(id).is_some()
+        self.quotas.awaits_write(id) || self.find_retry(id).is_some()
     }
 
-    /// What is in use of a part.
-    fn busy(&self, matter: QuotaKind) -> u64 {
-        match matter {
+    /// The units of a quota that are in use.
+    fn units_in_use(&self, kind: QuotaKind) -> u64 {
+        match kind {
             QuotaKind::Further | QuotaKind::Moves | QuotaKind::Probes | QuotaKind::Cold => {
-                self.quotas.max_used(matter, self.now)
+                self.quotas.max_used(kind, self.now)
             }
-            QuotaKind::Class(class) => self.class_counts.get(class).map_or(0, |held| *held as u64),
+            QuotaKind::Class(class) => self
+                .class_counts
+                .get(class)
+                .map_or(0, |count| *count as u64),
             QuotaKind::Tenant(tenant) => self
                 .tenant_counts
                 .get(tenant)
-                .map_or(0, |held| *held as u64),
+                .map_or(0, |count| *count as u64),
         }
     }
 
-    /// Whether the part has room for one more; `own` of what is in use is this one's already.
-    pub fn has_quota_left(&self, matter: QuotaKind, own: u64) -> bool {
-        let units = self.quotas.allowed_units(matter, self.now);
-        units.is_none_or(|units| self.busy(matter).saturating_sub(own) < units)
+    /// Whether a quota has a unit left. `own_units` of those in use belong to the same request and are not counted.
+    pub fn has_quota_left(&self, kind: QuotaKind, own_units: u64) -> bool {
+        let units = self.quotas.allowed_units(kind, self.now);
+        units.is_none_or(|units| self.units_in_use(kind).saturating_sub(own_units) < units)
     }
 
-    /// Likewise, and where it has none that is counted.
-    pub fn check_quota(&mut self, matter: QuotaKind, own: u64) -> bool {
-        let room = self.has_quota_left(matter, own);
-        if !room {
-            self.quotas.record_denial(matter);
+    /// As `has_quota_left`, and counts a denial if no unit is left.
+    pub fn check_quota(&mut self, kind: QuotaKind, own_units: u64) -> bool {
+        let has_room = self.has_quota_left(kind, own_units);
+        if !has_room {
+            self.quotas.record_denial(kind);
         }
-        room
+        has_room
     }
 
-    /// Whether the part has room for one more at a cold server.
+    /// Whether the quota for cold servers has a unit left at `server`.
     pub fn has_cold_quota_left(&self, server: ServerId) -> bool {
         let units = self.quotas.allowed_units(QuotaKind::Cold, self.now);
         units.is_none_or(|units| {
@@ -526,88 +552,90 @@
         })
     }
 
-    /// So many connections all balancers give a cold server for each of this one's: as many as there are, or by its
-    /// part of the whole.
-    pub fn fleet_turns_per_own_turn(&self, set: &Settings) -> f64 {
+    /// The number of connections that all balancers together place on a cold server for each one of this balancer: the
+    /// fleet size or, with a quota, the ratio of the fleet's units to the allowed ones.
+    pub fn fleet_turns_per_own_turn(&self, settings: &Settings) -> f64 {
         let units = self.quotas.allowed_units(QuotaKind::Cold, self.now);
         match units.zip(self.quotas.fleet_units(QuotaKind::Cold)) {
-            Some((units, whole)) => (whole as f64 / units.max(1) as f64).max(1.0),
-            None => set.fleet_size as f64,
+            Some((units, fleet_units)) => (fleet_units as f64 / units.max(1) as f64).max(1.0),
+            None => settings.fleet_size as f64,
         }
     }
 
     pub fn quota_usage(&mut self, now: Seconds) -> Vec<QuotaUsage> {
         self.now = now;
-        let of = |(matter, denied)| QuotaUsage {
-            quota: matter,
-            in_use: self.busy(matter),
+        let usage = |(kind, denied)| QuotaUsage {
+            quota: kind,
+            in_use: self.units_in_use(kind),
             denied,
         };
-        self.quotas.denials().into_iter().map(of).collect()
+        self.quotas.denials().into_iter().map(usage).collect()
     }
 
-    /// Own attempts a second: what is refused loads no server.
+    /// Own attempts per second. Refused requests don't count, as they put no load on servers.
     pub fn placement_rate(&self) -> f64 {
-        self.attempts.value_at(self.now, MEMORY) / self.span()
+        self.attempts.value_at(self.now, AVERAGING_TIME) / self.averaging_span()
     }
 
-    /// Own requests a second, without what clients ask for again.
+    /// Own requests per second, without repeated ones.
     pub fn new_request_rate(&self) -> f64 {
-        self.new_requests.value_at(self.now, MEMORY) / self.span()
+        self.new_requests.value_at(self.now, AVERAGING_TIME) / self.averaging_span()
     }
 
-    fn span(&self) -> Seconds {
-        let heard_for = self.now - self.started_at.unwrap_or(self.now);
-        // What has not come for long yet can't have faded; the first second tells little.
-        MEMORY * (1.0 - (-heard_for.max(1.0) / MEMORY).exp())
+    fn averaging_span(&self) -> Seconds {
+        let running_time = self.now - self.started_at.unwrap_or(self.now);
+        // Shortly after a start the decaying sums have not reached their steady state, so the span is shorter. Less
+        // than a second is too short a base.
+        AVERAGING_TIME * (1.0 - (-running_time.max(1.0) / AVERAGING_TIME).exp())
     }
 
-    /// Whether sizes were last learned so long ago; then they are now.
-    pub fn start_learning_if_due(&mut self, span: Seconds) -> bool {
-        let due = self.learned_at.is_none_or(|at| at + span <= self.now);
-        if due {
-            self.learned_at = Some(self.now);
+    /// Whether the last capacity estimate is at least `interval` seconds old. If so, marks a new one as made now.
+    pub fn start_estimate_if_due(&mut self, interval: Seconds) -> bool {
+        let is_due = self.estimated_at.is_none_or(|at| at + interval <= self.now);
+        if is_due {
+            self.estimated_at = Some(self.now);
         }
-        due
+        is_due
     }
 
-    /// Sums over sound servers with a figure, by kind and over all (`None`); their mean figure is kept.
+    /// Sums over responsive warm servers with a metric, by kind and over all (`None`). Also updates `mean_metric` and
+    /// `reporting_servers`, from metrics no older than `max_age` seconds and from cold servers too.
     pub fn sum_metrics(
         &mut self,
-        set: &Settings,
-        span: Seconds,
+        settings: &Settings,
+        max_age: Seconds,
     ) -> BTreeMap<Option<usize>, KindTotals> {
         let mut sums: BTreeMap<Option<usize>, KindTotals> = BTreeMap::new();
-        let (mut figures, mut heard) = (0.0, 0.0);
-        let by_load = set.report_fields.contains(&ReportField::Load);
-        // A server cut off keeps its old figure while all own connections to it are lost.
-        let sound = |s: &&Server| s.is_available() && !s.unresponsive;
-        for server in self.servers.values().filter(sound) {
-            let (Some(figure), load) = (server.metric, server.own_load) else {
+        let (mut metric_sum, mut count) = (0.0, 0.0);
+        let reports_load = settings.report_fields.contains(&ReportField::Load);
+        // An unreachable server keeps its old metric while all own connections to it are lost.
+        let is_responsive = |s: &&Server| s.is_available() && !s.unresponsive;
+        for server in self.servers.values().filter(is_responsive) {
+            let (Some(metric), own_load) = (server.metric, server.own_load) else {
                 continue;
             };
-            // What is piled up on one server is not asked of the others.
-            let most = if by_load { 1.0 } else { f64::INFINITY };
-            if server.has_result_since(self.now - span) {
-                (figures, heard) = (figures + figure.min(most), heard + 1.0);
+            // A metric beyond one server's capacity says nothing about the others.
+            let max_metric = if reports_load { 1.0 } else { f64::INFINITY };
+            if server.has_result_since(self.now - max_age) {
+                (metric_sum, count) = (metric_sum + metric.min(max_metric), count + 1.0);
             }
-            // A cold one is not yet what it will be, and alone of its kind would seem boundless.
-            if server.remaining_warm_up(self.now, set) == 0.0 {
+            // A cold server has not reached its capacity yet, and the only one of its kind would seem to have no limit.
+            if server.remaining_warm_up(self.now, settings) == 0.0 {
                 for kind in [server.kind(), None] {
                     let sum = sums.entry(kind).or_default();
                     sum.servers += 1.0;
-                    sum.metric_times_load += figure * load;
-                    sum.metric += figure;
+                    sum.metric_times_load += metric * own_load;
+                    sum.metric += metric;
                     sum.connections += server.reported_connections.unwrap_or(0.0).max(0.0);
-                    sum.load_squared += load * load;
+                    sum.load_squared += own_load * own_load;
                     let size = server.entry.as_ref().and_then(|entry| entry.size);
                     sum.relative_size += size.unwrap_or(1.0);
                 }
             }
         }
-        self.reporting_servers = heard as usize;
-        if heard > 0.0 {
-            self.mean_metric = figures / heard;
+        self.reporting_servers = count as usize;
+        if count > 0.0 {
+            self.mean_metric = metric_sum / count;
         }
         let mean_size = sums
             .get(&None)
@@ -618,16 +646,16 @@
         sums
     }
 
-    /// The worth a second of all own connections and attempts.
-    pub fn worth_held(&self, set: &Settings) -> f64 {
-        let held = set.classes.iter().zip(&self.class_counts);
-        held.map(|(class, &n)| class.worth * n as f64).sum()
+    /// The worth per second of all own connections and attempts.
+    pub fn worth_held(&self, settings: &Settings) -> f64 {
+        let counts = settings.classes.iter().zip(&self.class_counts);
+        counts.map(|(class, &n)| class.worth * n as f64).sum()
     }
 
-    /// Whether a server drops repeats of what ran on the `first`.
+    /// Whether server `next` drops repeats of a keyed request that ran on server `first`.
     pub fn shares_dedup_scope(&self, scope: DedupScope, first: ServerId, next: &Server) -> bool {
-        let entry = |server: &Server| server.entry.as_ref().map(|e| (e.zone, e.cell));
-        let (first, next) = (self.servers.get(&first).and_then(entry), entry(next));
+        let scopes = |server: &Server| server.entry.as_ref().map(|e| (e.zone, e.cell));
+        let (first, next) = (self.servers.get(&first).and_then(scopes), scopes(next));
         match scope {
             DedupScope::All => true,
             DedupScope::Zone => first.is_some() && first.map(|e| e.0) == next.map(|e| e.0),
@@ -635,19 +663,23 @@
         }
     }
 
-    /// The mean load of own connections and attempts, or while there are none what is usual.
+    /// The mean load of own connections and attempts; without any, the mean of the recently reported loads.
     pub fn mean_load(&self) -> f64 {
-        let joined = self.active_connections();
-        if joined > 0 && self.load > 0.0 {
-            return self.load / joined as f64;
+        let active = self.active_connections();
+        if active > 0 && self.own_load > 0.0 {
+            return self.own_load / active as f64;
         }
-        self.usual_load()
+        self.mean_reported_load()
     }
 
-    /// The mean of all loads lately told, or 1 while there are none.
-    fn usual_load(&self) -> f64 {
-        let (told, number) = self.told(&self.loads);
-        if told > 0.0 { told / number } else { 1.0 }
+    /// The mean of all recently reported loads, or 1 if there are none.
+    fn mean_reported_load(&self) -> f64 {
+        let (load_sum, report_count) = self.sum_reported_loads(&self.reported_loads);
+        if load_sum > 0.0 {
+            load_sum / report_count
+        } else {
+            1.0
+        }
     }
 
     /// The number of own connections and attempts.
@@ -655,15 +687,21 @@
         self.class_counts.iter().sum()
     }
 
-    /// Loads lately told and their number.
-    fn told(&self, loads: &[(DecayingSum, DecayingSum)]) -> (f64, f64) {
-        let get = |fading: &DecayingSum| fading.value_at(self.now, MEMORY);
-        loads.iter().fold((0.0, 0.0), |(told, number), (l, n)| {
-            (told + get(l), number + get(n))
-        })
+    /// The sum and the number of recently reported loads.
+    fn sum_reported_loads(&self, loads: &[(DecayingSum, DecayingSum)]) -> (f64, f64) {
+        let decayed = |sum: &DecayingSum| sum.value_at(self.now, AVERAGING_TIME);
+        loads.iter().fold(
+            (0.0, 0.0),
+            |(load_sum, report_count), (loads_of_class, reports_of_class)| {
+                (
+                    load_sum + decayed(loads_of_class),
+                    report_count + decayed(reports_of_class),
+                )
+            },
+        )
     }
 
-    fn adopt(&mut self, request: Request) -> RequestId {
+    fn add_request(&mut self, request: Request) -> RequestId {
         let id = request.id;
         if let Some(tenant) = request.tenant {
             self.tenant_counts[tenant] += 1;
@@ -679,7 +717,7 @@
             load: request
                 .hint
                 .filter(|hint| hint.is_finite() && *hint >= 0.0)
-                .unwrap_or_else(|| self.class_load(request.class)),
+                .unwrap_or_else(|| self.expected_class_load(request.class)),
             load_reported: false,
             request,
         };
@@ -687,10 +725,10 @@
         id
     }
 
-    /// The usual load of a class, drawn to that of all while little of it has been told.
-    fn class_load(&self, class: usize) -> f64 {
-        let (told, number) = self.told(&self.loads[class..=class]);
-        (told + self.usual_load()) / (number + 1.0)
+    /// The mean load of a class, drawn towards that of all classes while few loads have been reported for it.
+    fn expected_class_load(&self, class: usize) -> f64 {
+        let (load_sum, report_count) = self.sum_reported_loads(&self.reported_loads[class..=class]);
+        (load_sum + self.mean_reported_load()) / (report_count + 1.0)
     }
 
     pub fn on_load(&mut self, id: RequestId, load: f64) {
@@ -701,66 +739,72 @@
         else {
             return;
         };
-        let change = load - conn.load;
+        let delta = load - conn.load;
         (conn.load, conn.load_reported) = (load, true);
-        let (few, before) = (self.told(&self.loads).1 < FEW, self.usual_load());
+        let (has_few_reports, mean_before) = (
+            self.sum_reported_loads(&self.reported_loads).1 < MIN_LOAD_REPORTS,
+            self.mean_reported_load(),
+        );
         let conn = &self.connections[&id];
-        let (sum, number) = &mut self.loads[conn.request.class];
-        sum.add(self.now, MEMORY, load);
-        number.add(self.now, MEMORY, 1.0);
+        let (sum, report_count) = &mut self.reported_loads[conn.request.class];
+        sum.add(self.now, AVERAGING_TIME, load);
+        report_count.add(self.now, AVERAGING_TIME, 1.0);
         if let Phase::InFlight(server) | Phase::Open(server) = conn.phase {
-            self.load += change;
-            self.update_server(server, |server| server.own_load += change);
+            self.own_load += delta;
+            self.update_server(server, |server| server.own_load += delta);
         }
-        if few {
-            self.rescale(self.usual_load() / before);
+        if has_few_reports {
+            self.rescale_unreported_loads(self.mean_reported_load() / mean_before);
         }
     }
 
-    /// The first loads told set the scale of those that were only guessed. Left as they were, a few
-    /// connections that never tell theirs would outweigh all others after a restart.
-    fn rescale(&mut self, by: f64) {
+    /// Scales the loads that were only assumed by the first reported ones. Without this, a few connections whose load
+    /// is never reported would outweigh all others after a restart.
+    fn rescale_unreported_loads(&mut self, factor: f64) {
         for (id, conn) in self
             .connections
             .iter_mut()
             .filter(|(_, conn)| !conn.load_reported)
         {
-            let change = conn.load * (by - 1.0);
-            conn.load += change;
+            let delta = conn.load * (factor - 1.0);
+            conn.load += delta;
             if let Phase::InFlight(server) | Phase::Open(server) = conn.phase {
-                let server = self.servers.get_mut(&server).expect("joined before");
+                let server = self
+                    .servers
+                    .get_mut(&server)
+                    .expect("server of a placed request is known");
                 debug_assert!(server.own_requests.contains(id));
-                server.own_load += change;
-                self.load += change;
+                server.own_load += delta;
+                self.own_load += delta;
             }
         }
         for server in self.servers.values_mut() {
             server
                 .pending_placements
                 .iter_mut()
-                .for_each(|(_, load)| *load *= by);
+                .for_each(|(_, load)| *load *= factor);
         }
-        for unit in self.metric_per_load.values_mut().flatten() {
-            *unit /= by;
+        for estimate in self.metric_per_load.values_mut().flatten() {
+            *estimate /= factor;
         }
     }
 
-    pub fn attach_to_server(&mut self, id: RequestId, to: ServerId, phase: Phase) {
+    pub fn attach_to_server(&mut self, id: RequestId, server_id: ServerId, phase: Phase) {
         let Some(conn) = self.connections.get_mut(&id) else {
             return;
         };
         if matches!(phase, Phase::InFlight(_)) {
-            self.attempts.add(self.now, MEMORY, 1.0);
-            (self.sent_at, self.turned_away) = (Some(self.now), 0);
+            self.attempts.add(self.now, AVERAGING_TIME, 1.0);
+            (self.last_attempt_at, self.rejections_since_attempt) = (Some(self.now), 0);
         }
         conn.phase = phase;
         conn.sent_at = self.now;
         conn.attempts += 1;
-        conn.tried_servers.push(to);
-        let server = self.servers.entry(to).or_default();
+        conn.tried_servers.push(server_id);
+        let server = self.servers.entry(server_id).or_default();
         server.own_requests.insert(id);
         server.own_load += conn.load;
-        self.load += conn.load;
+        self.own_load += conn.load;
         self.class_counts[conn.request.class] += 1;
         if let Some(group) = conn.request.group {
             *server.group_counts.entry(group).or_default() += 1;
@@ -771,36 +815,42 @@
         let Some(conn) = self.connections.get_mut(&id) else {
             return;
         };
-        let (Phase::InFlight(from) | Phase::Open(from)) = conn.phase else {
+        let (Phase::InFlight(server_id) | Phase::Open(server_id)) = conn.phase else {
             return;
         };
         conn.phase = Phase::Waiting;
-        let server = self.servers.get_mut(&from).expect("joined before");
+        let server = self
+            .servers
+            .get_mut(&server_id)
+            .expect("server of a placed request is known");
         server.own_requests.remove(&id);
         server.own_load = (server.own_load - conn.load).max(0.0);
-        self.load = (self.load - conn.load).max(0.0);
+        self.own_load = (self.own_load - conn.load).max(0.0);
         self.class_counts[conn.request.class] -= 1;
         if let Some(group) = conn.request.group {
-            let left = server.group_counts.get_mut(&group).expect("joined before");
-            *left -= 1;
-            if *left == 0 {
+            let group_count = server
+                .group_counts
+                .get_mut(&group)
+                .expect("group of a placed request is counted");
+            *group_count -= 1;
+            if *group_count == 0 {
                 server.group_counts.remove(&group);
             }
         }
     }
 
-    /// A request that is given up; it may have been tried.
+    /// Removes a request that is given up. It counts as rejected if no attempt was made.
     pub fn reject_request(&mut self, id: RequestId) -> Option<Connection> {
         let conn = self.remove_request(id)?;
-        self.turned_away += usize::from(conn.tried_servers.is_empty());
+        self.rejections_since_attempt += usize::from(conn.tried_servers.is_empty());
         Some(conn)
     }
 
-    /// Whether so many were turned away in a row, and none was sent anywhere for so long.
-    pub fn is_rejecting_all(&self, turned_away: usize, span: Seconds) -> bool {
-        let since = self.sent_at.or(self.started_at);
-        let long = since.is_some_and(|since| self.now > since + span);
-        long && self.turned_away >= turned_away
+    /// Whether at least `min_rejections` requests in a row were rejected, and no attempt was made for `span` seconds.
+    pub fn is_rejecting_all(&self, min_rejections: usize, span: Seconds) -> bool {
+        let since = self.last_attempt_at.or(self.started_at);
+        let is_idle = since.is_some_and(|since| self.now > since + span);
+        is_idle && self.rejections_since_attempt >= min_rejections
     }
 
     pub fn remove_request(&mut self, id: RequestId) -> Option<Connection> {
@@ -815,8 +865,8 @@
     }
 }
 
-/// A number that every balancer computes alike for a key and a server (rendezvous hashing).
-fn spread(key: u64, server: ServerId) -> u64 {
+/// The rendezvous hash of a key and a server, the same at every balancer.
+fn rendezvous_hash(key: u64, server: ServerId) -> u64 {
     let mut hasher = DefaultHasher::new();
     (key, server).hash(&mut hasher);
     hasher.finish()
