--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! Drives the module alone: a balancer with a clock, and shorthands for events.
+//! A harness that drives a balancer alone, with its own clock, and shorthands for events.
 #![allow(dead_code)]
 
 use violetwind_balancer::Balancer;
 use violetwind_balancer::api::*;
 
+/// A balancer under test and its clock.
 pub struct BalancerHarness {
     pub balancer: Balancer,
     pub now: Seconds,
@@ -87,7 +88,7 @@
     }
 }
 
-/// Where the request was sent, if it was.
+/// The server to which the request was sent, if it was sent.
 pub fn sent_to(actions: &[Action], id: RequestId) -> Option<ServerId> {
     actions.iter().find_map(|action| match action {
         Action::Send(sent, server, ..) if *sent == id => Some(*server),
@@ -113,41 +114,41 @@
 
 impl BalancerHarness {
     pub fn new(settings: Settings, entries: Vec<Entry>, seed: u64) -> Self {
-        let mut bench = Self {
+        let mut harness = Self {
             balancer: Balancer::new(settings, seed),
             now: 100.0,
         };
-        bench.handle_and_answer_probes(Event::Start);
-        bench.handle_and_answer_probes(Event::Servers(ListKind::Restored, entries));
-        bench
+        harness.handle_and_answer_probes(Event::Start);
+        harness.handle_and_answer_probes(Event::Servers(ListKind::Restored, entries));
+        harness
     }
 
-    /// What comes of an event. Servers that are probed say at once that they are too busy to tell.
+    /// Returns the actions that follow from an event. Every probe is answered at once with `Full` and an empty report.
     pub fn handle_and_answer_probes(&mut self, event: Event) -> Vec<Action> {
         let mut actions = self.handle_event(event);
         let mut answered = 0;
         while let Some(action) = actions.get(answered).cloned() {
             answered += 1;
             if let Action::Probe(server) = action {
-                let busy = Event::Probed(server, Outcome::Full, Report::default());
-                actions.extend(self.handle_event(busy));
+                let result = Event::Probed(server, Outcome::Full, Report::default());
+                actions.extend(self.handle_event(result));
             }
         }
         actions
     }
 
-    /// What comes of an event alone; the test answers probes.
+    /// Returns the actions that follow from an event alone; the test answers probes.
     pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle_event(self.now, event, &mut actions);
         actions
     }
 
-    pub fn report_load(&mut self, server: ServerId, figure: f64) -> Vec<Action> {
-        self.answer_periodic_probe(server, load_report(figure))
+    pub fn report_load(&mut self, server: ServerId, load: f64) -> Vec<Action> {
+        self.answer_periodic_probe(server, load_report(load))
     }
 
-    /// The report that a probe of a round brings.
+    /// Triggers a periodic probe and answers it with `report`.
     pub fn answer_periodic_probe(&mut self, server: ServerId, report: Report) -> Vec<Action> {
         self.handle_event(Event::Timer((1 << 32) + u64::from(server)));
         self.handle_event(Event::Probed(server, Outcome::Ok, report))
@@ -188,7 +189,7 @@
         }))
     }
 
-    /// Opens connections with these loads on a server, named from `first` on.
+    /// Opens connections with these loads on a server, with request ids from `first` on.
     pub fn open_connections(&mut self, server: ServerId, first: RequestId, loads: &[f64]) {
         for (id, load) in (first..).zip(loads) {
             self.handle_and_answer_probes(Event::Open(
--- a/crates/balancer/tests/simulated_fleet.rs
+++ b/crates/balancer/tests/simulated_fleet.rs
@@ -1,5 +1,5 @@
-//! Failures found on fleets of a hundred balancers that each see a few requests a minute. The fleet here
-//! is the module's own, before servers that fill up and report late.
+//! Regression tests for failures of fleets of a hundred balancers with a few requests per minute each. The tests
+//! simulate such a fleet, and servers that fill up and report late.
 
 mod common;
 
@@ -10,17 +10,17 @@
 use rand_pcg::Pcg64Mcg;
 use violetwind_balancer::api::*;
 
-const FLEET: usize = 100;
-/// Connections of the usual load that fill a warm server.
-const FULL: f64 = 50.0;
+const FLEET_SIZE: usize = 100;
+/// Number of connections of mean load that fill a warm server.
+const WARM_CAPACITY: f64 = 50.0;
 const COLD_FOR: Seconds = 7.2;
 const COLD_FROM: f64 = 0.3;
-/// Servers refresh their figures after so long, each at its own moment.
-const REFRESH: Seconds = 0.8;
+/// Interval at which servers update their reported load, each with its own phase.
+const REFRESH_INTERVAL: Seconds = 0.8;
 
-fn one_of_many(me: u64) -> Settings {
+fn settings_of_balancer(me: u64) -> Settings {
     Settings {
-        fleet_size: FLEET,
+        fleet_size: FLEET_SIZE,
         me,
         price_probe: 0.0005,
         cold_from: COLD_FROM,
@@ -32,8 +32,8 @@
     }
 }
 
-/// A request of the usual load, whose size no balancer knows before it is told.
-fn usual(id: RequestId) -> Request {
+/// A request of mean load, which balancers don't know before it is reported.
+fn request_of_unknown_load(id: RequestId) -> Request {
     Request {
         hint: None,
         ..request(id)
@@ -45,26 +45,26 @@
     born: Option<Seconds>,
     connections: f64,
     reported: f64,
-    refreshed: Seconds,
-    sends: Vec<Seconds>,
+    refreshed_at: Seconds,
+    send_times: Vec<Seconds>,
 }
 
 impl Server {
-    fn share(&self, now: Seconds) -> f64 {
-        let warm = self
+    fn capacity_fraction(&self, now: Seconds) -> f64 {
+        let warmed_up = self
             .born
             .map_or(1.0, |born| ((now - born) / COLD_FOR).clamp(0.0, 1.0));
-        COLD_FROM + (1.0 - COLD_FROM) * warm
+        COLD_FROM + (1.0 - COLD_FROM) * warmed_up
     }
 }
 
-/// The balancers, the servers, and timers that are due.
+/// The balancers, the servers, and the pending timers.
 struct Fleet {
     now: Seconds,
-    benches: Vec<BalancerHarness>,
+    harnesses: Vec<BalancerHarness>,
     servers: BTreeMap<ServerId, Server>,
-    due: Vec<(Seconds, usize, u64)>,
-    next: RequestId,
+    due_timers: Vec<(Seconds, usize, u64)>,
+    last_request_id: RequestId,
     refused: usize,
     rng: Pcg64Mcg,
 }
@@ -72,83 +72,85 @@
 impl Fleet {
     fn new(loads: &[(ServerId, f64)], seed: u64) -> Self {
         let entries: Vec<Entry> = loads.iter().map(|(id, _)| entry(*id)).collect();
-        let bench = |me| BalancerHarness::new(one_of_many(me), entries.clone(), seed * 1000 + me);
+        let new_harness =
+            |me| BalancerHarness::new(settings_of_balancer(me), entries.clone(), seed * 1000 + me);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let server = |&(id, load): &(ServerId, f64)| {
-            let server = Server {
-                connections: load * FULL,
+        let new_server = |&(id, load): &(ServerId, f64)| {
+            let new_server = Server {
+                connections: load * WARM_CAPACITY,
                 reported: load,
-                refreshed: 100.0 - rng.random_range(0.0..REFRESH),
+                refreshed_at: 100.0 - rng.random_range(0.0..REFRESH_INTERVAL),
                 ..Server::default()
             };
-            (id, server)
+            (id, new_server)
         };
-        let servers = loads.iter().map(server).collect();
+        let servers = loads.iter().map(new_server).collect();
         Self {
             now: 100.0,
-            benches: (0..FLEET as u64).map(bench).collect(),
+            harnesses: (0..FLEET_SIZE as u64).map(new_harness).collect(),
             servers,
-            due: Vec::new(),
-            next: 0,
+            due_timers: Vec::new(),
+            last_request_id: 0,
             refused: 0,
             rng,
         }
     }
 
-    /// All balancers are told of servers that have just started.
-    fn list_cold(&mut self, ids: std::ops::Range<ServerId>) {
+    /// Adds servers that have just started to the lists of all balancers.
+    fn add_cold_servers(&mut self, ids: std::ops::Range<ServerId>) {
         let born = Some(self.now);
         for id in ids.clone() {
             let server = Server {
                 born,
-                refreshed: self.now,
+                refreshed_at: self.now,
                 ..Server::default()
             };
             self.servers.insert(id, server);
         }
-        for at in 0..FLEET {
+        for at in 0..FLEET_SIZE {
             let entries = ids.clone().map(|id| Entry { born, ..entry(id) }).collect();
-            self.tell(at, Event::Servers(ListKind::Update, entries));
+            self.handle_event_and_actions(at, Event::Servers(ListKind::Update, entries));
         }
     }
 
-    fn ask(&mut self, at: usize) {
-        self.next += 1;
-        let id = self.next;
-        self.tell(at, Event::Request(usual(id)));
+    fn send_request(&mut self, at: usize) {
+        self.last_request_id += 1;
+        let id = self.last_request_id;
+        self.handle_event_and_actions(at, Event::Request(request_of_unknown_load(id)));
     }
 
-    /// So long, with so many requests a second, 100 at most, at balancers by chance.
-    fn run(&mut self, span: Seconds, a_second: f64) {
+    /// Runs for `span` seconds with `rate` requests per second, 100 at most, at random balancers.
+    fn run(&mut self, span: Seconds, rate: f64) {
         let until = self.now + span;
         while self.now < until {
             self.now += 0.01;
             for server in self.servers.values_mut() {
-                if self.now >= server.refreshed + REFRESH {
-                    server.refreshed = self.now;
-                    server.reported = server.connections / (FULL * server.share(self.now));
+                if self.now >= server.refreshed_at + REFRESH_INTERVAL {
+                    server.refreshed_at = self.now;
+                    server.reported =
+                        server.connections / (WARM_CAPACITY * server.capacity_fraction(self.now));
                 }
             }
-            let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.due)
+            let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.due_timers)
                 .into_iter()
                 .partition(|d| d.0 <= self.now);
-            self.due = later;
+            self.due_timers = later;
             for (_, at, token) in due {
-                self.tell(at, Event::Timer(token));
+                self.handle_event_and_actions(at, Event::Timer(token));
             }
-            if self.rng.random::<f64>() < a_second * 0.01 {
-                let at = self.rng.random_range(0..FLEET);
-                self.ask(at);
+            if self.rng.random::<f64>() < rate * 0.01 {
+                let at = self.rng.random_range(0..FLEET_SIZE);
+                self.send_request(at);
             }
         }
     }
 
-    fn tell(&mut self, at: usize, event: Event) {
+    fn handle_event_and_actions(&mut self, at: usize, event: Event) {
         let now = self.now;
-        self.benches[at].now = now;
+        self.harnesses[at].now = now;
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            for action in self.benches[at].handle_event(event) {
+            for action in self.harnesses[at].handle_event(event) {
                 match action {
                     Action::Probe(id) => {
                         let figure = self.servers[&id].reported;
@@ -157,157 +159,173 @@
                     Action::Send(id, to, ..) => {
                         let server = self.servers.get_mut(&to).unwrap();
                         server.connections += 1.0;
-                        server.sends.push(now);
+                        server.send_times.push(now);
                         events.push(Event::Begun(id, to));
                     }
                     Action::Refuse(..) => self.refused += 1,
-                    Action::Timer(after, token) => self.due.push((now + after, at, token)),
+                    Action::Timer(after, token) => self.due_timers.push((now + after, at, token)),
                     _ => {}
                 }
             }
         }
     }
 
-    fn given(&self, ids: std::ops::Range<ServerId>) -> usize {
-        ids.map(|id| self.servers[&id].sends.len()).sum()
+    fn count_placements(&self, ids: std::ops::Range<ServerId>) -> usize {
+        ids.map(|id| self.servers[&id].send_times.len()).sum()
     }
 }
 
-/// Full ones, from the first id on.
-fn full(count: u32) -> Vec<(ServerId, f64)> {
+/// The ids and loads of `count` full servers.
+fn full_servers(count: u32) -> Vec<(ServerId, f64)> {
     (1..=count).map(|id| (id, 1.0)).collect()
 }
 
-/// Six servers in ten are new within 7 s, the others are full, and clients ask again and again: no cold
-/// one may be pushed over though all balancers act alike, and their turns must not pass unused.
+/// Six servers in ten are new within 7 s, the others are full, and clients repeat their requests. No cold server may be
+/// overloaded although all balancers act alike, and the turns must not remain unused.
 #[test]
-fn sixty_servers_of_which_most_are_new_are_filled_and_none_is_pushed_over() {
+fn many_new_servers_are_filled_and_none_is_overloaded() {
     for seed in 1..=2 {
-        let mut fleet = Fleet::new(&full(24), seed);
+        let mut fleet = Fleet::new(&full_servers(24), seed);
         for batch in 0..6 {
-            fleet.list_cold(100 + batch * 6..106 + batch * 6);
+            fleet.add_cold_servers(100 + batch * 6..106 + batch * 6);
             fleet.run(1.2, 100.0);
         }
         fleet.run(2.0, 100.0);
         for server in fleet.servers.values().filter(|s| s.born.is_some()) {
             let born = server.born.unwrap();
-            let cold = || server.sends.iter().filter(|at| **at < born + COLD_FOR);
-            for &at in cold() {
-                let within = cold().filter(|s| **s >= at && **s < at + 1.5).count();
-                let most = 3.0 * server.share(at) * FULL / COLD_FOR * 1.5;
-                assert!(within as f64 <= most, "{within} of {most} at {}", at - born);
+            let cold_sends = || server.send_times.iter().filter(|at| **at < born + COLD_FOR);
+            for &at in cold_sends() {
+                let recent_sends = cold_sends().filter(|s| **s >= at && **s < at + 1.5).count();
+                let max_sends = 3.0 * server.capacity_fraction(at) * WARM_CAPACITY / COLD_FOR * 1.5;
+                assert!(
+                    recent_sends as f64 <= max_sends,
+                    "{recent_sends} of {max_sends} at {}",
+                    at - born
+                );
             }
         }
-        // Turns that were as long all through the warm-up as at its start gave 219.
-        let given = fleet.given(100..136);
+        // With turn intervals that stayed as long during the whole warm-up as at its start, 219 were placed.
+        let placed = fleet.count_placements(100..136);
         assert!(
-            given >= 245,
-            "{given} on 36 servers, {} refused",
+            placed >= 245,
+            "{placed} on 36 servers, {} refused",
             fleet.refused
         );
     }
 }
 
-/// Of a hundred balancers most had their turn at a cold server long after it was warm, and stayed away
-/// from it until then: idle servers beside full ones, and refusals.
+/// Of a hundred balancers most had their turn at a cold server long after the end of its warm-up, and did not use it
+/// until then: servers were idle beside full ones, and requests were refused.
 #[test]
-fn a_turn_beyond_the_warm_up_falls_away_with_it() {
-    let mut bench = BalancerHarness::new(one_of_many(3), vec![entry(1)], 3);
-    bench.report_load(1, 1.0);
-    let cold = Entry {
-        born: Some(bench.now),
+fn turns_end_with_the_warm_up() {
+    let mut harness = BalancerHarness::new(settings_of_balancer(3), vec![entry(1)], 3);
+    harness.report_load(1, 1.0);
+    let cold_entry = Entry {
+        born: Some(harness.now),
         ..entry(2)
     };
-    bench.handle_and_answer_probes(Event::Servers(ListKind::Update, vec![cold]));
-    bench.now += 0.1;
-    bench.report_load(1, 1.0);
-    assert_eq!(bench.place_request(1), None);
-    bench.now += COLD_FOR;
-    bench.report_load(1, 1.0);
-    bench.report_load(2, 0.0);
-    assert_eq!(bench.place_request(2), Some(2));
+    harness.handle_and_answer_probes(Event::Servers(ListKind::Update, vec![cold_entry]));
+    harness.now += 0.1;
+    harness.report_load(1, 1.0);
+    assert_eq!(harness.place_request(1), None);
+    harness.now += COLD_FOR;
+    harness.report_load(1, 1.0);
+    harness.report_load(2, 0.0);
+    assert_eq!(harness.place_request(2), Some(2));
 }
 
-/// Peers were taken to place as often as a balancer is asked, refused requests included: then one own
-/// connection seemed to fill a server, and most was refused beside servers with room.
+/// Peers were assumed to place as often as requests arrive, refused ones included: then one own connection seemed to
+/// fill a server, and most requests were refused although servers had room.
 #[test]
-fn what_is_refused_loads_no_server() {
-    let ask = |bench: &mut BalancerHarness, id| {
+fn refused_requests_do_not_count_as_placements() {
+    let send_request = |harness: &mut BalancerHarness, id| {
         sent_to(
-            &bench.handle_and_answer_probes(Event::Request(usual(id))),
+            &harness.handle_and_answer_probes(Event::Request(request_of_unknown_load(id))),
             id,
         )
     };
-    let report = |bench: &mut BalancerHarness, of_seven| {
+    let report_all = |harness: &mut BalancerHarness, load_of_seven| {
         for server in 1..=10 {
-            bench.now += 0.06;
-            bench.report_load(server, if server == 7 { of_seven } else { 1.0 });
+            harness.now += 0.06;
+            harness.report_load(server, if server == 7 { load_of_seven } else { 1.0 });
         }
     };
     for seed in 0..20 {
-        let mut bench = BalancerHarness::new(one_of_many(3), (1..=10).map(entry).collect(), seed);
-        report(&mut bench, 1.0);
-        assert!((0..60).all(|id| ask(&mut bench, id).is_none()));
-        // The storm is over; what it told of the rate of requests still fades.
-        bench.now += 12.0;
-        report(&mut bench, 0.3);
-        assert_eq!(ask(&mut bench, 100), Some(7));
-        assert_eq!(ask(&mut bench, 101), Some(7));
+        let mut harness =
+            BalancerHarness::new(settings_of_balancer(3), (1..=10).map(entry).collect(), seed);
+        report_all(&mut harness, 1.0);
+        assert!((0..60).all(|id| send_request(&mut harness, id).is_none()));
+        // The burst is over, but its request rate has not decayed completely.
+        harness.now += 12.0;
+        report_all(&mut harness, 0.3);
+        assert_eq!(send_request(&mut harness, 100), Some(7));
+        assert_eq!(send_request(&mut harness, 101), Some(7));
     }
 }
 
-/// Turns that nobody used must not add up to a blow: all balancers get a request at the same moment.
+/// Unused turns must not accumulate: all balancers get a request at the same moment.
 #[test]
-fn turns_saved_up_and_taken_at_once_push_no_cold_server_over() {
-    let mut taken = 0;
+fn unused_turns_taken_at_once_do_not_overload_a_cold_server() {
+    let mut total = 0;
     for (seed, after) in (1..).zip([0.5, 2.0, 4.0, 6.0]) {
-        let mut fleet = Fleet::new(&full(3), seed);
-        fleet.list_cold(100..101);
+        let mut fleet = Fleet::new(&full_servers(3), seed);
+        fleet.add_cold_servers(100..101);
         fleet.run(after, 0.0);
-        for at in 0..FLEET {
-            fleet.ask(at);
+        for at in 0..FLEET_SIZE {
+            fleet.send_request(at);
         }
-        let most = 3.0 * fleet.servers[&100].share(fleet.now) * FULL / COLD_FOR * 1.5;
-        let given = fleet.given(100..101);
-        assert!(given as f64 <= most, "{given} of {most} after {after} s");
-        taken += given;
+        let max_placed =
+            3.0 * fleet.servers[&100].capacity_fraction(fleet.now) * WARM_CAPACITY / COLD_FOR * 1.5;
+        let placed = fleet.count_placements(100..101);
+        assert!(
+            placed as f64 <= max_placed,
+            "{placed} of {max_placed} after {after} s"
+        );
+        total += placed;
     }
-    assert!(taken > 10, "{taken}");
+    assert!(total > 10, "{total}");
 }
 
-/// One server far past its capacity made room seem short everywhere: a group's further share was refused
-/// on servers that were half idle.
+/// One server far beyond its capacity made room seem scarce everywhere: a group was not placed on further servers that
+/// were half idle.
 #[test]
-fn one_drowned_server_says_little_of_the_others() {
-    let set = Settings {
+fn one_overloaded_server_does_not_make_room_seem_scarce() {
+    let settings = Settings {
         groups: true,
-        ..one_of_many(3)
+        ..settings_of_balancer(3)
     };
-    let mut bench = BalancerHarness::new(set, (1..=5).map(entry).collect(), 3);
-    bench.open_connections(1, 1000, &[1.0]);
-    for (server, figure) in [(1, 0.5), (2, 0.5), (3, 0.5), (4, 0.5), (5, 6.0)] {
-        bench.now += 0.06;
-        bench.report_load(server, figure);
+    let mut harness = BalancerHarness::new(settings, (1..=5).map(entry).collect(), 3);
+    harness.open_connections(1, 1000, &[1.0]);
+    for (server, load) in [(1, 0.5), (2, 0.5), (3, 0.5), (4, 0.5), (5, 6.0)] {
+        harness.now += 0.06;
+        harness.report_load(server, load);
     }
     let group = Some(77);
-    let request = Request { group, ..usual(1) };
-    let to = sent_to(&bench.handle_and_answer_probes(Event::Request(request)), 1);
+    let request = Request {
+        group,
+        ..request_of_unknown_load(1)
+    };
+    let to = sent_to(
+        &harness.handle_and_answer_probes(Event::Request(request)),
+        1,
+    );
     assert!(matches!(to, Some(1..=4)), "{to:?}");
 }
 
-/// The first request after a minute looked like one a second, and every server was probed for it.
+/// The first request after a minute seemed to be a rate of one per second, and every server was probed for it.
 #[test]
 fn one_request_a_minute_does_not_pay_for_probes_of_all_servers() {
-    let probed = |waited| {
+    let count_probes = |idle_time| {
         let entries = (1..=12).map(entry).collect();
-        let mut bench = BalancerHarness::new(one_of_many(3), entries, 3);
-        bench.now += waited;
-        let actions = bench.handle_event(Event::Request(usual(1)));
+        let mut harness = BalancerHarness::new(settings_of_balancer(3), entries, 3);
+        harness.now += idle_time;
+        let actions = harness.handle_event(Event::Request(request_of_unknown_load(1)));
         let mut probes = 0;
         for action in actions {
             if let Action::Probe(server) = action {
-                let told = bench.handle_event(Event::Probed(server, Outcome::Ok, load_report(0.3)));
-                probes += told
+                let further_actions =
+                    harness.handle_event(Event::Probed(server, Outcome::Ok, load_report(0.3)));
+                probes += further_actions
                     .iter()
                     .filter(|a| matches!(a, Action::Probe(_)))
                     .count();
@@ -316,31 +334,32 @@
         probes
     };
     assert!(
-        probed(0.0) >= 12,
-        "a balancer that has just started knows nothing"
+        count_probes(0.0) >= 12,
+        "a balancer that has just started has no reports"
     );
-    assert!(probed(60.0) <= 2, "{}", probed(60.0));
+    assert!(count_probes(60.0) <= 2, "{}", count_probes(60.0));
 }
 
-/// Four full servers once heard of had a balancer with few requests refuse all that came for as long as it
-/// held no connection: their figures were long forgotten, but still told it that room was short.
+/// Once it had reports of four full servers, a balancer with few requests and no connection refused all requests: the
+/// reports were long outdated, but still made room seem scarce.
 #[test]
-fn forgotten_figures_don_t_keep_it_from_asking() {
-    let mut bench = BalancerHarness::new(one_of_many(3), (1..=10).map(entry).collect(), 3);
+fn outdated_reports_do_not_prevent_on_demand_probes() {
+    let mut harness =
+        BalancerHarness::new(settings_of_balancer(3), (1..=10).map(entry).collect(), 3);
     for server in 1..=5 {
-        bench.now += 0.06;
-        bench.report_load(server, 1.0);
+        harness.now += 0.06;
+        harness.report_load(server, 1.0);
     }
-    let asks = |bench: &mut BalancerHarness, id| {
-        let actions = bench.handle_event(Event::Request(usual(id)));
+    let probes_on_demand = |harness: &mut BalancerHarness, id| {
+        let actions = harness.handle_event(Event::Request(request_of_unknown_load(id)));
         actions
             .iter()
             .any(|action| matches!(action, Action::Probe(_)))
     };
     assert!(
-        !asks(&mut bench, 1),
-        "it has just heard that all it knows are full"
+        !probes_on_demand(&mut harness, 1),
+        "all servers with a report are full"
     );
-    bench.now += 8.0;
-    assert!(asks(&mut bench, 2));
+    harness.now += 8.0;
+    assert!(probes_on_demand(&mut harness, 2));
 }
--- a/crates/balancer/tests/unprobed.rs
+++ b/crates/balancer/tests/unprobed.rs
@@ -1,11 +1,11 @@
-//! A deployment whose servers tell no load and may not be probed.
+//! A deployment whose servers report no load and may not be probed.
 
 mod common;
 
 use common::*;
 use violetwind_balancer::api::*;
 
-fn unprobed() -> Settings {
+fn settings_without_probes() -> Settings {
     Settings {
         report_fields: Vec::new(),
         may_probe: false,
@@ -13,78 +13,79 @@
     }
 }
 
-/// A server that one dial did not reach was never used again by that balancer: nothing could clear it.
+/// After one failed connect a balancer never used the server again, as without probes nothing cleared the mark.
 #[test]
-fn a_server_that_did_not_answer_once_is_tried_again() {
-    let mut bench = BalancerHarness::new(unprobed(), vec![entry(1), entry(2)], 3);
-    let first = bench.place_request(1).expect("sent");
-    let actions = bench.end_attempt(1, first, Outcome::ConnectFailed);
+fn a_server_is_tried_again_after_a_failed_connect() {
+    let mut harness = BalancerHarness::new(settings_without_probes(), vec![entry(1), entry(2)], 3);
+    let first = harness.place_request(1).expect("sent");
+    let actions = harness.end_attempt(1, first, Outcome::ConnectFailed);
     let second = sent_to(&actions, 1).expect("sent elsewhere");
     assert_ne!(first, second);
-    // For a while it is avoided.
-    bench.now += 1.0;
+    // The server is avoided for a while.
+    harness.now += 1.0;
     for id in 10..20 {
-        assert_eq!(bench.place_request(id), Some(second));
+        assert_eq!(harness.place_request(id), Some(second));
     }
-    bench.now += 30.0;
-    let used: Vec<_> = (100..140)
-        .filter_map(|id| bench.place_request(id))
+    harness.now += 30.0;
+    let used_servers: Vec<_> = (100..140)
+        .filter_map(|id| harness.place_request(id))
         .collect();
-    assert!(used.contains(&first), "{used:?}");
+    assert!(used_servers.contains(&first), "{used_servers:?}");
 }
 
-/// Warm servers cut off what came to them while cold ones beside them stayed unused.
+/// Full warm servers dropped new connections while cold ones stayed unused.
 #[test]
-fn who_was_cut_off_takes_a_turn_at_a_cold_server() {
+fn a_repeated_request_uses_a_turn_at_a_cold_server() {
     let cold = Entry {
         born: Some(99.0),
         ..entry(9)
     };
     let servers = || (1..=8).map(entry).chain([cold.clone()]).collect();
-    let settings = || Settings {
+    let grouped_settings = || Settings {
         groups: true,
-        ..unprobed()
+        ..settings_without_probes()
     };
-    let place = |again: bool, group: u64| {
-        let mut bench = BalancerHarness::new(settings(), servers(), 3);
-        bench.now += 2.0;
+    let place_request = |again: bool, group: u64| {
+        let mut harness = BalancerHarness::new(grouped_settings(), servers(), 3);
+        harness.now += 2.0;
         let request = Request {
             again,
             ..grouped_request(1, group)
         };
-        let actions = bench.handle_and_answer_probes(Event::Request(request));
+        let actions = harness.handle_and_answer_probes(Event::Request(request));
         sent_to(&actions, 1)
     };
-    let count = |again| {
+    let count_at_cold = |again| {
         (0..50)
-            .filter(|group| place(again, *group) == Some(9))
+            .filter(|group| place_request(again, *group) == Some(9))
             .count()
     };
-    let (first, later) = (count(false), count(true));
-    assert_eq!(later, 50, "{first}");
+    let (first, repeated) = (count_at_cold(false), count_at_cold(true));
+    assert_eq!(repeated, 50, "{first}");
     assert!(first < 25, "{first}");
 }
 
-/// What a repeat of a keyed request is told: up to when servers remember it, counted from the first attempt.
+/// A repeat of a keyed request may begin only while servers remember the request, counted from the first attempt.
 #[test]
-fn a_keyed_repeat_says_until_when_it_may_begin() {
+fn a_keyed_repeat_carries_the_time_until_which_it_may_begin() {
     let class = Class {
         window: 3.0,
         ..class(Idempotency::Keyed, DedupScope::All)
     };
     let settings = Settings {
         classes: vec![class],
-        ..unprobed()
+        ..settings_without_probes()
     };
-    let mut bench = BalancerHarness::new(settings, vec![entry(1), entry(2)], 3);
-    let begin = |actions: &[Action]| match actions.first() {
-        Some(Action::Send(_, _, _, begin)) => *begin,
+    let mut harness = BalancerHarness::new(settings, vec![entry(1), entry(2)], 3);
+    let begin_within = |actions: &[Action]| match actions.first() {
+        Some(Action::Send(_, _, _, begin_within)) => *begin_within,
         other => panic!("{other:?}"),
     };
-    let actions = bench.handle_and_answer_probes(Event::Request(request(1)));
-    assert_eq!(begin(&actions), None);
+    let actions = harness.handle_and_answer_probes(Event::Request(request(1)));
+    assert_eq!(begin_within(&actions), None);
     let server = sent_to(&actions, 1).unwrap();
-    bench.now += 0.5;
-    let left = begin(&bench.end_attempt(1, server, Outcome::Reset)).expect("an end");
-    assert!((left - 2.5).abs() < 1e-9, "{left}");
+    harness.now += 0.5;
+    let time_left =
+        begin_within(&harness.end_attempt(1, server, Outcome::Reset)).expect("a time limit");
+    assert!((time_left - 2.5).abs() < 1e-9, "{time_left}");
 }
