--- a/crates/balancer/tests/simulated_fleet.rs
+++ b/crates/balancer/tests/simulated_fleet.rs
@@ -109,14 +109,14 @@
         }
         for at in 0..FLEET_SIZE {
             let entries = ids.clone().map(|id| Entry { born, ..entry(id) }).collect();
-            self.handle_event_and_actions(at, Event::Servers(ListKind::Update, entries));
+            self.deliver_event(at, Event::Servers(ListKind::Update, entries));
         }
     }
 
     fn send_request(&mut self, at: usize) {
         self.last_request_id += 1;
         let id = self.last_request_id;
-        self.handle_event_and_actions(at, Event::Request(request_of_unknown_load(id)));
+        self.deliver_event(at, Event::Request(request_of_unknown_load(id)));
     }
 
     /// Runs for `span` seconds with `rate` requests per second, 100 at most, at random balancers.
@@ -136,7 +136,7 @@
                 .partition(|d| d.0 <= self.now);
             self.due_timers = later;
             for (_, at, token) in due {
-                self.handle_event_and_actions(at, Event::Timer(token));
+                self.deliver_event(at, Event::Timer(token));
             }
             if self.rng.random::<f64>() < rate * 0.01 {
                 let at = self.rng.random_range(0..FLEET_SIZE);
@@ -145,7 +145,7 @@
         }
     }
 
-    fn handle_event_and_actions(&mut self, at: usize, event: Event) {
+    fn deliver_event(&mut self, at: usize, event: Event) {
         let now = self.now;
         self.harnesses[at].now = now;
         let mut events = vec![event];
--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every host of the balancer needs, once: settings by name, rows of the server list, load
-//! reports, ids. No decisions, no input or output.
+//! Code that all hosts of the balancer share: named settings, rows of the server list, load reports and ids. It makes
+//! no decisions and does no input or output.
 
 mod ids;
 mod merge;
--- a/crates/common/src/report.rs
+++ b/crates/common/src/report.rs
@@ -1,8 +1,8 @@
-//! The words of load reports.
+//! The field names of load reports.
 
 use violetwind_balancer::api::{Report, ReportField};
 
-/// The value behind a name of reports and of the settings.
+/// The report field with this name, which reports and settings share.
 pub(crate) fn report_field(name: &str) -> Option<ReportField> {
     match name {
         "x0" => Some(ReportField::Load),
@@ -14,9 +14,9 @@
     }
 }
 
-/// Notes a value of a report; names that mean nothing to the module are passed over.
+/// Sets the value of a field in `report`. Unknown names are ignored.
 pub fn set_report_field(report: &mut Report, name: &str, value: f64) {
-    let place = match report_field(name) {
+    let field = match report_field(name) {
         Some(ReportField::Load) => &mut report.load,
         Some(ReportField::Connections) => &mut report.connections,
         Some(ReportField::Queue) => &mut report.queue,
@@ -24,5 +24,5 @@
         Some(ReportField::Errors) => &mut report.errors,
         None => return,
     };
-    *place = Some(value);
+    *field = Some(value);
 }
--- a/crates/common/src/rows.rs
+++ b/crates/common/src/rows.rs
@@ -1,9 +1,10 @@
-//! Rows of the server list, before an instance's names give their words a number.
+//! Rows of the server list, with zones and kinds by name.
 
 use violetwind_balancer::api::{Entry, Seconds, ServerId, Status};
 
 use crate::settings::{NameTable, index_of};
 
+/// A row of the server list.
 #[derive(Clone, Debug)]
 pub struct ServerRow {
     pub server: ServerId,
@@ -11,12 +12,14 @@
     pub status: Status,
     pub kind: Option<String>,
     pub zone: Option<String>,
-    /// 0 or absent: long ago.
+    /// When the server's process started; 0 or absent if that is long ago.
     pub started_at: Option<Seconds>,
+    /// The server's size, if the settings define the rating as such.
     pub rating: Option<f64>,
 }
 
 impl ServerRow {
+    /// Converts the row to a list entry, with the indices of its zone and kind.
     pub fn to_entry(&self, names: &NameTable) -> Entry {
         Entry {
             server: self.server,
--- a/crates/common/src/settings.rs
+++ b/crates/common/src/settings.rs
@@ -1,11 +1,11 @@
-//! The settings of an instance, by the names that the operators give them.
+//! Reads the settings of an instance from the operators' named values.
 
 use violetwind_balancer::api::{Budget, Class, DedupScope, Idempotency, Settings, Tenant};
 
 use crate::named_values::NamedValues;
 use crate::report::report_field;
 
-/// A name behind a number; the number stays when the name is used no more.
+/// The name at an index. The index remains assigned when the name is no longer in use.
 #[derive(Clone, Debug)]
 pub(crate) struct IndexedName {
     pub name: String,
@@ -21,83 +21,89 @@
     }
 }
 
-fn current(names: &[IndexedName], name: Option<&str>) -> Option<usize> {
+fn index_in_use(names: &[IndexedName], name: Option<&str>) -> Option<usize> {
     names
         .iter()
-        .position(|known| known.in_use && Some(known.name.as_str()) == name)
+        .position(|entry| entry.in_use && Some(entry.name.as_str()) == name)
 }
 
-/// The names an instance's settings use; inside, classes, tenants, zones and kinds are numbers.
+/// The names of classes, tenants, zones and kinds, which the balancer identifies by their indices here.
 #[derive(Clone, Debug, Default)]
 pub struct NameTable {
     pub(crate) zones: Vec<String>,
     pub(crate) kinds: Vec<String>,
     pub(crate) classes: Vec<IndexedName>,
     pub(crate) tenants: Vec<IndexedName>,
-    /// Whether the list's rating is a server's size.
+    /// Whether the rating in the server list is the server's size.
     pub(crate) rating_is_size: bool,
 }
 
 pub(crate) fn index_of(names: &[String], name: Option<&str>) -> Option<usize> {
-    names.iter().position(|known| Some(known.as_str()) == name)
+    names.iter().position(|entry| Some(entry.as_str()) == name)
 }
 
 impl NameTable {
+    /// The index of the class in use with this name.
     pub fn class_index(&self, name: &str) -> Option<usize> {
-        current(&self.classes, Some(name))
+        index_in_use(&self.classes, Some(name))
     }
 
+    /// The index of the tenant in use with this name.
     pub fn tenant_index(&self, name: Option<&str>) -> Option<usize> {
-        current(&self.tenants, name)
+        index_in_use(&self.tenants, name)
     }
 }
 
-fn message_aim(facts: &impl NamedValues) -> Result<Option<f64>, String> {
+/// Reads the shortest positive target time for messages, in seconds.
+fn read_message_aim(values: &impl NamedValues) -> Result<Option<f64>, String> {
     let name = "family-info.message-aim-s";
     let mut shortest: Option<f64> = None;
-    for text in facts.list(name) {
+    for text in values.list(name) {
         let aim = text.parse::<f64>().ok().filter(|aim| aim.is_finite());
         let aim = aim.ok_or_else(|| format!("{name}={text}: expected a number"))?;
         if aim > 0.0 {
-            shortest = Some(shortest.map_or(aim, |least| least.min(aim)));
+            shortest = Some(shortest.map_or(aim, |current| current.min(aim)));
         }
     }
     Ok(shortest)
 }
 
-/// The budget of attempts, where all its keys are there.
-fn budget(facts: &impl NamedValues) -> Result<Option<Budget>, String> {
-    let figure = |name: &str| match facts.number(name)? {
+/// Reads the retry budget; `None` if one of its keys is missing.
+fn read_budget(values: &impl NamedValues) -> Result<Option<Budget>, String> {
+    let read_non_negative = |name: &str| match values.number(name)? {
         Some(value) if !value.is_finite() || value < 0.0 => {
             Err(format!("{name}={value}: expected a number of 0 or more"))
         }
         value => Ok(value),
     };
-    let free = figure("rules.budget-free")?;
-    let ratio = figure("rules.further-ratio")?;
-    let span = figure("rules.resend-span-s")?;
+    let free = read_non_negative("rules.budget-free")?;
+    let ratio = read_non_negative("rules.further-ratio")?;
+    let span = read_non_negative("rules.resend-span-s")?;
     Ok(match (free, ratio, span) {
         (Some(free), Some(ratio), Some(span)) => Some(Budget { free, ratio, span }),
         _ => None,
     })
 }
 
-/// Reads the settings; keys it does not know are passed over.
-pub fn read_settings(facts: &impl NamedValues) -> Result<(Settings, NameTable), String> {
+/// Reads the settings, and the names that they use. Unknown keys are ignored.
+///
+/// # Errors
+/// A required key is missing, or a value is invalid.
+pub fn read_settings(values: &impl NamedValues) -> Result<(Settings, NameTable), String> {
     let mut names = NameTable {
-        zones: facts.list("azs"),
-        kinds: facts.list("skus"),
-        rating_is_size: matches!(facts.get("weights"), Some("nominal" | "rough")),
+        zones: values.list("azs"),
+        kinds: values.list("skus"),
+        rating_is_size: matches!(values.get("weights"), Some("nominal" | "rough")),
         ..NameTable::default()
     };
     let mut classes = Vec::new();
-    for at in 0..facts.int_or("request-classes.count", 0)? {
-        let key = |part: &str| format!("request-classes.{at}.{part}");
+    for index in 0..values.int_or("request-classes.count", 0)? {
+        let key = |field: &str| format!("request-classes.{index}.{field}");
         names
             .classes
-            .push(IndexedName::new(facts.require(&key("name"))?));
+            .push(IndexedName::new(values.require(&key("name"))?));
         classes.push(Class {
-            effect: match facts.require(&key("idempotency"))? {
+            effect: match values.require(&key("idempotency"))? {
                 "pure" => Idempotency::Safe,
                 "token" => Idempotency::Keyed,
                 "side_effect" => Idempotency::Unsafe,
@@ -107,55 +113,57 @@
                     ));
                 }
             },
-            scope: match facts.get(&key("group")) {
+            scope: match values.get(&key("group")) {
                 Some("zone") => DedupScope::Zone,
                 Some("cell") => DedupScope::Cell,
                 _ => DedupScope::All,
             },
-            window: facts.number_or(&key("window-s"), 0.0)?,
-            aim: facts.number_or(&key("target-s"), 0.0)?,
-            worth: facts.number_or(&key("credit"), 1.0)?,
+            window: values.number_or(&key("window-s"), 0.0)?,
+            aim: values.number_or(&key("target-s"), 0.0)?,
+            worth: values.number_or(&key("credit"), 1.0)?,
         });
     }
-    let quotas = facts.list("family-info.tenant-quota-connections");
+    let quotas = values.list("family-info.tenant-quota-connections");
     let mut tenants = Vec::new();
-    for at in 0..facts.int_or("orgs.count", 0)? {
-        names
-            .tenants
-            .push(IndexedName::new(facts.require(&format!("orgs.{at}.name"))?));
+    for index in 0..values.int_or("orgs.count", 0)? {
+        names.tenants.push(IndexedName::new(
+            values.require(&format!("orgs.{index}.name"))?,
+        ));
         tenants.push(Tenant {
-            quota: quotas.get(at as usize).and_then(|quota| quota.parse().ok()),
+            quota: quotas
+                .get(index as usize)
+                .and_then(|quota| quota.parse().ok()),
         });
     }
     let settings = Settings {
-        fleet_size: facts.int_or("fleet-size", 1)?.max(1) as usize,
-        me: facts.int_or("me", 0)?,
-        zone: index_of(&names.zones, facts.get("zone")),
+        fleet_size: values.int_or("fleet-size", 1)?.max(1) as usize,
+        me: values.int_or("me", 0)?,
+        zone: index_of(&names.zones, values.get("zone")),
         zones: names.zones.len(),
         classes,
         tenants,
-        report_fields: facts
+        report_fields: values
             .list("reporting.fields")
             .iter()
             .filter_map(|name| report_field(name))
             .collect(),
-        max_attempts: facts.int_or("permissions.max-attempts", 1)? as usize,
-        max_retry_after: facts.number_or("permissions.max-retry-after-s", 0.0)?,
-        may_retry_after: facts.flag("permissions.retry-after")?,
-        may_probe: facts.flag("permissions.probes")?,
-        may_cancel: facts.flag("permissions.cancel")?,
-        must_ask: facts.get("membership-mode") == Some("on_request"),
-        ask_within: facts.number_or("rules.ask-within-s", 10.0)?,
-        cold_from: facts.number_or("rules.cold-from", 1.0)?,
-        cold_for: facts.number_or("rules.cold-s", 0.0)?,
-        fall_multiple: facts.number_or("rules.fall-multiple", 1.0)?,
-        fall_for: facts.number_or("rules.overload-for-s", 1.0)?,
-        groups: facts.flag("family-info.groups")?,
-        price_cross_zone: facts.number_or("prices.cross-zone", 0.0)?,
-        price_probe: facts.number_or("prices.probe", 0.0)?,
-        over_share_worth: facts.number_or("over-share-worth", 1.0)?,
-        budget: budget(facts)?,
-        message_aim: message_aim(facts)?,
+        max_attempts: values.int_or("permissions.max-attempts", 1)? as usize,
+        max_retry_after: values.number_or("permissions.max-retry-after-s", 0.0)?,
+        may_retry_after: values.flag("permissions.retry-after")?,
+        may_probe: values.flag("permissions.probes")?,
+        may_cancel: values.flag("permissions.cancel")?,
+        must_ask: values.get("membership-mode") == Some("on_request"),
+        ask_within: values.number_or("rules.ask-within-s", 10.0)?,
+        cold_from: values.number_or("rules.cold-from", 1.0)?,
+        cold_for: values.number_or("rules.cold-s", 0.0)?,
+        fall_multiple: values.number_or("rules.fall-multiple", 1.0)?,
+        fall_for: values.number_or("rules.overload-for-s", 1.0)?,
+        groups: values.flag("family-info.groups")?,
+        price_cross_zone: values.number_or("prices.cross-zone", 0.0)?,
+        price_probe: values.number_or("prices.probe", 0.0)?,
+        over_share_worth: values.number_or("over-share-worth", 1.0)?,
+        budget: read_budget(values)?,
+        message_aim: read_message_aim(values)?,
     };
     Ok((settings, names))
 }
