--- a/crates/net/src/dial.rs
+++ b/crates/net/src/dial.rs
@@ -1,4 +1,4 @@
-//! Connections to peers.
+//! Establishes connections to peers.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -7,16 +7,17 @@
 
 use crate::exhaustion::is_resource_exhaustion;
 
-/// Why no connection came up.
+/// The reason for which no connection was established.
 #[derive(Debug)]
 pub enum DialError {
-    /// This machine is short of something, or has no route for a moment: the peer was never asked.
+    /// This machine lacks resources or has no route at the moment: the connect never reached the peer.
     Local(io::Error),
-    /// The peer refuses, is down, or can't be reached.
+    /// The peer refuses the connection, is down or can't be reached.
     Peer(io::Error),
 }
 
 impl DialError {
+    /// The I/O error.
     pub fn into_inner(self) -> io::Error {
         match self {
             Self::Local(error) | Self::Peer(error) => error,
@@ -24,16 +25,16 @@
     }
 }
 
-/// Dials a peer.
+/// Opens a TCP connection to a peer. It has no timeout of its own.
 ///
 /// # Errors
-/// See [`DialError`]; no time limit is kept here.
+/// See [`DialError`].
 pub async fn connect(to: SocketAddr) -> Result<TcpStream, DialError> {
     let socket = match to {
         SocketAddr::V4(_) => TcpSocket::new_v4(),
         SocketAddr::V6(_) => TcpSocket::new_v6(),
     };
-    // Whatever keeps a socket from being made is this machine's own.
+    // Any failure to create a socket is local.
     let socket = socket.map_err(DialError::Local)?;
     socket.connect(to).await.map_err(|error| {
         match is_resource_exhaustion(&error) || error.kind() == ErrorKind::NetworkUnreachable {
--- a/crates/net/src/exhaustion.rs
+++ b/crates/net/src/exhaustion.rs
@@ -1,14 +1,14 @@
-//! Failures that come from this machine and not from the peer.
+//! Failures that are caused by this machine and not by the peer.
 
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant};
 
-/// `errno` values without a stable `ErrorKind`: the same on all of Linux's architectures that Rust supports.
+/// `errno` values without a stable `ErrorKind`. They are the same on all Linux architectures that Rust supports.
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
 const ENOBUFS: i32 = 105;
 
-/// Whether a call failed for want of this machine's own means: descriptors, memory, buffers, local ports.
+/// Whether a call failed because this machine lacks resources: descriptors, memory, buffers or local ports.
 pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
         || matches!(
@@ -17,11 +17,11 @@
         )
 }
 
-/// Makes a call that opens a listener again while it fails by a shortage, for at most `within`. An address that is
-/// not this machine's is no shortage there.
+/// Retries a call that opens a listener while it fails for lack of resources, every `pause` and for at most `within`.
+/// `AddrNotAvailable` is not retried: for a listener it means that the address does not belong to this machine.
 ///
 /// # Errors
-/// Any other failure at once, and the shortage once the time is over.
+/// Any other failure at once, and the lack of resources after `within`.
 pub async fn retry_on_exhaustion<T>(
     within: Duration,
     pause: Duration,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,10 +1,10 @@
-//! Socket calls as Linux documents them.
+//! Socket calls that follow the semantics documented for Linux.
 //!
-//! A call may be interrupted (`EINTR`) at any time: it is made again. A read or a write may be short while the socket
-//! stays ready. The runtime's own `AsyncRead` and `AsyncWrite` take a short call as a sign that the socket is no
-//! longer ready and wait for an edge that may never come; the functions here trust `EAGAIN` alone. A call may fail
-//! because this machine is short of descriptors, buffers or ports: that says nothing about the peer, and
-//! [`is_shortage`] tells it apart.
+//! A call may be interrupted (`EINTR`) at any time and is repeated then. A read or a write may be short while the
+//! socket remains ready. The runtime's own `AsyncRead` and `AsyncWrite` treat a short call as a sign that the socket is
+//! no longer ready, and wait for an edge that may never come; the functions here rely on `EAGAIN` alone. A call may
+//! fail because this machine lacks descriptors, buffers or ports. Such a failure says nothing about the peer;
+//! [`is_resource_exhaustion`] recognises it.
 
 mod dial;
 mod exhaustion;
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -7,18 +7,18 @@
 use socket2::SockRef;
 use tokio::net::{TcpStream, UnixStream};
 
-/// What the runtime knows of a stream's readiness.
+/// A stream socket with the runtime's view of its readiness.
 pub trait Socket: AsFd {
-    /// One read without waiting.
+    /// Makes one read call without waiting.
     ///
     /// # Errors
-    /// As the system says; `WouldBlock` clears the readiness.
+    /// As returned by the system; `WouldBlock` clears the readiness.
     fn read_once(&self, buffer: &mut [u8]) -> io::Result<usize>;
 
-    /// One write without waiting.
+    /// Makes one write call without waiting.
     ///
     /// # Errors
-    /// As the system says; `WouldBlock` clears the readiness.
+    /// As returned by the system; `WouldBlock` clears the readiness.
     fn write_once(&self, bytes: &[u8]) -> io::Result<usize>;
 
     /// Waits until a write may succeed.
@@ -53,7 +53,7 @@
     }
 }
 
-/// Makes a call until it is not interrupted.
+/// Repeats a call until it is not interrupted (`EINTR`).
 ///
 /// # Errors
 /// Any other failure.
@@ -66,46 +66,48 @@
     }
 }
 
-/// What a call did; `None` if the socket was not ready.
-fn unless_blocked<T>(result: io::Result<T>) -> io::Result<Option<T>> {
+/// Converts the result of a call: `None` if the socket was not ready (`WouldBlock`).
+fn none_if_not_ready<T>(result: io::Result<T>) -> io::Result<Option<T>> {
     match result {
-        Ok(done) => Ok(Some(done)),
+        Ok(value) => Ok(Some(value)),
         Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(None),
         Err(error) => Err(error),
     }
 }
 
-/// Reads once if the runtime takes the socket for ready. 0 is the end of the stream.
+/// Reads once if the runtime considers the socket ready. Returns the number of bytes, 0 at the end of the stream, or
+/// `None` if the socket was not ready.
 ///
 /// # Errors
 /// The connection is broken.
 pub fn try_read(socket: &impl Socket, buffer: &mut [u8]) -> io::Result<Option<usize>> {
-    unless_blocked(retry_interrupted(|| socket.read_once(buffer)))
+    none_if_not_ready(retry_interrupted(|| socket.read_once(buffer)))
 }
 
-/// Writes once if the runtime takes the socket for ready.
+/// Writes once if the runtime considers the socket ready. Returns the number of bytes, or `None` if the socket was not
+/// ready.
 ///
 /// # Errors
 /// The connection is broken.
 pub fn try_write(socket: &impl Socket, bytes: &[u8]) -> io::Result<Option<usize>> {
-    unless_blocked(retry_interrupted(|| socket.write_once(bytes)))
+    none_if_not_ready(retry_interrupted(|| socket.write_once(bytes)))
 }
 
-/// Reads once from the socket itself, whether or not the runtime has heard that it is ready.
+/// Reads once from the socket itself, whether or not the runtime considers it ready.
 ///
 /// # Errors
 /// The connection is broken.
 pub fn read_now(stream: &TcpStream, buffer: &mut [u8]) -> io::Result<Option<usize>> {
-    unless_blocked(retry_interrupted(|| (&*SockRef::from(stream)).read(buffer)))
+    none_if_not_ready(retry_interrupted(|| (&*SockRef::from(stream)).read(buffer)))
 }
 
-/// Whether nothing lies unread in the socket: no bytes, no end, no error.
+/// Whether the connection is open without unread input: no bytes, no end of the stream, no error.
 pub fn is_open_and_idle(stream: &TcpStream) -> bool {
-    let unread = retry_interrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
-    matches!(unread, Err(error) if error.kind() == ErrorKind::WouldBlock)
+    let peeked = retry_interrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
+    matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
-/// Writes all bytes. Given up at an await, it has written some of them.
+/// Writes all bytes. If the future is dropped at an await, some of the bytes may have been written.
 ///
 /// # Errors
 /// The connection is broken.
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,4 +1,4 @@
-//! A connection for libraries that ask for `AsyncRead` and `AsyncWrite`.
+//! A TCP connection for libraries that require `AsyncRead` and `AsyncWrite`.
 
 use std::io;
 use std::net::Shutdown;
@@ -12,12 +12,13 @@
 
 use crate::socket::{try_read, try_write};
 
-/// A TCP connection whose short calls leave it ready. Clones are the same connection; one may be read while another is
-/// written. It closes with the last of them.
+/// A TCP connection that remains ready after short reads and writes. Clones share the connection, and one may be read
+/// while another is written. The connection closes when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct SharedTcpStream(Arc<TcpStream>);
 
 impl SharedTcpStream {
+    /// Wraps a connected stream.
     pub fn new(stream: TcpStream) -> Self {
         Self(Arc::new(stream))
     }
