--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -267,7 +267,7 @@
     }
 }
 
-/// The end of an attempt.
+/// The end of an attempt or of an open connection.
 #[derive(Clone, Debug)]
 pub struct Ended {
     pub id: RequestId,
@@ -283,6 +283,7 @@
 pub enum Event {
     /// The balancer has started; a `Servers` event follows.
     Start,
+    /// A message about the server list.
     Servers(ListKind, Vec<Entry>),
     Request(Request),
     /// A connection that is already open on `server` at the balancer's start.
@@ -299,13 +300,16 @@
     LoadNote(RequestId, f64),
     /// The present delay of a message at the server.
     DelayNote(ServerId, Seconds),
+    /// The outcome of a probe, with the server's report.
     Probed(ServerId, Outcome, Report),
+    /// The admission mode from now on.
     Taking(AdmissionMode),
     /// The balancer's allowance of a quota from now on. A quota without an allowance is not limited.
     Allowance(QuotaKind, Allowance),
     /// New settings apply from now on. Classes, tenants, zones and kinds keep their numbers, even if they are no longer
     /// named: requests under way refer to them until their end.
     Settings(Box<Settings>),
+    /// The time of an [`Action::Timer`] with this token is over.
     Timer(u64),
 }
 
@@ -315,9 +319,9 @@
     /// Start an attempt, with its time-out. Where a repeat is harmless only for a time, or the attempt uses a leased
     /// unit, the last value is how long from now it may begin at its server; the dial takes a part of that time.
     Send(RequestId, ServerId, Seconds, Option<Seconds>),
-    /// Final answer: refused; a repeat is harmless, and may come with a time to wait before it.
+    /// Final answer: refused. A repeat is harmless; the value, if there is one, is the time to wait before it.
     Refuse(RequestId, Option<Seconds>),
-    /// Final answer: failed; a repeat may not be harmless.
+    /// Final answer: failed. A repeat may do harm.
     Fail(RequestId),
     /// Close an open connection with a request to reconnect.
     Move(RequestId),
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -93,7 +93,9 @@
 /// How long a server counts as slow after the last late message.
 const SLOW_ANSWER_MAX_AGE: Seconds = 2.0;
 
+/// Token of the timer for a new subscription to the server list.
 const TIMER_SUBSCRIBE: u64 = 0;
+/// Token of the timer for retries of waiting requests.
 const TIMER_RETRY: u64 = 1;
 /// First token of probe timers: the server's id is added to it.
 const TIMER_PROBE_BASE: u64 = 1 << 32;
@@ -414,7 +416,7 @@
             self.balancers_per_zone(),
         );
         // After a restart of this balancer there is too little own load for an estimate: the default has
-        // more weight, or all servers would seem tiny for good.
+        // more weight, or all servers would seem tiny permanently.
         let mean_load = self.state.mean_load();
         let default_estimate = 1.0 / DEFAULT_CAPACITY / mean_load;
         let mut estimates = BTreeMap::from([(
@@ -452,6 +454,7 @@
 
     // Requests.
 
+    /// Handles the end of an attempt or of an open connection.
     fn on_outcome(&mut self, ended: Ended, out: &mut Vec<Action>) {
         let (id, server, outcome) = (ended.id, ended.server, ended.outcome);
         let Some(was_in_flight) = self.state.end_attempt(&ended) else {
@@ -502,8 +505,8 @@
     /// Marks a server as unresponsive until it answers a probe or, where probes are not permitted, adds
     /// failures that eject it until they decay.
     fn mark_unresponsive(&mut self, id: ServerId) {
-        let (now, probed) = (self.state.now, self.settings.may_probe);
-        self.state.update_server(id, |server| match probed {
+        let (now, may_probe) = (self.state.now, self.settings.may_probe);
+        self.state.update_server(id, |server| match may_probe {
             true => server.unresponsive = true,
             false => server
                 .errors
@@ -654,6 +657,8 @@
         self.state.quota_usage(now)
     }
 
+    /// Lets a request wait for the probe result of the server `awaited`, and in any case for the next
+    /// retry.
     fn enqueue_request(&mut self, id: RequestId, awaited: Option<ServerId>, out: &mut Vec<Action>) {
         self.waiting_requests.insert(id, awaited);
         if !std::mem::replace(&mut self.retry_timer_pending, true) {
@@ -690,8 +695,8 @@
     }
 
     /// The load over capacity up to which a server may be filled with this request. It is lower for a
-    /// request that is worth less for its load than the mean here. After a long series of refusals there is
-    /// no limit, as the metrics of a few servers may have caused them.
+    /// request that is worth less for its load than the mean here. There is no limit where servers report
+    /// no load, nor after a long series of refusals, as the metrics of a few servers may have caused them.
     fn load_limit(&self, conn: &Connection) -> f64 {
         let reports_load = self.settings.report_fields.contains(&ReportField::Load);
         if !reports_load
@@ -745,6 +750,7 @@
         &self.given_up
     }
 
+    /// Gives a request its final answer: a refusal if a repeat is harmless, otherwise a failure.
     fn give_up_request(&mut self, id: RequestId, reason: GiveUpReason, out: &mut Vec<Action>) {
         let Some(conn) = self.state.reject_request(id) else {
             return;
@@ -799,6 +805,8 @@
         ties.choose(&mut self.rng).map(|r| r.1)
     }
 
+    /// The servers with room for a request, among the first in the order of `key`, with their ranks. A
+    /// lower rank is better.
     fn rank_servers(&self, id: RequestId, key: u64) -> Vec<(f64, ServerId)> {
         let conn = &self.state.connections[&id];
         let (now, scarcity) = (self.state.now, self.scarcity());
@@ -851,6 +859,8 @@
         ranked
     }
 
+    /// Whether requests may be placed on a server now: it is available and, while it is cold, the quota and
+    /// this balancer's turn allow it.
     fn accepts_placement(&self, id: ServerId, server: &Server) -> bool {
         // Turns apply only during the warm-up: in a large fleet most of them would come after its end.
         let now = self.state.now;
@@ -978,7 +988,7 @@
         }
         let conn = |id: &RequestId| &self.state.connections[id];
         let is_open = |id: &&RequestId| matches!(conn(id).phase, Phase::Open(_));
-        let mut own_open: Vec<RequestId> = server
+        let mut own_connections: Vec<RequestId> = server
             .own_requests
             .iter()
             .filter(is_open)
@@ -987,8 +997,8 @@
         let worth_per_load = |id: &RequestId| {
             self.request_worth(&conn(id).request) / self.load_freed_by(conn(id), server)
         };
-        own_open.sort_by(|a, b| worth_per_load(a).total_cmp(&worth_per_load(b)));
-        let Some(&first) = own_open.first() else {
+        own_connections.sort_by(|a, b| worth_per_load(a).total_cmp(&worth_per_load(b)));
+        let Some(&first) = own_connections.first() else {
             return;
         };
         let own_share = server.own_load / server_load;
@@ -1007,10 +1017,14 @@
             return;
         }
         let limit = if room_elsewhere { limit } else { CRITICAL_LOAD };
-        let max_moves = if is_critical { own_open.len() } else { 1 };
+        let max_moves = if is_critical {
+            own_connections.len()
+        } else {
+            1
+        };
         // Peers see the same metric: all balancers together should move the excess, not each of them.
         let mut excess = EXCESS_MOVE_FACTOR * own_share * (server_load - limit);
-        for id in own_open.into_iter().take(max_moves) {
+        for id in own_connections.into_iter().take(max_moves) {
             let load = self.state.connections[&id].load;
             if self.rng.random::<f64>() * load < excess
                 && self.state.check_quota(QuotaKind::Moves, 0)
--- a/crates/balancer/src/quotas.rs
+++ b/crates/balancer/src/quotas.rs
@@ -48,6 +48,7 @@
         limit.allowance = allowance;
     }
 
+    /// Whether the quota has an allowance.
     pub fn is_limited(&self, kind: QuotaKind) -> bool {
         self.limits.contains_key(&kind)
     }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -96,6 +96,7 @@
         self.pending_placements.push((now, load));
     }
 
+    /// The load of the placements that the metric may not include yet.
     pub fn pending_load(&self) -> f64 {
         self.pending_placements.iter().map(|(_, load)| load).sum()
     }
@@ -115,6 +116,7 @@
         self.last_slow_answer_at.is_some_and(|at| at >= then)
     }
 
+    /// Whether a probe was sent for a request since `then`.
     pub fn probed_on_demand_since(&self, then: Seconds) -> bool {
         self.last_on_demand_probe_at.is_some_and(|at| at >= then)
     }
@@ -222,6 +224,7 @@
 }
 
 impl State {
+    /// Creates the state with default `estimates` of the metric per load: the likely and the conservative one.
     pub fn new(settings: &Settings, estimates: [f64; 2]) -> Self {
         Self {
             now: 0.0,
@@ -261,7 +264,7 @@
             .resize(tenants.max(self.tenant_counts.len()), 0);
     }
 
-    /// Starts the slow start of a newly listed process. Its first turn comes after the fraction `phase` of a turn
+    /// Begins the slow start of a newly listed process. Its first turn comes after the fraction `phase` of a turn
     /// interval.
     pub fn reset_slow_start(&mut self, id: ServerId, phase: f64) {
         let now = self.now;
@@ -311,6 +314,7 @@
         self.metric_per_load_estimates(server)[usize::from(is_young)]
     }
 
+    /// The conservative estimate of what one unit of load adds to a server's metric.
     pub fn conservative_metric_per_load_of(&self, server: &Server) -> f64 {
         self.metric_per_load_estimates(server)[1]
     }
@@ -356,6 +360,7 @@
         self.server_orders.clear();
     }
 
+    /// Records whether a server is probed periodically.
     pub fn set_probed(&mut self, id: ServerId, is_probed: bool) {
         self.update_server(id, |server| server.is_probed = is_probed);
         self.probed_servers = if is_probed {
@@ -380,6 +385,7 @@
         }
     }
 
+    /// Adds a request that has arrived, and counts it in the request rate and the budget. Returns its id.
     pub fn on_request(&mut self, request: Request, settings: &Settings) -> RequestId {
         if self.first_request_at.is_none() {
             self.first_request_at = Some(self.now);
@@ -397,6 +403,7 @@
         self.add_request(request)
     }
 
+    /// Adds a connection that is already open.
     pub fn on_open(&mut self, request: Request, server: ServerId) {
         let id = self.add_request(request);
         self.attach_to_server(id, server, Phase::Open(server));
@@ -469,9 +476,9 @@
         };
         conn.tried_servers.pop();
         if !conn.tried_servers.is_empty()
-            && let Some(at) = self.retry_times.iter().rposition(|at| *at == conn.sent_at)
+            && let Some(index) = self.retry_times.iter().rposition(|at| *at == conn.sent_at)
         {
-            self.retry_times.remove(at);
+            self.retry_times.remove(index);
         }
     }
 
@@ -562,6 +569,7 @@
         }
     }
 
+    /// The use of all quotas with an allowance, at `now`.
     pub fn quota_usage(&mut self, now: Seconds) -> Vec<QuotaUsage> {
         self.now = now;
         let usage = |(kind, denied)| QuotaUsage {
@@ -731,6 +739,7 @@
         (load_sum + self.mean_reported_load()) / (report_count + 1.0)
     }
 
+    /// Records a reported load, in seconds of work per second. Invalid values are ignored.
     pub fn on_load(&mut self, id: RequestId, load: f64) {
         let Some(conn) = self
             .connections
@@ -758,8 +767,8 @@
         }
     }
 
-    /// Scales the loads that were only assumed by the first reported ones. Without this, a few connections whose load
-    /// is never reported would outweigh all others after a restart.
+    /// Rescales the assumed loads of connections to the first loads that are reported. Without this, a few connections
+    /// whose load is never reported would outweigh all others after a restart.
     fn rescale_unreported_loads(&mut self, factor: f64) {
         for (id, conn) in self
             .connections
@@ -789,6 +798,7 @@
         }
     }
 
+    /// Assigns a request to a server, as an attempt or as an open connection, and counts it there.
     pub fn attach_to_server(&mut self, id: RequestId, server_id: ServerId, phase: Phase) {
         let Some(conn) = self.connections.get_mut(&id) else {
             return;
@@ -811,6 +821,7 @@
         }
     }
 
+    /// Removes a request from its server and from the counts there. It waits again.
     pub fn detach_from_server(&mut self, id: RequestId) {
         let Some(conn) = self.connections.get_mut(&id) else {
             return;
@@ -853,6 +864,7 @@
         is_idle && self.rejections_since_attempt >= min_rejections
     }
 
+    /// Removes a request and its counts. Returns it with the phase that it had.
     pub fn remove_request(&mut self, id: RequestId) -> Option<Connection> {
         let phase = self.connections.get(&id)?.phase;
         self.quotas.mark_written(id, self.now);
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -29,16 +29,15 @@
 /// Runs for `seconds` with one request every four seconds, of one of five groups, whose connections stay open. Probes
 /// are answered with the same load, and timers run when due. Returns the number of probes in the second half.
 fn run_and_count_probes(harness: &mut BalancerHarness, seconds: u32) -> usize {
-    let (mut due_timers, mut probe_count, mut last_id) = (Vec::new(), 0, 0);
+    let (mut timers, mut probe_count, mut last_id) = (Vec::new(), 0, 0);
     let half_time = harness.now + f64::from(seconds) / 2.0;
     let until = harness.now + f64::from(seconds);
     let mut actions = Vec::new();
     while harness.now < until {
         harness.now += 0.1;
-        let (ready, later): (Vec<_>, Vec<_>) = due_timers
-            .into_iter()
-            .partition(|(at, _)| *at < harness.now);
-        due_timers = later;
+        let (ready, later): (Vec<_>, Vec<_>) =
+            timers.into_iter().partition(|(at, _)| *at < harness.now);
+        timers = later;
         for (_, token) in ready {
             actions.extend(harness.handle_event(Event::Timer(token)));
         }
@@ -55,7 +54,7 @@
         }
         for action in std::mem::take(&mut actions) {
             match action {
-                Action::Timer(after, token) => due_timers.push((harness.now + after, token)),
+                Action::Timer(after, token) => timers.push((harness.now + after, token)),
                 Action::Probe(server) => {
                     let report = Event::Probed(server, Outcome::Ok, load_report(0.4));
                     actions.extend(harness.handle_event(report));
@@ -266,7 +265,7 @@
 
 /// Capacity estimates over all servers at each report needed more CPU than a large fleet has.
 #[test]
-fn lists_of_no_one_and_several_hundred_servers_work() {
+fn lists_of_zero_one_and_several_hundred_servers_work() {
     let mut harness = BalancerHarness::new(large_fleet_settings(), Vec::new(), 3);
     assert_eq!(harness.place_request(1), None);
     harness.handle_and_answer_probes(Event::Servers(ListKind::Replace, vec![entry(1)]));
--- a/crates/balancer/tests/simulated_fleet.rs
+++ b/crates/balancer/tests/simulated_fleet.rs
@@ -63,7 +63,7 @@
     now: Seconds,
     harnesses: Vec<BalancerHarness>,
     servers: BTreeMap<ServerId, Server>,
-    due_timers: Vec<(Seconds, usize, u64)>,
+    timers: Vec<(Seconds, usize, u64)>,
     last_request_id: RequestId,
     refused: usize,
     rng: Pcg64Mcg,
@@ -76,20 +76,20 @@
             |me| BalancerHarness::new(settings_of_balancer(me), entries.clone(), seed * 1000 + me);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let new_server = |&(id, load): &(ServerId, f64)| {
-            let new_server = Server {
+            let server = Server {
                 connections: load * WARM_CAPACITY,
                 reported: load,
                 refreshed_at: 100.0 - rng.random_range(0.0..REFRESH_INTERVAL),
                 ..Server::default()
             };
-            (id, new_server)
+            (id, server)
         };
         let servers = loads.iter().map(new_server).collect();
         Self {
             now: 100.0,
             harnesses: (0..FLEET_SIZE as u64).map(new_harness).collect(),
             servers,
-            due_timers: Vec::new(),
+            timers: Vec::new(),
             last_request_id: 0,
             refused: 0,
             rng,
@@ -107,16 +107,16 @@
             };
             self.servers.insert(id, server);
         }
-        for at in 0..FLEET_SIZE {
+        for balancer in 0..FLEET_SIZE {
             let entries = ids.clone().map(|id| Entry { born, ..entry(id) }).collect();
-            self.deliver_event(at, Event::Servers(ListKind::Update, entries));
+            self.deliver_event(balancer, Event::Servers(ListKind::Update, entries));
         }
     }
 
-    fn send_request(&mut self, at: usize) {
+    fn send_request(&mut self, balancer: usize) {
         self.last_request_id += 1;
         let id = self.last_request_id;
-        self.deliver_event(at, Event::Request(request_of_unknown_load(id)));
+        self.deliver_event(balancer, Event::Request(request_of_unknown_load(id)));
     }
 
     /// Runs for `span` seconds with `rate` requests per second, 100 at most, at random balancers.
@@ -131,30 +131,31 @@
                         server.connections / (WARM_CAPACITY * server.capacity_fraction(self.now));
                 }
             }
-            let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.due_timers)
+            let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.timers)
                 .into_iter()
                 .partition(|d| d.0 <= self.now);
-            self.due_timers = later;
-            for (_, at, token) in due {
-                self.deliver_event(at, Event::Timer(token));
+            self.timers = later;
+            for (_, balancer, token) in due {
+                self.deliver_event(balancer, Event::Timer(token));
             }
             if self.rng.random::<f64>() < rate * 0.01 {
-                let at = self.rng.random_range(0..FLEET_SIZE);
-                self.send_request(at);
+                let balancer = self.rng.random_range(0..FLEET_SIZE);
+                self.send_request(balancer);
             }
         }
     }
 
-    fn deliver_event(&mut self, at: usize, event: Event) {
+    /// Delivers an event to a balancer and carries out the resulting actions.
+    fn deliver_event(&mut self, balancer: usize, event: Event) {
         let now = self.now;
-        self.harnesses[at].now = now;
+        self.harnesses[balancer].now = now;
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            for action in self.harnesses[at].handle_event(event) {
+            for action in self.harnesses[balancer].handle_event(event) {
                 match action {
                     Action::Probe(id) => {
-                        let figure = self.servers[&id].reported;
-                        events.push(Event::Probed(id, Outcome::Ok, load_report(figure)));
+                        let load = self.servers[&id].reported;
+                        events.push(Event::Probed(id, Outcome::Ok, load_report(load)));
                     }
                     Action::Send(id, to, ..) => {
                         let server = self.servers.get_mut(&to).unwrap();
@@ -163,7 +164,7 @@
                         events.push(Event::Begun(id, to));
                     }
                     Action::Refuse(..) => self.refused += 1,
-                    Action::Timer(after, token) => self.due_timers.push((now + after, at, token)),
+                    Action::Timer(after, token) => self.timers.push((now + after, balancer, token)),
                     _ => {}
                 }
             }
@@ -271,8 +272,8 @@
         let mut fleet = Fleet::new(&full_servers(3), seed);
         fleet.add_cold_servers(100..101);
         fleet.run(after, 0.0);
-        for at in 0..FLEET_SIZE {
-            fleet.send_request(at);
+        for balancer in 0..FLEET_SIZE {
+            fleet.send_request(balancer);
         }
         let max_placed =
             3.0 * fleet.servers[&100].capacity_fraction(fleet.now) * WARM_CAPACITY / COLD_FOR * 1.5;
