--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -26,12 +26,12 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    pub effect: Idempotency,
-    pub scope: DedupScope,
+    pub idempotency: Idempotency,
+    pub dedup_scope: DedupScope,
     /// How long servers remember a keyed request, counted from the first attempt that may have run.
-    pub window: Seconds,
+    pub dedup_window: Seconds,
     /// The target time for the set-up of a connection.
-    pub aim: Seconds,
+    pub setup_target: Seconds,
     /// The worth of serving one request, relative to other classes.
     pub worth: f64,
 }
@@ -84,15 +84,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
     pub units: u64,
-    pub until: Seconds,
-    pub after: u64,
+    pub lease_end: Seconds,
+    pub units_after_lease: u64,
     /// The length of the period for quotas that are counted within one.
     pub span: Seconds,
     /// The units of all balancers together.
-    pub whole: u64,
+    pub fleet_units: u64,
     /// How long after its arrival a request may wait for an exchange among balancers to bring more units; 0 where none
     /// is to be expected.
-    pub wait: Seconds,
+    pub max_wait: Seconds,
 }
 
 /// The reason for which a request was given up, for the log.
@@ -128,7 +128,7 @@
     /// The number of balancers.
     pub fleet_size: usize,
     /// This balancer's number among them.
-    pub me: u64,
+    pub balancer_index: u64,
     pub zone: Option<usize>,
     /// The number of zones.
     pub zones: usize,
@@ -141,28 +141,28 @@
     pub may_probe: bool,
     pub may_cancel: bool,
     /// The server list arrives only after a request for it.
-    pub must_ask: bool,
+    pub requires_subscription: bool,
     /// The longest time within which a lost list must be requested again.
-    pub ask_within: Seconds,
+    pub resubscribe_within: Seconds,
     /// The fraction of its capacity that a server has at its start.
-    pub cold_from: f64,
+    pub slow_start_min_share: f64,
     /// The length of a server's warm-up.
-    pub cold_for: Seconds,
+    pub slow_start_window: Seconds,
     /// A cold server is overloaded by this multiple of the rate of new connections that its present capacity allows, if
     /// that rate lasts for `fall_for`.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// The window of the overload limit.
-    pub fall_for: Seconds,
+    pub overload_duration: Seconds,
     /// Connections of one group share work on a server.
-    pub groups: bool,
+    pub group_affinity: bool,
     /// The price of a request that crosses zones, the price of a probe relative to a request, and the factor on the
     /// worth of a request beyond its tenant's share.
     pub price_cross_zone: f64,
     pub price_probe: f64,
     pub over_share_worth: f64,
-    pub budget: Option<Budget>,
+    pub retry_budget: Option<Budget>,
     /// The shortest target time for an answer on an open connection, where the settings give one.
-    pub message_aim: Option<Seconds>,
+    pub message_delay_target: Option<Seconds>,
 }
 
 /// The status of a server in the list.
@@ -186,7 +186,7 @@
     /// The size relative to other servers in the list, where the list gives sizes.
     pub size: Option<f64>,
     /// When the server's process last started, unless that is long ago.
-    pub born: Option<Seconds>,
+    pub started_at: Option<Seconds>,
 }
 
 /// The kind of a message about the server list.
@@ -213,10 +213,10 @@
     /// The expected load in seconds of work per second, where the site gives it.
     pub hint: Option<f64>,
     /// The time until the client stops waiting.
-    pub patience: Seconds,
+    pub client_timeout: Seconds,
     /// The request is a repeat of one that was refused, failed, cut off or moved; false where clients don't mark
     /// repeats.
-    pub again: bool,
+    pub is_repeat: bool,
 }
 
 /// A server's report of its load; each value is absent where the site does not report it.
@@ -269,12 +269,12 @@
 
 /// The end of an attempt or of an open connection.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptEnd {
     pub id: RequestId,
     pub server: ServerId,
     pub outcome: Outcome,
     /// The request is finished and needs no answer.
-    pub last: bool,
+    pub is_final: bool,
     pub report: Report,
 }
 
@@ -293,7 +293,7 @@
     Written(RequestId, ServerId),
     /// The connection is open; its time-out and deadline no longer apply.
     Begun(RequestId, ServerId),
-    Outcome(Ended),
+    Outcome(AttemptEnd),
     /// The client has left; no answer is needed.
     Gone(RequestId),
     /// The connection's present load, in seconds of work per second.
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -216,7 +216,7 @@
         if kind == ListKind::Unavailable {
             // The delay is random, so that proxies that lost the list together don't request it together.
             self.subscribed = false;
-            let delay = self.settings.ask_within * self.rng.random_range(0.05..0.2);
+            let delay = self.settings.resubscribe_within * self.rng.random_range(0.05..0.2);
             return out.push(Action::Timer(delay, TIMER_SUBSCRIBE));
         }
         if kind != ListKind::Update {
@@ -226,7 +226,8 @@
         for entry in entries {
             let id = entry.server;
             let server = self.state.servers.entry(id).or_default();
-            let is_new_process = server.entry.as_ref().map(|old| old.born) != Some(entry.born);
+            let is_new_process =
+                server.entry.as_ref().map(|old| old.started_at) != Some(entry.started_at);
             if is_new_process {
                 // Measurements of the previous process don't apply to the new one.
                 (server.metric, server.unresponsive, server.errors) = Default::default();
@@ -244,7 +245,7 @@
     }
 
     fn subscribe_if_needed(&mut self, out: &mut Vec<Action>) {
-        if self.settings.must_ask && !self.subscribed {
+        if self.settings.requires_subscription && !self.subscribed {
             self.subscribed = true;
             out.push(Action::Subscribe);
         }
@@ -359,7 +360,10 @@
     /// Records a message delay at a server. It outweighs reports: while messages of own connections are
     /// late, the server counts as past its capacity.
     fn on_message_delay(&mut self, id: ServerId, delay: Seconds, out: &mut Vec<Action>) {
-        let is_late = self.settings.message_aim.is_some_and(|aim| delay > aim);
+        let is_late = self
+            .settings
+            .message_delay_target
+            .is_some_and(|aim| delay > aim);
         let slow_answer_at = is_late.then_some(self.state.now);
         self.state
             .update_server(id, |server| server.last_slow_answer_at = slow_answer_at);
@@ -455,7 +459,7 @@
     // Requests.
 
     /// Handles the end of an attempt or of an open connection.
-    fn on_outcome(&mut self, ended: Ended, out: &mut Vec<Action>) {
+    fn on_outcome(&mut self, ended: AttemptEnd, out: &mut Vec<Action>) {
         let (id, server, outcome) = (ended.id, ended.server, ended.outcome);
         let Some(was_in_flight) = self.state.end_attempt(&ended) else {
             return;
@@ -476,7 +480,7 @@
         if !was_in_flight && outcome == Outcome::Reset {
             self.connection_resets.add(now, FAILURE_DECAY, 1.0);
         }
-        if ended.last {
+        if ended.is_final {
             self.state.remove_request(id);
         } else if was_in_flight {
             self.state.detach_from_server(id);
@@ -491,11 +495,11 @@
 
     /// Whether the outcome of an attempt counts against its server. A time-out does not if the attempt was
     /// given too small a fraction of the target set-up time.
-    fn counts_against_server(&self, ended: &Ended) -> bool {
+    fn counts_against_server(&self, ended: &AttemptEnd) -> bool {
         match ended.outcome {
             Outcome::Ok | Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFailure => false,
             Outcome::TimedOut => self.state.connections.get(&ended.id).is_none_or(|conn| {
-                let aim = self.settings.classes[conn.request.class].aim;
+                let aim = self.settings.classes[conn.request.class].setup_target;
                 conn.deadline - conn.sent_at >= aim * MIN_TIMEOUT_SHARE
             }),
             _ => true,
@@ -522,10 +526,10 @@
         };
         let now = self.state.now;
         let time_left = conn.deadline - now;
-        let aim = self.settings.classes[conn.request.class].aim;
+        let aim = self.settings.classes[conn.request.class].setup_target;
         let attempts = conn.tried_servers.len();
         let (waited, may_probe) = (
-            conn.request.patience - time_left,
+            conn.request.client_timeout - time_left,
             self.may_probe_on_demand(conn),
         );
         if let Some(reason) = self.find_refusal_reason(id, time_left) {
@@ -563,7 +567,7 @@
         }
         let (turns, gap) = (
             self.cold_turns_at(server, now),
-            self.settings.fall_for / 4.0,
+            self.settings.overload_duration / 4.0,
         );
         let is_cold = server.remaining_warm_up(now, &self.settings) > 0.0;
         let conn = &self.state.connections[&id];
@@ -572,8 +576,8 @@
         let class = &self.settings.classes[conn.request.class];
         let first_keyed_run = conn
             .first_possible_run
-            .filter(|_| class.effect == Idempotency::Keyed);
-        let repeat_within = first_keyed_run.map(|(_, sent_at)| sent_at + class.window - now);
+            .filter(|_| class.idempotency == Idempotency::Keyed);
+        let repeat_within = first_keyed_run.map(|(_, sent_at)| sent_at + class.dedup_window - now);
         if attempts > 0 {
             self.state.record_retry(id, &self.settings);
         }
@@ -626,7 +630,7 @@
 
     /// Whether the retry budget and this balancer's retry quota have room for one more attempt.
     fn has_retry_budget_left(&mut self) -> bool {
-        let budget = self.settings.budget;
+        let budget = self.settings.retry_budget;
         budget.is_none_or(|budget| self.state.remaining_retry_budget(&budget) >= 1.0)
             && self.state.check_quota(QuotaKind::Further, 0)
     }
@@ -758,10 +762,10 @@
         self.given_up.push((id, reason));
         let class = &self.settings.classes[conn.request.class];
         let is_keyed_everywhere =
-            class.effect == Idempotency::Keyed && class.scope == DedupScope::All;
+            class.idempotency == Idempotency::Keyed && class.dedup_scope == DedupScope::All;
         // A refusal guarantees that a repeat is harmless.
         if conn.first_possible_run.is_none()
-            || class.effect == Idempotency::Safe
+            || class.idempotency == Idempotency::Safe
             || is_keyed_everywhere
         {
             let retry_after = self.settings.max_retry_after * self.rng.random_range(0.5..1.0);
@@ -782,11 +786,11 @@
         };
         let shares_scope = self
             .state
-            .shares_dedup_scope(class.scope, first_server, server);
-        class.effect == Idempotency::Safe
-            || class.effect == Idempotency::Keyed
+            .shares_dedup_scope(class.dedup_scope, first_server, server);
+        class.idempotency == Idempotency::Safe
+            || class.idempotency == Idempotency::Keyed
                 && shares_scope
-                && self.state.now < sent_at + class.window
+                && self.state.now < sent_at + class.dedup_window
     }
 
     // Ranking.
@@ -818,7 +822,7 @@
         // Repeated requests and connection resets show that servers are full: turns at cold servers are
         // used first.
         let reports_load = self.settings.report_fields.contains(&ReportField::Load);
-        let prefers_cold = !reports_load && (conn.request.again || self.reset_level() > 0.5);
+        let prefers_cold = !reports_load && (conn.request.is_repeat || self.reset_level() > 0.5);
         let servers = self.state.first_servers_in_order(key, CANDIDATES);
         let servers = servers.map(|(position, id)| (position, id, &self.state.servers[&id]));
         let candidates: Vec<_> = servers
@@ -874,8 +878,10 @@
         // and overload the server.
         let turn_interval = self.state.fleet_turns_per_own_turn(&self.settings);
         let turn = server.turn_at_last_placement + turn_interval * server.turn_offset;
-        let missed_turns =
-            self.cold_turns_at(server, now - TURN_VALIDITY * self.settings.fall_for) - turn;
+        let missed_turns = self.cold_turns_at(
+            server,
+            now - TURN_VALIDITY * self.settings.overload_duration,
+        ) - turn;
         let turn = turn + turn_interval * (missed_turns / turn_interval).ceil().max(0.0);
         now >= server.next_placement_at && self.cold_turns_at(server, now) >= turn
     }
@@ -914,8 +920,8 @@
 
     /// Whether a request may still wait for an on-demand probe.
     fn may_probe_on_demand(&self, conn: &Connection) -> bool {
-        let waited = self.state.now - (conn.deadline - conn.request.patience);
-        let max_wait = PROBE_WAIT_SHARE * self.settings.classes[conn.request.class].aim;
+        let waited = self.state.now - (conn.deadline - conn.request.client_timeout);
+        let max_wait = PROBE_WAIT_SHARE * self.settings.classes[conn.request.class].setup_target;
         let may_probe = self.settings.may_probe && self.state.has_quota_left(QuotaKind::Probes, 0);
         may_probe && waited <= max_wait && conn.on_demand_probes < MAX_PROBED_SERVERS
     }
@@ -941,7 +947,7 @@
     /// otherwise 0.
     fn added_group_load(&self, conn: &Connection, server: &Server) -> f64 {
         let costs_nothing =
-            |group| !self.settings.groups || server.group_counts.contains_key(&group);
+            |group| !self.settings.group_affinity || server.group_counts.contains_key(&group);
         let adds_group = !conn.request.group.is_none_or(costs_nothing);
         f64::from(adds_group) * GROUP_COST * self.state.mean_load()
     }
@@ -962,7 +968,7 @@
         let capacity = 1.0
             / (self.state.conservative_metric_per_load_of(server) * self.state.mean_load())
                 .max(1e-3);
-        self.settings.fall_multiple * capacity / self.settings.cold_for
+        self.settings.overload_multiple * capacity / self.settings.slow_start_window
             * server.capacity_weighted_uptime(at, &self.settings)
     }
 
@@ -1041,7 +1047,7 @@
     /// The load that a move of the connection takes off the server, with its part of the group's cost
     /// there.
     fn load_freed_by(&self, conn: &Connection, server: &Server) -> f64 {
-        let group = conn.request.group.filter(|_| self.settings.groups);
+        let group = conn.request.group.filter(|_| self.settings.group_affinity);
         let holders = group.and_then(|group| server.group_counts.get(&group));
         let group_load = holders.map_or(0.0, |&n| GROUP_COST / n as f64);
         (conn.load + group_load * self.state.mean_load()).max(f64::MIN_POSITIVE)
--- a/crates/balancer/src/quotas.rs
+++ b/crates/balancer/src/quotas.rs
@@ -62,23 +62,23 @@
     /// The units that may be used now; `None` without an allowance, where the use is not limited.
     pub fn allowed_units(&self, kind: QuotaKind, now: Seconds) -> Option<u64> {
         let allowance = self.limits.get(&kind)?.allowance;
-        let is_leased = now < allowance.until;
+        let is_leased = now < allowance.lease_end;
         Some(if is_leased {
             allowance.units
         } else {
-            allowance.after
+            allowance.units_after_lease
         })
     }
 
     /// The units that all balancers have together; `None` without an allowance.
     pub fn fleet_units(&self, kind: QuotaKind) -> Option<u64> {
-        Some(self.limits.get(&kind)?.allowance.whole)
+        Some(self.limits.get(&kind)?.allowance.fleet_units)
     }
 
     /// How long after its arrival a request may wait for a unit of a quota that has none left.
     pub fn max_wait(&self, kind: QuotaKind) -> Seconds {
         let limit = self.limits.get(&kind);
-        limit.map_or(0.0, |limit| limit.allowance.wait)
+        limit.map_or(0.0, |limit| limit.allowance.max_wait)
     }
 
     /// Counts that a larger allowance would have been used.
@@ -145,8 +145,8 @@
     ) -> Option<Seconds> {
         let allowance = self.limits.get(&kind)?.allowance;
         let units = self.units_in_use(Counter { kind, server }, now);
-        let is_leased = now < allowance.until && units > allowance.after;
-        is_leased.then_some(allowance.until - now)
+        let is_leased = now < allowance.lease_end && units > allowance.units_after_lease;
+        is_leased.then_some(allowance.lease_end - now)
     }
 
     /// The units in use at `server`, of a quota with a span that counts for each server.
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -123,9 +123,9 @@
 
     /// The fraction of the warm-up that is left; 0 for a warm server.
     pub fn remaining_warm_up(&self, now: Seconds, settings: &Settings) -> f64 {
-        let born = self.entry.as_ref().and_then(|entry| entry.born);
+        let born = self.entry.as_ref().and_then(|entry| entry.started_at);
         let remaining = born.map_or(0.0, |born| {
-            (born + settings.cold_for - now) / settings.cold_for
+            (born + settings.slow_start_window - now) / settings.slow_start_window
         });
         remaining.clamp(0.0, 1.0)
     }
@@ -134,7 +134,7 @@
     pub fn capacity_weighted_uptime(&self, now: Seconds, settings: &Settings) -> Seconds {
         let now = now.max(self.listed_at);
         let lost_until = |at| {
-            (1.0 - settings.cold_from) * settings.cold_for / 2.0
+            (1.0 - settings.slow_start_min_share) * settings.slow_start_window / 2.0
                 * self.remaining_warm_up(at, settings).powi(2)
         };
         now - self.listed_at + lost_until(now) - lost_until(self.listed_at)
@@ -327,7 +327,10 @@
     /// The key of the common order of servers for a request: its group or, without one, this balancer's number. Builds
     /// the order if it does not exist yet.
     pub fn server_order_key(&mut self, id: RequestId, settings: &Settings) -> u64 {
-        let key = self.connections[&id].request.group.unwrap_or(settings.me);
+        let key = self.connections[&id]
+            .request
+            .group
+            .unwrap_or(settings.balancer_index);
         if !self.server_orders.contains_key(&key) {
             self.build_server_order(key, settings.zone);
         }
@@ -391,13 +394,13 @@
             self.first_request_at = Some(self.now);
             self.started_empty_at = (self.active_connections() == 0).then_some(self.now);
         }
-        if settings.budget.is_some() {
+        if settings.retry_budget.is_some() {
             self.request_times.push_back(self.now);
             if self.request_times.len() > MAX_COUNTED_REQUESTS {
                 self.request_times.pop_front();
             }
         }
-        if !request.again {
+        if !request.is_repeat {
             self.new_requests.add(self.now, AVERAGING_TIME, 1.0);
         }
         self.add_request(request)
@@ -419,7 +422,7 @@
     }
 
     /// Records the end of an attempt. Returns whether the attempt was still in flight; `None` for an unknown request.
-    pub fn end_attempt(&mut self, ended: &Ended) -> Option<bool> {
+    pub fn end_attempt(&mut self, ended: &AttemptEnd) -> Option<bool> {
         let conn = self.connections.get_mut(&ended.id)?;
         let was_in_flight = conn.phase == Phase::InFlight(ended.server);
         if was_in_flight {
@@ -484,7 +487,7 @@
 
     /// Records a retry: an attempt that is not its request's first.
     pub fn record_retry(&mut self, id: RequestId, settings: &Settings) {
-        if settings.budget.is_some() {
+        if settings.retry_budget.is_some() {
             self.retry_times.push_back(self.now);
         }
         self.quotas.reserve_unit(id, QuotaKind::Further, None);
@@ -715,7 +718,7 @@
             self.tenant_counts[tenant] += 1;
         }
         let conn = Connection {
-            deadline: self.now + request.patience,
+            deadline: self.now + request.client_timeout,
             phase: Phase::Waiting,
             sent_at: self.now,
             attempts: 0,
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -12,10 +12,10 @@
 
 pub fn class(effect: Idempotency, scope: DedupScope) -> Class {
     Class {
-        effect,
-        scope,
-        window: 5.0,
-        aim: 0.5,
+        idempotency: effect,
+        dedup_scope: scope,
+        dedup_window: 5.0,
+        setup_target: 0.5,
         worth: 1.0,
     }
 }
@@ -23,7 +23,7 @@
 pub fn settings() -> Settings {
     Settings {
         fleet_size: 1,
-        me: 0,
+        balancer_index: 0,
         zone: Some(0),
         zones: 1,
         classes: vec![class(Idempotency::Safe, DedupScope::All)],
@@ -34,18 +34,18 @@
         may_retry_after: true,
         may_probe: true,
         may_cancel: true,
-        must_ask: false,
-        ask_within: 10.0,
-        cold_from: 0.2,
-        cold_for: 10.0,
-        fall_multiple: 3.0,
-        fall_for: 2.0,
-        groups: false,
+        requires_subscription: false,
+        resubscribe_within: 10.0,
+        slow_start_min_share: 0.2,
+        slow_start_window: 10.0,
+        overload_multiple: 3.0,
+        overload_duration: 2.0,
+        group_affinity: false,
         price_cross_zone: 0.1,
         price_probe: 0.0,
         over_share_worth: 0.1,
-        budget: None,
-        message_aim: None,
+        retry_budget: None,
+        message_delay_target: None,
     }
 }
 
@@ -57,7 +57,7 @@
         kind: Some(0),
         cell: 0,
         size: None,
-        born: None,
+        started_at: None,
     }
 }
 
@@ -68,8 +68,8 @@
         tenant: None,
         group: None,
         hint: Some(0.1),
-        patience: 2.0,
-        again: false,
+        client_timeout: 2.0,
+        is_repeat: false,
     }
 }
 
@@ -180,11 +180,11 @@
         last: bool,
     ) -> Vec<Action> {
         let report = Report::default();
-        self.handle_and_answer_probes(Event::Outcome(Ended {
+        self.handle_and_answer_probes(Event::Outcome(AttemptEnd {
             id,
             server,
             outcome,
-            last,
+            is_final: last,
             report,
         }))
     }
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -154,7 +154,7 @@
 
 fn harness_with_groups() -> BalancerHarness {
     let settings = Settings {
-        groups: true,
+        group_affinity: true,
         ..settings()
     };
     let mut harness = BalancerHarness::new(settings, vec![entry(1), entry(2)], 3);
@@ -329,7 +329,7 @@
 #[test]
 fn a_lost_list_is_requested_again_after_a_delay() {
     let settings = Settings {
-        must_ask: true,
+        requires_subscription: true,
         ..settings()
     };
     let mut harness = BalancerHarness::new(settings, vec![entry(1)], 3);
@@ -555,7 +555,7 @@
 #[test]
 fn late_messages_outweigh_a_report_that_shows_room() {
     let mut settings = settings();
-    settings.message_aim = Some(0.15);
+    settings.message_delay_target = Some(0.15);
     let mut harness = BalancerHarness::new(settings, vec![entry(1), entry(2)], 3);
     harness.open_connections(1, 1000, &[0.1; 10]);
     harness.report_load(1, 0.1);
@@ -593,7 +593,7 @@
 fn late_messages_move_no_connections_without_room_elsewhere() {
     for aim in [None, Some(0.15)] {
         let mut settings = settings();
-        settings.message_aim = aim;
+        settings.message_delay_target = aim;
         let mut harness = BalancerHarness::new(settings, vec![entry(1), entry(2)], 3);
         for server in [1, 2] {
             harness.open_connections(server, 1000 * u64::from(server), &[0.1; 10]);
--- a/crates/balancer/tests/quotas.rs
+++ b/crates/balancer/tests/quotas.rs
@@ -12,23 +12,23 @@
 fn allowance(units: u64, until: Seconds, after: u64) -> Allowance {
     Allowance {
         units,
-        until,
-        after,
+        lease_end: until,
+        units_after_lease: after,
         span: SPAN,
-        whole: units,
-        wait: 0.0,
+        fleet_units: units,
+        max_wait: 0.0,
     }
 }
 
 /// A harness with one idle cold server, so that every request is sent there as far as the allowance permits.
 fn harness_with_cold_server(allowance: Allowance) -> BalancerHarness {
     let settings = Settings {
-        cold_for: 60.0,
-        fall_multiple: 1000.0,
+        slow_start_window: 60.0,
+        overload_multiple: 1000.0,
         ..settings()
     };
     let cold_entry = Entry {
-        born: Some(99.0),
+        started_at: Some(99.0),
         ..entry(COLD)
     };
     let mut harness = BalancerHarness::new(settings, vec![cold_entry], 5);
@@ -56,11 +56,11 @@
 }
 
 fn attempt_ended(id: RequestId, outcome: Outcome) -> Event {
-    Event::Outcome(Ended {
+    Event::Outcome(AttemptEnd {
         id,
         server: COLD,
         outcome,
-        last: false,
+        is_final: false,
         report: Report::default(),
     })
 }
@@ -154,7 +154,7 @@
 #[test]
 fn a_retry_counts_from_the_time_its_line_is_written() {
     let settings = Settings {
-        budget: Some(Budget {
+        retry_budget: Some(Budget {
             free: 1.0,
             ratio: 0.0,
             span: SPAN,
@@ -166,11 +166,11 @@
     (1..6).for_each(|server| drop(harness.report_load(server, 0.0)));
     let start = harness.now;
     let fail_attempt = |harness: &mut BalancerHarness, id, server| {
-        harness.handle_and_answer_probes(Event::Outcome(Ended {
+        harness.handle_and_answer_probes(Event::Outcome(AttemptEnd {
             id,
             server,
             outcome: Outcome::Full,
-            last: false,
+            is_final: false,
             report: Report::default(),
         }))
     };
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -115,7 +115,7 @@
 fn a_keyed_request_is_not_repeated_once_servers_may_have_forgotten_it() {
     let settings = Settings {
         classes: vec![Class {
-            window: 0.5,
+            dedup_window: 0.5,
             ..class(Idempotency::Keyed, DedupScope::Zone)
         }],
         ..settings()
@@ -165,7 +165,7 @@
     harness.report_load(1, 0.5);
     let cold_entry = Entry {
         kind: Some(kind),
-        born: Some(born),
+        started_at: Some(born),
         ..entry(2)
     };
     harness.handle_and_answer_probes(Event::Servers(ListKind::Update, vec![cold_entry]));
@@ -210,7 +210,7 @@
     harness.report_load(1, 0.5);
     harness.report_load(2, 0.3);
     let restarted = Entry {
-        born: Some(harness.now - 0.5),
+        started_at: Some(harness.now - 0.5),
         ..entry(2)
     };
     harness.handle_and_answer_probes(Event::Servers(ListKind::Update, vec![restarted]));
@@ -233,7 +233,7 @@
     };
     for seed in 0..30 {
         let mut settings = settings();
-        settings.budget = Some(budget);
+        settings.retry_budget = Some(budget);
         settings.max_attempts = 6;
         let entries = (1..9).map(entry).collect();
         let mut harness = BalancerHarness::new(settings, entries, seed);
@@ -294,11 +294,11 @@
                         continue;
                     }
                 };
-                actions = harness.handle_and_answer_probes(Event::Outcome(Ended {
+                actions = harness.handle_and_answer_probes(Event::Outcome(AttemptEnd {
                     id,
                     server,
                     outcome,
-                    last: false,
+                    is_final: false,
                     report: Report::default(),
                 }));
             }
@@ -310,11 +310,11 @@
 fn allowance(units: u64, until: Seconds, after: u64) -> Allowance {
     Allowance {
         units,
-        until,
-        after,
+        lease_end: until,
+        units_after_lease: after,
         span: 5.0,
-        whole: 10,
-        wait: 0.0,
+        fleet_units: 10,
+        max_wait: 0.0,
     }
 }
 
@@ -437,9 +437,9 @@
 fn cold_send_times(cold_allowance: Option<Allowance>) -> Vec<Seconds> {
     let mut settings = settings();
     settings.fleet_size = 10;
-    settings.cold_for = 60.0;
+    settings.slow_start_window = 60.0;
     let cold_entry = Entry {
-        born: Some(100.0),
+        started_at: Some(100.0),
         ..entry(9)
     };
     let mut harness =
@@ -579,7 +579,7 @@
 fn a_request_waits_for_a_growing_quota_up_to_the_allowed_time() {
     let mut harness = BalancerHarness::new(settings(), (1..9).map(entry).collect(), 1);
     let allowance_with_wait = |units| Allowance {
-        wait: 0.3,
+        max_wait: 0.3,
         ..allowance(units, 1e9, 0)
     };
     harness.handle_and_answer_probes(Event::Allowance(
@@ -614,7 +614,7 @@
     assert_eq!(harness.balancer.quota_usage(harness.now)[0].denied, 2);
     // Without a possible exchange, or without enough client patience, the answer comes at once.
     let impatient_request = Request {
-        patience: 0.4,
+        client_timeout: 0.4,
         ..request(5)
     };
     assert_eq!(
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -12,7 +12,7 @@
     Settings {
         fleet_size: 300,
         price_probe: 0.002,
-        groups: true,
+        group_affinity: true,
         ..settings()
     }
 }
@@ -100,7 +100,7 @@
         harness.now += 0.01;
         let again = id % 100 > 0;
         harness.handle_and_answer_probes(Event::Request(Request {
-            again,
+            is_repeat: again,
             ..request(id)
         }));
     }
@@ -130,7 +130,7 @@
     // Another balancer probes the same servers in the same order.
     let mut peer = BalancerHarness::new(
         Settings {
-            me: 9,
+            balancer_index: 9,
             ..large_fleet_settings()
         },
         fleet_entries(),
@@ -184,14 +184,14 @@
 #[test]
 fn a_large_fleet_does_not_overload_a_cold_server() {
     let cold_entry = |now| Entry {
-        born: Some(now),
+        started_at: Some(now),
         ..entry(1)
     };
     let mut fleet: Vec<BalancerHarness> = (0..300)
         .map(|me| {
             BalancerHarness::new(
                 Settings {
-                    me,
+                    balancer_index: me,
                     ..large_fleet_settings()
                 },
                 vec![cold_entry(100.0)],
@@ -228,7 +228,7 @@
         ..entry(server)
     };
     let cold_entry = |server, kind, size| Entry {
-        born: Some(100.0),
+        started_at: Some(100.0),
         ..entry_with_size(server, kind, size)
     };
     let mut sent = [0, 0];
@@ -237,7 +237,7 @@
         let warm = vec![entry_with_size(1, 0, 1.0), entry_with_size(2, 1, 4.0)];
         let mut harness = BalancerHarness::new(
             Settings {
-                me,
+                balancer_index: me,
                 ..large_fleet_settings()
             },
             warm,
@@ -419,7 +419,7 @@
     assert_eq!(harness.place_request(1), None);
     let born = harness.now;
     let cold_entry = Entry {
-        born: Some(born),
+        started_at: Some(born),
         ..entry(9)
     };
     harness.handle_and_answer_probes(Event::Servers(ListKind::Update, vec![cold_entry]));
--- a/crates/balancer/tests/simulated_fleet.rs
+++ b/crates/balancer/tests/simulated_fleet.rs
@@ -21,12 +21,12 @@
 fn settings_of_balancer(me: u64) -> Settings {
     Settings {
         fleet_size: FLEET_SIZE,
-        me,
+        balancer_index: me,
         price_probe: 0.0005,
-        cold_from: COLD_FROM,
-        cold_for: COLD_FOR,
-        fall_multiple: 3.0,
-        fall_for: 1.5,
+        slow_start_min_share: COLD_FROM,
+        slow_start_window: COLD_FOR,
+        overload_multiple: 3.0,
+        overload_duration: 1.5,
         max_attempts: 6,
         ..settings()
     }
@@ -108,7 +108,13 @@
             self.servers.insert(id, server);
         }
         for balancer in 0..FLEET_SIZE {
-            let entries = ids.clone().map(|id| Entry { born, ..entry(id) }).collect();
+            let entries = ids
+                .clone()
+                .map(|id| Entry {
+                    started_at: born,
+                    ..entry(id)
+                })
+                .collect();
             self.deliver_event(balancer, Event::Servers(ListKind::Update, entries));
         }
     }
@@ -222,7 +228,7 @@
     let mut harness = BalancerHarness::new(settings_of_balancer(3), vec![entry(1)], 3);
     harness.report_load(1, 1.0);
     let cold_entry = Entry {
-        born: Some(harness.now),
+        started_at: Some(harness.now),
         ..entry(2)
     };
     harness.handle_and_answer_probes(Event::Servers(ListKind::Update, vec![cold_entry]));
@@ -292,7 +298,7 @@
 #[test]
 fn one_overloaded_server_does_not_make_room_seem_scarce() {
     let settings = Settings {
-        groups: true,
+        group_affinity: true,
         ..settings_of_balancer(3)
     };
     let mut harness = BalancerHarness::new(settings, (1..=5).map(entry).collect(), 3);
--- a/crates/balancer/tests/unprobed.rs
+++ b/crates/balancer/tests/unprobed.rs
@@ -37,19 +37,19 @@
 #[test]
 fn a_repeated_request_uses_a_turn_at_a_cold_server() {
     let cold = Entry {
-        born: Some(99.0),
+        started_at: Some(99.0),
         ..entry(9)
     };
     let servers = || (1..=8).map(entry).chain([cold.clone()]).collect();
     let grouped_settings = || Settings {
-        groups: true,
+        group_affinity: true,
         ..settings_without_probes()
     };
     let place_request = |again: bool, group: u64| {
         let mut harness = BalancerHarness::new(grouped_settings(), servers(), 3);
         harness.now += 2.0;
         let request = Request {
-            again,
+            is_repeat: again,
             ..grouped_request(1, group)
         };
         let actions = harness.handle_and_answer_probes(Event::Request(request));
@@ -69,7 +69,7 @@
 #[test]
 fn a_keyed_repeat_carries_the_time_until_which_it_may_begin() {
     let class = Class {
-        window: 3.0,
+        dedup_window: 3.0,
         ..class(Idempotency::Keyed, DedupScope::All)
     };
     let settings = Settings {
--- a/crates/common/src/settings.rs
+++ b/crates/common/src/settings.rs
@@ -103,7 +103,7 @@
             .classes
             .push(IndexedName::new(values.require(&key("name"))?));
         classes.push(Class {
-            effect: match values.require(&key("idempotency"))? {
+            idempotency: match values.require(&key("idempotency"))? {
                 "pure" => Idempotency::Safe,
                 "token" => Idempotency::Keyed,
                 "side_effect" => Idempotency::Unsafe,
@@ -113,13 +113,13 @@
                     ));
                 }
             },
-            scope: match values.get(&key("group")) {
+            dedup_scope: match values.get(&key("group")) {
                 Some("zone") => DedupScope::Zone,
                 Some("cell") => DedupScope::Cell,
                 _ => DedupScope::All,
             },
-            window: values.number_or(&key("window-s"), 0.0)?,
-            aim: values.number_or(&key("target-s"), 0.0)?,
+            dedup_window: values.number_or(&key("window-s"), 0.0)?,
+            setup_target: values.number_or(&key("target-s"), 0.0)?,
             worth: values.number_or(&key("credit"), 1.0)?,
         });
     }
@@ -137,7 +137,7 @@
     }
     let settings = Settings {
         fleet_size: values.int_or("fleet-size", 1)?.max(1) as usize,
-        me: values.int_or("me", 0)?,
+        balancer_index: values.int_or("me", 0)?,
         zone: index_of(&names.zones, values.get("zone")),
         zones: names.zones.len(),
         classes,
@@ -152,18 +152,18 @@
         may_retry_after: values.flag("permissions.retry-after")?,
         may_probe: values.flag("permissions.probes")?,
         may_cancel: values.flag("permissions.cancel")?,
-        must_ask: values.get("membership-mode") == Some("on_request"),
-        ask_within: values.number_or("rules.ask-within-s", 10.0)?,
-        cold_from: values.number_or("rules.cold-from", 1.0)?,
-        cold_for: values.number_or("rules.cold-s", 0.0)?,
-        fall_multiple: values.number_or("rules.fall-multiple", 1.0)?,
-        fall_for: values.number_or("rules.overload-for-s", 1.0)?,
-        groups: values.flag("family-info.groups")?,
+        requires_subscription: values.get("membership-mode") == Some("on_request"),
+        resubscribe_within: values.number_or("rules.ask-within-s", 10.0)?,
+        slow_start_min_share: values.number_or("rules.cold-from", 1.0)?,
+        slow_start_window: values.number_or("rules.cold-s", 0.0)?,
+        overload_multiple: values.number_or("rules.fall-multiple", 1.0)?,
+        overload_duration: values.number_or("rules.overload-for-s", 1.0)?,
+        group_affinity: values.flag("family-info.groups")?,
         price_cross_zone: values.number_or("prices.cross-zone", 0.0)?,
         price_probe: values.number_or("prices.probe", 0.0)?,
         over_share_worth: values.number_or("over-share-worth", 1.0)?,
-        budget: read_budget(values)?,
-        message_aim: read_message_aim(values)?,
+        retry_budget: read_budget(values)?,
+        message_delay_target: read_message_aim(values)?,
     };
     Ok((settings, names))
 }
--- a/crates/common/tests/merge.rs
+++ b/crates/common/tests/merge.rs
@@ -53,8 +53,8 @@
     assert_eq!(indices, [2, 3, 0]);
     assert_eq!(merged_names.class_index("watch"), Some(0));
     assert_eq!(merged_names.class_index("book"), Some(3));
-    assert_eq!(merged.classes[1].effect, Idempotency::Safe);
-    assert_eq!(merged.classes[3].effect, Idempotency::Unsafe);
+    assert_eq!(merged.classes[1].idempotency, Idempotency::Safe);
+    assert_eq!(merged.classes[3].idempotency, Idempotency::Unsafe);
     // One class is removed; a class that is added again with the same values gets its old index.
     let new = parse_settings(&[("book", "pure"), ("new", "token")], &[], "a");
     let (last, last_names, indices) = merge_settings((&merged, &merged_names), new).unwrap();
@@ -101,7 +101,7 @@
     let values = entries
         .iter()
         .map(|(key, value)| (format!("rules.{key}"), value.to_string()));
-    read_settings(&TestValues(values.collect())).map(|(settings, _)| settings.budget)
+    read_settings(&TestValues(values.collect())).map(|(settings, _)| settings.retry_budget)
 }
 
 /// A missing key means no budget; an invalid value must be an error.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -126,7 +126,7 @@
     pub fn new(setup: EngineConfig, clock: Clock, probes: P) -> Self {
         Self {
             outs: MachinesOut::new(setup.machines),
-            cold_for: setup.settings.cold_for,
+            cold_for: setup.settings.slow_start_window,
             balancer: Balancer::new(setup.settings, setup.seed),
             names: setup.names,
             limits: setup.limits,
@@ -390,7 +390,13 @@
             EngineEvent::Allowances(parts, reply) => {
                 for (matter, part, until) in parts {
                     let until = self.clock.seconds_at(until);
-                    self.handle(Event::Allowance(matter, Allowance { until, ..part }));
+                    self.handle(Event::Allowance(
+                        matter,
+                        Allowance {
+                            lease_end: until,
+                            ..part
+                        },
+                    ));
                 }
                 // Whoever asked and has gone needs no answer.
                 let _ = reply.send(self.balancer.quota_usage(self.clock.seconds_at(now)));
@@ -420,7 +426,7 @@
                 self.heard_of(server, true);
             }
             EngineEvent::AttemptEnded(ended) => {
-                if ended.last {
+                if ended.is_final {
                     self.forget(ended.id);
                 } else if let Some(conn) = self.connections.get_mut(&ended.id) {
                     conn.attempt_server = None;
@@ -491,7 +497,7 @@
             }
             EngineEvent::Settings(settings, names) => {
                 self.names = names;
-                self.cold_for = settings.cold_for;
+                self.cold_for = settings.slow_start_window;
                 self.handle(Event::Settings(settings));
                 self.tell_all_again();
             }
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 use violetwind_balancer::api::{
-    Allowance, Ended, ListKind, Outcome, QuotaKind, QuotaUsage, Report, Request, RequestId,
+    Allowance, AttemptEnd, ListKind, Outcome, QuotaKind, QuotaUsage, Report, Request, RequestId,
     Seconds, ServerId, Settings,
 };
 use violetwind_catalogue::SourceUpdate;
@@ -45,7 +45,7 @@
     /// The line of an attempt was written: only said of one whose order wants it.
     Written(RequestId, ServerId),
     ConnectionUp(RequestId, ServerId),
-    AttemptEnded(Ended),
+    AttemptEnded(AttemptEnd),
     ClientGone(RequestId),
     /// A connection's load now, in seconds of work a second.
     ConnectionLoad(RequestId, f64),
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -19,10 +19,10 @@
 
 pub fn class(effect: Idempotency) -> Class {
     Class {
-        effect,
-        scope: DedupScope::All,
-        window: 0.0,
-        aim: 0.5,
+        idempotency: effect,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0.0,
+        setup_target: 0.5,
         worth: 1.0,
     }
 }
@@ -30,7 +30,7 @@
 pub fn settings() -> Settings {
     Settings {
         fleet_size: 3,
-        me: 0,
+        balancer_index: 0,
         zone: None,
         zones: 0,
         classes: vec![class(Idempotency::Safe)],
@@ -41,18 +41,18 @@
         may_retry_after: true,
         may_probe: false,
         may_cancel: true,
-        must_ask: false,
-        ask_within: 5.0,
-        cold_from: 0.3,
-        cold_for: 8.0,
-        fall_multiple: 3.0,
-        fall_for: 1.5,
-        groups: false,
+        requires_subscription: false,
+        resubscribe_within: 5.0,
+        slow_start_min_share: 0.3,
+        slow_start_window: 8.0,
+        overload_multiple: 3.0,
+        overload_duration: 1.5,
+        group_affinity: false,
         price_cross_zone: 0.0,
         price_probe: 0.0,
         over_share_worth: 1.0,
-        budget: None,
-        message_aim: None,
+        retry_budget: None,
+        message_delay_target: None,
     }
 }
 
@@ -195,8 +195,8 @@
             tenant: None,
             group: None,
             hint: None,
-            patience: 60.0,
-            again: false,
+            client_timeout: 60.0,
+            is_repeat: false,
         };
         (request, to)
     }
@@ -257,11 +257,11 @@
     /// Its attempt ends so, and the module goes on.
     pub fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
         self.hear(id);
-        self.handle_event(EngineEvent::AttemptEnded(Ended {
+        self.handle_event(EngineEvent::AttemptEnded(AttemptEnd {
             id,
             server: self.out[&id],
             outcome,
-            last: false,
+            is_final: false,
             report: Report::default(),
         }));
     }
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -30,10 +30,10 @@
     Settings {
         fleet_size: 1,
         may_probe: true,
-        cold_from: 1.0,
-        cold_for: 0.0,
-        fall_multiple: 1.0,
-        fall_for: 1.0,
+        slow_start_min_share: 1.0,
+        slow_start_window: 0.0,
+        overload_multiple: 1.0,
+        overload_duration: 1.0,
         ..common::settings()
     }
 }
@@ -230,8 +230,8 @@
             tenant: None,
             group: None,
             hint: None,
-            patience: 2.0,
-            again: false,
+            client_timeout: 2.0,
+            is_repeat: false,
         };
         self.take(EngineEvent::Request(request, to));
     }
@@ -529,7 +529,7 @@
                     if let Some((id, server)) = up.get(usize::from(*n) % up.len().max(1)).copied() {
                         world.clients.remove(&id);
                         opened.remove(&id);
-                        let ended = Ended { id, server, outcome: Outcome::Ok, last: true, report: Report::default() };
+                        let ended = AttemptEnd { id, server, outcome: Outcome::Ok, is_final: true, report: Report::default() };
                         world.take(match step {
                             Step::Ends(_) => EngineEvent::AttemptEnded(ended),
                             _ => EngineEvent::ClientGone(id),
@@ -543,7 +543,7 @@
                 world.clients.iter().filter_map(|(id, c)| Some((*id, c.out?))).collect();
             for (id, server) in out {
                 world.clients.get_mut(&id).unwrap().out = None;
-                let ended = Ended { id, server, outcome: Outcome::ConnectFailed, last: false, report: Report::default() };
+                let ended = AttemptEnd { id, server, outcome: Outcome::ConnectFailed, is_final: false, report: Report::default() };
                 world.take(EngineEvent::AttemptEnded(ended));
             }
             for (_, to) in &world.sent[sent..] {
--- a/crates/lab/src/model/budgets.rs
+++ b/crates/lab/src/model/budgets.rs
@@ -88,11 +88,11 @@
             };
             let allowance = Allowance {
                 units,
-                until: f64::INFINITY,
-                after: units,
+                lease_end: f64::INFINITY,
+                units_after_lease: units,
                 span: budget.window,
-                whole,
-                wait: 0.0,
+                fleet_units: whole,
+                max_wait: 0.0,
             };
             (budget.quota_kind, allowance)
         };
@@ -230,11 +230,11 @@
 fn allowance(budget: &Budget, part: Part) -> Allowance {
     Allowance {
         units: part.units,
-        until: if part.until > 0 { f64::INFINITY } else { 0.0 },
-        after: part.after,
+        lease_end: if part.until > 0 { f64::INFINITY } else { 0.0 },
+        units_after_lease: part.after,
         span: part.span as f64 / 1e3,
-        whole: budget.total,
+        fleet_units: budget.total,
         // Nothing that a client would wait for is a budget here.
-        wait: 0.0,
+        max_wait: 0.0,
     }
 }
--- a/crates/lab/src/model/policy.rs
+++ b/crates/lab/src/model/policy.rs
@@ -154,7 +154,7 @@
             }
             Event::Request(request) => {
                 let waiting = Waiting {
-                    deadline: now + request.patience,
+                    deadline: now + request.client_timeout,
                     tried: Vec::new(),
                     may_have_run: false,
                     request,
@@ -168,7 +168,7 @@
             Event::Open(request, server) => self.join(request.id, server),
             Event::Outcome(ended) => {
                 self.leave(ended.id);
-                if ended.last {
+                if ended.is_final {
                     self.worths.remove(&ended.id);
                     self.requests.remove(&ended.id);
                 } else if let Some(waiting) = self.requests.get_mut(&ended.id) {
@@ -210,7 +210,7 @@
             return;
         };
         let left = waiting.deadline - now;
-        let safe = self.set.classes[waiting.request.class].effect == Idempotency::Safe;
+        let safe = self.set.classes[waiting.request.class].idempotency == Idempotency::Safe;
         let again = !waiting.may_have_run || safe;
         let to = match left > 0.0 && waiting.tried.len() < self.set.max_attempts && again {
             true => self.choose(id, truth),
@@ -218,7 +218,7 @@
         };
         match to {
             Some(to) => {
-                let aim = self.set.classes[self.requests[&id].request.class].aim;
+                let aim = self.set.classes[self.requests[&id].request.class].setup_target;
                 self.join(id, to);
                 if let Some(waiting) = self.requests.get_mut(&id) {
                     waiting.tried.push(to);
--- a/crates/lab/src/model/simulation.rs
+++ b/crates/lab/src/model/simulation.rs
@@ -402,7 +402,7 @@
             kind: None,
             cell: 0,
             size: None,
-            born,
+            started_at: born,
         }
     }
 
@@ -557,8 +557,8 @@
             tenant: client.tenant,
             group: client.group,
             hint: None,
-            patience,
-            again: tries > 0,
+            client_timeout: patience,
+            is_repeat: tries > 0,
         };
         let asked = ActiveRequest {
             client: n,
@@ -687,11 +687,11 @@
     }
 
     fn last(&mut self, id: RequestId, proxy: usize, server: ServerId, outcome: Ending) {
-        let ended = Ended {
+        let ended = AttemptEnd {
             id,
             server,
             outcome,
-            last: true,
+            is_final: true,
             report: Report::default(),
         };
         self.deliver_event(proxy, Event::Outcome(ended));
@@ -956,11 +956,11 @@
         let Some((_, proxy, _)) = self.take_out(id, attempt) else {
             return;
         };
-        let ended = Ended {
+        let ended = AttemptEnd {
             id,
             server,
             outcome,
-            last: false,
+            is_final: false,
             report: Report::default(),
         };
         self.deliver_event(proxy, Event::Outcome(ended));
@@ -1207,15 +1207,15 @@
 /// What a proxy of this fleet would be told at its start.
 fn settings(set: &Scenario, me: usize) -> Settings {
     let class = |class: &crate::scenario::Class| Class {
-        effect: class.effect,
-        scope: DedupScope::All,
-        window: 30.0,
-        aim: class.setup_target,
+        idempotency: class.effect,
+        dedup_scope: DedupScope::All,
+        dedup_window: 30.0,
+        setup_target: class.setup_target,
         worth: class.worth,
     };
     Settings {
         fleet_size: set.proxies,
-        me: me as u64,
+        balancer_index: me as u64,
         zone: Some(me % set.zones),
         zones: set.zones,
         classes: set.classes.iter().map(class).collect(),
@@ -1226,17 +1226,17 @@
         may_retry_after: true,
         may_probe: true,
         may_cancel: true,
-        must_ask: false,
-        ask_within: 10.0,
-        cold_from: set.server.slow_start_min_share,
-        cold_for: set.server.slow_start_window,
-        fall_multiple: 3.0,
-        fall_for: 1.5,
-        groups: set.demand.groups > 0,
+        requires_subscription: false,
+        resubscribe_within: 10.0,
+        slow_start_min_share: set.server.slow_start_min_share,
+        slow_start_window: set.server.slow_start_window,
+        overload_multiple: 3.0,
+        overload_duration: 1.5,
+        group_affinity: set.demand.groups > 0,
         price_cross_zone: 0.02,
         price_probe: 0.0,
         over_share_worth: 0.1,
-        budget: None,
-        message_aim: None,
+        retry_budget: None,
+        message_delay_target: None,
     }
 }
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -87,7 +87,7 @@
     // From here on its descriptor counts with the requests.
     client.pending_slot = None;
     let stood_at = open.get("at");
-    let patience = Duration::from_secs_f64(request.patience);
+    let patience = Duration::from_secs_f64(request.client_timeout);
     let admitted = AdmittedRequest {
         request,
         open_line: open,
@@ -130,8 +130,8 @@
         tenant: config.names.tenant_index(open.get("t")),
         group: open.get("g").map(group_id),
         hint,
-        patience,
-        again: open.is_retry(),
+        client_timeout: patience,
+        is_repeat: open.is_retry(),
     };
     Ok((request, id))
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -234,7 +234,7 @@
             read_settings(&flat).map_err(|error| format!("settings: {error}"))?;
         // On sockets a delay and a small load come under one word (`notes.rs`): the load of a connection that
         // is all but idle would pass for a server that is late, and move others off it.
-        settings.message_aim = None;
+        settings.message_delay_target = None;
         let time = |name: &str| {
             flat.get(name)
                 .map(|_| flat.require_seconds(name))
--- a/crates/proxy/src/fleet/allowances.rs
+++ b/crates/proxy/src/fleet/allowances.rs
@@ -153,11 +153,11 @@
             let until = at + Duration::from_millis(part.until.saturating_sub(now));
             let allowance = Allowance {
                 units: part.units,
-                until: 0.0,
-                after: part.after,
+                lease_end: 0.0,
+                units_after_lease: part.after,
                 span: part.span as f64 / 1000.0,
-                whole: counted.def.total,
-                wait: if part.hopeful {
+                fleet_units: counted.def.total,
+                max_wait: if part.hopeful {
                     self.longest_exchange.as_secs_f64()
                 } else {
                     0.0
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -76,7 +76,7 @@
                 predecessor: Some(elder),
             },
             None => Self {
-                bans: operator_service::kept(dir, &limits.service),
+                bans: operator_service::load_bans(dir, &limits.service),
                 ..Self::default()
             },
         }
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -151,10 +151,10 @@
     fn from(config: &Config) -> Self {
         Self {
             fleet_size: config.settings.fleet_size,
-            fleet_index: config.settings.me,
-            membership_pushed: !config.settings.must_ask,
+            fleet_index: config.settings.balancer_index,
+            membership_pushed: !config.settings.requires_subscription,
             max_sockets: config.max_sockets,
-            query_deadline: config.settings.ask_within,
+            query_deadline: config.settings.resubscribe_within,
             connect_timeout: config.connect_timeout,
             has_management_address: config.management.is_some(),
         }
--- a/crates/proxy/src/operator_service.rs
+++ b/crates/proxy/src/operator_service.rs
@@ -421,7 +421,7 @@
 }
 
 /// The bans that an earlier process left. What can't be read counts as none.
-pub fn kept(dir: &Path, limits: &violetwind_service::Limits) -> Bans {
+pub fn load_bans(dir: &Path, limits: &violetwind_service::Limits) -> Bans {
     let path = bans_file(dir);
     let whole = fs::metadata(&path)
         .map(|file| file.is_file() && file.len() <= limits.max_frame_bytes as u64 + 64);
--- a/crates/proxy/src/recording.rs
+++ b/crates/proxy/src/recording.rs
@@ -40,7 +40,7 @@
                 class: small(request.class),
                 tenant: request.tenant.map(small),
                 group: request.group,
-                timeout_ms: (request.patience * 1e3) as u32,
+                timeout_ms: (request.client_timeout * 1e3) as u32,
                 answer: Answer::ClientLeft,
                 latency_us: 0,
                 connected_ms: 0,
--- a/crates/proxy/src/request_tracker.rs
+++ b/crates/proxy/src/request_tracker.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::mpsc;
 use tokio::time::Instant;
-use violetwind_balancer::api::{Ended, Outcome, Report, Request, RequestId, ServerId};
+use violetwind_balancer::api::{AttemptEnd, Outcome, Report, Request, RequestId, ServerId};
 
 use violetwind_engine::EngineEvent;
 use violetwind_record::Answer;
@@ -77,11 +77,11 @@
     }
 
     async fn tell_end(&self, server: ServerId, outcome: Outcome, report: Report, last: bool) {
-        self.notify_engine(EngineEvent::AttemptEnded(Ended {
+        self.notify_engine(EngineEvent::AttemptEnded(AttemptEnd {
             id: self.id,
             server,
             outcome,
-            last,
+            is_final: last,
             report,
         }))
         .await;
--- a/crates/proxy/tests/unit_config.rs
+++ b/crates/proxy/tests/unit_config.rs
@@ -20,11 +20,11 @@
     let config = parse(GOOD).unwrap();
     assert_eq!(config.settings.fleet_size, 3);
     assert_eq!(config.settings.zone, Some(1));
-    assert_eq!(config.settings.classes[0].aim, 0.5);
+    assert_eq!(config.settings.classes[0].setup_target, 0.5);
     assert!(config.settings.may_probe);
     assert_eq!(config.longest_deadline, 2.5);
     // Delays can't be told from small loads: the module must not act on them.
-    assert_eq!(config.settings.message_aim, None);
+    assert_eq!(config.settings.message_delay_target, None);
     assert_eq!(config.seed, 255);
     assert_eq!(config.load_report_source, LoadReportSource::Probes);
 }
--- a/crates/simhost/src/codec.rs
+++ b/crates/simhost/src/codec.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Write};
 
 use violetwind_balancer::api::{
-    Action, Ended, Event, ListKind, Outcome, Report, Request, RequestId, ServerId, Status,
+    Action, AttemptEnd, Event, ListKind, Outcome, Report, Request, RequestId, ServerId, Status,
 };
 pub use violetwind_common::{NameTable, NamedValues, ServerRow, read_settings};
 use violetwind_common::{group_id, set_report_field};
@@ -80,11 +80,11 @@
         "ORDER" => Event::Request(request(fields, names)?),
         "ADOPTED" => Event::Open(request(fields, names)?, fields.server()?),
         "FIRST" => Event::Begun(fields.id()?, fields.server()?),
-        "SETTLED" => Event::Outcome(Ended {
+        "SETTLED" => Event::Outcome(AttemptEnd {
             id: fields.id()?,
             server: fields.server()?,
             outcome: outcome(fields)?,
-            last: fields.flag("last")?,
+            is_final: fields.flag("last")?,
             report: report(fields)?,
         }),
         "ABORTED" => Event::Gone(fields.id()?),
@@ -141,8 +141,8 @@
         tenant: names.tenant_index(fields.get("billing")),
         group: fields.get("channel").map(group_id),
         hint: fields.number("estimate-s")?,
-        patience: fields.require_seconds("patience-left-s")?,
-        again: fields.flag("retry")? || fields.flag("again")?,
+        client_timeout: fields.require_seconds("patience-left-s")?,
+        is_repeat: fields.flag("retry")? || fields.flag("again")?,
     })
 }
 
