--- a/crates/consensus/tests/encoding.rs
+++ b/crates/consensus/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! The encoded form of what members of the replicated log send each other and keep on disk.
+//! The encoding of the messages between members of the replicated log, and of their durable state.
 
 #[path = "encoding/fixture.rs"]
 mod fixture;
@@ -10,7 +10,8 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use violetwind_consensus::{
-    Body, Disk, Entry, Member, Members, Message, NodeId, Payload, Snapshot, Write,
+    DurableState, DurableWrite, Entry, Member, Members, Message, MessageBody, NodeId, Payload,
+    Snapshot,
 };
 
 fn check_postcard<T: Debug + PartialEq + Serialize + DeserializeOwned>(
@@ -25,16 +26,16 @@
 }
 
 fn members() -> Members {
-    let member = |id, name: &str, votes| {
+    let member = |id, name: &str, is_voter| {
         let name = name.into();
-        (NodeId(id), Member { name, votes })
+        (NodeId(id), Member { name, is_voter })
     };
     Members([member(301, "a", true), member(302, "b", false)].into())
 }
 
 fn entries() -> Vec<Entry> {
     let payloads = [
-        Payload::Nothing,
+        Payload::Noop,
         Payload::Command(vec![1, 2, 3]),
         Payload::Members(members()),
     ];
@@ -55,71 +56,71 @@
     }
 }
 
-fn bodies() -> Vec<Body> {
+fn bodies() -> Vec<MessageBody> {
     vec![
-        Body::Hello,
-        Body::Seen(31),
-        Body::PreVote {
-            last: 32,
+        MessageBody::StalenessRequest,
+        MessageBody::StalenessResponse(31),
+        MessageBody::PreVoteRequest {
+            last_index: 32,
             last_term: 33,
         },
-        Body::PreVoted { granted: true },
-        Body::PreVoted { granted: false },
-        Body::Vote {
-            last: 34,
+        MessageBody::PreVoteResponse { granted: true },
+        MessageBody::PreVoteResponse { granted: false },
+        MessageBody::VoteRequest {
+            last_index: 34,
             last_term: 35,
-            transfer: true,
+            is_transfer: true,
         },
-        Body::Voted { granted: true },
-        Body::Append {
-            prev: 36,
+        MessageBody::VoteResponse { granted: true },
+        MessageBody::AppendRequest {
+            prev_index: 36,
             prev_term: 37,
             entries: entries(),
-            commit: 38,
+            commit_index: 38,
             round: 39,
         },
-        Body::Appended {
-            matched: 40,
-            next: Some(41),
+        MessageBody::AppendResponse {
+            match_index: 40,
+            next_index_hint: Some(41),
             round: 42,
         },
-        Body::Appended {
-            matched: 40,
-            next: None,
+        MessageBody::AppendResponse {
+            match_index: 40,
+            next_index_hint: None,
             round: 42,
         },
-        Body::Piece {
+        MessageBody::SnapshotChunk {
             index: 43,
             term: 44,
             members: members(),
             offset: 45,
             data: vec![6, 7],
-            last: true,
+            is_last: true,
             round: 46,
         },
-        Body::Pieced {
+        MessageBody::SnapshotChunkResponse {
             index: 47,
-            offset: 48,
+            next_offset: 48,
             round: 49,
         },
-        Body::TimeoutNow,
+        MessageBody::TimeoutNow,
     ]
 }
 
 /// Names each variant: a new one needs a sample.
 fn body_name(message: &Message) -> &'static str {
     match message.body {
-        Body::Hello => "hello",
-        Body::Seen(_) => "seen",
-        Body::PreVote { .. } => "pre-vote",
-        Body::PreVoted { .. } => "pre-voted",
-        Body::Vote { .. } => "vote",
-        Body::Voted { .. } => "voted",
-        Body::Append { .. } => "append",
-        Body::Appended { .. } => "appended",
-        Body::Piece { .. } => "piece",
-        Body::Pieced { .. } => "pieced",
-        Body::TimeoutNow => "timeout-now",
+        MessageBody::StalenessRequest => "hello",
+        MessageBody::StalenessResponse(_) => "seen",
+        MessageBody::PreVoteRequest { .. } => "pre-vote",
+        MessageBody::PreVoteResponse { .. } => "pre-voted",
+        MessageBody::VoteRequest { .. } => "vote",
+        MessageBody::VoteResponse { .. } => "voted",
+        MessageBody::AppendRequest { .. } => "append",
+        MessageBody::AppendResponse { .. } => "appended",
+        MessageBody::SnapshotChunk { .. } => "piece",
+        MessageBody::SnapshotChunkResponse { .. } => "pieced",
+        MessageBody::TimeoutNow => "timeout-now",
     }
 }
 
@@ -127,7 +128,7 @@
 fn messages() {
     let message = |body| Message {
         term: 300,
-        durable: 51,
+        durable_seq: 51,
         body,
     };
     let samples: Vec<Message> = bodies().into_iter().map(message).collect();
@@ -137,14 +138,14 @@
 /// Names each variant: a new one needs a sample.
 fn payload_name(entry: &Entry) -> &'static str {
     match entry.payload {
-        Payload::Nothing => "nothing",
+        Payload::Noop => "nothing",
         Payload::Command(_) => "command",
         Payload::Members(_) => "members",
     }
 }
 
 #[test]
-fn entries_of_the_log() {
+fn log_entries() {
     check_postcard("entries.hex", &entries(), payload_name);
 }
 
@@ -155,29 +156,29 @@
 
 #[test]
 fn writes() {
-    let full = Write {
+    let full = DurableWrite {
         seq: 61,
         term: 62,
-        vote: Some(NodeId(63)),
-        seen: vec![(NodeId(64), 65)],
+        voted_for: Some(NodeId(63)),
+        seen_seqs: vec![(NodeId(64), 65)],
         snapshot: Some(snapshot()),
-        keep: true,
-        truncate: Some(66),
-        append: entries(),
+        keep_suffix: true,
+        truncate_from: Some(66),
+        entries: entries(),
     };
-    let samples = [full, Write::default()];
+    let samples = [full, DurableWrite::default()];
     check_postcard("writes.hex", &samples, |_| "write");
 }
 
 #[test]
-fn what_a_directory_holds() {
-    let full = Disk {
+fn durable_states() {
+    let full = DurableState {
         seq: 71,
         term: 72,
-        vote: Some(NodeId(73)),
-        seen: BTreeMap::from([(NodeId(74), 75)]),
+        voted_for: Some(NodeId(73)),
+        seen_seqs: BTreeMap::from([(NodeId(74), 75)]),
         snapshot: Some(snapshot()),
         entries: entries(),
     };
-    check_postcard("disk.hex", &[full, Disk::default()], |_| "disk");
+    check_postcard("disk.hex", &[full, DurableState::default()], |_| "disk");
 }
--- a/crates/consensus/tests/encoding/fixture.rs
+++ b/crates/consensus/tests/encoding/fixture.rs
@@ -1,16 +1,16 @@
-//! Recorded encodings: one line a sample, its name and its bytes in hex, in `tests/encoding/FILE` of the crate.
+//! Recorded encodings in `tests/encoding/FILE` of the crate: one sample per line, its name and its bytes in hex.
 //!
-//! What is written to disk and to peers is read by other builds. Where a test here fails, a build before the change
-//! and one after it do not understand each other: that needs a new version of the format, not a new fixture.
+//! Other builds read what is written to disk and to peers. A failing test here means that builds before and after the
+//! change do not understand each other: that needs a new version of the format, not a new fixture.
 
-// Each crate uses some of it.
+// Each crate uses only some of these functions.
 #![allow(dead_code)]
 
 use std::fmt::{Debug, Write as _};
 use std::fs;
 use std::path::Path;
 
-/// Compares the bytes of all samples with the recorded ones, and the recorded ones, read, with the samples.
+/// Compares the encoded samples with the recorded bytes, and the decoded recorded bytes with the samples.
 pub fn check<T: Debug + PartialEq>(
     file: &str,
     samples: &[T],
@@ -26,7 +26,7 @@
     }
 }
 
-/// Compares a text with the recorded one, which it returns. One that differs is put beside the build for a look.
+/// Compares a text with the recorded one and returns that. A text that differs is written to the build directory.
 pub fn check_text(file: &str, encoded: &str) -> String {
     let recorded = recorded(file);
     if recorded != encoded {
@@ -45,7 +45,7 @@
     recorded
 }
 
-/// What the file holds; nothing where it is missing.
+/// The contents of the file; empty if it is missing.
 pub fn recorded(file: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/encoding");
     fs::read_to_string(path.join(file)).unwrap_or_default()
--- a/crates/fleet/tests/encoding.rs
+++ b/crates/fleet/tests/encoding.rs
@@ -1,5 +1,4 @@
-//! The encoded form of what members of a fleet send each other, of what stands in the log and in its snapshots, and of
-//! what operators' programs are told.
+//! The encoding of messages between members of a fleet, of log entries and snapshots, and of the views for operators.
 
 #[path = "../../consensus/tests/encoding/fixture.rs"]
 mod fixture;
@@ -10,13 +9,21 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::json;
-use violetwind_consensus::{Body, Disk, Member, Members, Message, NodeId, Write};
-use violetwind_fleet::budget::{Def, Kind, Need, Share};
-use violetwind_fleet::work::{EndedView, Known, List, MachineView, OrderView, Staff, WorkView};
+use violetwind_consensus::{
+    DurableState, DurableWrite, Member, Members, Message, MessageBody, NodeId,
+};
+use violetwind_fleet::budget::{BudgetDefinition, BudgetKind, Need, Share};
+use violetwind_fleet::work_orders::{
+    CoordinatorUpdate, EndedOrderView, MachineList, MachineView, OrderView, WorkAction, WorkView,
+};
 use violetwind_fleet::{
-    Ask, Command, DutyView, Effect, Form, MemberView, Order, Peer, Record, Saved, State, Told, View,
+    Command, DutyView, Effect, FleetAction, FleetView, FormationStatus, LeaderReply, LeaderRequest,
+    MemberRecord, MemberView, PeerMessage, SavedState, State,
+};
+use violetwind_workorders::{
+    Bounds, FailureTolerance, ListedMachine, Machine, MachineReport, PhaseTimeouts, Step,
+    WorkOrder, WorkOrderChange, WorkOrders,
 };
-use violetwind_workorders::{Bounds, Change, Listed, Machine, Orders, Report, Spans, Spare, Step};
 
 fn check_postcard<T: Debug + PartialEq + Serialize + DeserializeOwned>(
     file: &str,
@@ -30,33 +37,33 @@
 }
 
 fn members() -> Members {
-    let member = |id, name: &str, votes| {
+    let member = |id, name: &str, is_voter| {
         let name = name.into();
-        (NodeId(id), Member { name, votes })
+        (NodeId(id), Member { name, is_voter })
     };
     Members([member(301, "a", true), member(302, "b", false)].into())
 }
 
-fn held() -> Def {
-    Def {
+fn concurrent() -> BudgetDefinition {
+    BudgetDefinition {
         name: "connections".into(),
-        kind: Kind::Held,
-        whole: 401,
+        kind: BudgetKind::Concurrent,
+        total: 401,
         floor: 2,
         window: 0,
-        members: 3,
+        max_members: 3,
         version: 404,
     }
 }
 
-fn rate() -> Def {
-    Def {
+fn rate() -> BudgetDefinition {
+    BudgetDefinition {
         name: "openings".into(),
-        kind: Kind::Rate,
-        whole: 501,
+        kind: BudgetKind::Rate,
+        total: 501,
         floor: 4,
         window: 502,
-        members: 5,
+        max_members: 5,
         version: 503,
     }
 }
@@ -64,8 +71,8 @@
 fn need() -> Need {
     Need {
         budget: "connections".into(),
-        busy: 21,
-        wants: 22,
+        in_use: 21,
+        wanted: 22,
     }
 }
 
@@ -76,8 +83,8 @@
     }
 }
 
-fn report() -> Report {
-    Report {
+fn report() -> MachineReport {
+    MachineReport {
         version: 41,
         clients: 42,
         closed: true,
@@ -85,30 +92,30 @@
     }
 }
 
-fn plan() -> violetwind_workorders::Order {
-    violetwind_workorders::Order {
+fn work_order() -> WorkOrder {
+    WorkOrder {
         name: "kernel".into(),
         machines: ["m1".into(), "m2".into()].into(),
         bounds: Bounds {
-            most: 1,
-            zone_most: 2,
-            floor: 3,
-            spare: Spare::Nothing,
+            max_out: 1,
+            max_out_per_zone: 2,
+            min_capacity_permille: 3,
+            failure_tolerance: FailureTolerance::Nothing,
         },
-        spans: Spans {
-            leave: 51,
-            work: 52,
-            back: 53,
+        timeouts: PhaseTimeouts {
+            drain_timeout: 51,
+            work_timeout: 52,
+            return_timeout: 53,
         },
         not_before: 54,
-        wait: true,
+        waits_for_done: true,
         paused: false,
         cancelled: false,
     }
 }
 
-fn list() -> List {
-    let listed = Listed {
+fn machine_list() -> MachineList {
+    let listed = ListedMachine {
         version: 61,
         closed: true,
         machine: Machine::default(),
@@ -116,142 +123,142 @@
     [("m1".into(), listed)].into()
 }
 
-fn staff() -> Vec<Staff> {
+fn work_actions() -> Vec<WorkAction> {
     vec![
-        Staff::Plan(plan()),
-        Staff::Pause(Some(71), true),
-        Staff::Pause(None, false),
-        Staff::Cancel(Some(72)),
-        Staff::Cancel(None),
-        Staff::Done("m1".into()),
-        Staff::Failed("m2".into()),
-        Staff::Recall("m3".into()),
+        WorkAction::Plan(work_order()),
+        WorkAction::SetPaused(Some(71), true),
+        WorkAction::SetPaused(None, false),
+        WorkAction::Cancel(Some(72)),
+        WorkAction::Cancel(None),
+        WorkAction::MarkDone("m1".into()),
+        WorkAction::MarkFailed("m2".into()),
+        WorkAction::Recall("m3".into()),
     ]
 }
 
 /// Names each variant: a new one needs a sample.
-fn staff_name(staff: &Staff) -> &'static str {
-    match staff {
-        Staff::Plan(_) => "staff-plan",
-        Staff::Pause(..) => "staff-pause",
-        Staff::Cancel(_) => "staff-cancel",
-        Staff::Done(_) => "staff-done",
-        Staff::Failed(_) => "staff-failed",
-        Staff::Recall(_) => "staff-recall",
+fn work_action_name(action: &WorkAction) -> &'static str {
+    match action {
+        WorkAction::Plan(_) => "staff-plan",
+        WorkAction::SetPaused(..) => "staff-pause",
+        WorkAction::Cancel(_) => "staff-cancel",
+        WorkAction::MarkDone(_) => "staff-done",
+        WorkAction::MarkFailed(_) => "staff-failed",
+        WorkAction::Recall(_) => "staff-recall",
     }
 }
 
-fn operators_orders() -> Vec<Order> {
+fn fleet_actions() -> Vec<FleetAction> {
     vec![
-        Order::HandOn {
+        FleetAction::HandOffDuty {
             duty: "nightly".into(),
-            to: Some("b".into()),
+            preferred_holder: Some("b".into()),
         },
-        Order::HandOn {
+        FleetAction::HandOffDuty {
             duty: "nightly".into(),
-            to: None,
+            preferred_holder: None,
         },
-        Order::LetIn { node: "c".into() },
-        Order::Gone { node: "d".into() },
-        Order::PutOut { node: "e".into() },
+        FleetAction::AdmitMember { node: "c".into() },
+        FleetAction::DeclareMemberLost { node: "d".into() },
+        FleetAction::EvictMember { node: "e".into() },
     ]
 }
 
 /// Names each variant: a new one needs a sample.
-fn order_name(order: &Order) -> &'static str {
-    match order {
-        Order::HandOn { .. } => "order-hand-on",
-        Order::LetIn { .. } => "order-let-in",
-        Order::Gone { .. } => "order-gone",
-        Order::PutOut { .. } => "order-put-out",
+fn fleet_action_name(action: &FleetAction) -> &'static str {
+    match action {
+        FleetAction::HandOffDuty { .. } => "order-hand-on",
+        FleetAction::AdmitMember { .. } => "order-let-in",
+        FleetAction::DeclareMemberLost { .. } => "order-gone",
+        FleetAction::EvictMember { .. } => "order-put-out",
     }
 }
 
-fn asks_of_sessions() -> Vec<Ask> {
+fn session_requests() -> Vec<LeaderRequest> {
     vec![
-        Ask::Join {
+        LeaderRequest::Join {
             nonce: 81,
-            wants: vec!["nightly".into()],
-            replaces: Some(82),
-            process: 83,
-            seen: 84,
+            wanted_duties: vec!["nightly".into()],
+            replaced_session: Some(82),
+            incarnation: 83,
+            last_seen_number: 84,
             weight: 85,
-            budgets: vec![held(), rate()],
-            uses: vec![("connections".into(), 86)],
+            budgets: vec![concurrent(), rate()],
+            units_in_use: vec![("connections".into(), 86)],
         },
-        Ask::Renew {
+        LeaderRequest::Renew {
             session: 87,
             needs: vec![need()],
-            have: 88,
+            known_version: 88,
         },
-        Ask::Lower {
+        LeaderRequest::LowerShare {
             session: 89,
             need: need(),
-            to: 90,
-            version: 91,
+            units: 90,
+            share_version: 91,
         },
-        Ask::Retire { session: 92 },
-        Ask::Release {
+        LeaderRequest::BeginLeave { session: 92 },
+        LeaderRequest::ReleaseDuty {
             session: 93,
             duty: "nightly".into(),
             fence: 94,
-            to: Some("b".into()),
+            preferred_holder: Some("b".into()),
         },
-        Ask::Leave {
+        LeaderRequest::Leave {
             session: 95,
-            uses: vec![("connections".into(), 96)],
+            units_in_use: vec![("connections".into(), 96)],
         },
-        Ask::View,
+        LeaderRequest::FleetView,
     ]
 }
 
-fn asks_of_work() -> Vec<Ask> {
+fn work_requests() -> Vec<LeaderRequest> {
     vec![
-        Ask::Work {
+        LeaderRequest::ReportWork {
             session: 101,
-            have: 102,
+            known_version: 102,
             reports: vec![("m1".into(), report())],
-            shut: vec!["m2".into()],
+            closed_machines: vec!["m2".into()],
         },
-        Ask::Off { session: 103 },
-        Ask::Conduct {
+        LeaderRequest::StopServing { session: 103 },
+        LeaderRequest::PollAsCoordinator {
             session: 104,
             fence: 105,
-            have: 106,
-            why: vec![("m1".into(), "it waits".into())],
+            known_version: 106,
+            wait_reasons: vec![("m1".into(), "it waits".into())],
         },
-        Ask::Propose {
+        LeaderRequest::ProposeWorkChange {
             session: 107,
             fence: 108,
-            roster: 109,
-            change: Change::Pause(110, true),
+            roster_version: 109,
+            change: WorkOrderChange::SetPaused(110, true),
         },
-        Ask::WorkView,
+        LeaderRequest::WorkView,
     ]
 }
 
 /// Names each variant: a new one needs a sample.
-fn ask_name(ask: &Ask) -> &'static str {
-    match ask {
-        Ask::Join { .. } => "ask-join",
-        Ask::Renew { .. } => "ask-renew",
-        Ask::Lower { .. } => "ask-lower",
-        Ask::Retire { .. } => "ask-retire",
-        Ask::Release { .. } => "ask-release",
-        Ask::Leave { .. } => "ask-leave",
-        Ask::View => "ask-view",
-        Ask::Order(order) => order_name(order),
-        Ask::Work { .. } => "ask-work",
-        Ask::Off { .. } => "ask-off",
-        Ask::Conduct { .. } => "ask-conduct",
-        Ask::Propose { .. } => "ask-propose",
-        Ask::Staff(staff) => staff_name(staff),
-        Ask::WorkView => "ask-work-view",
+fn request_name(request: &LeaderRequest) -> &'static str {
+    match request {
+        LeaderRequest::Join { .. } => "ask-join",
+        LeaderRequest::Renew { .. } => "ask-renew",
+        LeaderRequest::LowerShare { .. } => "ask-lower",
+        LeaderRequest::BeginLeave { .. } => "ask-retire",
+        LeaderRequest::ReleaseDuty { .. } => "ask-release",
+        LeaderRequest::Leave { .. } => "ask-leave",
+        LeaderRequest::FleetView => "ask-view",
+        LeaderRequest::FleetAction(action) => fleet_action_name(action),
+        LeaderRequest::ReportWork { .. } => "ask-work",
+        LeaderRequest::StopServing { .. } => "ask-off",
+        LeaderRequest::PollAsCoordinator { .. } => "ask-conduct",
+        LeaderRequest::ProposeWorkChange { .. } => "ask-propose",
+        LeaderRequest::WorkAction(action) => work_action_name(action),
+        LeaderRequest::WorkView => "ask-work-view",
     }
 }
 
-fn view() -> View {
-    View {
+fn fleet_view() -> FleetView {
+    FleetView {
         node: "a".into(),
         leader: Some("b".into()),
         term: 121,
@@ -269,7 +276,7 @@
             fence: Some(124),
             mine: true,
         }],
-        // The type is not public: by name.
+        // The type is not public: built from JSON.
         budgets: serde_json::from_value(json!([{
             "name": "connections", "whole": 125, "version": 126, "floors": 127, "shared": 128, "stranded": 129,
             "free": 130, "used_here": 131, "allowed_here": 132,
@@ -300,7 +307,7 @@
                 emptied: 145,
             }],
         }],
-        ended: vec![EndedView {
+        ended: vec![EndedOrderView {
             number: 146,
             name: "earlier".into(),
             done: 147,
@@ -312,187 +319,198 @@
     }
 }
 
-fn known() -> Known {
-    Known {
+fn coordinator_update() -> CoordinatorUpdate {
+    CoordinatorUpdate {
         version: 151,
-        orders: Some(Orders::default()),
-        roster: 152,
+        orders: Some(WorkOrders::default()),
+        roster_version: 152,
         members: vec![("a".into(), true, vec![("m1".into(), report())])],
-        crowd: vec![("m2".into(), 153)],
-        shut: vec!["m3".into()],
-        others: true,
+        client_counts: vec![("m2".into(), 153)],
+        closed_machines: vec!["m3".into()],
+        has_other_candidates: true,
     }
 }
 
-fn answers() -> Vec<Told> {
+fn replies() -> Vec<LeaderReply> {
     vec![
-        Told::NotLeader(Some("b".into())),
-        Told::NotLeader(None),
-        Told::Later("busy".into()),
-        Told::Joined {
+        LeaderReply::NotLeader(Some("b".into())),
+        LeaderReply::NotLeader(None),
+        LeaderReply::RetryLater("busy".into()),
+        LeaderReply::Joined {
             session: 161,
-            at: 162,
-            held: vec![("nightly".into(), 163)],
+            applied_index: 162,
+            held_duties: vec![("nightly".into(), 163)],
             shares: (164, vec![("connections".into(), share())]),
         },
-        Told::Renewed {
-            at: 165,
-            held: vec![("nightly".into(), 166)],
-            give_up: vec![("nightly".into(), Some("b".into()))],
+        LeaderReply::Renewed {
+            applied_index: 165,
+            held_duties: vec![("nightly".into(), 166)],
+            duties_to_release: vec![("nightly".into(), Some("b".into()))],
             shares: Some((167, vec![("connections".into(), share())])),
-            lower: vec![("connections".into(), 168)],
+            lower_targets: vec![("connections".into(), 168)],
             term: 169,
         },
-        Told::Unseen(170),
-        Told::Lowered(share()),
-        Told::Gone,
-        Told::Done,
-        Told::Refused("no".into()),
-        Told::View(view()),
-        Told::Work {
+        LeaderReply::JoinOutdated(170),
+        LeaderReply::ShareLowered(share()),
+        LeaderReply::SessionNotFound,
+        LeaderReply::Done,
+        LeaderReply::Refused("no".into()),
+        LeaderReply::FleetView(fleet_view()),
+        LeaderReply::MachineList {
             version: 171,
-            list: Some(list()),
+            list: Some(machine_list()),
         },
-        Told::Work {
+        LeaderReply::MachineList {
             version: 172,
             list: None,
         },
-        Told::Conduct(known()),
-        Told::WorkView(work_view()),
-        Told::NobodyServed,
+        LeaderReply::CoordinatorUpdate(coordinator_update()),
+        LeaderReply::WorkView(work_view()),
+        LeaderReply::ServingStopped,
     ]
 }
 
 /// Names each variant: a new one needs a sample.
-fn told_name(told: &Told) -> &'static str {
-    match told {
-        Told::NotLeader(_) => "told-not-leader",
-        Told::Later(_) => "told-later",
-        Told::Joined { .. } => "told-joined",
-        Told::Renewed { .. } => "told-renewed",
-        Told::Unseen(_) => "told-unseen",
-        Told::Lowered(_) => "told-lowered",
-        Told::Gone => "told-gone",
-        Told::Done => "told-done",
-        Told::Refused(_) => "told-refused",
-        Told::View(_) => "told-view",
-        Told::Work { .. } => "told-work",
-        Told::Conduct(_) => "told-conduct",
-        Told::WorkView(_) => "told-work-view",
-        Told::NobodyServed => "told-nobody-served",
+fn reply_name(reply: &LeaderReply) -> &'static str {
+    match reply {
+        LeaderReply::NotLeader(_) => "told-not-leader",
+        LeaderReply::RetryLater(_) => "told-later",
+        LeaderReply::Joined { .. } => "told-joined",
+        LeaderReply::Renewed { .. } => "told-renewed",
+        LeaderReply::JoinOutdated(_) => "told-unseen",
+        LeaderReply::ShareLowered(_) => "told-lowered",
+        LeaderReply::SessionNotFound => "told-gone",
+        LeaderReply::Done => "told-done",
+        LeaderReply::Refused(_) => "told-refused",
+        LeaderReply::FleetView(_) => "told-view",
+        LeaderReply::MachineList { .. } => "told-work",
+        LeaderReply::CoordinatorUpdate(_) => "told-conduct",
+        LeaderReply::WorkView(_) => "told-work-view",
+        LeaderReply::ServingStopped => "told-nobody-served",
     }
 }
 
-fn frames_of_the_log() -> Vec<Peer> {
-    let form = Form {
+fn consensus_frames() -> Vec<PeerMessage> {
+    let status = FormationStatus {
         id: NodeId(181),
-        heard: [("b".into(), NodeId(182))].into(),
-        agreed: Some(members()),
-        formed: true,
+        known_ids: [("b".into(), NodeId(182))].into(),
+        agreed_members: Some(members()),
+        is_formed: true,
     };
     let message = Message {
         term: 183,
-        durable: 184,
-        body: Body::Hello,
+        durable_seq: 184,
+        body: MessageBody::StalenessRequest,
     };
     vec![
-        Peer::Form(form),
-        Peer::Log {
+        PeerMessage::Formation(status),
+        PeerMessage::Consensus {
             from: NodeId(185),
             to: NodeId(186),
             message,
         },
-        Peer::Nudge {
+        PeerMessage::SessionUpdate {
             session: 187,
-            at: 188,
+            applied_index: 188,
             shares: (189, vec![("connections".into(), share())]),
-            lower: vec![("openings".into(), 190)],
-            at_once: true,
+            lower_targets: vec![("openings".into(), 190)],
+            renew_now: true,
         },
     ]
 }
 
 /// Names each variant: a new one needs a sample.
-fn peer_name(peer: &Peer) -> &'static str {
+fn peer_name(peer: &PeerMessage) -> &'static str {
     match peer {
-        Peer::Form(_) => "form",
-        Peer::Log { .. } => "log",
-        Peer::Ask(_, ask) => ask_name(ask),
-        Peer::Told(_, told) => told_name(told),
-        Peer::Nudge { .. } => "nudge",
+        PeerMessage::Formation(_) => "form",
+        PeerMessage::Consensus { .. } => "log",
+        PeerMessage::Request(_, request) => request_name(request),
+        PeerMessage::Reply(_, reply) => reply_name(reply),
+        PeerMessage::SessionUpdate { .. } => "nudge",
     }
 }
 
 #[test]
 fn frames_between_members() {
-    let mut asks = asks_of_sessions();
-    asks.extend(operators_orders().into_iter().map(Ask::Order));
-    asks.extend(asks_of_work());
-    asks.extend(staff().into_iter().map(Ask::Staff));
-    let mut frames = frames_of_the_log();
-    frames.extend(asks.into_iter().map(|ask| Peer::Ask(301, ask)));
-    frames.extend(answers().into_iter().map(|told| Peer::Told(302, told)));
+    let mut requests = session_requests();
+    requests.extend(fleet_actions().into_iter().map(LeaderRequest::FleetAction));
+    requests.extend(work_requests());
+    requests.extend(work_actions().into_iter().map(LeaderRequest::WorkAction));
+    let mut frames = consensus_frames();
+    frames.extend(
+        requests
+            .into_iter()
+            .map(|request| PeerMessage::Request(301, request)),
+    );
+    frames.extend(
+        replies()
+            .into_iter()
+            .map(|reply| PeerMessage::Reply(302, reply)),
+    );
     check_postcard("frames.hex", &frames, peer_name);
 }
 
-fn commands_of_sessions() -> Vec<Command> {
+fn session_commands() -> Vec<Command> {
     vec![
         Command::Join {
             name: "a".into(),
             nonce: 201,
-            wants: vec!["nightly".into()],
-            replaces: Some(202),
-            process: 203,
-            seen: 204,
+            wanted_duties: vec!["nightly".into()],
+            replaced_session: Some(202),
+            incarnation: 203,
+            last_seen_number: 204,
             weight: 205,
-            budgets: vec![held(), rate()],
-            uses: vec![("connections".into(), 206)],
+            budgets: vec![concurrent(), rate()],
+            units_in_use: vec![("connections".into(), 206)],
         },
-        Command::Retire { session: 207 },
+        Command::BeginLeave { session: 207 },
         Command::Leave {
             session: 208,
-            uses: vec![("connections".into(), 209)],
+            units_in_use: vec![("connections".into(), 209)],
         },
-        Command::Raise {
+        Command::RaiseShares {
             changes: vec![("connections".into(), 210, 211, 212)],
         },
-        Command::Lower {
+        Command::LowerShare {
             session: 213,
             budget: "connections".into(),
-            to: 214,
-            version: 215,
+            units: 214,
+            share_version: 215,
         },
-        Command::Free {
+        Command::ReleaseStranded {
             stranded: vec![("connections".into(), 216)],
         },
-        Command::Gone { name: "b".into() },
-        Command::Close {
+        Command::DeclareMemberLost { name: "b".into() },
+        Command::CloseSessions {
             sessions: vec![217],
-            avoid: vec![218],
+            avoided_sessions: vec![218],
         },
     ]
 }
 
-fn commands_of_duties_and_work() -> Vec<Command> {
+fn duty_and_work_commands() -> Vec<Command> {
     vec![
-        Command::Release {
+        Command::ReleaseDuty {
             session: 221,
             duty: "nightly".into(),
             fence: 222,
-            to: Some("b".into()),
+            preferred_holder: Some("b".into()),
         },
-        Command::HandOn {
+        Command::HandOffDuty {
             duty: "nightly".into(),
-            to: Some("c".into()),
+            preferred_holder: Some("c".into()),
         },
-        Command::Bar { name: "d".into() },
-        Command::Unbar { name: "e".into() },
-        Command::Serve { session: 223 },
-        Command::Off { session: 224 },
-        Command::Work {
-            changes: vec![Change::Plan(plan()), Change::Cancel(225)],
-            by: Some((226, 227)),
-            roster: 228,
+        Command::BlockMember { name: "d".into() },
+        Command::UnblockMember { name: "e".into() },
+        Command::StartServing { session: 223 },
+        Command::StopServing { session: 224 },
+        Command::ChangeWorkOrders {
+            changes: vec![
+                WorkOrderChange::AddOrder(work_order()),
+                WorkOrderChange::Cancel(225),
+            ],
+            coordinator: Some((226, 227)),
+            roster_version: 228,
         },
     ]
 }
@@ -501,27 +519,27 @@
 fn command_name(command: &Command) -> &'static str {
     match command {
         Command::Join { .. } => "join",
-        Command::Retire { .. } => "retire",
+        Command::BeginLeave { .. } => "retire",
         Command::Leave { .. } => "leave",
-        Command::Raise { .. } => "raise",
-        Command::Lower { .. } => "lower",
-        Command::Free { .. } => "free",
-        Command::Gone { .. } => "gone",
-        Command::Close { .. } => "close",
-        Command::Release { .. } => "release",
-        Command::HandOn { .. } => "hand-on",
-        Command::Bar { .. } => "bar",
-        Command::Unbar { .. } => "unbar",
-        Command::Serve { .. } => "serve",
-        Command::Off { .. } => "off",
-        Command::Work { .. } => "work",
+        Command::RaiseShares { .. } => "raise",
+        Command::LowerShare { .. } => "lower",
+        Command::ReleaseStranded { .. } => "free",
+        Command::DeclareMemberLost { .. } => "gone",
+        Command::CloseSessions { .. } => "close",
+        Command::ReleaseDuty { .. } => "release",
+        Command::HandOffDuty { .. } => "hand-on",
+        Command::BlockMember { .. } => "bar",
+        Command::UnblockMember { .. } => "unbar",
+        Command::StartServing { .. } => "serve",
+        Command::StopServing { .. } => "off",
+        Command::ChangeWorkOrders { .. } => "work",
     }
 }
 
 #[test]
-fn commands_of_the_log() {
-    let mut commands = commands_of_sessions();
-    commands.extend(commands_of_duties_and_work());
+fn log_commands() {
+    let mut commands = session_commands();
+    commands.extend(duty_and_work_commands());
     let decode = |bytes: &[u8]| Command::decode(bytes).unwrap();
     check(
         "commands.hex",
@@ -532,117 +550,122 @@
     );
 }
 
-fn join(name: &str, process: u64, weight: u64, budgets: Vec<Def>) -> Command {
+fn join(name: &str, incarnation: u64, weight: u64, budgets: Vec<BudgetDefinition>) -> Command {
     Command::Join {
         name: name.into(),
-        nonce: process + 100,
-        wants: vec!["nightly".into(), format!("only-{name}")],
-        replaces: None,
-        process,
-        seen: 0,
+        nonce: incarnation + 100,
+        wanted_duties: vec!["nightly".into(), format!("only-{name}")],
+        replaced_session: None,
+        incarnation,
+        last_seen_number: 0,
         weight,
         budgets,
-        uses: vec![],
+        units_in_use: vec![],
     }
 }
 
-fn session_of(state: &State, name: &str) -> u64 {
-    state.session_of(name).expect("it has joined").0
+fn session_id(state: &State, name: &str) -> u64 {
+    state.session_by_name(name).expect("it has joined").0
 }
 
-/// Sessions, duties that are held and asked for, budgets with shares and with stranded units, a name that is barred.
-fn state_of_sessions() -> State {
+/// Sessions, held duties and a requested handoff, budgets with shares and stranded units, a blocked member.
+fn state_with_sessions() -> State {
     let mut state = State::default();
-    let larger = Def {
+    let larger = BudgetDefinition {
         floor: 1,
-        members: 4,
+        max_members: 4,
         version: 405,
-        ..held()
+        ..concurrent()
     };
-    state.apply(join("a", 301, 7, vec![held(), rate()]));
+    state.apply(join("a", 301, 7, vec![concurrent(), rate()]));
     state.apply(join("b", 302, 8, vec![larger, rate()]));
-    state.apply(join("c", 303, 9, vec![held(), rate()]));
-    let sessions = ["a", "b", "c"].map(|name| session_of(&state, name));
+    state.apply(join("c", 303, 9, vec![concurrent(), rate()]));
+    let sessions = ["a", "b", "c"].map(|name| session_id(&state, name));
     let raise = |at: usize, units| {
-        let of = state.budgets()["connections"].shares();
-        let version = of.get(&sessions[at]).map_or(0, |share| share.version);
+        let shares = state.budgets()["connections"].shares();
+        let version = shares.get(&sessions[at]).map_or(0, |share| share.version);
         ("connections".to_string(), sessions[at], units, version)
     };
     let changes = vec![raise(0, 41), raise(2, 43)];
-    state.apply(Command::Raise { changes });
-    let hand_on = Command::HandOn {
+    state.apply(Command::RaiseShares { changes });
+    let hand_off = Command::HandOffDuty {
         duty: "nightly".into(),
-        to: Some("b".into()),
+        preferred_holder: Some("b".into()),
     };
-    assert_eq!(state.apply(hand_on), Effect::Done);
-    state.apply(Command::Close {
+    assert_eq!(state.apply(hand_off), Effect::Done);
+    state.apply(Command::CloseSessions {
         sessions: vec![sessions[2]],
-        avoid: vec![],
+        avoided_sessions: vec![],
     });
-    state.apply(Command::Bar { name: "x".into() });
+    state.apply(Command::BlockMember { name: "x".into() });
     state
 }
 
-/// The same with work: two proxies that serve, a machine out and an order that has not ended.
-fn state_with_work() -> State {
-    let mut state = state_of_sessions();
+/// The same with work orders: two serving proxies, one machine out, and an active order.
+fn state_with_work_orders() -> State {
+    let mut state = state_with_sessions();
     for name in ["a", "b"] {
-        let session = session_of(&state, name);
-        state.apply(Command::Serve { session });
+        let session = session_id(&state, name);
+        state.apply(Command::StartServing { session });
     }
-    let wants = vec!["work".into()];
-    let Command::Join { budgets, .. } = join("d", 304, 6, vec![held(), rate()]) else {
+    let wanted_duties = vec!["work".into()];
+    let Command::Join { budgets, .. } = join("d", 304, 6, vec![concurrent(), rate()]) else {
         unreachable!("a join");
     };
-    let conductor = Command::Join {
+    let coordinator_join = Command::Join {
         name: "d".into(),
         nonce: 404,
-        wants,
-        replaces: None,
-        process: 304,
-        seen: 0,
+        wanted_duties,
+        replaced_session: None,
+        incarnation: 304,
+        last_seen_number: 0,
         weight: 6,
         budgets,
-        uses: vec![],
+        units_in_use: vec![],
     };
-    state.apply(conductor);
-    let by = state.duties()["work"].holder;
+    state.apply(coordinator_join);
+    let coordinator = state.duties()["work"].holder;
     let machine = |name: &str| (name.to_string(), Machine::default());
-    let machines = Change::Machines([machine("m1"), machine("m2"), machine("m3")].into());
-    work(&mut state, machines, by);
-    work(&mut state, Change::Plan(plan()), None);
-    let (order, (_, places)) = state.work().orders.orders().iter().next().unwrap();
-    let out = Change::Step {
+    let machines =
+        WorkOrderChange::SetMachines([machine("m1"), machine("m2"), machine("m3")].into());
+    change_work_orders(&mut state, machines, coordinator);
+    change_work_orders(&mut state, WorkOrderChange::AddOrder(work_order()), None);
+    let (order, (_, progress)) = state.work().orders.orders().iter().next().unwrap();
+    let take_out = WorkOrderChange::Step {
         order: *order,
         machine: "m1".into(),
-        version: places["m1"].version,
-        step: Step::Out,
-        fence: by.map(|(_, fence)| fence),
+        version: progress["m1"].version,
+        step: Step::TakeOut,
+        fence: coordinator.map(|(_, fence)| fence),
     };
-    work(&mut state, out, by);
+    change_work_orders(&mut state, take_out, coordinator);
     state
 }
 
-fn work(state: &mut State, change: Change, by: Option<(u64, u64)>) {
-    let command = Command::Work {
+fn change_work_orders(state: &mut State, change: WorkOrderChange, coordinator: Option<(u64, u64)>) {
+    let command = Command::ChangeWorkOrders {
         changes: vec![change],
-        by,
-        roster: state.work().roster,
+        coordinator,
+        roster_version: state.work().roster_version,
     };
     assert_eq!(state.apply(command), Effect::Done);
 }
 
 #[test]
-fn snapshots_of_the_state() {
-    let samples = [State::default(), state_of_sessions(), state_with_work()];
+fn state_snapshots() {
+    let samples = [
+        State::default(),
+        state_with_sessions(),
+        state_with_work_orders(),
+    ];
     let decode = |bytes: &[u8]| State::decode(bytes).unwrap();
     check("states.hex", &samples, |_| "state", State::encode, decode);
 }
 
-/// The first field is the last number given, and the last one the largest that was forgotten; a state that has
-/// forgotten any would be long.
+/// The first field is the last number that was assigned, the last field the largest number that was dropped; a state
+/// that has dropped any would be too long for a sample.
 #[test]
-fn first_and_last_field_of_the_state() {
+fn first_and_last_state_field() {
     let joined_with = |at: usize| {
         let mut bytes = State::default().encode();
         bytes[at] = 9;
@@ -651,53 +674,53 @@
     };
     let length = State::default().encode().len();
     assert_eq!(joined_with(1), Effect::Joined(10));
-    assert_eq!(joined_with(length - 1), Effect::Unseen(9));
+    assert_eq!(joined_with(length - 1), Effect::JoinOutdated(9));
 }
 
 /// Names each variant: a new one needs a sample.
-fn record_name(record: &Record) -> &'static str {
+fn record_name(record: &MemberRecord) -> &'static str {
     match record {
-        Record::Agreed(_) => "agreed",
-        Record::Formed => "formed",
-        Record::Write(_) => "write",
+        MemberRecord::Agreed(_) => "agreed",
+        MemberRecord::Formed => "formed",
+        MemberRecord::Write(_) => "write",
     }
 }
 
 #[test]
-fn records_of_a_directory() {
-    let write = Write {
+fn directory_records() {
+    let write = DurableWrite {
         seq: 301,
         term: 302,
-        ..Write::default()
+        ..DurableWrite::default()
     };
     let records = [
-        Record::Agreed(members()),
-        Record::Formed,
-        Record::Write(write),
+        MemberRecord::Agreed(members()),
+        MemberRecord::Formed,
+        MemberRecord::Write(write),
     ];
     check_postcard("records.hex", &records, record_name);
 }
 
 #[test]
-fn what_a_directory_holds() {
-    let saved = Saved {
+fn saved_states() {
+    let saved = SavedState {
         id: NodeId(301),
-        agreed: Some(members()),
-        formed: true,
-        disk: Disk::genesis(members()),
+        agreed_members: Some(members()),
+        is_formed: true,
+        consensus_state: DurableState::bootstrap(members()),
     };
-    check_postcard("saved.hex", &[saved, Saved::default()], |_| "saved");
+    check_postcard("saved.hex", &[saved, SavedState::default()], |_| "saved");
 }
 
-/// Programs of operators read these by name.
+/// Programs of operators read these fields by name.
 #[test]
-fn views_for_operators() {
-    let bare = View {
+fn operator_views() {
+    let bare = FleetView {
         leader: None,
         why: None,
-        ..view()
+        ..fleet_view()
     };
-    let views = serde_json::to_string_pretty(&[view(), bare]).unwrap();
+    let views = serde_json::to_string_pretty(&[fleet_view(), bare]).unwrap();
     check_text("views.json", &(views + "\n"));
     let works = serde_json::to_string_pretty(&[work_view(), WorkView::default()]).unwrap();
     check_text("work_views.json", &(works + "\n"));
--- a/crates/proxy/examples/mixed_builds.rs
+++ b/crates/proxy/examples/mixed_builds.rs
@@ -1,5 +1,5 @@
-//! Shows that a new build works beside an old one: on the same files, in one fleet, and as the successor of a process
-//! with clients. All of it is on loopback, in directories of its own.
+//! Checks that a new build works together with an old one: on the same files, in one fleet, and as the successor of a
+//! process with clients. All of it is on loopback, in directories of its own.
 //!
 //! `cargo run --release -p violetwind --example mixed_builds -- --old PROGRAM --new PROGRAM`
 //!
@@ -16,21 +16,23 @@
 
 use clap::Parser;
 use serde_json::Value;
-use violetwind_record::{End, Reader, Record};
-use violetwind_standins::books;
-use violetwind_standins::callers::{Callers, Wants};
-use violetwind_standins::members::{Members, Spec, live, name};
-use violetwind_standins::shift::{Clients, Night, conductor, doors, in_place};
-use violetwind_standins::{End as PeerEnd, Peer};
+use violetwind_record::{Reader, Record, RecordingEnd};
+use violetwind_standins::budget_workload::{BudgetWorkload, WorkloadSpec};
+use violetwind_standins::duty_history;
+use violetwind_standins::fleet_harness::{FleetHarness, FleetSpec, count_live_members, node_name};
+use violetwind_standins::work_orders::{
+    ClientPool, WorkOrderHarness, client_addrs, coordinator_index, machines_in_phase,
+};
+use violetwind_standins::{ConnectionEnd, LineConnection};
 
 const DUTY: &str = "export";
 const BUDGET: &str = "tenant";
 /// The units of the budget, of which each of three members has a floor of 2.
 const WHOLE: usize = 60;
 const MACHINES: usize = 6;
-/// The member whose process is killed where the others are told to end.
+/// The member whose process is killed; the others are terminated.
 const KILLED: usize = 2;
-/// What an operator keeps out; it is in no order.
+/// The server that an operator bans; it is in no order.
 const BANNED: &str = "m-5/s";
 
 /// Every member records its requests, takes part in one duty, and has one budget.
@@ -49,7 +51,7 @@
 
 fn main() -> ExitCode {
     let Builds { old, new } = Builds::parse();
-    // What a check says is printed once, below.
+    // The message of a failed check is printed once, below.
     panic::set_hook(Box::new(|_| {}));
     let checks: [(&str, &dyn Fn()); 5] = [
         ("new build on the old one's files", &|| files(&old, &new)),
@@ -79,70 +81,81 @@
     false
 }
 
-/// Three voters, each with all that is kept on disk.
-fn night(program: &Path) -> Night {
-    Night::start(program.into(), (3, 0), MACHINES, LINES)
+/// Three voters that keep all kinds of files on disk.
+fn start_harness(program: &Path) -> WorkOrderHarness {
+    WorkOrderHarness::start(program.into(), (3, 0), MACHINES, LINES)
 }
 
-/// Waits until all members are heard of.
-fn whole(night: &Night) {
-    night.members.until("the fleet is whole", |members| {
-        let all = (0..members.count()).all(|at| {
-            let view = members.view(at).filter(|view| view["majority"] == true);
-            view.and_then(|view| live(&view)) == Some(members.count())
+/// Waits until all members are live.
+fn wait_for_all_members(harness: &WorkOrderHarness) {
+    harness.fleet.wait_until("the fleet is whole", |members| {
+        let all = (0..members.member_count()).all(|at| {
+            let view = members
+                .fetch_view(at)
+                .filter(|view| view["majority"] == true);
+            view.and_then(|view| count_live_members(&view)) == Some(members.member_count())
         });
         all.then_some(())
     });
 }
 
 /// Who holds the duty, and its fencing number.
-fn holding(night: &Night) -> (usize, u64) {
-    night.members.until("the duty is held", |members| {
-        let views = (0..members.count()).filter_map(|at| members.view(at));
+fn duty_holder_and_fence(harness: &WorkOrderHarness) -> (usize, u64) {
+    harness.fleet.wait_until("the duty is held", |members| {
+        let views = (0..members.member_count()).filter_map(|at| members.fetch_view(at));
         let view = views.into_iter().find(|view| view["majority"] == true)?;
-        let duty = named(&view["duties"], DUTY)?;
-        let holder = (0..members.count()).find(|at| duty["holder"] == name(*at).as_str())?;
+        let duty = entry_by_name(&view["duties"], DUTY)?;
+        let holder =
+            (0..members.member_count()).find(|at| duty["holder"] == node_name(*at).as_str())?;
         Some((holder, duty["fence"].as_u64()?))
     })
 }
 
-fn named(list: &Value, name: &str) -> Option<Value> {
+fn entry_by_name(list: &Value, name: &str) -> Option<Value> {
     let mut entries = list.as_array()?.iter();
     entries.find(|entry| entry["name"] == name).cloned()
 }
 
-/// Presses all members, and waits until more is in use than their floors.
-fn press(night: &Night) -> Callers {
-    let wants = Wants {
-        each: 24,
-        held: BUDGET.into(),
-        hold: Duration::from_millis(60),
+/// Starts a workload on all members, and waits until more units are in use than their floors.
+fn start_workload(harness: &WorkOrderHarness) -> BudgetWorkload {
+    let spec = WorkloadSpec {
+        workers_per_member: 24,
+        held_budget: BUDGET.into(),
+        hold_time: Duration::from_millis(60),
         greedy: false,
-        rate: None,
+        rate_budget: None,
     };
-    let callers = Callers::start(&night.members, &wants);
-    (0..night.members.count()).for_each(|at| callers.press(at, 24));
-    night.until("shares are in use", |_| {
-        (callers.books.lock().unwrap().in_use() > 18).then_some(())
+    let workload = BudgetWorkload::start(&harness.fleet, &spec);
+    (0..harness.fleet.member_count()).for_each(|at| workload.set_active_workers(at, 24));
+    harness.wait_until("shares are in use", |_| {
+        (workload.stats.lock().unwrap().units_in_use() > 18).then_some(())
     });
-    callers
+    workload
 }
 
-/// Ends the callers, who have never had more than the whole.
-fn never_too_many(callers: Callers) {
-    let books = callers.end();
-    assert!(books.most <= WHOLE, "{} of {WHOLE} units", books.most);
+/// Stops the workload, which must never have used more units than the budget has.
+fn stop_within_budget(workload: BudgetWorkload) {
+    let stats = workload.stop();
+    assert!(
+        stats.max_in_use <= WHOLE,
+        "{} of {WHOLE} units",
+        stats.max_in_use
+    );
 }
 
-/// At no time two holders, and numbers that only rise.
-fn one_holder(night: &Night) {
-    let broken = books::broken(&night.members.records(), &[]);
-    assert!(broken.is_empty(), "{broken:?}\n{}", night.members.log());
+/// Never two holders at once, and fencing numbers that only increase.
+fn assert_single_holder(harness: &WorkOrderHarness) {
+    let violations = duty_history::find_duty_violations(&harness.fleet.duty_events(), &[]);
+    assert!(
+        violations.is_empty(),
+        "{violations:?}\n{}",
+        harness.fleet.merged_log()
+    );
 }
 
-/// What a fleet has on disk, as far as it is seen from outside.
+/// The state that a fleet keeps on disk, as far as it is visible from outside.
 #[derive(Debug)]
-struct Kept {
+struct PersistedState {
     fence: u64,
     empty: Vec<String>,
     budget: (Value, Value),
@@ -150,159 +163,183 @@
     directories: Vec<BTreeSet<PathBuf>>,
 }
 
-/// One build makes state and ends; the other starts on the same files and misses nothing.
+/// One build creates state and stops; the other starts on the same files and finds all of it.
 fn files(first: &Path, second: &Path) {
-    let mut night = night(first);
-    whole(&night);
-    make_state(&night);
-    let fence = holding(&night).1;
-    let empty = in_place(&night.view().expect("orders"), "empty");
-    let budget = budget(&night);
-    // A process that is told to end takes its file of what is out away, one that is killed leaves it.
-    (0..KILLED).for_each(|at| ends(&mut night, at));
-    night.members.kill(KILLED);
-    assert_eq!(closed(&night, KILLED).as_ref(), Some(&empty));
-    let kept = Kept {
+    let mut harness = start_harness(first);
+    wait_for_all_members(&harness);
+    create_state(&harness);
+    let fence = duty_holder_and_fence(&harness).1;
+    let empty = machines_in_phase(&harness.fetch_work_view().expect("orders"), "empty");
+    let budget = budget(&harness);
+    // A terminated process removes its file of machine availability; a killed one leaves it.
+    (0..KILLED).for_each(|at| terminate(&mut harness, at));
+    harness.fleet.kill_member(KILLED);
+    assert_eq!(closed_machines(&harness, KILLED).as_ref(), Some(&empty));
+    let persisted = PersistedState {
         fence,
         empty,
         budget,
-        recordings: (0..3).map(|at| recording(&night, at, "requests")).collect(),
-        directories: (0..3).map(|at| directories(&night, at)).collect(),
+        recordings: (0..3)
+            .map(|at| recording(&harness, at, "requests"))
+            .collect(),
+        directories: (0..3).map(|at| directories(&harness, at)).collect(),
     };
-    assert!(kept.recordings.iter().all(|records| records.len() > 1));
-    night.members.set_program(second.into());
-    (0..3).for_each(|at| night.members.run(at));
-    whole(&night);
-    all_is_there(&night, &kept);
-    goes_on(&night);
-}
-
-/// A machine out by order, a server out by an operator, units taken, and requests recorded; the duty is held by itself.
-fn make_state(night: &Night) {
-    night.plan(0, "kernel", "m-1..m-2", &["--floor", "0.5", "--most", "1"]);
-    night.until("a machine is empty", |night| {
-        in_place(&night.view()?, "empty").pop()
+    assert!(persisted.recordings.iter().all(|records| records.len() > 1));
+    harness.fleet.set_program(second.into());
+    (0..3).for_each(|at| harness.fleet.start_member(at));
+    wait_for_all_members(&harness);
+    assert_state_restored(&harness, &persisted);
+    assert_work_continues(&harness);
+}
+
+/// A machine out by order, a banned server, units in use, and recorded requests; the duty gets a holder without help.
+fn create_state(harness: &WorkOrderHarness) {
+    harness.plan_work_order(0, "kernel", "m-1..m-2", &["--floor", "0.5", "--most", "1"]);
+    harness.wait_until("a machine is empty", |harness| {
+        machines_in_phase(&harness.fetch_work_view()?, "empty").pop()
     });
     for at in 0..3 {
-        night.say(at, &format!("OFFLINE {BANNED}"));
+        harness.call_until_accepted(at, &format!("OFFLINE {BANNED}"));
     }
-    let clients = Clients::start(doors(&night.members), 6);
-    never_too_many(press(night));
-    night.until("each proxy has served", |_| {
-        let up = clients.seen.up.load(Ordering::Relaxed);
+    let clients = ClientPool::start(client_addrs(&harness.fleet), 6);
+    stop_within_budget(start_workload(harness));
+    harness.wait_until("each proxy has served", |_| {
+        let up = clients.stats.established.load(Ordering::Relaxed);
         (up >= 6).then_some(())
     });
-    clients.end();
-    night.until("each proxy has recorded", |night| {
-        let begun = |at| own_file(night, at, ".requests").exists();
+    clients.stop();
+    harness.wait_until("each proxy has recorded", |harness| {
+        let begun = |at| own_file(harness, at, ".requests").exists();
         (0..3).all(begun).then_some(())
     });
 }
 
-fn ends(night: &mut Night, at: usize) {
-    let status = night.members.end(at).expect("it ran");
-    assert!(status.success(), "{} ends with {status}", name(at));
+fn terminate(harness: &mut WorkOrderHarness, at: usize) {
+    let status = harness.fleet.terminate_member(at).expect("it ran");
+    assert!(status.success(), "{} ends with {status}", node_name(at));
 }
 
-/// The whole and the version that are in force.
-fn budget(night: &Night) -> (Value, Value) {
-    night.members.until("the budget is told", |members| {
-        let budget = named(&members.view(0)?["budgets"], BUDGET)?;
+/// The units and the version of the budget that is in force.
+fn budget(harness: &WorkOrderHarness) -> (Value, Value) {
+    harness.fleet.wait_until("the budget is told", |members| {
+        let budget = entry_by_name(&members.fetch_view(0)?["budgets"], BUDGET)?;
         Some((budget["whole"].clone(), budget["version"].clone()))
     })
 }
 
-fn own_file(night: &Night, at: usize, extension: &str) -> PathBuf {
+fn own_file(harness: &WorkOrderHarness, at: usize, extension: &str) -> PathBuf {
     let file = format!("work.out{extension}");
-    night.members.dir().join(name(at)).join(file)
+    harness.fleet.dir().join(node_name(at)).join(file)
 }
 
 /// All records of a recording, which has to be whole.
-fn recording(night: &Night, at: usize, extension: &str) -> Vec<Record> {
-    let path = own_file(night, at, &format!(".{extension}"));
+fn recording(harness: &WorkOrderHarness, at: usize, extension: &str) -> Vec<Record> {
+    let path = own_file(harness, at, &format!(".{extension}"));
     let file = File::open(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     let mut reader = Reader::new(file);
     let records = reader.by_ref().collect();
-    assert_eq!(reader.end(), Some(End::Whole), "{}", path.display());
+    assert_eq!(
+        reader.end(),
+        Some(RecordingEnd::Whole),
+        "{}",
+        path.display()
+    );
     records
 }
 
-/// Directories within that of a member's log: what is refused is put into one.
-fn directories(night: &Night, at: usize) -> BTreeSet<PathBuf> {
-    let entries = fs::read_dir(night.members.fleet_dir(at)).expect("the directory of a log");
+/// Subdirectories of a member's log directory: refused files are moved into one.
+fn directories(harness: &WorkOrderHarness, at: usize) -> BTreeSet<PathBuf> {
+    let entries = fs::read_dir(harness.fleet.fleet_dir(at)).expect("the directory of a log");
     let paths = entries.map(|entry| entry.expect("an entry").path());
     paths.filter(|path| path.is_dir()).collect()
 }
 
-/// The machines that a member's file calls closed, if there is one.
-fn closed(night: &Night, at: usize) -> Option<Vec<String>> {
-    let text = fs::read_to_string(own_file(night, at, "")).ok()?;
+/// The machines that are closed in a member's availability file, if it exists.
+fn closed_machines(harness: &WorkOrderHarness, at: usize) -> Option<Vec<String>> {
+    let text = fs::read_to_string(own_file(harness, at, "")).ok()?;
     let (_, body) = text.split_once('\n').expect("a line with a checksum");
-    let belief: Value = serde_json::from_str(body).expect("JSON behind the first line");
-    let places = belief["places"].as_object().expect("places of machines");
+    let availability: Value = serde_json::from_str(body).expect("JSON behind the first line");
+    let places = availability["places"]
+        .as_object()
+        .expect("places of machines");
     let closed = places.iter().filter(|(_, place)| place["closed"] == true);
     Some(closed.map(|(machine, _)| machine.clone()).collect())
 }
 
-/// Nothing of what was kept is lost.
-fn all_is_there(night: &Night, kept: &Kept) {
-    let (_, fence) = holding(night);
-    assert!(fence >= kept.fence, "number {fence} after {}", kept.fence);
-    let view = night.until("the orders are told", Night::view);
-    assert_eq!(in_place(&view, "empty"), kept.empty, "machines out");
-    assert_eq!(budget(night), kept.budget, "the budget");
-    let told = "machines are out, by the file of the last process";
-    assert!(night.members.logged(KILLED, told), "no file was read");
-    (0..3).for_each(|at| own_is_there(night, at, kept));
-}
-
-/// The same of what a member keeps for itself.
-fn own_is_there(night: &Night, at: usize, kept: &Kept) {
-    let member = name(at);
-    night.until("its file names what is out", |night| {
-        (closed(night, at)? == kept.empty).then_some(())
+/// All of the persisted state is still there.
+fn assert_state_restored(harness: &WorkOrderHarness, persisted: &PersistedState) {
+    let (_, fence) = duty_holder_and_fence(harness);
+    assert!(
+        fence >= persisted.fence,
+        "number {fence} after {}",
+        persisted.fence
+    );
+    let view = harness.wait_until("the orders are told", WorkOrderHarness::fetch_work_view);
+    assert_eq!(
+        machines_in_phase(&view, "empty"),
+        persisted.empty,
+        "machines out"
+    );
+    assert_eq!(budget(harness), persisted.budget, "the budget");
+    let message = "machines are out, by the file of the last process";
+    assert!(
+        harness.fleet.log_contains(KILLED, message),
+        "no file was read"
+    );
+    (0..3).for_each(|at| assert_member_state_restored(harness, at, persisted));
+}
+
+/// The same for the files of one member.
+fn assert_member_state_restored(harness: &WorkOrderHarness, at: usize, persisted: &PersistedState) {
+    let member = node_name(at);
+    harness.wait_until("its file names what is out", |harness| {
+        (closed_machines(harness, at)? == persisted.empty).then_some(())
     });
-    let again = night.members.call(at, &format!("OFFLINE {BANNED}"));
-    let again = again.unwrap_or_default();
-    assert!(again.contains("already"), "the ban at {member}: {again}");
-    let directories = directories(night, at);
-    assert_eq!(directories, kept.directories[at], "{member}'s log");
-    // The new process may have begun its own recording.
-    let earlier = &kept.recordings[at];
+    let answer = harness.fleet.call_member(at, &format!("OFFLINE {BANNED}"));
+    let answer = answer.unwrap_or_default();
+    assert!(answer.contains("already"), "the ban at {member}: {answer}");
+    let directories = directories(harness, at);
+    assert_eq!(directories, persisted.directories[at], "{member}'s log");
+    // The new process may already have started a recording of its own.
+    let earlier = &persisted.recordings[at];
     let extensions = ["requests", "requests.1"];
-    let begun = own_file(night, at, ".requests.1").exists();
-    let records = recording(night, at, extensions[usize::from(begun)]);
+    let begun = own_file(harness, at, ".requests.1").exists();
+    let records = recording(harness, at, extensions[usize::from(begun)]);
     assert_eq!(&records, earlier, "{member}'s recording");
 }
 
-/// The build that found the state works with it.
-fn goes_on(night: &Night) {
-    never_too_many(press(night));
-    // A machine that operators keep out counts as out, and the order allows one.
+/// The second build continues to work with the state that it found.
+fn assert_work_continues(harness: &WorkOrderHarness) {
+    stop_within_budget(start_workload(harness));
+    // A machine with a banned server counts as out, and the order allows one.
     for at in 0..3 {
-        night.say(at, &format!("ONLINE {BANNED}"));
+        harness.call_until_accepted(at, &format!("ONLINE {BANNED}"));
     }
-    while let Some(machine) = night.until("the next one is empty", next_empty) {
-        done(night, 0, &machine);
+    while let Some(machine) = harness.wait_until("the next one is empty", next_drained) {
+        complete_work(harness, 0, &machine);
     }
-    one_holder(night);
+    assert_single_holder(harness);
 }
 
-/// A machine that is empty; nobody once the order has ended.
-fn next_empty(night: &Night) -> Option<Option<String>> {
-    let ended = night.ended().map(|_| None);
-    ended.or_else(|| in_place(&night.view()?, "empty").pop().map(Some))
+/// A machine that is drained; none once the order has ended.
+fn next_drained(harness: &WorkOrderHarness) -> Option<Option<String>> {
+    let ended = harness.finished_view().map(|_| None);
+    ended.or_else(|| {
+        machines_in_phase(&harness.fetch_work_view()?, "empty")
+            .pop()
+            .map(Some)
+    })
 }
 
-/// Staff say at a proxy that the work on a machine is done; it comes back.
-fn done(night: &Night, at: usize, machine: &str) {
-    night.say(at, &format!("FLEET WORK DONE {machine}"));
-    night.until("it is back", |night| {
-        let view = night.view()?;
+/// Reports at a proxy that the work on a machine is done, and waits until the machine has returned.
+fn complete_work(harness: &WorkOrderHarness, at: usize, machine: &str) {
+    harness.call_until_accepted(at, &format!("FLEET WORK DONE {machine}"));
+    harness.wait_until("it is back", |harness| {
+        let view = harness.fetch_work_view()?;
         let all = view["orders"].as_array()?;
         let place = all
             .iter()
-            .find_map(|order| named(&order["machines"], machine));
+            .find_map(|order| entry_by_name(&order["machines"], machine));
         place
             .is_none_or(|place| place["phase"] == "done")
             .then_some(())
@@ -311,150 +348,159 @@
 
 /// A fleet of two old members and a new one, then of one old and two new ones.
 fn fleet(old: &Path, new: &Path) {
-    let mut night = night(old);
-    whole(&night);
-    change_build(&mut night, 2, new);
-    let callers = press(&night);
-    night.plan(0, "kernel", "m-1..m-4", &["--floor", "0.5", "--most", "1"]);
-    duty_goes_round(&mut night, &callers, [(0, old), (2, new), (1, old)]);
-    work_goes_on_under(&night, [2, 0]);
-    (0..3).for_each(|at| callers.press(at, 0));
-    change_build(&mut night, 1, new);
-    (0..3).for_each(|at| callers.press(at, 24));
-    duty_goes_round(&mut night, &callers, [(0, old), (1, new), (2, new)]);
-    work_goes_on_under(&night, [1, 0]);
-    let view = night.until("the order has ended", Night::ended);
+    let mut harness = start_harness(old);
+    wait_for_all_members(&harness);
+    change_build(&mut harness, 2, new);
+    let workload = start_workload(&harness);
+    harness.plan_work_order(0, "kernel", "m-1..m-4", &["--floor", "0.5", "--most", "1"]);
+    rotate_duty(&mut harness, &workload, [(0, old), (2, new), (1, old)]);
+    work_continues_under(&harness, [2, 0]);
+    (0..3).for_each(|at| workload.set_active_workers(at, 0));
+    change_build(&mut harness, 1, new);
+    (0..3).for_each(|at| workload.set_active_workers(at, 24));
+    rotate_duty(&mut harness, &workload, [(0, old), (1, new), (2, new)]);
+    work_continues_under(&harness, [1, 0]);
+    let view = harness.wait_until("the order has ended", WorkOrderHarness::finished_view);
     assert_eq!(view["ended"][0]["done"], 4, "{view}");
-    never_too_many(callers);
-    one_holder(&night);
-    night.sound(&[], 1);
+    stop_within_budget(workload);
+    assert_single_holder(&harness);
+    harness.assert_no_violations(&[], 1);
 }
 
-/// Ends a member, and starts another build on its files.
-fn change_build(night: &mut Night, at: usize, program: &Path) {
-    ends(night, at);
-    night.members.set_program(program.into());
-    night.members.run(at);
-    whole(night);
+/// Terminates a member, and starts another build on its files.
+fn change_build(harness: &mut WorkOrderHarness, at: usize, program: &Path) {
+    terminate(harness, at);
+    harness.fleet.set_program(program.into());
+    harness.fleet.start_member(at);
+    wait_for_all_members(harness);
 }
 
-/// Each in turn gets the duty from the one before and is killed while it holds it.
-fn duty_goes_round(night: &mut Night, callers: &Callers, members: [(usize, &Path); 3]) {
+/// Hands the duty to each member in turn, and kills each member while it holds the duty.
+fn rotate_duty(
+    harness: &mut WorkOrderHarness,
+    workload: &BudgetWorkload,
+    members: [(usize, &Path); 3],
+) {
     for (to, _) in members {
-        hand_on(night, DUTY, to);
+        hand_off_duty(harness, DUTY, to);
     }
     for (at, program) in members {
-        hand_on(night, DUTY, at);
-        let (_, fence) = holding(night);
-        night.members.kill(at);
-        // Its callers' connections end with it.
-        callers.books.lock().unwrap().units.remove(&at);
-        night.until("another holds the duty", |night| {
-            let (holder, next) = holding(night);
+        hand_off_duty(harness, DUTY, at);
+        let (_, fence) = duty_holder_and_fence(harness);
+        harness.fleet.kill_member(at);
+        // The connections of its workers end with it.
+        workload.stats.lock().unwrap().held_units.remove(&at);
+        harness.wait_until("another holds the duty", |harness| {
+            let (holder, next) = duty_holder_and_fence(harness);
             (holder != at && next > fence).then_some(())
         });
-        night.members.set_program(program.into());
-        night.members.run(at);
-        whole(night);
+        harness.fleet.set_program(program.into());
+        harness.fleet.start_member(at);
+        wait_for_all_members(harness);
     }
 }
 
-fn hand_on(night: &Night, duty: &str, to: usize) {
-    night.say(0, &format!("FLEET HAND-ON {duty} {}", name(to)));
-    night.until("it is handed on", |night| {
-        let holder = night.members.holder(to, duty)?;
+fn hand_off_duty(harness: &WorkOrderHarness, duty: &str, to: usize) {
+    harness.call_until_accepted(0, &format!("FLEET HAND-ON {duty} {}", node_name(to)));
+    harness.wait_until("it is handed on", |harness| {
+        let holder = harness.fleet.duty_holder(to, duty)?;
         (holder == to).then_some(())
     });
 }
 
-/// Each in turn conducts while a machine goes back and the next one leaves.
-fn work_goes_on_under(night: &Night, conductors: [usize; 2]) {
-    for at in conductors {
-        let machine = night.until("a machine is empty", next_empty);
-        hand_on(night, "work", at);
-        let view = night.until("orders are told", Night::view);
-        assert_eq!(conductor(&night.members, &view), Some(at), "{view}");
-        done(night, at, &machine.expect("an order that goes on"));
+/// Each member in turn is the coordinator while one machine returns and the next one drains.
+fn work_continues_under(harness: &WorkOrderHarness, coordinators: [usize; 2]) {
+    for at in coordinators {
+        let machine = harness.wait_until("a machine is empty", next_drained);
+        hand_off_duty(harness, "work", at);
+        let view = harness.wait_until("orders are told", WorkOrderHarness::fetch_work_view);
+        assert_eq!(coordinator_index(&harness.fleet, &view), Some(at), "{view}");
+        complete_work(harness, at, &machine.expect("an order that goes on"));
     }
 }
 
-/// A client with the server's side of its connection.
-type Pair = (Peer, Peer);
+/// A client's connection and the server's side of it.
+type Pair = (LineConnection, LineConnection);
 
-/// Clients live through two upgrades of their proxy, and are moved when it ends.
+/// Clients stay connected through two upgrades of their proxy, and are moved when it terminates.
 fn clients(first: &Path, second: &Path) {
-    let mut members = Members::start(Spec {
+    let mut members = FleetHarness::start(FleetSpec {
         program: first.into(),
         voters: 3,
-        others: 0,
+        non_voters: 0,
         lease_ms: 1000,
-        election_ms: 200,
+        election_timeout_ms: 200,
         duties: vec![DUTY.into()],
-        cold_s: 0.3,
+        slow_start_window_s: 0.3,
         log_level: "info",
-        fleet_lines: String::new(),
-        lines: String::new(),
+        fleet_toml: String::new(),
+        extra_toml: String::new(),
     });
-    members.held(DUTY, 0);
-    serves(&members);
-    let mut pairs: Vec<Pair> = (0..5).map(|number| up(&members, number)).collect();
-    pairs.iter_mut().for_each(talk);
+    members.wait_for_holder(DUTY, 0);
+    wait_until_serving(&members);
+    let mut pairs: Vec<Pair> = (0..5)
+        .map(|number| open_connection(&members, number))
+        .collect();
+    pairs.iter_mut().for_each(exchange_lines);
     for program in [second, first] {
         upgrade(&mut members, program);
-        pairs.iter_mut().for_each(talk);
+        pairs.iter_mut().for_each(exchange_lines);
         let from = pairs.len() as u64;
-        pairs.extend((from..from + 5).map(|number| up(&members, number)));
-        pairs.iter_mut().for_each(talk);
+        pairs.extend((from..from + 5).map(|number| open_connection(&members, number)));
+        pairs.iter_mut().for_each(exchange_lines);
     }
-    members.signal(0, "-TERM");
+    members.send_signal(0, "-TERM");
     for (client, _) in &mut pairs {
-        assert_eq!(client.hear(), "MOVE");
-        assert_eq!(client.end(), PeerEnd::Closed);
+        assert_eq!(client.read_line(), "MOVE");
+        assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     }
-    assert!(members.wait(0).expect("it ran").success());
+    assert!(members.wait_for_exit(0).expect("it ran").success());
 }
 
-fn serves(members: &Members) {
-    members.until("it serves", |members| {
-        members.call(0, "HEALTH")?.starts_with("200").then_some(())
+fn wait_until_serving(members: &FleetHarness) {
+    members.wait_until("it serves", |members| {
+        members
+            .call_member(0, "HEALTH")?
+            .starts_with("200")
+            .then_some(())
     });
 }
 
-/// A connection that is up.
-fn up(members: &Members, number: u64) -> Pair {
-    let mut client = Peer::connect(members.addr(0));
-    client.say(&format!(
+/// An established connection.
+fn open_connection(members: &FleetHarness, number: u64) -> Pair {
+    let mut client = LineConnection::connect(members.client_addr(0));
+    client.send_line(&format!(
         "OPEN {number:016x} 7f3a9c21e0b4d655 c=watch,d=2000"
     ));
-    let (_, mut server) = members.server.opened();
-    server.say("UP 77aa");
-    assert_eq!(client.hear(), "UP 77aa");
+    let (_, mut server) = members.server.next_open();
+    server.send_line("UP 77aa");
+    assert_eq!(client.read_line(), "UP 77aa");
     (client, server)
 }
 
-/// A line each way.
-fn talk((client, server): &mut Pair) {
-    client.say("SAY on");
-    assert_eq!(server.hear(), "SAY on");
-    server.say("OK on");
-    assert_eq!(client.hear(), "OK on");
+/// Sends one line in each direction.
+fn exchange_lines((client, server): &mut Pair) {
+    client.send_line("SAY on");
+    assert_eq!(server.read_line(), "SAY on");
+    server.send_line("OK on");
+    assert_eq!(client.read_line(), "OK on");
 }
 
 /// A successor of another build takes over from the first member's process, which ends.
-fn upgrade(members: &mut Members, program: &Path) {
+fn upgrade(members: &mut FleetHarness, program: &Path) {
     members.set_program(program.into());
-    let mut next = members.upgrade(0);
-    members.until("the successor serves", |members| {
+    let mut next = members.start_successor(0);
+    members.wait_until("the successor serves", |members| {
         members
-            .call(0, "HEALTH")?
+            .call_member(0, "HEALTH")?
             .contains("successor")
             .then_some(())
     });
-    assert!(members.end(0).expect("it ran").success());
-    members.adopt(0, &mut next);
-    serves(members);
-    members.until("the successor is a member", |members| {
-        let own = member(&members.view(0)?, &name(0))?;
+    assert!(members.terminate_member(0).expect("it ran").success());
+    members.adopt_process(0, &mut next);
+    wait_until_serving(members);
+    members.wait_until("the successor is a member", |members| {
+        let own = member(&members.fetch_view(0)?, &node_name(0))?;
         (own["state"] == "live" && own["votes"] == true).then_some(())
     });
 }
--- a/crates/proxy/tests/encoding.rs
+++ b/crates/proxy/tests/encoding.rs
@@ -7,59 +7,66 @@
 use fixture::check;
 use tokio_util::codec::{Decoder, Encoder};
 use violetwind_consensus::NodeId;
-use violetwind_fleet::{Ask, Peer};
+use violetwind_fleet::{LeaderRequest, PeerMessage};
 use violetwind_proxy::fleet::frames::{
-    First, Hello, codec, first, peer, ping, read_first, read_peer,
+    Handshake, Hello, decode_handshake, decode_peer, encode_handshake, encode_peer, encode_ping,
+    frame_codec,
 };
 
-/// A frame as it is on a link.
-fn on_the_link(frame: bytes::Bytes) -> Vec<u8> {
+/// The bytes of a frame on a link.
+fn to_wire(frame: bytes::Bytes) -> Vec<u8> {
     let mut bytes = BytesMut::new();
-    codec(1 << 20).encode(frame, &mut bytes).unwrap();
+    frame_codec(1 << 20).encode(frame, &mut bytes).unwrap();
     bytes.to_vec()
 }
 
-fn off_the_link(bytes: &[u8]) -> BytesMut {
+fn from_wire(bytes: &[u8]) -> BytesMut {
     let mut bytes = BytesMut::from(bytes);
-    let frame = codec(1 << 20).decode(&mut bytes).unwrap();
+    let frame = frame_codec(1 << 20).decode(&mut bytes).unwrap();
     frame.expect("a whole frame")
 }
 
 /// Names each variant: a new one needs a sample.
-fn first_name(first: &First) -> &'static str {
-    match first {
-        First::Hello(_) => "hello",
-        First::Refused(_) => "refused",
+fn handshake_name(handshake: &Handshake) -> &'static str {
+    match handshake {
+        Handshake::Hello(_) => "hello",
+        Handshake::Refused(_) => "refused",
     }
 }
 
 #[test]
-fn first_frames() {
-    let hello = |id| Hello {
+fn handshake_frames() {
+    let hello = |node_id| Hello {
         fleet: "brink".into(),
         from: "a".into(),
         to: "b".into(),
-        id,
+        node_id,
     };
     let samples = [
-        First::Hello(hello(Some(NodeId(301)))),
-        First::Hello(hello(None)),
-        First::Refused("no".into()),
+        Handshake::Hello(hello(Some(NodeId(301)))),
+        Handshake::Hello(hello(None)),
+        Handshake::Refused("no".into()),
     ];
-    let encode = |sample: &First| on_the_link(first(sample));
-    check("first_frames.hex", &samples, first_name, encode, |bytes| {
-        read_first(&off_the_link(bytes)).unwrap()
-    });
+    let encode = |sample: &Handshake| to_wire(encode_handshake(sample));
+    check(
+        "first_frames.hex",
+        &samples,
+        handshake_name,
+        encode,
+        |bytes| decode_handshake(&from_wire(bytes)).unwrap(),
+    );
 }
 
-/// What peers say is held in full where it is defined; here is the frame around it.
+/// The messages themselves are tested in the crate that defines them; this covers the frame around them.
 #[test]
-fn frames_of_peers() {
-    let retire = Peer::Ask(301, Ask::Retire { session: 302 });
-    let samples = [Some(retire), None];
-    let encode = |sample: &Option<Peer>| on_the_link(sample.as_ref().map_or_else(ping, peer));
-    let name = |sample: &Option<Peer>| if sample.is_some() { "peer" } else { "ping" };
+fn peer_frames() {
+    let begin_leave = PeerMessage::Request(301, LeaderRequest::BeginLeave { session: 302 });
+    let samples = [Some(begin_leave), None];
+    let encode = |sample: &Option<PeerMessage>| {
+        to_wire(sample.as_ref().map_or_else(encode_ping, encode_peer))
+    };
+    let name = |sample: &Option<PeerMessage>| if sample.is_some() { "peer" } else { "ping" };
     check("peer_frames.hex", &samples, name, encode, |bytes| {
-        read_peer(&off_the_link(bytes)).unwrap()
+        decode_peer(&from_wire(bytes)).unwrap()
     });
 }
--- a/crates/record/tests/encoding.rs
+++ b/crates/record/tests/encoding.rs
@@ -6,7 +6,7 @@
 use std::fs;
 use std::ops::Range;
 
-use violetwind_record::{Answer, End, Limits, Reader, Record, Recorder, Request};
+use violetwind_record::{Answer, Limits, Reader, Record, Recorder, RecordingEnd, Request};
 
 /// When the fixture was written.
 const RECORDED_AT: u64 = 1_796_307_829_128;
@@ -17,13 +17,13 @@
         class: 1,
         tenant: Some(302),
         group: Some(303),
-        patience_ms: 304,
+        timeout_ms: 304,
         answer: Answer::Up,
-        took_us: 305,
-        held_ms: 306,
+        latency_us: 305,
+        connected_ms: 306,
         load: Some(307),
     };
-    let others = [Answer::Refused, Answer::Failed, Answer::Gone];
+    let others = [Answer::Refused, Answer::Failed, Answer::ClientLeft];
     let other = |answer| Request {
         tenant: None,
         group: None,
@@ -34,7 +34,7 @@
     let mut requests = vec![full.clone()];
     requests.extend(others.map(other));
     let mut records: Vec<Record> = requests.into_iter().map(Record::Request).collect();
-    records.push(Record::Left(308));
+    records.push(Record::Dropped(308));
     records
 }
 
@@ -42,17 +42,17 @@
 fn name(record: &Record) -> &'static str {
     match record {
         Record::Start { .. } => "start",
-        Record::Left(_) => "left",
+        Record::Dropped(_) => "left",
         Record::Request(request) => match request.answer {
             Answer::Up => "up",
             Answer::Refused => "refused",
             Answer::Failed => "failed",
-            Answer::Gone => "gone",
+            Answer::ClientLeft => "gone",
         },
     }
 }
 
-/// What a recorder writes for these records.
+/// The bytes that a recorder writes for these records.
 fn written(records: &[Record]) -> Vec<u8> {
     let name = format!("violetwind-encoding-{}", std::process::id());
     let path = std::env::temp_dir().join(name);
@@ -61,26 +61,26 @@
     let recorder = Recorder::start(&path, classes, Limits::default()).unwrap();
     records
         .iter()
-        .for_each(|record| recorder.put(record.clone()));
+        .for_each(|record| recorder.enqueue(record.clone()));
     drop(recorder);
     let bytes = fs::read(&path).unwrap();
     fs::remove_file(&path).unwrap();
     bytes
 }
 
-/// All records of a recording that must be whole.
+/// All records of a recording, which must be complete.
 fn read(bytes: &[u8]) -> Vec<Record> {
     let mut reader = Reader::new(bytes);
     let records = reader.by_ref().collect();
-    assert_eq!(reader.end(), Some(End::Whole));
+    assert_eq!(reader.end(), Some(RecordingEnd::Whole));
     records
 }
 
 /// The bytes of a file that depend on when it was written: the first record's checksum and time.
-const OF_THE_TIME: [Range<usize>; 2] = [12..16, 17..23];
+const TIME_DEPENDENT: [Range<usize>; 2] = [12..16, 17..23];
 
 #[test]
-fn a_recording() {
+fn recording() {
     let recorded = fixture::bytes(&fixture::recorded("recording.hex"));
     let start = Record::Start {
         unix_ms: RECORDED_AT,
@@ -92,7 +92,7 @@
 
     let mut bytes = written(&requests());
     assert_eq!(read(&bytes)[1..], expected[1..]);
-    for range in OF_THE_TIME {
+    for range in TIME_DEPENDENT {
         bytes[range.clone()].copy_from_slice(&recorded[range]);
     }
     fixture::check_text("recording.hex", &(fixture::hex(&bytes) + "\n"));
--- a/crates/service/tests/encoding.rs
+++ b/crates/service/tests/encoding.rs
@@ -1,27 +1,29 @@
-//! The encoded form of what a proxy and its successor say to each other, and of the file of bans.
+//! The encoding of the messages between a proxy and its successor, and of the file of bans.
 
 #[path = "../../consensus/tests/encoding/fixture.rs"]
 mod fixture;
 
 use fixture::check;
-use violetwind_service::handover::{Connection, Message, State, frame, read_bans, unframe};
-use violetwind_service::{Bans, Change, Limits};
+use violetwind_service::handover::{
+    Connection, HandoverState, Message, decode_bans, decode_frame, encode_frame,
+};
+use violetwind_service::{Bans, Limits, OperatorChange};
 
-/// One server that is out, and one that is back.
+/// One server that is banned, and one whose ban was lifted.
 fn bans() -> Bans {
     let (mut bans, limits) = (Bans::default(), Limits::default());
-    bans.put_out("out", 301, &limits);
-    bans.put_out("back", 302, &limits);
-    bans.call_back("back", 303, &limits);
+    bans.ban("out", 301, &limits);
+    bans.ban("back", 302, &limits);
+    bans.unban("back", 303, &limits);
     bans
 }
 
 fn changes() -> Vec<Message> {
     let changes = [
-        Change::Offline("a".into()),
-        Change::Online("b".into()),
-        Change::Leave,
-        Change::Join,
+        OperatorChange::Offline("a".into()),
+        OperatorChange::Online("b".into()),
+        OperatorChange::Leave,
+        OperatorChange::Join,
     ];
     (11..)
         .zip(changes)
@@ -30,39 +32,39 @@
 }
 
 fn messages() -> Vec<Message> {
-    let full = State {
+    let full = HandoverState {
         bans: bans(),
-        left: true,
-        discovery: Some("127.0.0.1:7".into()),
-        holds: 21,
+        has_left: true,
+        discovery_address: Some("127.0.0.1:7".into()),
+        descriptors_in_use: 21,
     };
     let connection = Connection {
-        line: b"OPEN".to_vec(),
+        first_line: b"OPEN".to_vec(),
         server: 22,
         load: Some(0.5),
-        waits_ms: Some(23),
+        unanswered_ms: Some(23),
     };
     let bare = Connection {
         load: None,
-        waits_ms: None,
+        unanswered_ms: None,
         ..connection.clone()
     };
     let mut messages = vec![
         Message::Hello,
         Message::State(full),
-        Message::State(State::default()),
+        Message::State(HandoverState::default()),
         Message::Serving,
         Message::Stopped,
-        Message::Holds(31),
+        Message::DescriptorsInUse(31),
     ];
     messages.extend(changes());
     messages.extend([
-        Message::InForce(32),
-        Message::Connection(33, connection),
-        Message::Connection(34, bare),
-        Message::Taken(35),
-        Message::NotTaken(36),
-        Message::Yours(37),
+        Message::ChangeApplied(32),
+        Message::ConnectionOffer(33, connection),
+        Message::ConnectionOffer(34, bare),
+        Message::ConnectionAccepted(35),
+        Message::ConnectionDeclined(36),
+        Message::ConnectionTransferred(37),
     ]);
     messages
 }
@@ -74,39 +76,41 @@
         Message::State(_) => "state",
         Message::Serving => "serving",
         Message::Stopped => "stopped",
-        Message::Holds(_) => "holds",
-        Message::Change(_, Change::Offline(_)) => "change-offline",
-        Message::Change(_, Change::Online(_)) => "change-online",
-        Message::Change(_, Change::Leave) => "change-leave",
-        Message::Change(_, Change::Join) => "change-join",
-        Message::InForce(_) => "in-force",
-        Message::Connection(..) => "connection",
-        Message::Taken(_) => "taken",
-        Message::NotTaken(_) => "not-taken",
-        Message::Yours(_) => "yours",
+        Message::DescriptorsInUse(_) => "holds",
+        Message::Change(_, OperatorChange::Offline(_)) => "change-offline",
+        Message::Change(_, OperatorChange::Online(_)) => "change-online",
+        Message::Change(_, OperatorChange::Leave) => "change-leave",
+        Message::Change(_, OperatorChange::Join) => "change-join",
+        Message::ChangeApplied(_) => "in-force",
+        Message::ConnectionOffer(..) => "connection",
+        Message::ConnectionAccepted(_) => "taken",
+        Message::ConnectionDeclined(_) => "not-taken",
+        Message::ConnectionTransferred(_) => "yours",
     }
 }
 
 #[test]
-fn messages_of_a_hand_over() {
+fn handover_messages() {
     let limits = Limits::default();
-    let encode = |message: &Message| frame(message, &limits).unwrap();
+    let encode = |message: &Message| encode_frame(message, &limits).unwrap();
     check("messages.hex", &messages(), name, encode, |bytes| {
-        let (message, end) = unframe(bytes, &limits).unwrap().expect("a whole frame");
+        let (message, end) = decode_frame(bytes, &limits)
+            .unwrap()
+            .expect("a whole frame");
         assert_eq!(end, bytes.len());
         message
     });
 }
 
 #[test]
-fn the_file_of_bans() {
+fn bans_file() {
     let limits = Limits::default();
-    let encode = |bans: &Bans| frame(bans, &limits).unwrap();
+    let encode = |bans: &Bans| encode_frame(bans, &limits).unwrap();
     check(
         "bans.hex",
         &[bans()],
         |_| "bans",
         encode,
-        |bytes| read_bans(bytes, &limits).unwrap(),
+        |bytes| decode_bans(bytes, &limits).unwrap(),
     );
 }
--- a/crates/store/tests/encoding.rs
+++ b/crates/store/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! The bytes of a member's directory: whose it is, the mark, and a whole segment.
+//! The files of a member's directory, byte by byte: the owner, the mark of acknowledged bytes, and a whole segment.
 
 #[path = "../../consensus/tests/encoding/fixture.rs"]
 mod fixture;
@@ -8,11 +8,13 @@
 use std::path::{Path, PathBuf};
 
 use fixture::{bytes, check_text, hex};
-use violetwind_consensus::{Disk, Entry, Member, Members, NodeId, Payload, Snapshot, Write};
-use violetwind_fleet::{Record, Saved};
+use violetwind_consensus::{
+    DurableState, DurableWrite, Entry, Member, Members, NodeId, Payload, Snapshot,
+};
+use violetwind_fleet::{MemberRecord, SavedState};
 use violetwind_store::{Settings, Store};
 
-/// All files of a directory with something in them.
+/// All files of a directory that are not empty.
 const FILES: [&str; 3] = ["member", "acked", "log.1"];
 
 /// A directory of this test alone, removed at its end.
@@ -33,20 +35,20 @@
     }
 }
 
-fn open(path: &Path, segment_bytes: u64) -> Store {
+fn open(path: &Path, compaction_threshold_bytes: u64) -> Store {
     let settings = Settings {
         fleet: "brink".into(),
         node: "a".into(),
-        segment_bytes,
-        sync: true,
+        compaction_threshold_bytes,
+        sync_writes: true,
     };
     Store::open(path, settings, NodeId(301)).unwrap()
 }
 
 fn members() -> Members {
-    let member = |id, name: &str, votes| {
+    let member = |id, name: &str, is_voter| {
         let name = name.into();
-        (NodeId(id), Member { name, votes })
+        (NodeId(id), Member { name, is_voter })
     };
     Members([member(301, "a", true), member(302, "b", false)].into())
 }
@@ -68,60 +70,60 @@
     }
 }
 
-/// Records of each variant, the writes with every part.
-fn records() -> Vec<Record> {
-    let first = Write {
+/// Records of each variant; the writes together set every field.
+fn records() -> Vec<MemberRecord> {
+    let first = DurableWrite {
         seq: 1,
         term: 11,
-        vote: Some(NodeId(302)),
-        seen: vec![(NodeId(303), 304)],
+        voted_for: Some(NodeId(302)),
+        seen_seqs: vec![(NodeId(303), 304)],
         snapshot: None,
-        keep: false,
-        truncate: None,
-        append: vec![
-            entry(1, Payload::Nothing),
+        keep_suffix: false,
+        truncate_from: None,
+        entries: vec![
+            entry(1, Payload::Noop),
             entry(2, Payload::Command(vec![1, 2, 3])),
             entry(3, Payload::Members(members())),
         ],
     };
-    let second = Write {
+    let second = DurableWrite {
         seq: 2,
         term: 12,
-        vote: None,
-        seen: vec![],
+        voted_for: None,
+        seen_seqs: vec![],
         snapshot: Some(snapshot()),
-        keep: true,
-        truncate: Some(50),
-        append: vec![entry(41, Payload::Command(vec![6]))],
+        keep_suffix: true,
+        truncate_from: Some(50),
+        entries: vec![entry(41, Payload::Command(vec![6]))],
     };
     let records = [
-        Record::Agreed(members()),
-        Record::Formed,
-        Record::Write(first),
-        Record::Write(second),
+        MemberRecord::Agreed(members()),
+        MemberRecord::Formed,
+        MemberRecord::Write(first),
+        MemberRecord::Write(second),
     ];
-    records.iter().for_each(has_a_sample);
+    records.iter().for_each(require_sample);
     records.into()
 }
 
 /// Names each variant: a new one needs a sample in [`records`].
-fn has_a_sample(record: &Record) {
+fn require_sample(record: &MemberRecord) {
     match record {
-        Record::Agreed(_) | Record::Formed | Record::Write(_) => {}
+        MemberRecord::Agreed(_) | MemberRecord::Formed | MemberRecord::Write(_) => {}
     }
 }
 
-/// What [`records`] come to.
-fn saved() -> Saved {
-    Saved {
+/// The state after all of [`records`].
+fn saved_state() -> SavedState {
+    SavedState {
         id: NodeId(301),
-        agreed: Some(members()),
-        formed: true,
-        disk: Disk {
+        agreed_members: Some(members()),
+        is_formed: true,
+        consensus_state: DurableState {
             seq: 2,
             term: 12,
-            vote: None,
-            seen: BTreeMap::from([(NodeId(303), 304)]),
+            voted_for: None,
+            seen_seqs: BTreeMap::from([(NodeId(303), 304)]),
             snapshot: Some(snapshot()),
             entries: vec![entry(41, Payload::Command(vec![6]))],
         },
@@ -144,22 +146,22 @@
 }
 
 #[test]
-fn a_segment_of_records() {
+fn segment_with_records() {
     let dir = Dir::new("records");
     let mut store = open(&dir.0, 1 << 20);
     store.append(&records()).unwrap();
-    assert_eq!(*store.saved(), saved());
+    assert_eq!(*store.saved_state(), saved_state());
     drop(store);
     let recorded = check_text("records.hex", &lines(&dir.0, &FILES));
 
     let dir = Dir::new("records-read");
     restore(&dir.0, &recorded);
-    assert_eq!(*open(&dir.0, 1 << 20).saved(), saved());
+    assert_eq!(*open(&dir.0, 1 << 20).saved_state(), saved_state());
 }
 
-/// Past its length a segment is replaced by one that begins with all that is there.
+/// A segment that grows past the threshold is replaced by one that begins with a snapshot of the state.
 #[test]
-fn a_segment_that_begins_with_a_snapshot() {
+fn segment_that_begins_with_a_snapshot() {
     let dir = Dir::new("snapshot");
     let mut store = open(&dir.0, 1);
     store.append(&records()).unwrap();
@@ -171,5 +173,5 @@
 
     let dir = Dir::new("snapshot-read");
     restore(&dir.0, &recorded);
-    assert_eq!(*open(&dir.0, 1 << 20).saved(), saved());
+    assert_eq!(*open(&dir.0, 1 << 20).saved_state(), saved_state());
 }
--- a/crates/workorders/tests/encoding.rs
+++ b/crates/workorders/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! The encoded form of orders for work: what the fleet's log and its members' frames hold of them, and the file in
-//! which a proxy keeps what is out.
+//! The encoding of work orders: in the fleet's log, in its members' frames, and in the file in which a proxy keeps the
+//! availability of machines.
 
 #[path = "../../consensus/tests/encoding/fixture.rs"]
 mod fixture;
@@ -11,8 +11,9 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use violetwind_workorders::{
-    Belief, Bounds, Change, Listed, Machine, Order, Orders, Phase, Place, Report, Server, Spans,
-    Spare, Step, Why,
+    Bounds, FailureReason, FailureTolerance, ListedMachine, Machine, MachineAvailability,
+    MachineProgress, MachineReport, Phase, PhaseTimeouts, Server, Step, WorkOrder, WorkOrderChange,
+    WorkOrders,
 };
 
 fn check_postcard<T: Debug + PartialEq + Serialize + DeserializeOwned>(
@@ -26,7 +27,7 @@
     });
 }
 
-/// Of as many names, in zones of their own; `first` has a proxy.
+/// One machine for each name, each in its own zone; the first one runs a proxy.
 fn machines(names: &[&str]) -> BTreeMap<String, Machine> {
     let machine = |(at, name): (u64, &&str)| {
         let server = Server {
@@ -45,30 +46,30 @@
     (0..).zip(names).map(machine).collect()
 }
 
-fn order(name: &str, machines: &[&str], spare: Spare) -> Order {
-    Order {
+fn order(name: &str, machines: &[&str], failure_tolerance: FailureTolerance) -> WorkOrder {
+    WorkOrder {
         name: name.into(),
         machines: machines.iter().map(|name| name.to_string()).collect(),
         bounds: Bounds {
-            most: 11,
-            zone_most: 12,
-            floor: 13,
-            spare,
+            max_out: 11,
+            max_out_per_zone: 12,
+            min_capacity_permille: 13,
+            failure_tolerance,
         },
-        spans: Spans {
-            leave: 21,
-            work: 22,
-            back: 23,
+        timeouts: PhaseTimeouts {
+            drain_timeout: 21,
+            work_timeout: 22,
+            return_timeout: 23,
         },
         not_before: 24,
-        wait: true,
+        waits_for_done: true,
         paused: false,
         cancelled: false,
     }
 }
 
-fn step(step: Step, fence: Option<u64>) -> Change {
-    Change::Step {
+fn step(step: Step, fence: Option<u64>) -> WorkOrderChange {
+    WorkOrderChange::Step {
         order: 31,
         machine: "m1".into(),
         version: 32,
@@ -77,123 +78,123 @@
     }
 }
 
-fn changes() -> Vec<Change> {
+fn changes() -> Vec<WorkOrderChange> {
     let steps = [
-        Step::Out,
-        Step::Empty,
-        Step::Worked,
+        Step::TakeOut,
+        Step::MarkDrained,
+        Step::CompleteWork,
         Step::Recall,
-        Step::Back,
-        Step::Fail(Why::NeverEmpty),
-        Step::Fail(Why::NeverWorked),
-        Step::Fail(Why::NeverBack),
-        Step::Fail(Why::Staff),
-        Step::Fail(Why::Opened),
+        Step::CompleteReturn,
+        Step::Fail(FailureReason::NeverEmpty),
+        Step::Fail(FailureReason::NeverWorked),
+        Step::Fail(FailureReason::NeverBack),
+        Step::Fail(FailureReason::Staff),
+        Step::Fail(FailureReason::Opened),
     ];
-    let paused = Order {
-        wait: false,
+    let paused = WorkOrder {
+        waits_for_done: false,
         paused: true,
-        ..order("paused", &["m2"], Spare::Machine)
+        ..order("paused", &["m2"], FailureTolerance::Machine)
     };
-    let cancelled = Order {
+    let cancelled = WorkOrder {
         cancelled: true,
-        ..order("cancelled", &["m3"], Spare::Zone)
+        ..order("cancelled", &["m3"], FailureTolerance::Zone)
     };
     let mut changes = vec![
-        Change::Machines(machines(&["m1", "m2"])),
-        Change::Plan(order("first", &["m1"], Spare::Nothing)),
-        Change::Plan(paused),
-        Change::Plan(cancelled),
-        Change::Pause(33, true),
-        Change::Cancel(34),
+        WorkOrderChange::SetMachines(machines(&["m1", "m2"])),
+        WorkOrderChange::AddOrder(order("first", &["m1"], FailureTolerance::Nothing)),
+        WorkOrderChange::AddOrder(paused),
+        WorkOrderChange::AddOrder(cancelled),
+        WorkOrderChange::SetPaused(33, true),
+        WorkOrderChange::Cancel(34),
     ];
     changes.extend(steps.map(|each| step(each, Some(35))));
-    changes.push(step(Step::Worked, None));
+    changes.push(step(Step::CompleteWork, None));
     changes
 }
 
 /// Names each variant: a new one needs a sample.
-fn change_name(change: &Change) -> &'static str {
+fn change_name(change: &WorkOrderChange) -> &'static str {
     match change {
-        Change::Machines(_) => "machines",
-        Change::Plan(order) => match order.bounds.spare {
-            Spare::Nothing => "plan-spare-nothing",
-            Spare::Machine => "plan-spare-machine",
-            Spare::Zone => "plan-spare-zone",
+        WorkOrderChange::SetMachines(_) => "machines",
+        WorkOrderChange::AddOrder(order) => match order.bounds.failure_tolerance {
+            FailureTolerance::Nothing => "plan-spare-nothing",
+            FailureTolerance::Machine => "plan-spare-machine",
+            FailureTolerance::Zone => "plan-spare-zone",
         },
-        Change::Pause(..) => "pause",
-        Change::Cancel(_) => "cancel",
-        Change::Step { step, .. } => match step {
-            Step::Out => "out",
-            Step::Empty => "empty",
-            Step::Worked => "worked",
+        WorkOrderChange::SetPaused(..) => "pause",
+        WorkOrderChange::Cancel(_) => "cancel",
+        WorkOrderChange::Step { step, .. } => match step {
+            Step::TakeOut => "out",
+            Step::MarkDrained => "empty",
+            Step::CompleteWork => "worked",
             Step::Recall => "recall",
-            Step::Back => "back",
-            Step::Fail(why) => why_name(why),
+            Step::CompleteReturn => "back",
+            Step::Fail(reason) => failure_name(reason),
         },
     }
 }
 
-fn why_name(why: &Why) -> &'static str {
-    match why {
-        Why::NeverEmpty => "failed-never-empty",
-        Why::NeverWorked => "failed-never-worked",
-        Why::NeverBack => "failed-never-back",
-        Why::Staff => "failed-staff",
-        Why::Opened => "failed-opened",
+fn failure_name(reason: &FailureReason) -> &'static str {
+    match reason {
+        FailureReason::NeverEmpty => "failed-never-empty",
+        FailureReason::NeverWorked => "failed-never-worked",
+        FailureReason::NeverBack => "failed-never-back",
+        FailureReason::Staff => "failed-staff",
+        FailureReason::Opened => "failed-opened",
     }
 }
 
 #[test]
-fn changes_of_orders() {
+fn work_order_changes() {
     check_postcard("changes.hex", &changes(), change_name);
 }
 
-fn phase_name(place: &Place) -> &'static str {
-    match &place.phase {
+fn phase_name(progress: &MachineProgress) -> &'static str {
+    match &progress.phase {
         Phase::Waiting => "waiting",
-        Phase::Leaving => "leaving",
-        Phase::Empty => "empty",
+        Phase::Draining => "leaving",
+        Phase::Drained => "empty",
         Phase::Returning { .. } => "returning",
         Phase::Done => "done",
-        Phase::Failed(why) => why_name(why),
-        Phase::Spared => "spared",
+        Phase::Failed(reason) => failure_name(reason),
+        Phase::Skipped => "spared",
     }
 }
 
 #[test]
-fn places_of_machines() {
+fn machine_progress() {
     let phases = [
         Phase::Waiting,
-        Phase::Leaving,
-        Phase::Empty,
-        Phase::Returning { worked: true },
-        Phase::Returning { worked: false },
+        Phase::Draining,
+        Phase::Drained,
+        Phase::Returning { work_done: true },
+        Phase::Returning { work_done: false },
         Phase::Done,
-        Phase::Failed(Why::NeverEmpty),
-        Phase::Failed(Why::NeverWorked),
-        Phase::Failed(Why::NeverBack),
-        Phase::Failed(Why::Staff),
-        Phase::Failed(Why::Opened),
-        Phase::Spared,
+        Phase::Failed(FailureReason::NeverEmpty),
+        Phase::Failed(FailureReason::NeverWorked),
+        Phase::Failed(FailureReason::NeverBack),
+        Phase::Failed(FailureReason::Staff),
+        Phase::Failed(FailureReason::Opened),
+        Phase::Skipped,
     ];
-    let place = |phase| Place {
+    let progress = |phase| MachineProgress {
         phase,
         version: 301,
-        emptied: 302,
+        times_drained: 302,
     };
-    check_postcard("places.hex", &phases.map(place), phase_name);
+    check_postcard("places.hex", &phases.map(progress), phase_name);
 }
 
 #[test]
-fn reports() {
-    let closed = Report {
+fn machine_reports() {
+    let closed = MachineReport {
         version: 301,
         clients: 302,
         closed: true,
         warm: false,
     };
-    let warm = Report {
+    let warm = MachineReport {
         closed: false,
         warm: true,
         ..closed
@@ -201,26 +202,26 @@
     check_postcard("reports.hex", &[closed, warm], |_| "report");
 }
 
-/// Orders with one machine out, an order that has ended, and a conductor's number.
-fn orders() -> Orders {
-    let mut orders = Orders::default();
+/// Orders with one machine out, an order that has ended, and a coordinator's fencing number.
+fn orders() -> WorkOrders {
+    let mut orders = WorkOrders::default();
     let names = ["m1", "m2", "m3", "m4", "m5", "m6"];
-    let plan = |name, machines: &[&str]| {
-        Change::Plan(Order {
+    let add_order = |name, machines: &[&str]| {
+        WorkOrderChange::AddOrder(WorkOrder {
             bounds: Bounds {
-                most: 1,
-                zone_most: 2,
-                floor: 3,
-                spare: Spare::Nothing,
+                max_out: 1,
+                max_out_per_zone: 2,
+                min_capacity_permille: 3,
+                failure_tolerance: FailureTolerance::Nothing,
             },
-            ..order(name, machines, Spare::Nothing)
+            ..order(name, machines, FailureTolerance::Nothing)
         })
     };
     let changes = [
-        Change::Machines(machines(&names)),
-        plan("ended", &["m6"]),
-        Change::Cancel(2),
-        plan("second", &["m2", "m3"]),
+        WorkOrderChange::SetMachines(machines(&names)),
+        add_order("ended", &["m6"]),
+        WorkOrderChange::Cancel(2),
+        add_order("second", &["m2", "m3"]),
     ];
     for change in changes {
         orders
@@ -229,38 +230,42 @@
     }
     let order = *orders.orders().keys().next_back().unwrap();
     let version = orders.orders()[&order].1["m2"].version;
-    let out = Change::Step {
+    let take_out = WorkOrderChange::Step {
         order,
         machine: "m2".into(),
         version,
-        step: Step::Out,
+        step: Step::TakeOut,
         fence: Some(500),
     };
-    orders.apply(out).expect("a machine that may go");
+    orders.apply(take_out).expect("a machine that may go");
     orders
 }
 
 #[test]
-fn all_orders() {
-    assert!(!orders().ended().is_empty());
-    assert_eq!(orders().out().len(), 1);
+fn work_orders() {
+    assert!(!orders().ended_orders().is_empty());
+    assert_eq!(orders().machines_out().len(), 1);
     check_postcard("orders.hex", &[orders()], |_| "orders");
 }
 
 #[test]
-fn the_list_of_what_is_out() {
-    let listed = Listed {
+fn listed_machines() {
+    let listed = ListedMachine {
         version: 301,
         closed: true,
         machine: machines(&["m1"]).remove("m1").unwrap(),
     };
-    check_postcard("listed.hex", &[listed, Listed::default()], |_| "listed");
+    check_postcard(
+        "listed.hex",
+        &[listed, ListedMachine::default()],
+        |_| "listed",
+    );
 }
 
-/// A list with every field of it set, and operators' words of both kinds.
-fn belief() -> Belief {
+/// A list with all fields set, and operators' overrides of both kinds.
+fn availability() -> MachineAvailability {
     let listed = |(at, (name, machine)): (u64, (String, Machine))| {
-        let listed = Listed {
+        let listed = ListedMachine {
             version: 301 + at,
             closed: at == 0,
             machine,
@@ -268,18 +273,21 @@
         (name, listed)
     };
     let machines = machines(&["m1", "m2"]).into_iter();
-    let mut belief = Belief::default();
-    belief.hear(500, (0..).zip(machines).map(listed).collect());
-    belief.word("m1", Some(true));
-    belief.word("m3", Some(false));
-    belief
+    let mut availability = MachineAvailability::default();
+    availability.apply_list(500, (0..).zip(machines).map(listed).collect());
+    availability.set_override("m1", Some(true));
+    availability.set_override("m3", Some(false));
+    availability
 }
 
-/// Without the line with its checksum, which the proxy puts before it.
+/// Without the checksum line that the proxy writes first.
 #[test]
-fn the_file_of_what_is_out() {
-    let belief = belief();
-    let json = serde_json::to_string_pretty(&belief).unwrap() + "\n";
+fn availability_file() {
+    let availability = availability();
+    let json = serde_json::to_string_pretty(&availability).unwrap() + "\n";
     let recorded = check_text("belief.json", &json);
-    assert_eq!(serde_json::from_str::<Belief>(&recorded).unwrap(), belief);
+    assert_eq!(
+        serde_json::from_str::<MachineAvailability>(&recorded).unwrap(),
+        availability
+    );
 }
