--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -1,28 +1,28 @@
-//! What a member tells the log of its process.
+//! Events that a member reports for the log of its process.
 
 use violetwind_consensus::{Millis, NodeId, Term};
 
 use crate::budget::NeedLeftOpen;
 use crate::messages::{Name, Number};
 
-/// Why something is not held any more, or was refused.
+/// The reason why a duty or a session was lost, or a session was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LossReason {
-    /// The lease could not be renewed: nobody that leads has answered since then.
+    /// The lease could not be renewed: no leader has answered for `since` milliseconds.
     NotRenewed {
         since: Millis,
     },
-    /// The process was stopped for longer than its lease.
+    /// The process was stalled past the end of its lease, by that many milliseconds.
     Stalled {
         by: Millis,
     },
-    /// Operators have ordered it.
+    /// Operators have ordered a handoff of the duty.
     HandedOn,
-    /// This process ends, or its successor takes over.
+    /// This process is shutting down, or its successor takes over.
     Ending,
     /// The fleet has ended the session.
     SessionOver,
-    /// Operators have put the member out.
+    /// Operators have evicted the member.
     PutOut,
     /// Another process of this name has a session.
     NameInUse,
@@ -44,65 +44,47 @@
     }
 }
 
+/// An event of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    Gained {
-        duty: Name,
-        fence: Number,
-    },
+    /// The member holds the duty now.
+    Gained { duty: Name, fence: Number },
+    /// The member does not hold the duty any more.
     Lost {
         duty: Name,
         fence: Number,
         why: LossReason,
     },
-    /// A session begins; without one nothing is held.
-    Session {
-        number: Number,
-    },
-    NoSession {
-        why: LossReason,
-    },
-    /// The leader has answered a renewal and left a need open that it had been told of.
+    /// A session has begun; without a session no duty or share is held.
+    Session { number: Number },
+    /// The member has no session.
+    NoSession { why: LossReason },
+    /// The leader has answered a renewal without covering a need that had been reported to it.
     NeedLeftOpen {
         need: NeedLeftOpen,
-        /// The leader's term, and how long its answer took.
+        /// The leader's term.
         term: Term,
+        /// The time between the request and the leader's answer.
         took: Millis,
     },
-    /// Nobody that leads has answered for a whole lease; told once until somebody does.
-    NoLeader {
-        since: Millis,
-    },
+    /// No leader has answered for a whole lease duration; reported once until a leader answers.
+    NoLeader { since: Millis },
+    /// A leader has answered again.
     LeaderAgain,
-    Leads {
-        term: Term,
-    },
-    Follows {
-        term: Term,
-    },
-    Formed {
-        voters: Vec<Name>,
-    },
-    /// The fleet has been formed with another directory of this name: operators let it in.
-    Stranger {
-        id: NodeId,
-    },
-    /// The directory is an older copy; it never votes again.
-    Stale {
-        own: u64,
-        seen: u64,
-    },
-    /// Sessions that a leader has ended.
-    Ended {
-        name: Name,
-        why: LossReason,
-    },
-    /// The log has something that this program can't read: it votes, and settles nothing.
-    Halted {
-        why: String,
-    },
-    /// An ask was dropped at a limit.
-    Full {
-        what: &'static str,
-    },
+    /// This member has become the leader.
+    Leads { term: Term },
+    /// This member is not the leader any more.
+    Follows { term: Term },
+    /// The fleet is formed, with these voters.
+    Formed { voters: Vec<Name> },
+    /// The fleet has been formed with another directory of this name: operators have to admit this one.
+    Stranger { id: NodeId },
+    /// The directory is an older copy of itself; it never votes again.
+    Stale { own: u64, seen: u64 },
+    /// This leader has ended the session of a member.
+    Ended { name: Name, why: LossReason },
+    /// The log contains an entry or a snapshot that this program can't read: it votes, and applies nothing.
+    Halted { why: String },
+    /// A request was refused at a limit.
+    Full { what: &'static str },
 }
--- a/crates/fleet/src/member/leader.rs
+++ b/crates/fleet/src/member/leader.rs
@@ -1,9 +1,10 @@
-//! The leader's part: asks of members, leases that end, who is let in or put out, and the division of budgets.
+//! The leader's tasks: requests of members, expired leases, admissions and evictions, and the division of budgets.
 
 use super::*;
 
 impl Member {
-    pub(super) fn handle_request(&mut self, from: Name, number: Number, ask: LeaderRequest) {
+    /// Handles a member's request, at once or after it has been committed or the leadership confirmed.
+    pub(super) fn handle_request(&mut self, from: Name, number: Number, request: LeaderRequest) {
         let leader = self.known_leader();
         let limits = self.config.limits.clone();
         let Some(running) = self
@@ -23,18 +24,18 @@
             >= limits.max_pending_leader_requests
         {
             self.events.push(Event::Full {
-                what: "asks at a leader",
+                what: "requests pending at a leader",
             });
             return self.reply(from, number, LeaderReply::RetryLater("too many ask".into()));
         }
-        if let Some(told) = self.handle_work_request(&from, number, &ask) {
-            return self.reply(from, number, told);
+        if let Some(reply) = self.handle_work_request(&from, number, &request) {
+            return self.reply(from, number, reply);
         }
-        let of_work = match &ask {
+        let work_command = match &request {
             LeaderRequest::StopServing { .. } | LeaderRequest::ProposeWorkChange { .. } => {
-                match self.work_command(&from, &ask) {
+                match self.work_command(&from, &request) {
                     Ok(command) => Some(command),
-                    Err(told) => return self.reply(from, number, *told),
+                    Err(reply) => return self.reply(from, number, *reply),
                 }
             }
             _ => None,
@@ -42,20 +43,20 @@
         let Some(running) = self.running_mut() else {
             return;
         };
-        let command = match &ask {
+        let command = match &request {
             LeaderRequest::StopServing { .. }
             | LeaderRequest::ProposeWorkChange { .. }
             | LeaderRequest::ReportWork { .. }
-            | LeaderRequest::PollAsCoordinator { .. } => of_work,
+            | LeaderRequest::PollAsCoordinator { .. } => work_command,
             LeaderRequest::Renew { session, .. } => {
                 let known = running.state.sessions().get(session);
-                let own = known.is_some_and(|known| known.name == from);
-                let barred = running.state.blocked_members().contains(&from);
-                if !own || !running.leases.is_renewable(*session) {
+                let is_own = known.is_some_and(|known| known.name == from);
+                let is_blocked = running.state.blocked_members().contains(&from);
+                if !is_own || !running.leases.is_renewable(*session) {
                     return self.reply(from, number, LeaderReply::SessionNotFound);
                 }
-                if barred {
-                    // The lease runs out.
+                if is_blocked {
+                    // The lease is not renewed, so it expires.
                     return self.reply(from, number, LeaderReply::RetryLater("put out".into()));
                 }
                 None
@@ -63,15 +64,15 @@
             LeaderRequest::FleetView => None,
             LeaderRequest::Join {
                 nonce,
-                wanted_duties: wants,
-                replaced_session: replaces,
-                incarnation: process,
-                last_seen_number: seen,
+                wanted_duties,
+                replaced_session,
+                incarnation,
+                last_seen_number,
                 weight,
                 budgets,
-                units_in_use: uses,
+                units_in_use,
             } => {
-                // A session that there is already is confirmed like a renewal.
+                // An existing session of the same nonce is confirmed like a renewal.
                 let known = running.state.session_by_name(&from);
                 match known {
                     Some((id, known)) if known.nonce == *nonce => {
@@ -84,26 +85,31 @@
                         }
                         None
                     }
-                    Some((id, _)) if *replaces != Some(id) => {
-                        let told = LeaderReply::RetryLater("another session has this name".into());
-                        return self.reply(from, number, told);
+                    Some((id, _)) if *replaced_session != Some(id) => {
+                        let reply = LeaderReply::RetryLater("another session has this name".into());
+                        return self.reply(from, number, reply);
                     }
-                    _ if *seen < running.state.required_last_seen_number(&from) => {
-                        let unseen = running.state.required_last_seen_number(&from);
-                        return self.reply(from, number, LeaderReply::JoinOutdated(unseen));
+                    _ if *last_seen_number < running.state.required_last_seen_number(&from) => {
+                        let required_number = running.state.required_last_seen_number(&from);
+                        return self.reply(
+                            from,
+                            number,
+                            LeaderReply::JoinOutdated(required_number),
+                        );
                     }
                     _ => {
-                        let (name, nonce, wants) = (from.clone(), *nonce, wants.clone());
+                        let (name, nonce, wanted_duties) =
+                            (from.clone(), *nonce, wanted_duties.clone());
                         Some(Command::Join {
                             name,
                             nonce,
-                            wanted_duties: wants,
-                            replaced_session: *replaces,
-                            incarnation: *process,
-                            last_seen_number: *seen,
+                            wanted_duties,
+                            replaced_session: *replaced_session,
+                            incarnation: *incarnation,
+                            last_seen_number: *last_seen_number,
                             weight: *weight,
                             budgets: budgets.clone(),
-                            units_in_use: uses.clone(),
+                            units_in_use: units_in_use.clone(),
                         })
                     }
                 }
@@ -112,35 +118,35 @@
                 session,
                 duty,
                 fence,
-                preferred_holder: to,
+                preferred_holder,
             } => {
                 let (session, fence) = (*session, *fence);
                 Some(Command::ReleaseDuty {
                     session,
                     duty: duty.clone(),
                     fence,
-                    preferred_holder: to.clone(),
+                    preferred_holder: preferred_holder.clone(),
                 })
             }
             LeaderRequest::LowerShare {
                 session,
                 need,
-                units: to,
-                share_version: version,
+                units,
+                share_version,
             } => {
                 let known = running.state.sessions().get(session);
                 if known.is_none_or(|known| known.name != from) {
                     return self.reply(from, number, LeaderReply::SessionNotFound);
                 }
-                // Or what was wanted a while ago would be given back to it.
+                // Otherwise the share would be raised again for a need that was reported earlier.
                 let needs = std::slice::from_ref(need);
                 running.allocator.update_needs(*session, needs);
-                let (session, to, version) = (*session, *to, *version);
+                let (session, units, share_version) = (*session, *units, *share_version);
                 Some(Command::LowerShare {
                     session,
                     budget: need.budget.clone(),
-                    units: to,
-                    share_version: version,
+                    units,
+                    share_version,
                 })
             }
             LeaderRequest::BeginLeave { session } | LeaderRequest::Leave { session, .. } => {
@@ -149,14 +155,12 @@
                     return self.reply(from, number, LeaderReply::SessionNotFound);
                 }
                 let session = *session;
-                Some(match &ask {
-                    LeaderRequest::Leave {
-                        units_in_use: uses, ..
-                    } => {
+                Some(match &request {
+                    LeaderRequest::Leave { units_in_use, .. } => {
                         running.leases.mark_closing(session);
                         Command::Leave {
                             session,
-                            units_in_use: uses.clone(),
+                            units_in_use: units_in_use.clone(),
                         }
                     }
                     _ => Command::BeginLeave { session },
@@ -167,56 +171,61 @@
             }
             LeaderRequest::FleetAction(FleetAction::HandOffDuty {
                 duty,
-                preferred_holder: to,
+                preferred_holder,
             }) => Some(Command::HandOffDuty {
                 duty: duty.clone(),
-                preferred_holder: to.clone(),
+                preferred_holder: preferred_holder.clone(),
             }),
-            // Looked at once a majority has confirmed that this member still leads: its books may have an order as done
-            // already though a later leader has undone it, and a machine as empty that is in use again.
+            // Evaluated only after a majority has confirmed that this member still leads. Its state may be outdated: it
+            // may show an action as done that a later leader has undone, or a machine as empty that is in use again.
             LeaderRequest::FleetAction(
                 FleetAction::AdmitMember { .. } | FleetAction::EvictMember { .. },
             ) => None,
             LeaderRequest::WorkAction(_) | LeaderRequest::WorkView => None,
         };
         match command {
-            None => self.read(from, number, ask),
-            Some(command) => self.propose(command, from, number, ask),
+            None => self.start_read(from, number, request),
+            Some(command) => self.propose(command, from, number, request),
         }
     }
 
-    /// Answers once a majority has confirmed that this member leads, by [`Self::confirmed`].
-    fn read(&mut self, from: Name, number: Number, ask: LeaderRequest) {
+    /// Replies after a majority has confirmed that this member leads, in [`Self::answer_confirmed_read`].
+    fn start_read(&mut self, from: Name, number: Number, request: LeaderRequest) {
         let Some(running) = self.running_mut() else {
             return;
         };
         running.last_read_id += 1;
-        let token = running.last_read_id;
+        let read_id = running.last_read_id;
         running
             .pending_reads
-            .insert(token, (from.clone(), number, ask));
-        if let Err(refused) = running.node.request_read(token) {
-            running.pending_reads.remove(&token);
-            self.reply(from, number, not_now(&refused));
+            .insert(read_id, (from.clone(), number, request));
+        if let Err(rejection) = running.node.request_read(read_id) {
+            running.pending_reads.remove(&read_id);
+            self.reply(from, number, rejection_reply(&rejection));
         }
     }
 
-    /// Answers once the command is in the log.
-    fn propose(&mut self, command: Command, from: Name, number: Number, ask: LeaderRequest) {
+    /// Proposes a command, and replies after it is applied.
+    fn propose(&mut self, command: Command, from: Name, number: Number, request: LeaderRequest) {
         let Some(running) = self.running_mut() else {
             return;
         };
         match running.node.propose(command.encode()) {
             Ok((term, index)) => {
-                let waiting = (term, from, number, ask);
-                running.pending_proposals.insert(index, waiting);
+                let proposal = (term, from, number, request);
+                running.pending_proposals.insert(index, proposal);
             }
-            Err(refused) => self.reply(from, number, not_now(&refused)),
+            Err(rejection) => self.reply(from, number, rejection_reply(&rejection)),
         }
     }
 
-    /// A majority has confirmed, after the ask came, that this member still leads.
-    pub(super) fn answer_confirmed_read(&mut self, from: Name, number: Number, ask: LeaderRequest) {
+    /// Answers a request after a majority has confirmed, later than its arrival, that this member still leads.
+    pub(super) fn answer_confirmed_read(
+        &mut self,
+        from: Name,
+        number: Number,
+        request: LeaderRequest,
+    ) {
         let (now, limits) = (self.now, self.config.limits.clone());
         let Some(running) = self.running_mut() else {
             return;
@@ -228,16 +237,16 @@
                 LeaderReply::RetryLater("this leader can't read its log".into()),
             );
         }
-        let told = match ask {
+        let reply = match request {
             LeaderRequest::FleetAction(FleetAction::AdmitMember { node }) => {
-                return self.begin_job(node, true, (from, number));
+                return self.start_membership_job(node, true, (from, number));
             }
             LeaderRequest::FleetAction(FleetAction::EvictMember { node }) => {
-                return self.begin_job(node, false, (from, number));
+                return self.start_membership_job(node, false, (from, number));
             }
-            LeaderRequest::WorkAction(_) => match self.work_command(&from, &ask) {
-                Ok(command) => return self.propose(command, from, number, ask),
-                Err(told) => *told,
+            LeaderRequest::WorkAction(_) => match self.work_command(&from, &request) {
+                Ok(command) => return self.propose(command, from, number, request),
+                Err(reply) => *reply,
             },
             LeaderRequest::WorkView => match self.work_view() {
                 Some(view) => LeaderReply::WorkView(view),
@@ -246,20 +255,20 @@
             LeaderRequest::Renew {
                 session,
                 needs,
-                known_version: have,
+                known_version,
             } => {
-                let there = running.state.sessions().contains_key(&session);
-                if there && running.leases.is_renewable(session) {
+                let is_known = running.state.sessions().contains_key(&session);
+                if is_known && running.leases.is_renewable(session) {
                     running.leases.grant(session, now, &limits);
-                    let held = running.state.held_duties(session);
+                    let held_duties = running.state.held_duties(session);
                     {
                         running.allocator.update_needs(session, &needs);
                         let shares = running.state.shares(session);
                         LeaderReply::Renewed {
                             applied_index: running.applied_index,
-                            held_duties: held,
+                            held_duties,
                             duties_to_release: running.state.duties_to_release(session),
-                            shares: (shares.0 != have).then_some(shares),
+                            shares: (shares.0 != known_version).then_some(shares),
                             lower_targets: running.allocator.lower_targets(session),
                             term: running.node.status().term,
                         }
@@ -285,31 +294,38 @@
             LeaderRequest::FleetView => LeaderReply::FleetView(self.fleet_view()),
             _ => LeaderReply::RetryLater("no read".into()),
         };
-        self.reply(from, number, told);
+        self.reply(from, number, reply);
     }
 
-    /// Lets a member in or puts it out, step by step; the operator who asked has the answer when it is done.
-    fn begin_job(&mut self, node: Name, into: bool, (from, number): (Name, Number)) {
+    /// Starts the admission or eviction of a member, which takes several log entries; the operator's call is answered
+    /// when it is done.
+    fn start_membership_job(
+        &mut self,
+        node: Name,
+        is_admission: bool,
+        (from, number): (Name, Number),
+    ) {
         let Some(running) = self.running_mut() else {
             return;
         };
         let job = MembershipJob {
-            is_admission: into,
+            is_admission,
             requester: from,
             request_number: number,
         };
         if let Some(earlier) = running.membership_jobs.insert(node, job) {
-            let told = LeaderReply::Refused("another order came".into());
-            self.reply(earlier.requester, earlier.request_number, told);
+            let reply = LeaderReply::Refused("another order came".into());
+            self.reply(earlier.requester, earlier.request_number, reply);
         }
         self.run_leader_tasks();
     }
 
+    /// The state of the fleet according to this leader.
     pub(super) fn fleet_view(&mut self) -> FleetView {
         if self.running().is_none() {
             return self.fleet_view_without_leader("no log here".into());
         }
-        let running = self.running().expect("just seen");
+        let running = self.running().expect("checked above");
         let (log, status, limits) = (
             running.node.members(),
             running.node.status(),
@@ -318,33 +334,38 @@
         let sessions = running.state.sessions();
         let mut names: BTreeSet<&Name> = self.config.peers.keys().collect();
         names.extend(sessions.values().map(|session| &session.name));
-        // One that never votes and is put out is in no file and has no session: staff have to see it all the same.
+        // An evicted member that never votes may be neither configured here nor have a session, but operators still
+        // have to see it.
         names.extend(running.state.blocked_members());
         names.extend(log.0.values().map(|member| &member.name));
         let members = names.into_iter().map(|name| {
             let session = running.state.session_by_name(name);
-            let renewed = session.and_then(|(id, _)| running.leases.last_renewed_at(id));
-            let since = renewed.map(|renewed| self.now.saturating_sub(renewed));
-            let in_log = log.id_by_name(name);
-            let wants_to_vote = self.config.peers.get(name).copied().unwrap_or(false);
+            let renewed_at = session.and_then(|(id, _)| running.leases.last_renewed_at(id));
+            let silence = renewed_at.map(|renewed_at| self.now.saturating_sub(renewed_at));
+            let id_in_log = log.id_by_name(name);
+            let is_configured_voter = self.config.peers.get(name).copied().unwrap_or(false);
             let state = if running.state.blocked_members().contains(name) {
                 "out"
-            } else if wants_to_vote
-                && in_log.is_none_or(|id| self.peer_ids.get(name).is_some_and(|met| *met != id))
+            } else if is_configured_voter
+                && id_in_log.is_none_or(|id| {
+                    self.peer_ids
+                        .get(name)
+                        .is_some_and(|peer_id| *peer_id != id)
+                })
             {
                 "stranger"
             } else {
-                match since {
+                match silence {
                     None => "none",
-                    Some(since) if since > 2 * limits.renew_interval => "silent",
+                    Some(silence) if silence > 2 * limits.renew_interval => "silent",
                     Some(_) => "live",
                 }
             };
             MemberView {
                 node: name.clone(),
-                votes: in_log.is_some_and(|id| log.is_voter(id)),
+                votes: id_in_log.is_some_and(|id| log.is_voter(id)),
                 state: state.into(),
-                since_ms: since,
+                since_ms: silence,
             }
         });
         let duties = running.state.duties().iter().map(|(name, duty)| {
@@ -391,7 +412,7 @@
         }
     }
 
-    /// What a leader does by itself: ends leases, and goes on with who is let in or put out.
+    /// The periodic tasks of a leader: ends expired sessions, divides budgets, and advances admissions and evictions.
     pub(super) fn run_leader_tasks(&mut self) {
         let (now, limits) = (self.now, self.config.limits.clone());
         let Some(running) = self
@@ -401,33 +422,33 @@
             return;
         };
         if running.halt_reason.is_some() {
-            // Another may be able to read it; until then sessions only run out where they are held.
-            if let Some(to) = running.node.transfer_target() {
-                let _ = running.node.transfer_leadership(to);
+            // Another voter may be able to read the log. Until one leads, sessions only expire at their holders.
+            if let Some(target) = running.node.transfer_target() {
+                let _ = running.node.transfer_leadership(target);
             }
             return;
         }
-        let over = running.leases.expired_sessions(now);
-        if !over.is_empty() {
-            let avoid = running
+        let expired = running.leases.expired_sessions(now);
+        if !expired.is_empty() {
+            let avoided_sessions = running
                 .leases
                 .silent_sessions(now, 2 * limits.renew_interval);
             let command = Command::CloseSessions {
-                sessions: over.clone(),
-                avoided_sessions: avoid,
+                sessions: expired.clone(),
+                avoided_sessions,
             };
             if running.node.propose(command.encode()).is_ok() {
-                let mut ended = Vec::new();
-                for id in over {
+                let mut ended_events = Vec::new();
+                for id in expired {
                     running.leases.mark_closing(id);
                     if let Some(session) = running.state.sessions().get(&id) {
                         let since =
                             now.saturating_sub(running.leases.last_renewed_at(id).unwrap_or(now));
                         let (name, why) = (session.name.clone(), LossReason::NotRenewed { since });
-                        ended.push(Event::Ended { name, why });
+                        ended_events.push(Event::Ended { name, why });
                     }
                 }
-                self.events.extend(ended);
+                self.events.extend(ended_events);
             }
         }
         self.allocate_budgets();
@@ -441,23 +462,25 @@
         };
         for (name, job) in jobs {
             let id = self.peer_ids.get(&name).copied();
-            let own = (name == self.config.node).then_some(self.id).flatten();
-            let votes = self.config.peers.get(&name).copied().unwrap_or(false);
+            let own_id = (name == self.config.node).then_some(self.id).flatten();
+            let is_configured_voter = self.config.peers.get(&name).copied().unwrap_or(false);
             let Some(running) = self.running_mut() else {
                 return;
             };
-            let told = match job.is_admission {
-                true => running.advance_admission(&name, id.or(own).filter(|_| votes)),
+            let reply = match job.is_admission {
+                true => {
+                    running.advance_admission(&name, id.or(own_id).filter(|_| is_configured_voter))
+                }
                 false => running.advance_eviction(&name),
             };
-            if let Some(told) = told {
+            if let Some(reply) = reply {
                 running.membership_jobs.remove(&name);
-                self.reply(job.requester, job.request_number, told);
+                self.reply(job.requester, job.request_number, reply);
             }
         }
     }
 
-    /// Divides budgets whose needs have changed, and frees what is not in use any more.
+    /// Divides budgets whose needs have changed, and releases stranded units that are no longer in use.
     pub(super) fn allocate_budgets(&mut self) {
         let (now, limits) = (self.now, self.config.limits.clone());
         let Some(running) = self
@@ -467,15 +490,17 @@
             return;
         };
         let mut due = Vec::new();
-        let mut there = BTreeSet::new();
+        let mut current_keys = BTreeSet::new();
         for (name, budget) in running.state.budgets() {
-            let def = budget.definition();
+            let definition = budget.definition();
             for (number, stranded) in budget.stranded() {
-                let span = match def.kind {
-                    // Whatever clocks say, the window has passed for everybody.
+                let reclaim_delay = match definition.kind {
+                    // After this time the window has passed at every member, even if clocks drift by the allowed
+                    // maximum.
                     BudgetKind::Rate => {
-                        def.window
-                            + 2 * (def.window * limits.max_clock_drift_permille).div_ceil(1000)
+                        definition.window
+                            + 2 * (definition.window * limits.max_clock_drift_permille)
+                                .div_ceil(1000)
                             + 1
                     }
                     BudgetKind::Concurrent if stranded.is_process_gone => limits.reclaim_delay,
@@ -483,13 +508,15 @@
                 };
                 let key = (name.clone(), *number, stranded.is_process_gone);
                 let since = *running.stranded_since.entry(key.clone()).or_insert(now);
-                if now >= since + span {
+                if now >= since + reclaim_delay {
                     due.push((name.clone(), *number));
                 }
-                there.insert(key);
+                current_keys.insert(key);
             }
         }
-        running.stranded_since.retain(|key, _| there.contains(key));
+        running
+            .stranded_since
+            .retain(|key, _| current_keys.contains(key));
         if !due.is_empty() {
             let command = Command::ReleaseStranded { stranded: due };
             let _ = running.node.propose(command.encode());
@@ -501,7 +528,7 @@
         let (mut raises, lowers) = running.allocator.allocate(state.budgets(), |id| {
             state.sessions().get(&id).map_or(1, |known| known.weight)
         });
-        // Who counts another way than is in force gets nothing.
+        // A session whose definition of the budget differs in kind or window from the one in force gets no units.
         raises.retain(|(budget, session, ..)| state.matches_definition(*session, budget));
         if !raises.is_empty() {
             let command = Command::RaiseShares {
@@ -514,22 +541,22 @@
                     .for_each(|(budget, ..)| running.allocator.mark_changed(budget)),
             }
         }
-        let asked: BTreeSet<SessionId> = lowers.into_iter().collect();
-        asked
+        let sessions_to_lower: BTreeSet<SessionId> = lowers.into_iter().collect();
+        sessions_to_lower
             .into_iter()
             .for_each(|id| self.notify_session(id, true));
     }
 }
 
-/// Why the log takes nothing from this member now.
-fn not_now(refused: &Rejection) -> LeaderReply {
-    match refused {
+/// The reply to a request that the log has rejected.
+fn rejection_reply(rejection: &Rejection) -> LeaderReply {
+    match rejection {
         Rejection::NotLeader(_) => LeaderReply::NotLeader(None),
-        _ => LeaderReply::RetryLater(format!("{refused:?}")),
+        _ => LeaderReply::RetryLater(format!("{rejection:?}")),
     }
 }
 
-/// Budgets that a command may have changed.
+/// The budgets that a command may have changed.
 pub(super) fn affected_budgets(command: &Command) -> BTreeSet<Name> {
     match command {
         Command::RaiseShares { changes } => {
@@ -539,7 +566,10 @@
         Command::ReleaseStranded { stranded } => {
             stranded.iter().map(|(budget, _)| budget.clone()).collect()
         }
-        Command::Join { budgets, .. } => budgets.iter().map(|def| def.name.clone()).collect(),
+        Command::Join { budgets, .. } => budgets
+            .iter()
+            .map(|definition| definition.name.clone())
+            .collect(),
         _ => BTreeSet::new(),
     }
 }
--- a/crates/fleet/src/member/log.rs
+++ b/crates/fleet/src/member/log.rs
@@ -1,8 +1,9 @@
-//! A voter's log: what goes out of it, what is applied, and snapshots of that.
+//! A voter's log: outputs of the consensus node, applied entries, and snapshots of the state.
 
 use super::*;
 
 impl Member {
+    /// Handles all outputs of the consensus node, including those that the handling causes.
     pub(super) fn process_consensus_outputs(&mut self) {
         loop {
             let Some(running) = self.running_mut() else {
@@ -18,24 +19,25 @@
         }
     }
 
-    pub(super) fn name_of(&self, id: NodeId) -> Option<Name> {
+    /// The name of the member with that directory id, from the log's members or the connected peers.
+    pub(super) fn member_name(&self, id: NodeId) -> Option<Name> {
         let known = self
             .running()
             .and_then(|running| running.node.members().0.get(&id));
-        let met = || {
+        let peer_name = || {
             self.peer_ids
                 .iter()
-                .find(|(_, met)| **met == id)
+                .find(|(_, peer_id)| **peer_id == id)
                 .map(|(name, _)| name.clone())
         };
-        known.map(|member| member.name.clone()).or_else(met)
+        known.map(|member| member.name.clone()).or_else(peer_name)
     }
 
     pub(super) fn handle_consensus_output(&mut self, output: LogOutput) {
         let (now, limits) = (self.now, self.config.limits.clone());
         match output {
             LogOutput::Send(id, message) => {
-                if let Some(to) = self.name_of(id) {
+                if let Some(to) = self.member_name(id) {
                     let from = self.id.unwrap_or_default();
                     self.outputs.push(Output::Send(
                         to,
@@ -88,25 +90,25 @@
                 let proposals = std::mem::take(&mut running.pending_proposals).into_values();
                 let reads = std::mem::take(&mut running.pending_reads).into_values();
                 let proposals = proposals.map(|(_, from, number, _)| (from, number));
-                let waiting: Vec<_> = proposals
+                let requests: Vec<_> = proposals
                     .chain(reads.map(|(from, number, _)| (from, number)))
                     .collect();
-                for (from, number) in waiting {
+                for (from, number) in requests {
                     self.reply(from, number, LeaderReply::NotLeader(None));
                 }
             }
-            LogOutput::ReadReady(token, _) => {
+            LogOutput::ReadReady(read_id, _) => {
                 let read = self
                     .running_mut()
-                    .and_then(|running| running.pending_reads.remove(&token));
-                if let Some((from, number, ask)) = read {
-                    self.answer_confirmed_read(from, number, ask);
+                    .and_then(|running| running.pending_reads.remove(&read_id));
+                if let Some((from, number, request)) = read {
+                    self.answer_confirmed_read(from, number, request);
                 }
             }
-            LogOutput::ReadFailed(token) => {
+            LogOutput::ReadFailed(read_id) => {
                 let read = self
                     .running_mut()
-                    .and_then(|running| running.pending_reads.remove(&token));
+                    .and_then(|running| running.pending_reads.remove(&read_id));
                 if let Some((from, number, _)) = read {
                     self.reply(from, number, LeaderReply::NotLeader(None));
                 }
@@ -115,7 +117,7 @@
         }
     }
 
-    /// This program is too old for the log: it keeps it and votes, and settles nothing by it.
+    /// Stops applying the log, which this program is too old to read. The member still stores the log and votes.
     fn halt(&mut self, why: String) {
         if let Some(running) = self.running_mut() {
             running.halt_reason = Some(why.clone());
@@ -123,27 +125,28 @@
         }
     }
 
+    /// Applies a committed entry, notifies sessions that it concerns, and replies to the request that proposed it.
     pub(super) fn apply_entry(&mut self, entry: violetwind_consensus::Entry) {
         let (now, limits) = (self.now, self.config.limits.clone());
         let Some(running) = self.running_mut() else {
             return;
         };
-        // Behind what it can't read nothing is as the others have it.
+        // After an entry that was not applied the state differs from that of the other members.
         if running.halt_reason.is_some() {
             return;
         }
         running.applied_index = entry.index;
-        let leads = running.node.is_ready_leader();
+        let is_leader = running.node.is_ready_leader();
         if running.pending_raise == Some(entry.index) {
             running.pending_raise = None;
         }
-        let waiting = running.pending_proposals.remove(&entry.index);
+        let proposal = running.pending_proposals.remove(&entry.index);
         let effect = match entry.payload {
             Payload::Command(bytes) => match Command::decode(&bytes) {
                 Ok(command) => {
-                    let before = leads.then(|| running.duty_holders());
-                    let touched = leader::affected_budgets(&command);
-                    let raised: BTreeSet<SessionId> = match &command {
+                    let before = is_leader.then(|| running.duty_holders());
+                    let budgets = leader::affected_budgets(&command);
+                    let raised_sessions: BTreeSet<SessionId> = match &command {
                         Command::RaiseShares { changes } => {
                             changes.iter().map(|(_, id, ..)| *id).collect()
                         }
@@ -156,16 +159,16 @@
                         running.allocator.mark_all_changed();
                     }
                     let effect = running.state.apply(command);
-                    touched
+                    budgets
                         .iter()
                         .for_each(|budget| running.allocator.mark_changed(budget));
                     if let Some(before) = before {
                         let after = running.duty_holders();
-                        let moved = after
+                        let changed = after
                             .into_iter()
-                            .filter(|(duty, at)| before.get(duty) != Some(at));
-                        let moved: BTreeSet<_> =
-                            moved.filter_map(|(_, (holder, _))| holder).collect();
+                            .filter(|(duty, holding)| before.get(duty) != Some(holding));
+                        let changed_holders: BTreeSet<_> =
+                            changed.filter_map(|(_, (holder, _))| holder).collect();
                         running
                             .leases
                             .retain_sessions(|id| running.state.sessions().contains_key(&id));
@@ -175,13 +178,16 @@
                         running
                             .work_reports
                             .retain_sessions(|id| running.state.sessions().contains_key(&id));
-                        let moved = moved.into_iter().map(|(id, _)| id);
-                        let urgent: BTreeSet<SessionId> = moved.collect();
-                        let grown: Vec<_> = raised.difference(&urgent).copied().collect();
-                        urgent
+                        let changed_sessions = changed_holders.into_iter().map(|(id, _)| id);
+                        let sessions_to_renew: BTreeSet<SessionId> = changed_sessions.collect();
+                        let sessions_to_update: Vec<_> = raised_sessions
+                            .difference(&sessions_to_renew)
+                            .copied()
+                            .collect();
+                        sessions_to_renew
                             .into_iter()
                             .for_each(|id| self.notify_session(id, true));
-                        grown
+                        sessions_to_update
                             .into_iter()
                             .for_each(|id| self.notify_session(id, false));
                     }
@@ -194,36 +200,36 @@
             },
             Payload::Noop | Payload::Members(_) => Effect::Done,
         };
-        let Some((term, from, number, ask)) = waiting else {
+        let Some((term, from, number, request)) = proposal else {
             return;
         };
         let Some(running) = self.running_mut() else {
             return;
         };
-        let told = match effect {
+        let reply = match effect {
             _ if term != entry.term => LeaderReply::NotLeader(None),
             Effect::Joined(session) => {
                 running.leases.grant(session, now, &limits);
-                let held = running.state.held_duties(session);
+                let held_duties = running.state.held_duties(session);
                 LeaderReply::Joined {
                     session,
                     applied_index: running.applied_index,
-                    held_duties: held,
+                    held_duties,
                     shares: running.state.shares(session),
                 }
             }
-            Effect::JoinOutdated(seen) => LeaderReply::JoinOutdated(seen),
+            Effect::JoinOutdated(required_number) => LeaderReply::JoinOutdated(required_number),
             Effect::NameInUse => LeaderReply::RetryLater("another session has this name".into()),
             Effect::Refused(why) => LeaderReply::Refused(why.into()),
             Effect::WorkRefused(why) => LeaderReply::Refused(why),
-            Effect::Done => match ask {
+            Effect::Done => match request {
                 LeaderRequest::LowerShare { session, need, .. } => {
                     let known = running.state.budgets().get(&need.budget);
                     LeaderReply::ShareLowered(
                         known.map(|known| known.share(session)).unwrap_or_default(),
                     )
                 }
-                // Members of the log follow.
+                // The change of the log's members follows; the reply is sent when that is done.
                 LeaderRequest::FleetAction(
                     FleetAction::AdmitMember { .. } | FleetAction::EvictMember { .. },
                 ) => return,
@@ -231,39 +237,45 @@
                 _ => LeaderReply::Done,
             },
         };
-        self.reply(from, number, told);
+        self.reply(from, number, reply);
     }
 
-    pub(super) fn notify_session(&mut self, session: SessionId, at_once: bool) {
+    /// Sends a session its shares and lower targets; with `renew_now` its member renews at once.
+    pub(super) fn notify_session(&mut self, session: SessionId, renew_now: bool) {
         let Some(running) = self.running() else {
             return;
         };
         let Some(known) = running.state.sessions().get(&session) else {
             return;
         };
-        let (name, at) = (known.name.clone(), running.applied_index);
-        let (shares, lower) = (
+        let (name, applied_index) = (known.name.clone(), running.applied_index);
+        let (shares, lower_targets) = (
             running.state.shares(session),
             running.allocator.lower_targets(session),
         );
         if name == self.config.node {
-            self.session_client
-                .apply_session_update(session, at, &shares, &lower);
-            if at_once {
+            self.session_client.apply_session_update(
+                session,
+                applied_index,
+                &shares,
+                &lower_targets,
+            );
+            if renew_now {
                 self.session_client.renew_now(self.now);
             }
         } else {
-            let nudge = PeerMessage::SessionUpdate {
+            let update = PeerMessage::SessionUpdate {
                 session,
-                applied_index: at,
+                applied_index,
                 shares,
-                lower_targets: lower,
-                renew_now: at_once,
+                lower_targets,
+                renew_now,
             };
-            self.outputs.push(Output::Send(name, nudge));
+            self.outputs.push(Output::Send(name, update));
         }
     }
 
+    /// Takes a snapshot of the state and compacts the log, if enough entries were applied since the last one.
     pub(super) fn snapshot_if_due(&mut self, limits: &Limits) {
         if let Some(running) = self.running_mut()
             && running.halt_reason.is_none()
@@ -277,6 +289,7 @@
 }
 
 impl RunningVoter {
+    /// Starts a voter of a formed fleet from what its directory contains.
     pub(super) fn new(saved: SavedState, limits: &Limits, seed: u64, now: Millis) -> Self {
         Self {
             agreed_members: saved.agreed_members,
@@ -302,7 +315,7 @@
         }
     }
 
-    /// Who holds what, and whether it is asked back.
+    /// The holder of each duty, and whether a handoff of the duty is requested.
     pub(super) fn duty_holders(&self) -> BTreeMap<Name, (Option<(SessionId, Number)>, bool)> {
         let duties = self.state.duties().iter();
         duties
@@ -315,7 +328,7 @@
             .collect()
     }
 
-    /// The next step of letting a member in; what to answer when it is done or can't be.
+    /// Proposes the next step of the admission of a member. Returns the reply when the admission is done or has failed.
     pub(super) fn advance_admission(
         &mut self,
         name: &Name,
@@ -326,7 +339,7 @@
             let _ = self.node.propose(command.encode());
             return None;
         }
-        // One that does not vote has no part in the log.
+        // A member that does not vote is not a member of the log.
         let Some(id) = id else {
             return Some(LeaderReply::Done);
         };
@@ -341,11 +354,12 @@
             Err(Rejection::Full) => {
                 Some(LeaderReply::Refused("too many members of the log".into()))
             }
-            // The change before it is on its way, or the member has not got the log yet.
+            // The previous change is not committed yet, or the member has not received the log yet.
             _ => None,
         }
     }
 
+    /// Proposes the next step of the eviction of a member. Returns the reply when the eviction is done or has failed.
     pub(super) fn advance_eviction(&mut self, name: &Name) -> Option<LeaderReply> {
         if !self.state.blocked_members().contains(name) {
             let command = Command::BlockMember { name: name.clone() };
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -1,5 +1,5 @@
-//! One process of the fleet: a voter's log and state, the leader's part where it leads, and the client's part
-//! that all have.
+//! One process of the fleet: the log and state if it is a voter, the leader's tasks while it leads, and the client
+//! side of a session, which every member has.
 
 mod leader;
 mod log;
@@ -26,21 +26,22 @@
 use crate::session_client::SessionClient;
 use crate::state::{Command, Effect, State};
 
-/// Numbers of asks on behalf of operators have this bit, a member's own have not.
+/// Set in the numbers of requests on behalf of operators, and clear in those of the member's own session.
 const OPERATOR_CALL_BIT: Number = 1 << 63;
 
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// This member's own name.
     pub node: Name,
-    /// All members that the file names, and whether they are meant to vote.
+    /// All configured members, and whether they are configured as voters.
     pub peers: BTreeMap<Name, bool>,
-    /// What this member is able to hold.
+    /// The duties that this member can hold.
     pub duties: Vec<Name>,
     pub budgets: Vec<BudgetDefinition>,
-    /// Those of them that are counted elsewhere in this process, not by takers here.
+    /// The budgets that are counted elsewhere in this process, not by units acquired at this member.
     pub external_budgets: BTreeSet<Name>,
-    /// Whether it takes part in work on machines.
+    /// Whether this member takes part in work orders on machines.
     pub work_enabled: bool,
     pub limits: Limits,
 }
@@ -52,45 +53,49 @@
     }
 }
 
-/// A voter, before and after there is a fleet.
+/// A voter before and after the fleet is formed.
 #[derive(Clone, Debug)]
 enum Voter {
     Forming(Formation),
     Running(Box<RunningVoter>),
 }
 
+/// A voter of a formed fleet.
 #[derive(Clone, Debug)]
 struct RunningVoter {
     node: Node,
     state: State,
     applied_index: Index,
     leases: LeaseTable,
-    /// Asks that wait for an entry of this term to be applied.
+    /// Requests whose replies wait until the log entry of that index and term is applied.
     pending_proposals: BTreeMap<Index, (Term, Name, Number, LeaderRequest)>,
-    /// Asks that wait until a majority has confirmed the leader.
+    /// Requests that wait until a majority has confirmed that this member still leads.
     pending_reads: BTreeMap<ReadId, (Name, Number, LeaderRequest)>,
     last_read_id: ReadId,
-    /// Members that are being let in or put out, step by step.
+    /// Admissions and evictions in progress, by member.
     membership_jobs: BTreeMap<Name, MembershipJob>,
     allocator: ShareAllocator,
     work_reports: work_orders::WorkReports,
-    /// Shares that are to grow stand in this entry.
+    /// The log entry that raises shares and is not applied yet.
     pending_raise: Option<Index>,
-    /// Since when a stranded share is known here, and whether its process was known to be gone.
+    /// When each stranded share was first seen here. The key has the budget, the number of the stranded share, and
+    /// whether its process is known to be gone.
     stranded_since: BTreeMap<(Name, Number, bool), Millis>,
     agreed_members: Option<violetwind_consensus::Members>,
-    /// The last log or state that could not be read: this program is too old for it.
+    /// Why this program can't read an entry or a snapshot; it is too old for the log then, and applies nothing.
     halt_reason: Option<String>,
 }
 
+/// The admission or eviction of a member, and the request to reply to when it is done.
 #[derive(Clone, Debug)]
 struct MembershipJob {
-    /// Let in, or put out.
+    /// Whether the member is admitted, not evicted.
     is_admission: bool,
     requester: Name,
     request_number: Number,
 }
 
+/// An operator's call that waits for the leader's reply.
 #[derive(Clone, Debug)]
 struct PendingCall {
     call_number: Number,
@@ -99,7 +104,7 @@
     sent_at: Millis,
 }
 
-/// Who asks for a unit of a budget.
+/// An operator's call for a unit of a budget.
 #[derive(Clone, Debug)]
 struct UnitRequest {
     call_number: Number,
@@ -109,14 +114,15 @@
     deadline: Millis,
 }
 
-/// Units that are out at programs of operators, until when, and who waits for one.
+/// Units that operators' programs hold, by budget and token, with the time at which each is released; and the calls
+/// that wait for a unit.
 #[derive(Clone, Debug, Default)]
 struct OperatorUnits {
     held: BTreeMap<(Name, Name), Millis>,
     waiting: VecDeque<UnitRequest>,
 }
 
-/// Whom to ask.
+/// Selects the voter to which requests for the leader are sent.
 #[derive(Clone, Debug)]
 struct LeaderLocator {
     voters: Vec<Name>,
@@ -126,12 +132,12 @@
 
 impl LeaderLocator {
     fn request_target(&self) -> Option<Name> {
-        let turn = || {
+        let next_voter = || {
             self.voters
                 .get(self.next_voter % self.voters.len().max(1))
                 .cloned()
         };
-        self.leader.clone().or_else(turn)
+        self.leader.clone().or_else(next_voter)
     }
 
     fn mark_failed(&mut self) {
@@ -140,6 +146,7 @@
     }
 }
 
+/// One process of the fleet. It does no I/O: all effects are [`Output`]s of [`Member::handle`].
 #[derive(Clone, Debug)]
 pub struct Member {
     config: Config,
@@ -150,7 +157,7 @@
     peer_ids: BTreeMap<Name, NodeId>,
     pending_calls: BTreeMap<Number, PendingCall>,
     units: OperatorUnits,
-    /// Its part in work on machines, if it has one.
+    /// This member's part in work orders on machines, if it takes part in them.
     work_participant: Option<work_orders::WorkParticipant>,
     last_call_number: Number,
     pending_saves: VecDeque<(Number, PendingSave)>,
@@ -160,13 +167,14 @@
     next_formation_at: Millis,
     is_stranger: bool,
     is_quitting: bool,
-    /// Having left its session, it hands the lead on from then on.
+    /// When this member begins to transfer leadership, after it has left its session.
     leadership_transfer_at: Option<Millis>,
     has_ended: bool,
     outputs: Vec<Output>,
     events: Vec<Event>,
 }
 
+/// What a record that is being saved contains.
 #[derive(Clone, Debug)]
 enum PendingSave {
     Agreed(violetwind_consensus::Members),
@@ -175,8 +183,8 @@
 }
 
 impl Member {
-    /// `saved` is what the directory holds, none for a member without one, which never votes. `seed` is another
-    /// one with each process.
+    /// Starts a member. `saved` is the content of its directory, `None` for a member without one, which never votes.
+    /// `seed` must differ between processes.
     pub fn new(config: Config, saved: Option<SavedState>, seed: u64, now: Millis) -> Self {
         let voters = config.voters();
         let id = saved.as_ref().map(|saved| saved.id);
@@ -188,9 +196,9 @@
                 now,
             ))),
             false => {
-                let me = config.node.clone();
+                let own_name = config.node.clone();
                 Voter::Forming(Formation::new(
-                    me,
+                    own_name,
                     saved.id,
                     voters.clone(),
                     saved.agreed_members,
@@ -198,7 +206,7 @@
             }
         });
         let voters: Vec<Name> = voters.into_iter().collect();
-        let next = seed as usize % voters.len().max(1);
+        let next_voter = seed as usize % voters.len().max(1);
         Self {
             session_client: SessionClient::new(
                 config.duties.clone(),
@@ -211,7 +219,7 @@
             leader_locator: LeaderLocator {
                 voters,
                 leader: None,
-                next_voter: next,
+                next_voter,
             },
             voter,
             id,
@@ -237,11 +245,12 @@
         }
     }
 
+    /// The id of this member's directory, if it has one.
     pub fn id(&self) -> Option<NodeId> {
         self.id
     }
 
-    /// The fencing number of a duty that this process holds at `now`, by a clock that is read right before.
+    /// The fencing number of a duty that this process holds at `now`, which has to be read from the clock right before.
     pub fn held_fence(&self, duty: &str, now: Millis) -> Option<Number> {
         let held = self
             .session_client
@@ -249,19 +258,23 @@
         held.map(|(fence, _)| fence)
     }
 
+    /// The session of this member, if its lease has not expired.
     pub fn session(&self) -> Option<SessionId> {
         self.session_client.session()
     }
 
+    /// Whether this member leads the fleet and can serve requests.
     pub fn is_ready_leader(&self) -> bool {
         self.running()
             .is_some_and(|running| running.node.is_ready_leader())
     }
 
+    /// The status of the consensus log, if this member is a voter of a formed fleet.
     pub fn consensus_status(&self) -> Option<violetwind_consensus::Status> {
         self.running().map(|running| running.node.status())
     }
 
+    /// The replicated state, if this member is a voter of a formed fleet.
     pub fn state(&self) -> Option<&State> {
         self.running().map(|running| &running.state)
     }
@@ -280,6 +293,7 @@
         }
     }
 
+    /// Handles an input at the time `now`, and returns the outputs that it causes.
     pub fn handle(&mut self, now: Millis, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         if self.has_ended {
@@ -295,13 +309,13 @@
             Input::RecordsSaved(number) => self.confirm_saved(number),
             Input::ExternalUsage {
                 budget,
-                part_number: part,
-                in_use: busy,
+                part_number,
+                in_use,
                 denied,
             } => {
                 let limits = self.config.limits.clone();
                 self.session_client.record_external_usage(
-                    (&budget, part, busy, denied),
+                    (&budget, part_number, in_use, denied),
                     self.now,
                     &limits,
                 );
@@ -331,21 +345,21 @@
                 .map(|(budget, number, part)| Output::Part(budget, number, part));
             self.outputs.extend(parts);
         }
-        // An ask of its own may have gone to itself.
+        // A request of this member may have been handled here, if it leads.
         self.process_consensus_outputs();
         let events = self.events.drain(..).map(Output::Event);
         self.outputs.extend(events);
         std::mem::take(&mut self.outputs)
     }
 
-    /// Only those that the file lets vote have a part in the log.
+    /// Records the id of a peer's directory. Only configured voters take part in the log.
     fn record_peer_id(&mut self, name: Name, id: NodeId) {
         if self.leader_locator.voters.contains(&name) {
             self.peer_ids.insert(name, id);
         }
     }
 
-    // Time.
+    // Timers.
 
     fn tick(&mut self) {
         let (now, limits) = (self.now, self.config.limits.clone());
@@ -357,16 +371,16 @@
         }
         self.advance_formation();
         self.run_leader_tasks();
-        let patience = limits.renew_interval / 2;
-        let late: Vec<_> = self
+        let reply_timeout = limits.renew_interval / 2;
+        let late_calls: Vec<_> = self
             .pending_calls
             .iter()
-            .filter(|(_, call)| now >= call.sent_at + patience)
+            .filter(|(_, call)| now >= call.sent_at + reply_timeout)
             .collect();
-        let late: Vec<Number> = late.into_iter().map(|(number, _)| *number).collect();
-        for number in late {
-            let call = self.pending_calls.remove(&number).expect("just seen");
-            if now >= call.started_at + limits.renew_interval + patience {
+        let late_numbers: Vec<Number> = late_calls.into_iter().map(|(number, _)| *number).collect();
+        for number in late_numbers {
+            let call = self.pending_calls.remove(&number).expect("collected above");
+            if now >= call.started_at + limits.renew_interval + reply_timeout {
                 self.fail_call(call);
             } else {
                 self.leader_locator.mark_failed();
@@ -380,7 +394,7 @@
             let step = formation.next_step();
             if self.now >= self.next_formation_at {
                 self.next_formation_at = self.now + self.config.limits.consensus.heartbeat_interval;
-                let form = formation.status();
+                let status = formation.status();
                 for name in self
                     .leader_locator
                     .voters
@@ -389,7 +403,7 @@
                 {
                     self.outputs.push(Output::Send(
                         name.clone(),
-                        PeerMessage::Formation(form.clone()),
+                        PeerMessage::Formation(status.clone()),
                     ));
                 }
             }
@@ -424,22 +438,22 @@
         while self
             .pending_saves
             .front()
-            .is_some_and(|(at, _)| *at <= number)
+            .is_some_and(|(record_number, _)| *record_number <= number)
         {
-            let (_, save) = self.pending_saves.pop_front().expect("just seen");
+            let (_, save) = self.pending_saves.pop_front().expect("checked above");
             match (save, &mut self.voter) {
                 (PendingSave::Agreed(members), Some(Voter::Forming(formation))) => {
                     formation.mark_agreed(members)
                 }
                 (PendingSave::Formed, Some(Voter::Forming(formation))) => {
-                    let form = formation.status();
+                    let status = formation.status();
                     let mut saved = SavedState {
-                        agreed_members: form.agreed_members,
-                        ..SavedState::new(form.id)
+                        agreed_members: status.agreed_members,
+                        ..SavedState::new(status.id)
                     };
                     saved
                         .apply(MemberRecord::Formed)
-                        .expect("it only sets the first members");
+                        .expect("a record of formation always applies");
                     let voters = self.leader_locator.voters.clone();
                     self.events.push(Event::Formed { voters });
                     let running =
@@ -454,19 +468,19 @@
         }
     }
 
-    // Frames.
+    // Peer messages and requests.
 
     fn handle_peer_message(&mut self, from: Name, peer: PeerMessage) {
         let now = self.now;
         match peer {
-            PeerMessage::Formation(form) => {
-                self.record_peer_id(from.clone(), form.id);
-                let answer = match &mut self.voter {
+            PeerMessage::Formation(status) => {
+                self.record_peer_id(from.clone(), status.id);
+                let own_status = match &mut self.voter {
                     Some(Voter::Forming(formation)) => {
-                        formation.receive_status(from, form);
+                        formation.receive_status(from, status);
                         return self.advance_formation();
                     }
-                    Some(Voter::Running(running)) if !form.is_formed => FormationStatus {
+                    Some(Voter::Running(running)) if !status.is_formed => FormationStatus {
                         id: running.node.id(),
                         known_ids: BTreeMap::new(),
                         agreed_members: running.agreed_members.clone(),
@@ -475,7 +489,7 @@
                     _ => return,
                 };
                 self.outputs
-                    .push(Output::Send(from, PeerMessage::Formation(answer)));
+                    .push(Output::Send(from, PeerMessage::Formation(own_status)));
             }
             PeerMessage::Consensus {
                 from: id,
@@ -491,30 +505,35 @@
                         running.node.handle(now, LogInput::Message(id, message));
                     }
                     Some(Voter::Forming(_)) => {
-                        // Only members of a fleet that has formed speak so, and to members only.
-                        let on_its_way = self
+                        // Only members of a formed fleet send consensus messages, and only to members of its log: the
+                        // fleet is formed, and this directory belongs to it.
+                        let is_being_saved = self
                             .pending_saves
                             .iter()
                             .any(|(_, save)| matches!(save, PendingSave::Formed));
-                        if !on_its_way {
+                        if !is_being_saved {
                             self.save_record(MemberRecord::Formed, PendingSave::Formed);
                         }
                     }
                     None => {}
                 }
             }
-            PeerMessage::Request(number, ask) => self.handle_request(from, number, ask),
-            PeerMessage::Reply(number, told) => self.handle_reply(from, number, told),
+            PeerMessage::Request(number, request) => self.handle_request(from, number, request),
+            PeerMessage::Reply(number, reply) => self.handle_reply(from, number, reply),
             PeerMessage::SessionUpdate {
                 session,
-                applied_index: at,
+                applied_index,
                 shares,
-                lower_targets: lower,
-                renew_now: at_once,
+                lower_targets,
+                renew_now,
             } => {
-                self.session_client
-                    .apply_session_update(session, at, &shares, &lower);
-                if at_once {
+                self.session_client.apply_session_update(
+                    session,
+                    applied_index,
+                    &shares,
+                    &lower_targets,
+                );
+                if renew_now {
                     self.session_client.renew_now(now);
                 }
             }
@@ -529,44 +548,44 @@
             }
             self.leader_locator.leader = Some(leader);
         }
-        while let Some((number, ask)) = self
+        while let Some((number, request)) = self
             .session_client
             .next_request(self.now, &self.config.limits)
         {
             match self.leader_locator.request_target() {
-                Some(to) => self.send_request(to, number, ask),
+                Some(to) => self.send_request(to, number, request),
                 None => return,
             }
         }
     }
 
-    /// The leader that the log here knows.
+    /// The leader that this member's log knows.
     fn known_leader(&self) -> Option<Name> {
         let running = self.running()?;
         let leader = running.node.status().leader?;
         Some(running.node.members().0.get(&leader)?.name.clone())
     }
 
-    fn send_request(&mut self, to: Name, number: Number, ask: LeaderRequest) {
+    fn send_request(&mut self, to: Name, number: Number, request: LeaderRequest) {
         if to == self.config.node {
-            self.handle_request(to, number, ask);
+            self.handle_request(to, number, request);
         } else {
             self.outputs
-                .push(Output::Send(to, PeerMessage::Request(number, ask)));
+                .push(Output::Send(to, PeerMessage::Request(number, request)));
         }
     }
 
-    fn reply(&mut self, to: Name, number: Number, told: LeaderReply) {
+    fn reply(&mut self, to: Name, number: Number, reply: LeaderReply) {
         if to == self.config.node {
-            self.handle_reply(to, number, told);
+            self.handle_reply(to, number, reply);
         } else {
             self.outputs
-                .push(Output::Send(to, PeerMessage::Reply(number, told)));
+                .push(Output::Send(to, PeerMessage::Reply(number, reply)));
         }
     }
 
-    fn handle_reply(&mut self, from: Name, number: Number, told: LeaderReply) {
-        if let LeaderReply::NotLeader(leader) = &told {
+    fn handle_reply(&mut self, from: Name, number: Number, reply: LeaderReply) {
+        if let LeaderReply::NotLeader(leader) = &reply {
             match leader {
                 Some(leader) if *leader != from && self.leader_locator.voters.contains(leader) => {
                     self.leader_locator.leader = Some(leader.clone());
@@ -583,22 +602,22 @@
             }
         }
         if number & work_orders::WORK_REQUEST_BIT != 0 {
-            return self.handle_work_reply(told);
+            return self.handle_work_reply(reply);
         }
         if number & OPERATOR_CALL_BIT == 0 {
             let limits = self.config.limits.clone();
-            let taken = self.session_client.handle_reply(
+            let was_accepted = self.session_client.handle_reply(
                 number,
-                &told,
+                &reply,
                 self.now,
                 &limits,
                 &mut self.events,
             );
-            if taken {
+            if was_accepted {
                 self.leader_locator.leader = Some(from);
-            } else if matches!(&told, LeaderReply::NotLeader(leader) if leader.is_some() && *leader == self.leader_locator.leader)
+            } else if matches!(&reply, LeaderReply::NotLeader(leader) if leader.is_some() && *leader == self.leader_locator.leader)
             {
-                // The way is known: no need to wait.
+                // The leader is known, so the request need not wait for the retry delay.
                 self.session_client.request_soon(self.now, &limits);
             }
             return;
@@ -606,7 +625,7 @@
         let Some(call) = self.pending_calls.remove(&number) else {
             return;
         };
-        let answer = match told {
+        let answer = match reply {
             LeaderReply::NotLeader(_) | LeaderReply::RetryLater(_) => {
                 self.pending_calls.insert(number, call);
                 return;
@@ -630,28 +649,28 @@
         self.outputs.push(Output::Answer(call.call_number, answer));
     }
 
-    // The end.
+    // Shutdown.
 
     fn finish_quit(&mut self) {
         if !self.is_quitting || !self.session_client.has_left() || self.has_ended {
             return;
         }
-        // Who got something by it asks this leader once more; then the lead goes to somebody else, so that
-        // nobody has to miss it first.
-        let until = *self
+        // Members that get this member's duties or shares renew once more at this leader. Then it transfers leadership,
+        // so that the others don't have to detect its absence by an election timeout.
+        let transfer_at = *self
             .leadership_transfer_at
             .get_or_insert(self.now + self.config.limits.renew_interval / 4);
-        let given_up = self.now >= until + self.config.limits.consensus.election_timeout;
+        let has_timed_out = self.now >= transfer_at + self.config.limits.consensus.election_timeout;
         if let Some(running) = self
             .running_mut()
             .filter(|running| running.node.is_ready_leader())
         {
-            let to = running.node.transfer_target().filter(|_| !given_up);
-            if let Some(to) = to {
-                if self.now >= until {
+            let target = running.node.transfer_target().filter(|_| !has_timed_out);
+            if let Some(target) = target {
+                if self.now >= transfer_at {
                     let _ = self
                         .running_mut()
-                        .map(|running| running.node.transfer_leadership(to));
+                        .map(|running| running.node.transfer_leadership(target));
                     self.process_consensus_outputs();
                 }
                 return;
--- a/crates/fleet/src/member/operators.rs
+++ b/crates/fleet/src/member/operators.rs
@@ -1,17 +1,15 @@
-//! What operators and their programs call for, and what the fleet looks like from here.
+//! Calls of operators and their programs, and this member's view of the fleet.
 
 use super::*;
 
 impl Member {
-    pub(super) fn handle_call(&mut self, token: Number, call: OperatorCall) {
+    /// Handles an operator's call: answers it here, or sends it to the leader.
+    pub(super) fn handle_call(&mut self, call_number: Number, call: OperatorCall) {
         let (now, limits) = (self.now, &self.config.limits);
         let answer = match call {
             OperatorCall::HoldDuty { duty, token } => {
                 match self.session_client.hold_duty(&duty, &token, now, limits) {
-                    Ok((fence, left)) => OperatorAnswer::Held {
-                        fence,
-                        remaining: left,
-                    },
+                    Ok((fence, remaining)) => OperatorAnswer::Held { fence, remaining },
                     Err(why) => OperatorAnswer::NotHeld(why),
                 }
             }
@@ -21,24 +19,21 @@
             }
             OperatorCall::AcquireUnit {
                 budget,
-                token: unit,
-                hold_timeout: within,
-                max_wait: wait,
+                token,
+                hold_timeout,
+                max_wait,
             } => {
-                let ask = UnitRequest {
-                    call_number: token,
+                let request = UnitRequest {
+                    call_number,
                     budget,
-                    token: unit,
-                    hold_timeout: within,
-                    deadline: now + wait,
+                    token,
+                    hold_timeout,
+                    deadline: now + max_wait,
                 };
-                return self.acquire_unit(ask);
+                return self.acquire_unit(request);
             }
-            OperatorCall::ReleaseUnit {
-                budget,
-                token: unit,
-            } => {
-                if self.units.held.remove(&(budget.clone(), unit)).is_some() {
+            OperatorCall::ReleaseUnit { budget, token } => {
+                if self.units.held.remove(&(budget.clone(), token)).is_some() {
                     self.session_client.release_unit(&budget);
                 }
                 OperatorAnswer::Done
@@ -47,98 +42,103 @@
             | OperatorCall::FleetAction(_)
             | OperatorCall::WorkAction(_)
             | OperatorCall::WorkView => {
-                let ask = match call {
-                    OperatorCall::FleetAction(order) => LeaderRequest::FleetAction(order),
-                    OperatorCall::WorkAction(staff) => LeaderRequest::WorkAction(staff),
+                let request = match call {
+                    OperatorCall::FleetAction(action) => LeaderRequest::FleetAction(action),
+                    OperatorCall::WorkAction(action) => LeaderRequest::WorkAction(action),
                     OperatorCall::WorkView => LeaderRequest::WorkView,
                     _ => LeaderRequest::FleetView,
                 };
                 return self.send_call(PendingCall {
-                    call_number: token,
-                    request: ask,
+                    call_number,
+                    request,
                     started_at: now,
                     sent_at: now,
                 });
             }
         };
-        self.outputs.push(Output::Answer(token, answer));
+        self.outputs.push(Output::Answer(call_number, answer));
     }
 
-    pub(super) fn acquire_unit(&mut self, ask: UnitRequest) {
+    /// Answers a call for a unit, or queues it until a unit is available or its deadline has passed.
+    pub(super) fn acquire_unit(&mut self, request: UnitRequest) {
         let (now, limits) = (self.now, &self.config.limits);
-        let key = (ask.budget.clone(), ask.token.clone());
-        let def = self
+        let key = (request.budget.clone(), request.token.clone());
+        let definition = self
             .session_client
             .budgets()
             .iter()
-            .find(|def| def.name == ask.budget);
-        let held = def.is_some_and(|def| def.kind == BudgetKind::Concurrent);
-        if held && let Some(until) = self.units.held.get_mut(&key) {
-            *until = (*until).max(now + ask.hold_timeout);
+            .find(|definition| definition.name == request.budget);
+        let is_concurrent =
+            definition.is_some_and(|definition| definition.kind == BudgetKind::Concurrent);
+        if is_concurrent && let Some(release_at) = self.units.held.get_mut(&key) {
+            *release_at = (*release_at).max(now + request.hold_timeout);
             return self.outputs.push(Output::Answer(
-                ask.call_number,
+                request.call_number,
                 OperatorAnswer::UnitAcquired,
             ));
         }
-        let answer = match self.session_client.acquire_unit(&ask.budget, now, limits) {
+        let answer = match self
+            .session_client
+            .acquire_unit(&request.budget, now, limits)
+        {
             Acquisition::Granted => {
-                if held {
-                    self.units.held.insert(key, now + ask.hold_timeout);
+                if is_concurrent {
+                    self.units.held.insert(key, now + request.hold_timeout);
                 }
                 OperatorAnswer::UnitAcquired
             }
             Acquisition::Denied { .. }
-                if now < ask.deadline && self.units.waiting.len() < limits.max_unit_waiters =>
+                if now < request.deadline && self.units.waiting.len() < limits.max_unit_waiters =>
             {
-                return self.units.waiting.push_back(ask);
-            }
-            Acquisition::Denied { retry_after: again } => {
-                OperatorAnswer::NoUnit { retry_after: again }
+                return self.units.waiting.push_back(request);
             }
+            Acquisition::Denied { retry_after } => OperatorAnswer::NoUnit { retry_after },
             Acquisition::UnknownBudget => {
                 OperatorAnswer::Refused("this member has no such budget".into())
             }
         };
-        self.outputs.push(Output::Answer(ask.call_number, answer));
+        self.outputs
+            .push(Output::Answer(request.call_number, answer));
     }
 
-    /// Units that have come back, and those who wait for one: in their order.
+    /// Releases units whose hold timeout has passed, then serves the waiting calls in their order.
     pub(super) fn serve_unit_waiters(&mut self) {
         let now = self.now;
-        let over: Vec<_> = self
+        let timed_out: Vec<_> = self
             .units
             .held
-            .extract_if(.., |_, until| now >= *until)
+            .extract_if(.., |_, release_at| now >= *release_at)
             .collect();
-        for ((budget, _), _) in over {
+        for ((budget, _), _) in timed_out {
             self.session_client.release_unit(&budget);
         }
         if self.units.waiting.is_empty() {
             return;
         }
-        for ask in std::mem::take(&mut self.units.waiting) {
-            let used = self
+        for request in std::mem::take(&mut self.units.waiting) {
+            let usage = self
                 .session_client
-                .budget_usage(&ask.budget, now, &self.config.limits);
-            if now < ask.deadline && used.is_some_and(|(busy, allowed)| busy >= allowed) {
-                self.units.waiting.push_back(ask);
+                .budget_usage(&request.budget, now, &self.config.limits);
+            if now < request.deadline && usage.is_some_and(|(in_use, allowed)| in_use >= allowed) {
+                self.units.waiting.push_back(request);
             } else {
-                self.acquire_unit(ask);
+                self.acquire_unit(request);
             }
         }
     }
 
+    /// Sends a call's request to the leader, under a new number.
     pub(super) fn send_call(&mut self, mut call: PendingCall) {
         self.last_call_number += 1;
         call.sent_at = self.now;
-        let (number, ask) = (self.last_call_number, call.request.clone());
+        let (number, request) = (self.last_call_number, call.request.clone());
         self.pending_calls.insert(number, call);
         if let Some(to) = self.leader_locator.request_target() {
-            self.send_request(to, number, ask);
+            self.send_request(to, number, request);
         }
     }
 
-    /// Nobody that leads has answered in time.
+    /// Answers a call for which no leader has replied in time.
     pub(super) fn fail_call(&mut self, call: PendingCall) {
         let why = self.no_majority_reason();
         let answer = match call.request {
@@ -146,7 +146,7 @@
                 OperatorAnswer::FleetView(self.fleet_view_without_leader(why))
             }
             LeaderRequest::WorkView => OperatorAnswer::WorkView(self.work_view_without_leader(why)),
-            // A member is let in or put out in steps, each of which is committed.
+            // An admission or eviction takes several steps, each committed on its own; a repeated call continues it.
             LeaderRequest::FleetAction(
                 FleetAction::AdmitMember { .. } | FleetAction::EvictMember { .. },
             ) => OperatorAnswer::Refused(format!("not done yet, call again: {why}")),
@@ -155,6 +155,7 @@
         self.outputs.push(Output::Answer(call.call_number, answer));
     }
 
+    /// The reason why no leader answers, as far as this member knows it.
     pub(super) fn no_majority_reason(&self) -> String {
         match &self.voter {
             Some(Voter::Forming(formation)) => formation.pending_reason(),
@@ -170,12 +171,13 @@
         }
     }
 
+    /// Fills in the fields of a leader's view that describe this member.
     pub(super) fn fill_local_fields(&mut self, view: &mut FleetView) {
         for budget in &mut view.budgets {
-            let used =
+            let usage =
                 self.session_client
                     .budget_usage(&budget.name, self.now, &self.config.limits);
-            (budget.used_here, budget.allowed_here) = used.unwrap_or_default();
+            (budget.used_here, budget.allowed_here) = usage.unwrap_or_default();
         }
         view.node = self.config.node.clone();
         for duty in &mut view.duties {
@@ -186,19 +188,20 @@
         }
     }
 
-    /// What is known here without a leader: nothing of the others' duties.
+    /// The view of the fleet from this member's own knowledge, without a leader: it does not include the duties and
+    /// shares of other members.
     pub(super) fn fleet_view_without_leader(&mut self, why: String) -> FleetView {
-        let defs = self.config.budgets.clone();
-        let budgets = defs.into_iter().map(|def| {
-            let used = self
-                .session_client
-                .budget_usage(&def.name, self.now, &self.config.limits);
-            let (used_here, allowed_here) = used.unwrap_or_default();
+        let definitions = self.config.budgets.clone();
+        let budgets = definitions.into_iter().map(|definition| {
+            let usage =
+                self.session_client
+                    .budget_usage(&definition.name, self.now, &self.config.limits);
+            let (used_here, allowed_here) = usage.unwrap_or_default();
             BudgetView {
-                name: def.name,
+                name: definition.name,
                 whole: None,
-                version: def.version,
-                floors: def.floor * def.max_members,
+                version: definition.version,
+                floors: definition.floor * definition.max_members,
                 shared: 0,
                 stranded: 0,
                 free: 0,
--- a/crates/fleet/src/member/work_orders.rs
+++ b/crates/fleet/src/member/work_orders.rs
@@ -1,5 +1,5 @@
-//! Work on machines: what a member reports and goes by, what the leader answers, and the part of whoever holds the
-//! duty of conducting.
+//! Work orders on machines: a member's reports and machine list, the leader's replies, and the coordinator, which is
+//! the holder of [`WORK_DUTY`].
 
 use violetwind_workorders::{
     FailureReason, Machine, MachineAvailability, MachineReport, Member as WorkMember, Phase,
@@ -15,54 +15,57 @@
     CoordinatorUpdate, LocalWorkStatus, MachineList, ServingMember, WORK_DUTY, WorkView,
 };
 
-/// Numbers of asks about work have this bit, those of calls and the holder's have not.
+/// Set in the numbers of requests about work, and clear in those of operators' calls and of the session.
 pub(super) const WORK_REQUEST_BIT: Number = 1 << 62;
 
-/// The part of a member that takes part in work on machines.
+/// The part of a member that takes part in work orders.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WorkParticipant {
-    local: Option<LocalWorkStatus>,
-    /// The list as it was last heard, for the proxy that has not taken it yet.
-    list: (Number, MachineList),
-    next: Number,
-    ask_at: Millis,
-    conduct: Conductor,
-    off: bool,
+    local_status: Option<LocalWorkStatus>,
+    /// The machine list as it was last received, with its version.
+    machine_list: (Number, MachineList),
+    last_request_number: Number,
+    next_report_at: Millis,
+    coordinator: Coordinator,
+    /// Whether it is committed that this process has stopped serving.
+    has_stopped_serving: bool,
 }
 
-/// What whoever conducts knows, and has in hand.
+/// The coordinator's copy of the work orders, and what it needs to plan on it.
 #[derive(Clone, Debug, Default)]
-struct Conductor {
+struct Coordinator {
+    /// The fencing number of the duty; 0 while this member does not hold it.
     fence: Number,
-    ask_at: Millis,
+    next_poll_at: Millis,
+    /// The version of `orders`.
     version: Number,
     orders: WorkOrders,
-    /// When each version of a place was first seen here.
-    since: BTreeMap<Number, Millis>,
-    /// Machines that the sources have not told for so long.
-    missing: BTreeMap<Name, Millis>,
-    told_machines_at: Millis,
-    /// When it asked for the duty to be handed on, as its own machine's turn has come: asked twice, whoever has it then
-    /// would hand it back.
-    handed_on: Option<Millis>,
-    why: Vec<(Name, String)>,
+    /// When each version of a machine's progress in an order was first seen here.
+    version_first_seen: BTreeMap<Number, Millis>,
+    /// Machines that the discovery sources do not list any more, with the time since which they are missing.
+    missing_since: BTreeMap<Name, Millis>,
+    machines_proposed_at: Millis,
+    /// When a handoff of the duty was requested because this member's own machine is next. A second request would make
+    /// the next holder hand the duty on again.
+    handoff_requested_at: Option<Millis>,
+    wait_reasons: Vec<(Name, String)>,
 }
 
-/// What one member said last, by the number of its ask.
+/// The last report of a member, with the number of its request.
 #[derive(Clone, Debug, Default)]
-struct Said {
-    number: Number,
-    reports: BTreeMap<Name, MachineReport>,
-    shut: BTreeSet<Name>,
+struct MemberReport {
+    request_number: Number,
+    machines: BTreeMap<Name, MachineReport>,
+    closed_machines: BTreeSet<Name>,
 }
 
-/// What a leader has been told by members, and by whoever conducts.
+/// What the members and the coordinator have reported to this leader.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WorkReports {
-    reports: BTreeMap<SessionId, Said>,
-    /// Sessions whose word that they serve is on its way into the log.
-    serving: BTreeSet<SessionId>,
-    why: BTreeMap<Name, String>,
+    by_session: BTreeMap<SessionId, MemberReport>,
+    /// Sessions for which [`Command::StartServing`] was proposed.
+    proposed_serving: BTreeSet<SessionId>,
+    wait_reasons: BTreeMap<Name, String>,
 }
 
 impl WorkReports {
@@ -71,207 +74,222 @@
     }
 
     pub(super) fn retain_sessions(&mut self, is_there: impl Fn(SessionId) -> bool) {
-        self.reports.retain(|id, _| is_there(*id));
-        self.serving.retain(|id| is_there(*id));
+        self.by_session.retain(|id, _| is_there(*id));
+        self.proposed_serving.retain(|id| is_there(*id));
     }
 }
 
 impl Member {
-    /// What the proxy says of machines here.
-    pub(super) fn update_local_work(&mut self, local: LocalWorkStatus) {
-        let Some(hand) = &mut self.work_participant else {
+    /// Stores the local status of machines; a change is reported to the leader at once.
+    pub(super) fn update_local_work(&mut self, local_status: LocalWorkStatus) {
+        let Some(participant) = &mut self.work_participant else {
             return;
         };
-        let fresh = hand.local.as_ref().is_none_or(|known| {
-            known.reports != local.reports
-                || known.list_version != local.list_version
-                || known.closed_machines != local.closed_machines
+        let has_changed = participant.local_status.as_ref().is_none_or(|known| {
+            known.reports != local_status.reports
+                || known.list_version != local_status.list_version
+                || known.closed_machines != local_status.closed_machines
         });
-        if fresh {
-            hand.ask_at = hand.ask_at.min(self.now);
+        if has_changed {
+            participant.next_report_at = participant.next_report_at.min(self.now);
         }
-        hand.local = Some(local);
+        participant.local_status = Some(local_status);
     }
 
-    /// Asks that are due: what is out, and what whoever conducts has to know.
+    /// Sends the requests that are due: this member's report, and the poll of the coordinator.
     pub(super) fn send_work_requests(&mut self) {
         let (now, limits) = (self.now, self.config.limits.clone());
         let session = self.session_client.session();
-        let held = self.session_client.held_fence(WORK_DUTY, now, &limits);
-        let Some(hand) = &mut self.work_participant else {
+        let held_fence = self.session_client.held_fence(WORK_DUTY, now, &limits);
+        let Some(participant) = &mut self.work_participant else {
             return;
         };
-        let (Some(session), Some(local)) = (session, hand.local.clone()) else {
+        let (Some(session), Some(local_status)) = (session, participant.local_status.clone())
+        else {
             return;
         };
-        let mut asks = Vec::new();
-        if now >= hand.ask_at {
-            let busy = !hand.list.1.is_empty();
-            hand.ask_at = now
-                + if busy {
+        let mut requests = Vec::new();
+        if now >= participant.next_report_at {
+            let has_machines = !participant.machine_list.1.is_empty();
+            participant.next_report_at = now
+                + if has_machines {
                     limits.work_poll_interval
                 } else {
                     limits.renew_interval
                 };
-            let ask = match local.has_stopped_serving {
-                true if hand.off => None,
+            let request = match local_status.has_stopped_serving {
+                true if participant.has_stopped_serving => None,
                 true => Some(LeaderRequest::StopServing { session }),
                 false => Some(LeaderRequest::ReportWork {
                     session,
-                    known_version: local.list_version,
-                    reports: local.reports.into_iter().collect(),
-                    closed_machines: local.closed_machines.into_iter().collect(),
+                    known_version: local_status.list_version,
+                    reports: local_status.reports.into_iter().collect(),
+                    closed_machines: local_status.closed_machines.into_iter().collect(),
                 }),
             };
-            asks.extend(ask);
+            requests.extend(request);
         }
-        match held {
-            None => hand.conduct.fence = 0,
+        match held_fence {
+            None => participant.coordinator.fence = 0,
             Some((fence, _)) => {
-                if hand.conduct.fence != fence {
-                    // What another conductor knew is not known here.
-                    hand.conduct = Conductor {
+                if participant.coordinator.fence != fence {
+                    // The knowledge of a previous coordinator is not available here.
+                    participant.coordinator = Coordinator {
                         fence,
-                        ..Conductor::default()
+                        ..Coordinator::default()
                     };
                 }
-                if now >= hand.conduct.ask_at {
-                    let busy = !hand.conduct.orders.orders().is_empty();
-                    hand.conduct.ask_at = now
-                        + if busy {
+                if now >= participant.coordinator.next_poll_at {
+                    let has_orders = !participant.coordinator.orders.orders().is_empty();
+                    participant.coordinator.next_poll_at = now
+                        + if has_orders {
                             limits.work_poll_interval
                         } else {
                             limits.renew_interval
                         };
-                    asks.push(LeaderRequest::PollAsCoordinator {
+                    requests.push(LeaderRequest::PollAsCoordinator {
                         session,
                         fence,
-                        known_version: hand.conduct.version,
-                        wait_reasons: hand.conduct.why.clone(),
+                        known_version: participant.coordinator.version,
+                        wait_reasons: participant.coordinator.wait_reasons.clone(),
                     });
                 }
             }
         }
-        for ask in asks {
-            self.send_work(ask);
+        for request in requests {
+            self.send_work_request(request);
         }
     }
 
-    fn send_work(&mut self, ask: LeaderRequest) {
-        let Some(hand) = &mut self.work_participant else {
+    fn send_work_request(&mut self, request: LeaderRequest) {
+        let Some(participant) = &mut self.work_participant else {
             return;
         };
-        hand.next += 1;
-        let number = WORK_REQUEST_BIT | hand.next;
+        participant.last_request_number += 1;
+        let number = WORK_REQUEST_BIT | participant.last_request_number;
         if let Some(to) = self.leader_locator.request_target() {
-            self.send_request(to, number, ask);
+            self.send_request(to, number, request);
         }
     }
 
-    /// An answer about work.
-    pub(super) fn handle_work_reply(&mut self, told: LeaderReply) {
+    /// Handles a reply to a request about work.
+    pub(super) fn handle_work_reply(&mut self, reply: LeaderReply) {
         let now = self.now;
-        let Some(hand) = &mut self.work_participant else {
+        let Some(participant) = &mut self.work_participant else {
             return;
         };
-        match told {
+        match reply {
             LeaderReply::MachineList {
                 version,
                 list: Some(list),
-            } if version >= hand.list.0 => {
-                hand.list = (version, list.clone());
+            } if version >= participant.machine_list.0 => {
+                participant.machine_list = (version, list.clone());
                 self.outputs.push(Output::MachineList(version, list));
             }
-            LeaderReply::CoordinatorUpdate(known) => self.conduct(known),
-            // It is as the log has it now; what follows is planned on that.
+            LeaderReply::CoordinatorUpdate(update) => self.run_coordinator(update),
+            // The proposed change is applied or refused; the next steps are planned on the new state soon.
             LeaderReply::Done | LeaderReply::Refused(_) => {
-                hand.conduct.ask_at = hand
-                    .conduct
-                    .ask_at
+                participant.coordinator.next_poll_at = participant
+                    .coordinator
+                    .next_poll_at
                     .min(now + self.config.limits.work_poll_interval / 8);
             }
             LeaderReply::ServingStopped => {
-                hand.off = true;
+                participant.has_stopped_serving = true;
                 self.session_client.set_leave_after_drain(false);
             }
             LeaderReply::RetryLater(_) => {
-                hand.ask_at = hand
-                    .ask_at
+                participant.next_report_at = participant
+                    .next_report_at
                     .min(now + self.config.limits.work_poll_interval / 4)
             }
             _ => {}
         }
     }
 
-    /// Plans upon what the leader knows, and proposes what may be done now.
-    fn conduct(&mut self, known: CoordinatorUpdate) {
+    /// Plans on the leader's state, and proposes the steps that are allowed now.
+    fn run_coordinator(&mut self, update: CoordinatorUpdate) {
         let (now, limits, node) = (
             self.now,
             self.config.limits.clone(),
             self.config.node.clone(),
         );
-        let held = self.session_client.held_fence(WORK_DUTY, now, &limits);
-        let Some(hand) = &mut self.work_participant else {
+        let held_fence = self.session_client.held_fence(WORK_DUTY, now, &limits);
+        let Some(participant) = &mut self.work_participant else {
             return;
         };
-        let (Some((fence, _)), Some(local)) = (held, &hand.local) else {
+        let (Some((fence, _)), Some(local_status)) = (held_fence, &participant.local_status) else {
             return;
         };
-        let conductor = &mut hand.conduct;
-        // One that knows of no machines knows of none that is up.
-        let blind = local.machines.is_empty();
-        if fence != conductor.fence || known.version < conductor.version || blind {
+        let coordinator = &mut participant.coordinator;
+        // Without any known machine every machine would be taken as unavailable.
+        let knows_no_machines = local_status.machines.is_empty();
+        if fence != coordinator.fence || update.version < coordinator.version || knows_no_machines {
             return;
         }
-        if let Some(orders) = known.orders {
-            (conductor.orders, conductor.version) = (orders, known.version);
+        if let Some(orders) = update.orders {
+            (coordinator.orders, coordinator.version) = (orders, update.version);
         }
-        if known.version != conductor.version {
+        if update.version != coordinator.version {
             return;
         }
-        let orders = &conductor.orders;
+        let orders = &coordinator.orders;
         let places = || {
             orders
                 .orders()
                 .values()
                 .flat_map(|(_, places)| places.values())
         };
-        let there: BTreeSet<Number> = places().map(|place| place.version).collect();
-        conductor.since.retain(|version, _| there.contains(version));
-        for version in there {
-            conductor.since.entry(version).or_insert(now);
+        let versions: BTreeSet<Number> = places().map(|place| place.version).collect();
+        coordinator
+            .version_first_seen
+            .retain(|version, _| versions.contains(version));
+        for version in versions {
+            coordinator.version_first_seen.entry(version).or_insert(now);
         }
         let mut proposals = Vec::new();
-        let machines = machines(&mut conductor.missing, orders, local, now, &limits);
-        // No sooner than a moment after the last time: sources swing.
+        let machines = merge_machines(
+            &mut coordinator.missing_since,
+            orders,
+            local_status,
+            now,
+            &limits,
+        );
+        // At most once in a renewal interval, since the lists of discovery sources fluctuate.
         if machines != *orders.machines()
-            && now >= conductor.told_machines_at + limits.renew_interval
+            && now >= coordinator.machines_proposed_at + limits.renew_interval
         {
-            conductor.told_machines_at = now;
+            coordinator.machines_proposed_at = now;
             proposals.push(WorkChange::SetMachines(machines));
         }
-        let own_turn = |machine: &Name| {
+        let is_own_machine = |machine: &Name| {
             let machine = orders.machines().get(machine);
             machine
                 .is_some_and(|machine| matches!(&machine.proxy, Some((name, _)) if *name == node))
         };
-        let facts = facts(
+        let planner_input = planner_input(
             orders,
-            local,
-            &known.members,
-            known.client_counts,
-            known.closed_machines,
-            |version| now - conductor.since.get(&version).copied().unwrap_or(now),
+            local_status,
+            &update.members,
+            update.client_counts,
+            update.closed_machines,
+            |version| {
+                now - coordinator
+                    .version_first_seen
+                    .get(&version)
+                    .copied()
+                    .unwrap_or(now)
+            },
         );
         let PlannedSteps {
             steps,
-            wait_reasons: mut why,
-        } = plan_steps(orders, &facts);
-        let mut hand_on = false;
+            mut wait_reasons,
+        } = plan_steps(orders, &planner_input);
+        let mut should_hand_off = false;
         for (order, machine, version, step) in steps {
-            if step == Step::TakeOut && known.has_other_candidates && own_turn(&machine) {
-                hand_on = true;
-                why.push((
+            if step == Step::TakeOut && update.has_other_candidates && is_own_machine(&machine) {
+                should_hand_off = true;
+                wait_reasons.push((
                     machine,
                     "this proxy conducts: it hands that on first".into(),
                 ));
@@ -285,82 +303,83 @@
                 fence: Some(fence),
             });
         }
-        conductor.why = why;
-        let again = conductor
-            .handed_on
-            .is_none_or(|at| now >= at + limits.lease_duration);
-        let hand_on = hand_on && again;
-        if hand_on {
-            conductor.handed_on = Some(now);
+        coordinator.wait_reasons = wait_reasons;
+        let may_request_again = coordinator
+            .handoff_requested_at
+            .is_none_or(|requested_at| now >= requested_at + limits.lease_duration);
+        let should_hand_off = should_hand_off && may_request_again;
+        if should_hand_off {
+            coordinator.handoff_requested_at = Some(now);
         }
         let Some(session) = self.session_client.session() else {
             return;
         };
         for change in proposals {
-            self.send_work(LeaderRequest::ProposeWorkChange {
+            self.send_work_request(LeaderRequest::ProposeWorkChange {
                 session,
                 fence,
-                roster_version: known.roster_version,
+                roster_version: update.roster_version,
                 change,
             });
         }
-        if hand_on {
-            let (duty, to) = (WORK_DUTY.to_string(), None);
-            self.send_work(LeaderRequest::FleetAction(FleetAction::HandOffDuty {
+        if should_hand_off {
+            let (duty, preferred_holder) = (WORK_DUTY.to_string(), None);
+            self.send_work_request(LeaderRequest::FleetAction(FleetAction::HandOffDuty {
                 duty,
-                preferred_holder: to,
+                preferred_holder,
             }));
         }
     }
 
-    /// The leader's answers; `None` where the ask is not about work, or goes into the log.
+    /// The leader's reply to a request about work; `None` if the request is about something else, or needs a command in
+    /// the log.
     pub(super) fn handle_work_request(
         &mut self,
         from: &Name,
         number: Number,
-        ask: &LeaderRequest,
+        request: &LeaderRequest,
     ) -> Option<LeaderReply> {
         let running = self.running_mut()?;
-        let (state, board) = (&running.state, &mut running.work_reports);
+        let (state, work_reports) = (&running.state, &mut running.work_reports);
         let work = state.work();
-        let own = |session: &SessionId| {
+        let is_own = |session: &SessionId| {
             let known = state.sessions().get(session);
             known.is_some_and(|known| known.name == *from)
         };
-        match ask {
+        match request {
             LeaderRequest::ReportWork { session, .. }
             | LeaderRequest::StopServing { session }
             | LeaderRequest::PollAsCoordinator { session, .. }
-                if !own(session) =>
+                if !is_own(session) =>
             {
                 Some(LeaderReply::SessionNotFound)
             }
             LeaderRequest::ReportWork {
                 session,
-                known_version: have,
+                known_version,
                 reports,
-                closed_machines: shut,
+                closed_machines,
             } => {
                 if work.serving.get(from) != Some(session) {
-                    // It is told what is out once the log has that it has to confirm.
-                    let new = board.serving.insert(*session);
-                    let serve = Command::StartServing { session: *session };
-                    if new && running.node.propose(serve.encode()).is_err() {
-                        running.work_reports.serving.remove(session);
+                    // The member gets the machine list only after it is committed that it has to confirm changes.
+                    let needs_proposal = work_reports.proposed_serving.insert(*session);
+                    let command = Command::StartServing { session: *session };
+                    if needs_proposal && running.node.propose(command.encode()).is_err() {
+                        running.work_reports.proposed_serving.remove(session);
                     }
                     return Some(LeaderReply::RetryLater(
                         "it has to be known first that it serves".into(),
                     ));
                 }
-                let known = board.reports.entry(*session).or_default();
-                if number > known.number {
-                    *known = Said {
-                        number,
-                        reports: reports.iter().cloned().collect(),
-                        shut: shut.iter().cloned().collect(),
+                let known = work_reports.by_session.entry(*session).or_default();
+                if number > known.request_number {
+                    *known = MemberReport {
+                        request_number: number,
+                        machines: reports.iter().cloned().collect(),
+                        closed_machines: closed_machines.iter().cloned().collect(),
                     };
                 }
-                let list = (*have != work.version)
+                let list = (*known_version != work.version)
                     .then(|| MachineAvailability::list_machines(&work.orders));
                 Some(LeaderReply::MachineList {
                     version: work.version,
@@ -370,37 +389,40 @@
             LeaderRequest::PollAsCoordinator {
                 session,
                 fence,
-                known_version: have,
-                wait_reasons: why,
+                known_version,
+                wait_reasons,
             } => {
                 let duty = state.duties().get(WORK_DUTY);
                 if duty.and_then(|duty| duty.holder) != Some((*session, *fence)) {
                     return Some(LeaderReply::RetryLater("another conducts".into()));
                 }
-                board.why = why.iter().cloned().collect();
+                work_reports.wait_reasons = wait_reasons.iter().cloned().collect();
                 Some(LeaderReply::CoordinatorUpdate(
-                    board.known(state, *session, *have),
+                    work_reports.coordinator_update(state, *session, *known_version),
                 ))
             }
             _ => None,
         }
     }
 
-    /// What goes into the log of what was asked; `Err` where it needs not, or can't.
+    /// The command for a request.
+    ///
+    /// # Errors
+    /// The reply, if the request needs no command or can't be carried out.
     pub(super) fn work_command(
         &self,
         from: &Name,
-        ask: &LeaderRequest,
+        request: &LeaderRequest,
     ) -> Result<Command, Box<LeaderReply>> {
         let state = self.state().ok_or(Box::new(LeaderReply::NotLeader(None)))?;
-        match ask {
+        match request {
             LeaderRequest::StopServing { session } => {
                 Ok(Command::StopServing { session: *session })
             }
             LeaderRequest::ProposeWorkChange {
                 session,
                 fence,
-                roster_version: roster,
+                roster_version,
                 change,
             } => {
                 let known = state.sessions().get(session);
@@ -410,11 +432,11 @@
                 Ok(Command::ChangeWorkOrders {
                     changes: vec![change.clone()],
                     coordinator: Some((*session, *fence)),
-                    roster_version: *roster,
+                    roster_version: *roster_version,
                 })
             }
-            LeaderRequest::WorkAction(staff) => {
-                let changes = staff
+            LeaderRequest::WorkAction(action) => {
+                let changes = action
                     .to_changes(&state.work().orders)
                     .map_err(|why| Box::new(LeaderReply::Refused(why)))?;
                 if changes.is_empty() {
@@ -430,86 +452,103 @@
         }
     }
 
-    /// The orders as staff see them, by this leader's books.
+    /// The work orders as operators see them, according to this leader's state.
     pub(super) fn work_view(&self) -> Option<WorkView> {
         let running = self.running()?;
         let state = &running.state;
         let duty = state.duties().get(WORK_DUTY).and_then(|duty| duty.holder);
-        let conductor = duty.and_then(|(id, _)| state.sessions().get(&id));
-        let conductor = conductor.map(|known| known.name.clone());
-        let reports = running.work_reports.reports.values();
-        let shut = reports.flat_map(|said| said.shut.iter().cloned());
-        let why = &running.work_reports.why;
+        let coordinator = duty.and_then(|(id, _)| state.sessions().get(&id));
+        let coordinator = coordinator.map(|known| known.name.clone());
+        let reports = running.work_reports.by_session.values();
+        let closed_machines = reports.flat_map(|report| report.closed_machines.iter().cloned());
+        let wait_reasons = &running.work_reports.wait_reasons;
         Some(WorkView::from_state(
             state.work(),
-            conductor,
-            why,
-            shut.collect(),
+            coordinator,
+            wait_reasons,
+            closed_machines.collect(),
         ))
     }
 
-    /// What is out as this member goes by, without a leader.
+    /// The machines out of service according to this member's own list, without a leader.
     pub(super) fn work_view_without_leader(&self, why: String) -> WorkView {
-        let list = self.work_participant.as_ref().map(|hand| &hand.list.1);
+        let list = self
+            .work_participant
+            .as_ref()
+            .map(|participant| &participant.machine_list.1);
         WorkView::without_leader(list.unwrap_or(&MachineList::new()), why)
     }
 }
 
 impl WorkReports {
-    fn known(&self, state: &State, asker: SessionId, have: Number) -> CoordinatorUpdate {
+    /// The update for the coordinator, which has the orders of `known_version`.
+    fn coordinator_update(
+        &self,
+        state: &State,
+        coordinator: SessionId,
+        known_version: Number,
+    ) -> CoordinatorUpdate {
         let work = state.work();
         let out = work.orders.machines_out();
-        let mut crowd: BTreeMap<&Name, u64> = BTreeMap::new();
-        let mut shut: BTreeSet<&Name> = BTreeSet::new();
+        let mut client_counts: BTreeMap<&Name, u64> = BTreeMap::new();
+        let mut closed_machines: BTreeSet<&Name> = BTreeSet::new();
         let mut members = Vec::new();
         for (name, session) in &work.serving {
-            let reports = self.reports.get(session);
-            let live = state.sessions().contains_key(session) && reports.is_some();
-            let mut of_out = Vec::new();
-            shut.extend(reports.into_iter().flat_map(|said| &said.shut));
-            for (machine, report) in reports.into_iter().flat_map(|said| &said.reports) {
+            let member_report = self.by_session.get(session);
+            let is_live = state.sessions().contains_key(session) && member_report.is_some();
+            let mut reports_on_out = Vec::new();
+            closed_machines.extend(
+                member_report
+                    .into_iter()
+                    .flat_map(|report| &report.closed_machines),
+            );
+            for (machine, report) in member_report
+                .into_iter()
+                .flat_map(|report| &report.machines)
+            {
                 if out.contains_key(machine) {
-                    of_out.push((machine.clone(), *report));
+                    reports_on_out.push((machine.clone(), *report));
                 } else {
-                    *crowd.entry(machine).or_default() += report.clients;
-                    shut.extend(report.closed.then_some(machine));
+                    *client_counts.entry(machine).or_default() += report.clients;
+                    closed_machines.extend(report.closed.then_some(machine));
                 }
             }
-            members.push((name.clone(), live, of_out));
+            members.push((name.clone(), is_live, reports_on_out));
         }
         CoordinatorUpdate {
             version: work.version,
-            orders: (have != work.version).then(|| work.orders.clone()),
+            orders: (known_version != work.version).then(|| work.orders.clone()),
             roster_version: work.roster_version,
             members,
-            client_counts: crowd
+            client_counts: client_counts
                 .into_iter()
-                .map(|(name, sum)| (name.clone(), sum))
+                .map(|(name, count)| (name.clone(), count))
                 .collect(),
-            closed_machines: shut.into_iter().cloned().collect(),
+            closed_machines: closed_machines.into_iter().cloned().collect(),
             has_other_candidates: state
                 .sessions()
                 .iter()
-                .any(|(id, known)| *id != asker && known.wanted_duties.contains(WORK_DUTY)),
+                .any(|(id, known)| *id != coordinator && known.wanted_duties.contains(WORK_DUTY)),
         }
     }
 }
 
-/// The machines as the sources tell them; one that they have forgotten stays for a while, and counts as lost.
-fn machines(
-    missing: &mut BTreeMap<Name, Millis>,
+/// The machines according to the discovery sources. A machine that they do not list any more is kept for the machine
+/// expiry, and counts as unavailable.
+fn merge_machines(
+    missing_since: &mut BTreeMap<Name, Millis>,
     orders: &WorkOrders,
-    local: &LocalWorkStatus,
+    local_status: &LocalWorkStatus,
     now: Millis,
     limits: &Limits,
 ) -> BTreeMap<Name, Machine> {
-    let mut machines = local.machines.clone();
-    missing.retain(|name, _| !local.machines.contains_key(name));
+    let mut machines = local_status.machines.clone();
+    missing_since.retain(|name, _| !local_status.machines.contains_key(name));
     for (name, machine) in orders.machines() {
         if machines.contains_key(name) {
             continue;
         }
-        let since = *missing.entry(name.clone()).or_insert(now);
+        let since = *missing_since.entry(name.clone()).or_insert(now);
         if now < since + limits.machine_expiry {
             machines.insert(name.clone(), machine.clone());
         }
@@ -517,22 +556,23 @@
     machines
 }
 
-fn facts(
+/// The input of the planner. `version_age` is how long a version of a machine's progress has been known here.
+fn planner_input(
     orders: &WorkOrders,
-    local: &LocalWorkStatus,
+    local_status: &LocalWorkStatus,
     members: &[ServingMember],
-    crowd: Vec<(Name, u64)>,
-    shut: Vec<Name>,
-    since: impl Fn(Number) -> Millis,
+    client_counts: Vec<(Name, u64)>,
+    closed_machines: Vec<Name>,
+    version_age: impl Fn(Number) -> Millis,
 ) -> PlannerInput {
     let out = orders.machines_out();
-    // One whose own machine was told as empty has confirmed that it serves nobody; it may be gone with its machine.
-    let worked_on = |proxy: &Name| {
-        let on = orders
+    // A proxy on a drained machine has confirmed that it does not serve clients; it may be stopped with its machine.
+    let is_on_drained_machine = |proxy: &Name| {
+        let machine = orders
             .machines()
             .iter()
             .find(|(_, machine)| matches!(&machine.proxy, Some((name, _)) if name == proxy));
-        let place = on.and_then(|(name, _)| out.get(name));
+        let place = machine.and_then(|(name, _)| out.get(name));
         place.is_some_and(|(_, place)| {
             matches!(
                 place.phase,
@@ -542,16 +582,17 @@
     };
     let members = members
         .iter()
-        .filter(|(name, live, _)| *live || !worked_on(name));
+        .filter(|(name, live, _)| *live || !is_on_drained_machine(name));
     let members = members.map(|(name, live, reports)| {
         let reports = reports.iter().cloned().collect();
         let live = *live;
         (name.clone(), WorkMember { live, reports })
     });
-    let mut dead: BTreeSet<Name> = shut.into_iter().collect();
-    let lost = orders.machines().keys();
-    dead.extend(
-        lost.filter(|name| !local.up_machines.contains(*name))
+    let mut unavailable: BTreeSet<Name> = closed_machines.into_iter().collect();
+    let machine_names = orders.machines().keys();
+    unavailable.extend(
+        machine_names
+            .filter(|name| !local_status.up_machines.contains(*name))
             .cloned(),
     );
     let places = orders
@@ -560,11 +601,11 @@
         .flat_map(|(_, places)| places.values());
     PlannerInput {
         members: members.collect(),
-        unix_time_ms: local.unix_time_ms,
-        unavailable: dead,
-        client_counts: crowd.into_iter().collect(),
+        unix_time_ms: local_status.unix_time_ms,
+        unavailable,
+        client_counts: client_counts.into_iter().collect(),
         version_ages: places
-            .map(|place| (place.version, since(place.version)))
+            .map(|place| (place.version, version_age(place.version)))
             .collect(),
     }
 }
--- a/crates/fleet/src/session_client.rs
+++ b/crates/fleet/src/session_client.rs
@@ -1,5 +1,5 @@
-//! A member as the client of whoever leads: its session, and what it holds by it. All times are its own; a lease
-//! counts from before it was asked for.
+//! The client side of a session with the leader: the lease, and the duties and shares that a member holds under it. All
+//! times are of the member's own clock; a lease counts from when the request for it was sent.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,227 +10,254 @@
 use crate::limits::Limits;
 use crate::messages::{LeaderReply, LeaderRequest, Name, Number, SessionId, VersionedShares};
 
-/// Asks whose answers may still come, and words about lowered shares among them: a thousand budgets that shrink at
-/// once must not push the renewal out whose answer keeps the lease.
-const OUT: usize = 64;
-const LOWERS: usize = 16;
+/// The number of requests whose replies are still accepted.
+const MAX_PENDING_REQUESTS: usize = 64;
+/// The number of pending requests that lower shares. If a thousand budgets shrink at once, they must not displace the
+/// renewal whose reply extends the lease.
+const MAX_PENDING_LOWERS: usize = 16;
 
+/// The kind of a pending request, with what identifies its subject.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum What {
+enum RequestKind {
     Join,
     Renew,
-    Release(Name, Number),
-    Lower(Name),
-    Retire,
+    ReleaseDuty(Name, Number),
+    LowerShare(Name),
+    BeginLeave,
     Leave,
 }
 
 #[derive(Clone, Debug)]
 struct Session {
     id: SessionId,
-    /// The lease ends then; what is held is held until a margin before.
-    until: Millis,
-    /// What was held was given up, as the lease was not renewed in time.
-    lapsed: bool,
+    /// The end of the lease. Duties and shares are given up a margin before it.
+    expires_at: Millis,
+    /// Whether the duties and shares were given up because the lease was not renewed in time.
+    has_expired: bool,
 }
 
-/// A program of an operator that works on a duty.
+/// An operator's program that works on a duty.
 #[derive(Clone, Debug)]
 struct Hold {
     token: Name,
-    /// It was told that it may work until then.
-    until: Millis,
+    /// The time until which the program was allowed to work.
+    valid_until: Millis,
 }
 
-/// A duty that is given up and not released yet.
+/// A duty that this member has given up, and whose release the leader has not confirmed yet.
 #[derive(Clone, Debug)]
-struct Giving {
+struct PendingRelease {
     fence: Number,
-    to: Option<Name>,
+    preferred_holder: Option<Name>,
 }
 
+/// The client side of a member's session with the leader.
 #[derive(Clone, Debug)]
 pub struct SessionClient {
-    wants: Vec<Name>,
+    wanted_duties: Vec<Name>,
     nonce: Number,
-    /// The same for as long as the process runs.
-    process: Number,
-    seen: Number,
-    /// It has said what it uses and that it leaves: no share counts from then on.
-    leaves: bool,
+    /// Identifies the process; constant for as long as it runs.
+    incarnation: Number,
+    /// The last number of the log that the leader has reported; sent with requests for a session.
+    last_seen_number: Number,
+    /// Whether this process has begun to report its final usage and leave: no share is valid from then on.
+    reports_final_usage: bool,
     budgets: Vec<BudgetDefinition>,
     meters: Meters,
-    /// The last leader's term.
-    term: u64,
-    renewed_at: Millis,
-    retired: bool,
+    /// The term of the last leader that answered a renewal.
+    leader_term: u64,
+    last_renewal_sent_at: Millis,
+    /// Whether the leader has confirmed [`LeaderRequest::BeginLeave`].
+    has_begun_leave: bool,
     session: Option<Session>,
-    held: BTreeMap<Name, Number>,
-    giving: BTreeMap<Name, Giving>,
-    /// The number up to which a duty was given up here: late answers do not bring it back.
-    given: BTreeMap<Name, Number>,
-    holds: BTreeMap<Name, Hold>,
-    out: VecDeque<(Number, Millis, What)>,
-    /// How far the log was in the newest answer about this session.
-    at: u64,
-    /// The last ask that was answered.
-    heard: Number,
-    answered: Millis,
-    /// The last ask that was not answered in time.
-    missed: Number,
-    hurried: Millis,
-    next: Number,
-    ask_at: Millis,
-    ticked: Millis,
-    quits: Option<Millis>,
-    /// It leaves once the log has it that this process serves nobody, if that comes soon.
-    waits: bool,
-    left: bool,
-    no_session: Option<LossReason>,
-    /// That nobody leads has been told.
-    alone: bool,
+    /// Duties held now, with their fencing numbers.
+    held_duties: BTreeMap<Name, Number>,
+    pending_releases: BTreeMap<Name, PendingRelease>,
+    /// For each duty the last fencing number under which it was given up here, so that a late reply does not restore
+    /// it.
+    given_up_fences: BTreeMap<Name, Number>,
+    operator_holds: BTreeMap<Name, Hold>,
+    /// Requests without a reply, with the time at which each was sent.
+    pending_requests: VecDeque<(Number, Millis, RequestKind)>,
+    /// The applied index of the newest reply about this session.
+    applied_index: u64,
+    /// The last request that was answered.
+    last_answered_request: Number,
+    last_answered_at: Millis,
+    /// The last request that was not answered in time.
+    last_missed_request: Number,
+    /// When the next request was last brought forward because a leader was found.
+    last_early_request_at: Millis,
+    last_request_number: Number,
+    next_request_at: Millis,
+    last_tick_at: Millis,
+    /// When the session is abandoned if leaving has not completed; `None` while the process does not shut down.
+    quit_deadline: Option<Millis>,
+    /// Whether to leave only once it is committed that this process has stopped serving, for at most the drain timeout.
+    leaves_after_drain: bool,
+    has_left: bool,
+    /// The last reported reason for having no session.
+    no_session_reason: Option<LossReason>,
+    /// Whether the absence of a leader has been reported.
+    no_leader_reported: bool,
 }
 
 impl SessionClient {
-    /// `nonce` is another one with each process.
+    /// A client without a session. `external_budgets` are the budgets that are counted elsewhere in this process;
+    /// `nonce` must differ between processes.
     pub fn new(
-        wants: Vec<Name>,
+        wanted_duties: Vec<Name>,
         budgets: Vec<BudgetDefinition>,
-        outside: &BTreeSet<Name>,
+        external_budgets: &BTreeSet<Name>,
         nonce: Number,
         now: Millis,
         limits: &Limits,
     ) -> Self {
         Self {
-            wants,
+            wanted_duties,
             nonce,
-            process: nonce,
-            seen: 0,
-            leaves: false,
-            meters: Meters::new(&budgets, outside, now, limits),
+            incarnation: nonce,
+            last_seen_number: 0,
+            reports_final_usage: false,
+            meters: Meters::new(&budgets, external_budgets, now, limits),
             budgets,
-            term: 0,
-            renewed_at: 0,
-            retired: false,
+            leader_term: 0,
+            last_renewal_sent_at: 0,
+            has_begun_leave: false,
             session: None,
-            held: BTreeMap::new(),
-            giving: BTreeMap::new(),
-            given: BTreeMap::new(),
-            holds: BTreeMap::new(),
-            out: VecDeque::new(),
-            at: 0,
-            heard: 0,
-            answered: now,
-            missed: 0,
-            hurried: 0,
-            next: 0,
-            ask_at: now,
-            ticked: now,
-            quits: None,
-            waits: false,
-            left: false,
-            no_session: None,
-            alone: false,
+            held_duties: BTreeMap::new(),
+            pending_releases: BTreeMap::new(),
+            given_up_fences: BTreeMap::new(),
+            operator_holds: BTreeMap::new(),
+            pending_requests: VecDeque::new(),
+            applied_index: 0,
+            last_answered_request: 0,
+            last_answered_at: now,
+            last_missed_request: 0,
+            last_early_request_at: 0,
+            last_request_number: 0,
+            next_request_at: now,
+            last_tick_at: now,
+            quit_deadline: None,
+            leaves_after_drain: false,
+            has_left: false,
+            no_session_reason: None,
+            no_leader_reported: false,
         }
     }
 
+    /// The session, if its lease has not expired.
     pub fn session(&self) -> Option<SessionId> {
         self.session
             .as_ref()
-            .filter(|session| !session.lapsed)
+            .filter(|session| !session.has_expired)
             .map(|session| session.id)
     }
 
-    pub fn set_leave_after_drain(&mut self, waits: bool) {
-        self.waits = waits;
+    /// Sets whether to leave only once it is committed that this process has stopped serving.
+    pub fn set_leave_after_drain(&mut self, leaves_after_drain: bool) {
+        self.leaves_after_drain = leaves_after_drain;
     }
 
+    /// Whether the session is over, or abandoned, after [`Self::quit`].
     pub fn has_left(&self) -> bool {
-        self.left
+        self.has_left
     }
 
     pub fn last_answered_at(&self) -> Millis {
-        self.answered
+        self.last_answered_at
     }
 
-    /// Until when all that is held is held.
-    fn end(&self, limits: &Limits) -> Millis {
-        let session = self.session.as_ref().filter(|session| !session.lapsed);
+    /// The time until which duties and shares are held: the end of the lease less the margin.
+    fn held_until(&self, limits: &Limits) -> Millis {
+        let session = self.session.as_ref().filter(|session| !session.has_expired);
         session.map_or(0, |session| {
-            session.until.saturating_sub(limits.lease_margin)
+            session.expires_at.saturating_sub(limits.lease_margin)
         })
     }
 
-    /// The fencing number of a duty that is held now, and for how long at least.
+    /// The fencing number of a duty that is held now, and the milliseconds for which it is held at least.
     pub fn held_fence(&self, duty: &str, now: Millis, limits: &Limits) -> Option<(Number, Millis)> {
-        let fence = *self.held.get(duty)?;
-        let left = self.end(limits).checked_sub(now).filter(|left| *left > 0)?;
-        Some((fence, left))
+        let fence = *self.held_duties.get(duty)?;
+        let remaining = self
+            .held_until(limits)
+            .checked_sub(now)
+            .filter(|remaining| *remaining > 0)?;
+        Some((fence, remaining))
     }
 
-    fn leased(&self, now: Millis, limits: &Limits) -> bool {
-        now < self.end(limits)
+    fn has_lease(&self, now: Millis, limits: &Limits) -> bool {
+        now < self.held_until(limits)
     }
 
-    /// One unit of a budget, if it may be used now.
+    /// Acquires one unit of a budget, if it may be used now.
     pub fn acquire_unit(&mut self, budget: &str, now: Millis, limits: &Limits) -> Acquisition {
-        let leased = self.leased(now, limits);
-        let taken = self.meters.acquire(budget, now, leased, limits);
-        if matches!(taken, Acquisition::Denied { .. }) {
-            self.press(now, limits);
+        let has_lease = self.has_lease(now, limits);
+        let acquisition = self.meters.acquire(budget, now, has_lease, limits);
+        if matches!(acquisition, Acquisition::Denied { .. }) {
+            self.renew_early_if_needed(now, limits);
         }
-        taken
+        acquisition
     }
 
-    /// What whoever counts budgets elsewhere in this process is to be told.
+    /// The parts of externally counted budgets that have changed, each with its number.
     pub fn changed_parts(&mut self, now: Millis, limits: &Limits) -> Vec<(Name, u64, Part)> {
-        let end = if self.leaves { 0 } else { self.end(limits) };
+        let end = if self.reports_final_usage {
+            0
+        } else {
+            self.held_until(limits)
+        };
         self.meters.changed_parts(now, end, limits)
     }
 
+    /// Records the usage of a budget that is counted elsewhere in this process: the budget, the number of the part that
+    /// was in force, the units in use, and how often the part was too small.
     pub fn record_external_usage(
         &mut self,
-        (budget, seq, busy, denied): (&str, u64, u64, u64),
+        (budget, part_number, in_use, denied): (&str, u64, u64, u64),
         now: Millis,
         limits: &Limits,
     ) {
         self.meters
-            .record_external_usage(budget, seq, busy, denied, now);
-        self.press(now, limits);
+            .record_external_usage(budget, part_number, in_use, denied, now);
+        self.renew_early_if_needed(now, limits);
     }
 
-    /// Somebody waits: the leader is told sooner, but not again and again.
-    fn press(&mut self, now: Millis, limits: &Limits) {
+    /// Brings the next renewal forward if there is a need that the leader does not know, to at most eight renewals in a
+    /// renewal interval.
+    fn renew_early_if_needed(&mut self, now: Millis, limits: &Limits) {
         if self.meters.has_unreported_need() {
-            self.ask_at = self
-                .ask_at
-                .min(now.max(self.renewed_at + limits.renew_interval / 8));
+            self.next_request_at = self
+                .next_request_at
+                .min(now.max(self.last_renewal_sent_at + limits.renew_interval / 8));
         }
     }
 
+    /// Releases one unit of a budget.
     pub fn release_unit(&mut self, budget: &str) {
         self.meters.release(budget);
     }
 
-    /// In use and allowed now, of a budget that the file has.
+    /// The units in use and the units allowed now, of a configured budget.
     pub fn budget_usage(
         &mut self,
         budget: &str,
         now: Millis,
         limits: &Limits,
     ) -> Option<(u64, u64)> {
-        let leased = self.leased(now, limits);
-        self.meters.usage(budget, now, leased, limits)
+        let has_lease = self.has_lease(now, limits);
+        self.meters.usage(budget, now, has_lease, limits)
     }
 
     pub fn budgets(&self) -> &[BudgetDefinition] {
         &self.budgets
     }
 
-    /// A program may work on a duty from now on, for so long.
+    /// Lets an operator's program work on a duty from now on. Returns the fencing number, and the milliseconds for
+    /// which the program may work.
     ///
     /// # Errors
-    /// Not held here, or another program works on it.
+    /// The duty is not held here, or another program works on it.
     pub fn hold_duty(
         &mut self,
         duty: &str,
@@ -238,130 +265,152 @@
         now: Millis,
         limits: &Limits,
     ) -> Result<(Number, Millis), String> {
-        let Some((fence, left)) = self.held_fence(duty, now, limits) else {
-            return Err(match self.wants.iter().any(|name| name == duty) {
+        let Some((fence, remaining)) = self.held_fence(duty, now, limits) else {
+            return Err(match self.wanted_duties.iter().any(|name| name == duty) {
                 true => "not held here".into(),
                 false => "this member has no such duty".into(),
             });
         };
-        if let Some(hold) = self.holds.get(duty)
+        if let Some(hold) = self.operator_holds.get(duty)
             && hold.token != token
-            && now < hold.until
+            && now < hold.valid_until
         {
             return Err("another program works on it".into());
         }
         let hold = Hold {
             token: token.to_string(),
-            until: now + left,
+            valid_until: now + remaining,
         };
-        self.holds.insert(duty.to_string(), hold);
-        Ok((fence, left))
+        self.operator_holds.insert(duty.to_string(), hold);
+        Ok((fence, remaining))
     }
 
-    /// That program has ended.
+    /// The operator's program has stopped working on the duty.
     pub fn end_hold(&mut self, duty: &str, token: &str) {
-        self.holds
+        self.operator_holds
             .retain(|name, hold| name != duty || hold.token != token);
     }
 
-    /// Gives all up, then leaves.
+    /// Gives up all duties, then leaves the session.
     pub fn quit(&mut self, now: Millis, limits: &Limits, events: &mut Vec<Event>) {
-        if self.quits.is_some() {
+        if self.quit_deadline.is_some() {
             return;
         }
-        self.quits = Some(now + limits.handoff_timeout);
-        self.lose_all(&LossReason::Ending, events);
-        self.ask_at = now;
+        self.quit_deadline = Some(now + limits.handoff_timeout);
+        self.lose_all_duties(&LossReason::Ending, events);
+        self.next_request_at = now;
         if self.session.is_none() {
-            self.left = true;
+            self.has_left = true;
         }
     }
 
-    /// News is at the leader.
+    /// Renews at once, since the leader has reported a change.
     pub fn renew_now(&mut self, now: Millis) {
-        self.ask_at = self.ask_at.min(now);
-        self.out.retain(|(_, _, what)| *what != What::Renew);
+        self.next_request_at = self.next_request_at.min(now);
+        self.pending_requests
+            .retain(|(_, _, kind)| *kind != RequestKind::Renew);
     }
 
-    /// Shares as the log has them, and what they are to go down to.
+    /// Applies the committed shares and the targets to lower them to, as of the log index `applied_index`.
     pub fn apply_session_update(
         &mut self,
         session: SessionId,
-        at: u64,
+        applied_index: u64,
         shares: &VersionedShares,
-        lower: &[(Name, u64)],
+        lower_targets: &[(Name, u64)],
     ) {
         let known = self.session.as_ref();
-        let counts = known.is_some_and(|known| known.id == session && !known.lapsed);
-        if counts && !self.leaves {
+        let is_current = known.is_some_and(|known| known.id == session && !known.has_expired);
+        if is_current && !self.reports_final_usage {
             self.meters.set_shares(shares.0, &shares.1);
-            if at >= self.at {
-                self.meters.set_lower_targets(lower);
+            if applied_index >= self.applied_index {
+                self.meters.set_lower_targets(lower_targets);
             }
         }
     }
 
-    /// The leader was found: it is asked at once, but two that take each other for it are not asked in turns.
+    /// Sends the next request at once, since a leader was found; at most once in the retry delay, so that two members
+    /// that each name the other as the leader do not get requests in turns.
     pub fn request_soon(&mut self, now: Millis, limits: &Limits) {
-        if now >= self.hurried + limits.retry_delay {
-            self.hurried = now;
-            self.ask_at = self.ask_at.min(now);
+        if now >= self.last_early_request_at + limits.retry_delay {
+            self.last_early_request_at = now;
+            self.next_request_at = self.next_request_at.min(now);
         }
     }
 
-    /// Time has passed. `true` if whoever was asked has not answered.
+    /// Handles the passing of time. Returns `true` if a request has not been answered in time.
     pub fn tick(&mut self, now: Millis, limits: &Limits, events: &mut Vec<Event>) -> bool {
-        let stalled = now.saturating_sub(self.ticked);
-        self.ticked = now;
-        let end = self.end(limits);
-        if now >= end && self.session.as_ref().is_some_and(|session| !session.lapsed) {
+        let stalled = now.saturating_sub(self.last_tick_at);
+        self.last_tick_at = now;
+        let held_until = self.held_until(limits);
+        if now >= held_until
+            && self
+                .session
+                .as_ref()
+                .is_some_and(|session| !session.has_expired)
+        {
             let why = match stalled > limits.lease_margin {
-                true => LossReason::Stalled { by: now - end },
+                true => LossReason::Stalled {
+                    by: now - held_until,
+                },
                 false => LossReason::NotRenewed {
-                    since: now.saturating_sub(self.answered),
+                    since: now.saturating_sub(self.last_answered_at),
                 },
             };
-            self.lose_all(&why, events);
+            self.lose_all_duties(&why, events);
             if let Some(session) = &mut self.session {
-                session.lapsed = true;
+                session.has_expired = true;
             }
-            self.giving.clear();
+            self.pending_releases.clear();
             self.meters.clear_shares();
-            self.renounce(now);
+            self.abandon_session(now);
         }
-        self.press(now, limits);
-        self.holds.retain(|_, hold| now < hold.until);
-        let waits = if self.waits { limits.drain_timeout } else { 0 };
-        if self.quits.is_some_and(|until| now >= until + waits) {
-            self.left = true;
+        self.renew_early_if_needed(now, limits);
+        self.operator_holds.retain(|_, hold| now < hold.valid_until);
+        let drain_wait = if self.leaves_after_drain {
+            limits.drain_timeout
+        } else {
+            0
+        };
+        if self
+            .quit_deadline
+            .is_some_and(|until| now >= until + drain_wait)
+        {
+            self.has_left = true;
         }
-        let since = now.saturating_sub(self.answered);
-        if since >= limits.lease_duration && !self.alone {
-            self.alone = true;
+        let since = now.saturating_sub(self.last_answered_at);
+        if since >= limits.lease_duration && !self.no_leader_reported {
+            self.no_leader_reported = true;
             events.push(Event::NoLeader { since });
         }
-        let patience = limits.renew_interval / 2;
-        let late = |(number, at, _): &(Number, Millis, What)| {
-            *number > self.heard.max(self.missed) && now >= *at + patience
+        let reply_timeout = limits.renew_interval / 2;
+        let is_late = |(number, sent_at, _): &(Number, Millis, RequestKind)| {
+            *number > self.last_answered_request.max(self.last_missed_request)
+                && now >= *sent_at + reply_timeout
         };
-        if let Some((number, ..)) = self.out.back().filter(|out| late(out)) {
-            self.missed = *number;
-            self.ask_at = self.ask_at.min(now);
+        if let Some((number, ..)) = self
+            .pending_requests
+            .back()
+            .filter(|pending| is_late(pending))
+        {
+            self.last_missed_request = *number;
+            self.next_request_at = self.next_request_at.min(now);
             return true;
         }
         false
     }
 
-    /// Another session is wanted, under another nonce.
-    fn renounce(&mut self, now: Millis) {
+    /// Abandons the session: the next request is for a new one, under a new nonce.
+    fn abandon_session(&mut self, now: Millis) {
         self.nonce = self.nonce.wrapping_add(1);
-        self.ask_at = now;
-        self.out.clear();
+        self.next_request_at = now;
+        self.pending_requests.clear();
     }
 
-    fn lose_all(&mut self, why: &LossReason, events: &mut Vec<Event>) {
-        for (duty, fence) in std::mem::take(&mut self.held) {
-            self.given.insert(duty.clone(), fence);
+    /// Gives up all duties.
+    fn lose_all_duties(&mut self, why: &LossReason, events: &mut Vec<Event>) {
+        for (duty, fence) in std::mem::take(&mut self.held_duties) {
+            self.given_up_fences.insert(duty.clone(), fence);
             events.push(Event::Lost {
                 duty,
                 fence,
@@ -370,311 +419,349 @@
         }
     }
 
-    /// What is to be asked now, if anything.
+    /// The request to send now, if any, with its number.
     pub fn next_request(
         &mut self,
         now: Millis,
         limits: &Limits,
     ) -> Option<(Number, LeaderRequest)> {
-        if self.left {
+        if self.has_left {
             return None;
         }
-        let quits = self.quits.is_some();
-        let released = |duty: &&Name| !self.holds.contains_key(*duty);
-        let release = self.giving.keys().find(released).cloned();
+        let is_quitting = self.quit_deadline.is_some();
+        let is_unused = |duty: &&Name| !self.operator_holds.contains_key(*duty);
+        let release = self.pending_releases.keys().find(is_unused).cloned();
         let session = self.session.clone();
-        let patience = limits.renew_interval / 2;
-        let lately = self.out.iter().filter(|(_, at, _)| now < *at + patience);
-        let out: Vec<What> = lately.map(|(.., what)| what.clone()).collect();
-        let asked = |what: &What| out.contains(what);
-        let lowers = out
+        let reply_timeout = limits.renew_interval / 2;
+        let recent = self
+            .pending_requests
             .iter()
-            .filter(|what| matches!(what, What::Lower(_)))
+            .filter(|(_, sent_at, _)| now < *sent_at + reply_timeout);
+        let pending: Vec<RequestKind> = recent.map(|(.., kind)| kind.clone()).collect();
+        let is_pending = |kind: &RequestKind| pending.contains(kind);
+        let lower_count = pending
+            .iter()
+            .filter(|kind| matches!(kind, RequestKind::LowerShare(_)))
             .count();
-        let may_go = quits && self.holds.is_empty() && self.may_go(now, limits);
-        let lowered = match &session {
-            Some(session) if !session.lapsed && lowers < LOWERS => {
-                let is_out = |budget: &Name| asked(&What::Lower(budget.clone()));
-                self.meters.next_share_to_lower(now, limits, is_out)
+        let may_leave =
+            is_quitting && self.operator_holds.is_empty() && self.can_leave(now, limits);
+        let share_to_lower = match &session {
+            Some(session) if !session.has_expired && lower_count < MAX_PENDING_LOWERS => {
+                let is_lower_pending =
+                    |budget: &Name| is_pending(&RequestKind::LowerShare(budget.clone()));
+                self.meters
+                    .next_share_to_lower(now, limits, is_lower_pending)
             }
             _ => None,
         };
-        let (what, ask) = match (session, release) {
-            // Programs that work on something have until they have ended, or were told to.
-            (Some(session), _) if may_go && !session.lapsed => {
-                let (what, ask) = match self.retired || (self.budgets.is_empty() && !self.waits) {
+        let (kind, request) = match (session, release) {
+            // The session is kept until operators' programs have ended, or their allowed time is over.
+            (Some(session), _) if may_leave && !session.has_expired => {
+                let (kind, request) = match self.has_begun_leave
+                    || (self.budgets.is_empty() && !self.leaves_after_drain)
+                {
                     true => {
-                        // From here on no share counts; then what is in use is what is said.
-                        if !std::mem::replace(&mut self.leaves, true) {
+                        // No share is valid from here on, so the units in use beyond floors do not grow after they are
+                        // reported.
+                        if !std::mem::replace(&mut self.reports_final_usage, true) {
                             self.meters.clear_shares();
                         }
                         if !self.meters.is_usage_confirmed() {
                             return None;
                         }
-                        let uses = self.meters.units_in_use(now, limits);
+                        let units_in_use = self.meters.units_in_use(now, limits);
                         (
-                            What::Leave,
+                            RequestKind::Leave,
                             LeaderRequest::Leave {
                                 session: session.id,
-                                units_in_use: uses,
+                                units_in_use,
                             },
                         )
                     }
                     false => (
-                        What::Retire,
+                        RequestKind::BeginLeave,
                         LeaderRequest::BeginLeave {
                             session: session.id,
                         },
                     ),
                 };
-                if asked(&what) {
+                if is_pending(&kind) {
                     return None;
                 }
-                (what, ask)
+                (kind, request)
             }
-            (session, _) if quits && session.as_ref().is_none_or(|session| session.lapsed) => {
-                self.left = true;
+            (session, _)
+                if is_quitting && session.as_ref().is_none_or(|session| session.has_expired) =>
+            {
+                self.has_left = true;
                 return None;
             }
             (Some(session), Some(duty))
-                if !asked(&What::Release(duty.clone(), self.giving[&duty].fence)) =>
+                if !is_pending(&RequestKind::ReleaseDuty(
+                    duty.clone(),
+                    self.pending_releases[&duty].fence,
+                )) =>
             {
-                let giving = &self.giving[&duty];
-                let ask = LeaderRequest::ReleaseDuty {
+                let release = &self.pending_releases[&duty];
+                let request = LeaderRequest::ReleaseDuty {
                     session: session.id,
                     duty: duty.clone(),
-                    fence: giving.fence,
-                    preferred_holder: giving.to.clone(),
+                    fence: release.fence,
+                    preferred_holder: release.preferred_holder.clone(),
                 };
-                (What::Release(duty, giving.fence), ask)
+                (RequestKind::ReleaseDuty(duty, release.fence), request)
             }
-            (Some(session), _) if lowered.is_some() => {
-                let (need, to, version) = lowered.expect("just seen");
+            (Some(session), _) if share_to_lower.is_some() => {
+                let (need, units, share_version) = share_to_lower.expect("checked by the guard");
                 (
-                    What::Lower(need.budget.clone()),
+                    RequestKind::LowerShare(need.budget.clone()),
                     LeaderRequest::LowerShare {
                         session: session.id,
                         need,
-                        units: to,
-                        share_version: version,
+                        units,
+                        share_version,
                     },
                 )
             }
-            _ if now < self.ask_at => return None,
-            (Some(session), _) if !session.lapsed => {
-                self.ask_at = now + limits.renew_interval;
-                self.renewed_at = now;
+            _ if now < self.next_request_at => return None,
+            (Some(session), _) if !session.has_expired => {
+                self.next_request_at = now + limits.renew_interval;
+                self.last_renewal_sent_at = now;
                 (
-                    What::Renew,
+                    RequestKind::Renew,
                     LeaderRequest::Renew {
                         session: session.id,
-                        needs: self.meters.next_needs(now, self.term, limits),
+                        needs: self.meters.next_needs(now, self.leader_term, limits),
                         known_version: self.meters.shares_version(),
                     },
                 )
             }
-            // What is said of use has to hold: whoever counts elsewhere knows by then that no share counts.
+            // The reported usage has to be final: budgets that are counted elsewhere must have confirmed that no share
+            // is valid any more.
             _ if !self.meters.is_usage_confirmed() => return None,
             (session, _) => {
-                self.ask_at = now + limits.renew_interval;
-                let ask = LeaderRequest::Join {
+                self.next_request_at = now + limits.renew_interval;
+                let request = LeaderRequest::Join {
                     nonce: self.nonce,
-                    wanted_duties: self.wants.clone(),
+                    wanted_duties: self.wanted_duties.clone(),
                     replaced_session: session.map(|session| session.id),
-                    incarnation: self.process,
-                    last_seen_number: self.seen,
+                    incarnation: self.incarnation,
+                    last_seen_number: self.last_seen_number,
                     weight: limits.weight,
                     budgets: self.budgets.clone(),
                     units_in_use: self.meters.units_in_use(now, limits),
                 };
-                (What::Join, ask)
+                (RequestKind::Join, request)
             }
         };
-        self.next += 1;
-        if self.out.len() >= OUT {
-            self.out.pop_front();
+        self.last_request_number += 1;
+        if self.pending_requests.len() >= MAX_PENDING_REQUESTS {
+            self.pending_requests.pop_front();
         }
-        self.out.push_back((self.next, now, what));
-        Some((self.next, ask))
+        self.pending_requests
+            .push_back((self.last_request_number, now, kind));
+        Some((self.last_request_number, request))
     }
 
-    /// An answer. `false` for one that does not count any more.
+    /// Handles a reply. Returns `false` if the request is not pending any more, or if the reply is that another member
+    /// leads or that the request has to be repeated.
     pub fn handle_reply(
         &mut self,
         number: Number,
-        told: &LeaderReply,
+        reply: &LeaderReply,
         now: Millis,
         limits: &Limits,
         events: &mut Vec<Event>,
     ) -> bool {
-        let Some(at) = self.out.iter().position(|(out, ..)| *out == number) else {
+        let Some(position) = self
+            .pending_requests
+            .iter()
+            .position(|(pending, ..)| *pending == number)
+        else {
             return false;
         };
-        let (_, asked, what) = self.out.remove(at).expect("just seen");
-        match (what, told) {
+        let (_, sent_at, kind) = self.pending_requests.remove(position).expect("found above");
+        match (kind, reply) {
             (
-                What::Join,
+                RequestKind::Join,
                 LeaderReply::Joined {
                     session,
-                    applied_index: at,
-                    held_duties: held,
+                    applied_index,
+                    held_duties,
                     shares,
                 },
             ) => {
-                let until = asked + limits.lease_duration;
+                let expires_at = sent_at + limits.lease_duration;
                 match &mut self.session {
-                    // Asked for more than once.
-                    Some(known) if known.id == *session && !known.lapsed => {
-                        known.until = known.until.max(until);
+                    // The reply to a repeated request.
+                    Some(known) if known.id == *session && !known.has_expired => {
+                        known.expires_at = known.expires_at.max(expires_at);
                     }
                     known => {
                         *known = Some(Session {
                             id: *session,
-                            until,
-                            lapsed: false,
+                            expires_at,
+                            has_expired: false,
                         });
-                        self.giving.clear();
-                        self.no_session = None;
-                        self.at = 0;
+                        self.pending_releases.clear();
+                        self.no_session_reason = None;
+                        self.applied_index = 0;
                         self.meters.clear_shares();
-                        self.seen = self.seen.max(*session);
+                        self.last_seen_number = self.last_seen_number.max(*session);
                         events.push(Event::Session { number: *session });
                     }
                 }
-                self.renewed(*at, now, held, &[], limits, events);
-                if !self.leaves {
+                self.update_held_duties(*applied_index, now, held_duties, &[], limits, events);
+                if !self.reports_final_usage {
                     self.meters.set_shares(shares.0, &shares.1);
                 }
             }
             (
-                What::Renew,
+                RequestKind::Renew,
                 LeaderReply::Renewed {
-                    applied_index: at,
-                    held_duties: held,
-                    duties_to_release: give_up,
+                    applied_index,
+                    held_duties,
+                    duties_to_release,
                     shares,
-                    lower_targets: lower,
+                    lower_targets,
                     term,
                 },
             ) => {
-                let Some(session) = self.session.as_mut().filter(|session| !session.lapsed) else {
+                let Some(session) = self.session.as_mut().filter(|session| !session.has_expired)
+                else {
                     return false;
                 };
-                session.until = session.until.max(asked + limits.lease_duration);
+                session.expires_at = session.expires_at.max(sent_at + limits.lease_duration);
                 if let Some((version, shares)) = shares
-                    && !self.leaves
+                    && !self.reports_final_usage
                 {
                     self.meters.set_shares(*version, shares);
                 }
-                if *at >= self.at {
-                    self.meters.set_lower_targets(lower);
-                    self.term = *term;
+                if *applied_index >= self.applied_index {
+                    self.meters.set_lower_targets(lower_targets);
+                    self.leader_term = *term;
                 }
-                let took = now.saturating_sub(asked);
+                let took = now.saturating_sub(sent_at);
                 let term = *term;
                 for need in self.meters.update_unmet_needs(now, limits) {
                     events.push(Event::NeedLeftOpen { need, term, took });
                 }
-                self.renewed(*at, now, held, give_up, limits, events);
+                self.update_held_duties(
+                    *applied_index,
+                    now,
+                    held_duties,
+                    duties_to_release,
+                    limits,
+                    events,
+                );
             }
-            (What::Renew, LeaderReply::SessionNotFound) => {
-                self.lose_all(&LossReason::SessionOver, events);
-                self.giving.clear();
+            (RequestKind::Renew, LeaderReply::SessionNotFound) => {
+                self.lose_all_duties(&LossReason::SessionOver, events);
+                self.pending_releases.clear();
                 self.meters.clear_shares();
                 self.session = None;
-                self.no_session(LossReason::SessionOver, events);
-                self.renounce(now);
+                self.report_no_session(LossReason::SessionOver, events);
+                self.abandon_session(now);
             }
-            // The word may be about a holding before the one that is given up now.
-            (What::Release(duty, fence), LeaderReply::Done) => {
-                self.giving
-                    .retain(|name, giving| *name != duty || giving.fence != fence);
+            // The reply may be about an earlier holding of the duty than the one that is being released now.
+            (RequestKind::ReleaseDuty(duty, fence), LeaderReply::Done) => {
+                self.pending_releases
+                    .retain(|name, release| *name != duty || release.fence != fence);
             }
-            // Once it has said what it uses and that it leaves, no share counts again.
-            (What::Lower(_), LeaderReply::ShareLowered(_)) if self.leaves => {}
-            (What::Lower(budget), LeaderReply::ShareLowered(share)) => {
+            // Once the final usage is reported, no share becomes valid again.
+            (RequestKind::LowerShare(_), LeaderReply::ShareLowered(_))
+                if self.reports_final_usage => {}
+            (RequestKind::LowerShare(budget), LeaderReply::ShareLowered(share)) => {
                 self.meters.update_share(&budget, *share)
             }
-            (What::Retire, LeaderReply::Done) => self.retired = true,
-            (What::Leave | What::Retire, LeaderReply::Done | LeaderReply::SessionNotFound) => {
-                self.left = true
-            }
-            (What::Join, LeaderReply::JoinOutdated(seen)) => {
-                self.seen = self.seen.max(*seen);
-                self.ask_at = now;
+            (RequestKind::BeginLeave, LeaderReply::Done) => self.has_begun_leave = true,
+            (
+                RequestKind::Leave | RequestKind::BeginLeave,
+                LeaderReply::Done | LeaderReply::SessionNotFound,
+            ) => self.has_left = true,
+            (RequestKind::Join, LeaderReply::JoinOutdated(required_number)) => {
+                self.last_seen_number = self.last_seen_number.max(*required_number);
+                self.next_request_at = now;
             }
-            (What::Join, LeaderReply::Refused(why)) => {
-                self.no_session(LossReason::Refused(why.clone()), events);
-                self.ask_at = now + limits.lease_duration;
+            (RequestKind::Join, LeaderReply::Refused(why)) => {
+                self.report_no_session(LossReason::Refused(why.clone()), events);
+                self.next_request_at = now + limits.lease_duration;
             }
-            (What::Join, LeaderReply::RetryLater(_)) => {
-                self.no_session(LossReason::NameInUse, events);
-                self.ask_at = now + limits.retry_delay;
+            (RequestKind::Join, LeaderReply::RetryLater(_)) => {
+                self.report_no_session(LossReason::NameInUse, events);
+                self.next_request_at = now + limits.retry_delay;
             }
             (_, LeaderReply::NotLeader(_) | LeaderReply::RetryLater(_)) => {
-                self.ask_at = now + limits.retry_delay;
+                self.next_request_at = now + limits.retry_delay;
                 return false;
             }
             _ => {}
         }
-        self.heard = self.heard.max(number);
-        self.answered = now;
-        if std::mem::take(&mut self.alone) {
+        self.last_answered_request = self.last_answered_request.max(number);
+        self.last_answered_at = now;
+        if std::mem::take(&mut self.no_leader_reported) {
             events.push(Event::LeaderAgain);
         }
         true
     }
 
-    /// Whether nothing that is held of budgets keeps the session: what is still in use when time is up is
-    /// stranded.
-    fn may_go(&mut self, now: Millis, limits: &Limits) -> bool {
-        if !self.retired {
+    /// Whether no units of concurrent budgets require the session to be kept. Units that are still in use shortly
+    /// before the quit deadline are stranded.
+    fn can_leave(&mut self, now: Millis, limits: &Limits) -> bool {
+        if !self.has_begun_leave {
             return true;
         }
-        if self.waits {
+        if self.leaves_after_drain {
             return false;
         }
-        let soon = self
-            .quits
+        let is_deadline_near = self
+            .quit_deadline
             .is_some_and(|until| now + limits.retry_delay >= until);
-        let held = |name: &Name| {
-            let def = self.budgets.iter().find(|def| def.name == *name);
-            def.is_some_and(|def| def.kind == BudgetKind::Concurrent)
+        let is_concurrent = |name: &Name| {
+            let definition = self
+                .budgets
+                .iter()
+                .find(|definition| definition.name == *name);
+            definition.is_some_and(|definition| definition.kind == BudgetKind::Concurrent)
         };
-        soon || !self
-            .meters
-            .units_in_use(now, limits)
-            .iter()
-            .any(|(name, _)| held(name))
+        is_deadline_near
+            || !self
+                .meters
+                .units_in_use(now, limits)
+                .iter()
+                .any(|(name, _)| is_concurrent(name))
     }
 
-    fn no_session(&mut self, why: LossReason, events: &mut Vec<Event>) {
-        if self.no_session.as_ref() != Some(&why) {
-            self.no_session = Some(why.clone());
+    /// Reports the reason for having no session, once for as long as it stays the same.
+    fn report_no_session(&mut self, why: LossReason, events: &mut Vec<Event>) {
+        if self.no_session_reason.as_ref() != Some(&why) {
+            self.no_session_reason = Some(why.clone());
             events.push(Event::NoSession { why });
         }
     }
 
-    fn renewed(
+    /// Updates the held duties to those of a reply as of the log index `applied_index`, and gives up the duties to
+    /// release.
+    fn update_held_duties(
         &mut self,
-        at: u64,
+        applied_index: u64,
         now: Millis,
-        held: &[(Name, Number)],
-        give_up: &[(Name, Option<Name>)],
+        held_duties: &[(Name, Number)],
+        duties_to_release: &[(Name, Option<Name>)],
         limits: &Limits,
         events: &mut Vec<Event>,
     ) {
-        // Answers may overtake each other: the newest state of the log counts, whichever ask it answers.
-        if at < self.at {
+        // Replies may arrive out of order: the newest applied index counts, whichever request the reply answers.
+        if applied_index < self.applied_index {
             return;
         }
-        self.at = at;
-        let gone: Vec<Name> = self.held.keys().cloned().collect();
-        for duty in gone {
-            let fence = self.held[&duty];
-            if !held.contains(&(duty.clone(), fence)) {
-                self.held.remove(&duty);
-                self.given.insert(duty.clone(), fence);
+        self.applied_index = applied_index;
+        let known_duties: Vec<Name> = self.held_duties.keys().cloned().collect();
+        for duty in known_duties {
+            let fence = self.held_duties[&duty];
+            if !held_duties.contains(&(duty.clone(), fence)) {
+                self.held_duties.remove(&duty);
+                self.given_up_fences.insert(duty.clone(), fence);
                 events.push(Event::Lost {
                     duty,
                     fence,
@@ -682,24 +769,28 @@
                 });
             }
         }
-        for (duty, fence) in held {
-            let given = self.given.get(duty).is_some_and(|given| fence <= given);
-            let in_time = now < self.end(limits) && self.quits.is_none();
-            if !given && in_time && self.held.insert(duty.clone(), *fence).is_none() {
+        for (duty, fence) in held_duties {
+            let was_given_up = self
+                .given_up_fences
+                .get(duty)
+                .is_some_and(|released| fence <= released);
+            let may_hold = now < self.held_until(limits) && self.quit_deadline.is_none();
+            if !was_given_up && may_hold && self.held_duties.insert(duty.clone(), *fence).is_none()
+            {
                 events.push(Event::Gained {
                     duty: duty.clone(),
                     fence: *fence,
                 });
             }
         }
-        for (duty, to) in give_up {
-            if let Some(fence) = self.held.remove(duty) {
-                self.given.insert(duty.clone(), fence);
-                self.giving.insert(
+        for (duty, preferred_holder) in duties_to_release {
+            if let Some(fence) = self.held_duties.remove(duty) {
+                self.given_up_fences.insert(duty.clone(), fence);
+                self.pending_releases.insert(
                     duty.clone(),
-                    Giving {
+                    PendingRelease {
                         fence,
-                        to: to.clone(),
+                        preferred_holder: preferred_holder.clone(),
                     },
                 );
                 events.push(Event::Lost {
