--- a/crates/fleet/src/member/leader.rs
+++ b/crates/fleet/src/member/leader.rs
@@ -49,8 +49,8 @@
             | LeaderRequest::ReportWork { .. }
             | LeaderRequest::PollAsCoordinator { .. } => work_command,
             LeaderRequest::Renew { session, .. } => {
-                let known = running.state.sessions().get(session);
-                let is_own = known.is_some_and(|known| known.name == from);
+                let known_session = running.state.sessions().get(session);
+                let is_own = known_session.is_some_and(|known_session| known_session.name == from);
                 let is_blocked = running.state.blocked_members().contains(&from);
                 if !is_own || !running.leases.is_renewable(*session) {
                     return self.reply(from, number, LeaderReply::SessionNotFound);
@@ -73,9 +73,9 @@
                 units_in_use,
             } => {
                 // An existing session of the same nonce is confirmed like a renewal.
-                let known = running.state.session_by_name(&from);
-                match known {
-                    Some((id, known)) if known.nonce == *nonce => {
+                let known_session = running.state.session_by_name(&from);
+                match known_session {
+                    Some((id, known_session)) if known_session.nonce == *nonce => {
                         if !running.leases.is_renewable(id) {
                             return self.reply(
                                 from,
@@ -134,8 +134,8 @@
                 units,
                 share_version,
             } => {
-                let known = running.state.sessions().get(session);
-                if known.is_none_or(|known| known.name != from) {
+                let known_session = running.state.sessions().get(session);
+                if known_session.is_none_or(|known_session| known_session.name != from) {
                     return self.reply(from, number, LeaderReply::SessionNotFound);
                 }
                 // Otherwise the share would be raised again for a need that was reported earlier.
@@ -150,8 +150,8 @@
                 })
             }
             LeaderRequest::BeginLeave { session } | LeaderRequest::Leave { session, .. } => {
-                let known = running.state.sessions().get(session);
-                if known.is_none_or(|known| known.name != from) {
+                let known_session = running.state.sessions().get(session);
+                if known_session.is_none_or(|known_session| known_session.name != from) {
                     return self.reply(from, number, LeaderReply::SessionNotFound);
                 }
                 let session = *session;
@@ -278,8 +278,8 @@
                 }
             }
             LeaderRequest::Join { nonce, .. } => match running.state.session_by_name(&from) {
-                Some((session, known))
-                    if known.nonce == nonce && running.leases.is_renewable(session) =>
+                Some((session, known_session))
+                    if known_session.nonce == nonce && running.leases.is_renewable(session) =>
                 {
                     running.leases.grant(session, now, &limits);
                     LeaderReply::Joined {
@@ -526,7 +526,10 @@
         }
         let state = &running.state;
         let (mut raises, lowers) = running.allocator.allocate(state.budgets(), |id| {
-            state.sessions().get(&id).map_or(1, |known| known.weight)
+            state
+                .sessions()
+                .get(&id)
+                .map_or(1, |session| session.weight)
         });
         // A session whose definition of the budget differs in kind or window from the one in force gets no units.
         raises.retain(|(budget, session, ..)| state.matches_definition(*session, budget));
--- a/crates/fleet/src/member/log.rs
+++ b/crates/fleet/src/member/log.rs
@@ -21,7 +21,7 @@
 
     /// The name of the member with that directory id, from the log's members or the connected peers.
     pub(super) fn member_name(&self, id: NodeId) -> Option<Name> {
-        let known = self
+        let member = self
             .running()
             .and_then(|running| running.node.members().0.get(&id));
         let peer_name = || {
@@ -30,7 +30,7 @@
                 .find(|(_, peer_id)| **peer_id == id)
                 .map(|(name, _)| name.clone())
         };
-        known.map(|member| member.name.clone()).or_else(peer_name)
+        member.map(|member| member.name.clone()).or_else(peer_name)
     }
 
     pub(super) fn handle_consensus_output(&mut self, output: LogOutput) {
@@ -224,9 +224,11 @@
             Effect::WorkRefused(why) => LeaderReply::Refused(why),
             Effect::Done => match request {
                 LeaderRequest::LowerShare { session, need, .. } => {
-                    let known = running.state.budgets().get(&need.budget);
+                    let budget = running.state.budgets().get(&need.budget);
                     LeaderReply::ShareLowered(
-                        known.map(|known| known.share(session)).unwrap_or_default(),
+                        budget
+                            .map(|budget| budget.share(session))
+                            .unwrap_or_default(),
                     )
                 }
                 // The change of the log's members follows; the reply is sent when that is done.
@@ -245,10 +247,10 @@
         let Some(running) = self.running() else {
             return;
         };
-        let Some(known) = running.state.sessions().get(&session) else {
+        let Some(recipient) = running.state.sessions().get(&session) else {
             return;
         };
-        let (name, applied_index) = (known.name.clone(), running.applied_index);
+        let (name, applied_index) = (recipient.name.clone(), running.applied_index);
         let (shares, lower_targets) = (
             running.state.shares(session),
             running.allocator.lower_targets(session),
@@ -345,7 +347,7 @@
         };
         let members = self.node.members();
         let change = match members.id_by_name(name) {
-            Some(known) if known != id => MembershipChange::Remove(known),
+            Some(known_id) if known_id != id => MembershipChange::Remove(known_id),
             Some(_) if members.is_voter(id) => return Some(LeaderReply::Done),
             Some(_) => MembershipChange::Promote(id),
             None => MembershipChange::AddLearner(id, name.clone()),
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -594,7 +594,7 @@
                     .leader_locator
                     .leader
                     .as_ref()
-                    .is_none_or(|known| *known == from) =>
+                    .is_none_or(|leader| *leader == from) =>
                 {
                     self.leader_locator.mark_failed();
                 }
--- a/crates/fleet/src/member/work_orders.rs
+++ b/crates/fleet/src/member/work_orders.rs
@@ -85,10 +85,10 @@
         let Some(participant) = &mut self.work_participant else {
             return;
         };
-        let has_changed = participant.local_status.as_ref().is_none_or(|known| {
-            known.reports != local_status.reports
-                || known.list_version != local_status.list_version
-                || known.closed_machines != local_status.closed_machines
+        let has_changed = participant.local_status.as_ref().is_none_or(|previous| {
+            previous.reports != local_status.reports
+                || previous.list_version != local_status.list_version
+                || previous.closed_machines != local_status.closed_machines
         });
         if has_changed {
             participant.next_report_at = participant.next_report_at.min(self.now);
@@ -234,13 +234,13 @@
             return;
         }
         let orders = &coordinator.orders;
-        let places = || {
+        let all_progress = || {
             orders
                 .orders()
                 .values()
-                .flat_map(|(_, places)| places.values())
+                .flat_map(|(_, machines)| machines.values())
         };
-        let versions: BTreeSet<Number> = places().map(|place| place.version).collect();
+        let versions: BTreeSet<Number> = all_progress().map(|progress| progress.version).collect();
         coordinator
             .version_first_seen
             .retain(|version, _| versions.contains(version));
@@ -343,8 +343,8 @@
         let (state, work_reports) = (&running.state, &mut running.work_reports);
         let work = state.work();
         let is_own = |session: &SessionId| {
-            let known = state.sessions().get(session);
-            known.is_some_and(|known| known.name == *from)
+            let known_session = state.sessions().get(session);
+            known_session.is_some_and(|known_session| known_session.name == *from)
         };
         match request {
             LeaderRequest::ReportWork { session, .. }
@@ -371,9 +371,9 @@
                         "it has to be known first that it serves".into(),
                     ));
                 }
-                let known = work_reports.by_session.entry(*session).or_default();
-                if number > known.request_number {
-                    *known = MemberReport {
+                let report = work_reports.by_session.entry(*session).or_default();
+                if number > report.request_number {
+                    *report = MemberReport {
                         request_number: number,
                         machines: reports.iter().cloned().collect(),
                         closed_machines: closed_machines.iter().cloned().collect(),
@@ -425,8 +425,8 @@
                 roster_version,
                 change,
             } => {
-                let known = state.sessions().get(session);
-                if known.is_none_or(|known| known.name != *from) {
+                let known_session = state.sessions().get(session);
+                if known_session.is_none_or(|known_session| known_session.name != *from) {
                     return Err(LeaderReply::SessionNotFound.into());
                 }
                 Ok(Command::ChangeWorkOrders {
@@ -458,7 +458,7 @@
         let state = &running.state;
         let duty = state.duties().get(WORK_DUTY).and_then(|duty| duty.holder);
         let coordinator = duty.and_then(|(id, _)| state.sessions().get(&id));
-        let coordinator = coordinator.map(|known| known.name.clone());
+        let coordinator = coordinator.map(|known_session| known_session.name.clone());
         let reports = running.work_reports.by_session.values();
         let closed_machines = reports.flat_map(|report| report.closed_machines.iter().cloned());
         let wait_reasons = &running.work_reports.wait_reasons;
@@ -525,10 +525,9 @@
                 .map(|(name, count)| (name.clone(), count))
                 .collect(),
             closed_machines: closed_machines.into_iter().cloned().collect(),
-            has_other_candidates: state
-                .sessions()
-                .iter()
-                .any(|(id, known)| *id != coordinator && known.wanted_duties.contains(WORK_DUTY)),
+            has_other_candidates: state.sessions().iter().any(|(id, known_session)| {
+                *id != coordinator && known_session.wanted_duties.contains(WORK_DUTY)
+            }),
         }
     }
 }
@@ -572,10 +571,10 @@
             .machines()
             .iter()
             .find(|(_, machine)| matches!(&machine.proxy, Some((name, _)) if name == proxy));
-        let place = machine.and_then(|(name, _)| out.get(name));
-        place.is_some_and(|(_, place)| {
+        let progress = machine.and_then(|(name, _)| out.get(name));
+        progress.is_some_and(|(_, progress)| {
             matches!(
-                place.phase,
+                progress.phase,
                 Phase::Drained | Phase::Failed(FailureReason::NeverWorked)
             )
         })
@@ -595,17 +594,17 @@
             .filter(|name| !local_status.up_machines.contains(*name))
             .cloned(),
     );
-    let places = orders
+    let all_progress = orders
         .orders()
         .values()
-        .flat_map(|(_, places)| places.values());
+        .flat_map(|(_, machines)| machines.values());
     PlannerInput {
         members: members.collect(),
         unix_time_ms: local_status.unix_time_ms,
         unavailable,
         client_counts: client_counts.into_iter().collect(),
-        version_ages: places
-            .map(|place| (place.version, version_age(place.version)))
+        version_ages: all_progress
+            .map(|progress| (progress.version, version_age(progress.version)))
             .collect(),
     }
 }
--- a/crates/fleet/src/session_client.rs
+++ b/crates/fleet/src/session_client.rs
@@ -319,8 +319,9 @@
         shares: &VersionedShares,
         lower_targets: &[(Name, u64)],
     ) {
-        let known = self.session.as_ref();
-        let is_current = known.is_some_and(|known| known.id == session && !known.has_expired);
+        let current = self.session.as_ref();
+        let is_current =
+            current.is_some_and(|current| current.id == session && !current.has_expired);
         if is_current && !self.reports_final_usage {
             self.meters.set_shares(shares.0, &shares.1);
             if applied_index >= self.applied_index {
@@ -594,11 +595,11 @@
                 let expires_at = sent_at + limits.lease_duration;
                 match &mut self.session {
                     // The reply to a repeated request.
-                    Some(known) if known.id == *session && !known.has_expired => {
-                        known.expires_at = known.expires_at.max(expires_at);
+                    Some(current) if current.id == *session && !current.has_expired => {
+                        current.expires_at = current.expires_at.max(expires_at);
                     }
-                    known => {
-                        *known = Some(Session {
+                    current => {
+                        *current = Some(Session {
                             id: *session,
                             expires_at,
                             has_expired: false,
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -249,7 +249,7 @@
         let version = self
             .sessions
             .get(&session)
-            .map_or(0, |known| known.shares_version);
+            .map_or(0, |session| session.shares_version);
         let shares = self
             .budgets
             .iter()
@@ -262,7 +262,7 @@
         let file = self
             .sessions
             .get(&session)
-            .and_then(|known| self.budget_files.get(&known.budgets_digest));
+            .and_then(|session| self.budget_files.get(&session.budgets_digest));
         let own = file.and_then(|file| {
             file.definitions
                 .iter()
@@ -331,8 +331,8 @@
                 units_in_use,
             }),
             Command::BeginLeave { session } => {
-                if let Some(known) = self.sessions.get_mut(&session) {
-                    known.wanted_duties.clear();
+                if let Some(session_state) = self.sessions.get_mut(&session) {
+                    session_state.wanted_duties.clear();
                 }
                 self.reassign_duties(&[session], &[]);
                 Effect::Done
@@ -405,14 +405,14 @@
                 fence,
                 preferred_holder,
             } => {
-                let Some(known) = self.duties.get_mut(&duty) else {
+                let Some(duty_state) = self.duties.get_mut(&duty) else {
                     return Effect::Done;
                 };
                 // A repeated or late request: the duty has been assigned to another session since.
-                if known.holder != Some((session, fence)) {
+                if duty_state.holder != Some((session, fence)) {
                     return Effect::Done;
                 }
-                (known.holder, known.requested_handoff) = (None, None);
+                (duty_state.holder, duty_state.requested_handoff) = (None, None);
                 self.assign_duty(&duty, preferred_holder.as_deref(), &[session]);
                 Effect::Done
             }
@@ -431,13 +431,13 @@
                     Some(_) if !has_candidate => {
                         Effect::Refused("no live member of that name has this duty")
                     }
-                    Some(known) => {
-                        let holder = known.holder.and_then(|(id, _)| self.sessions.get(&id));
+                    Some(duty_state) => {
+                        let holder = duty_state.holder.and_then(|(id, _)| self.sessions.get(&id));
                         let is_already_there = holder.is_some_and(|session| {
                             Some(&session.name) == preferred_holder.as_ref()
                         });
                         if !is_already_there && holder.is_some() {
-                            known.requested_handoff = Some(preferred_holder);
+                            duty_state.requested_handoff = Some(preferred_holder);
                         }
                         Effect::Done
                     }
@@ -457,14 +457,14 @@
                 Effect::Done
             }
             Command::StartServing { session } => {
-                if let Some(known) = self.sessions.get(&session) {
-                    self.work.start_serving(known.name.clone(), session);
+                if let Some(session_state) = self.sessions.get(&session) {
+                    self.work.start_serving(session_state.name.clone(), session);
                 }
                 Effect::Done
             }
             Command::StopServing { session } => {
-                if let Some(known) = self.sessions.get(&session) {
-                    self.work.stop_serving(&known.name);
+                if let Some(session_state) = self.sessions.get(&session) {
+                    self.work.stop_serving(&session_state.name);
                 }
                 Effect::Done
             }
@@ -550,18 +550,18 @@
         if self.sessions.len() >= StateLimits::MAX_SESSIONS {
             return Effect::Refused("too many sessions");
         }
-        let new = wanted_duties
+        let new_count = wanted_duties
             .iter()
             .filter(|duty| !self.duties.contains_key(*duty))
             .count();
-        if self.duties.len() + new > StateLimits::MAX_DUTIES {
+        if self.duties.len() + new_count > StateLimits::MAX_DUTIES {
             return Effect::Refused("too many duties");
         }
-        let new = budgets
+        let new_count = budgets
             .iter()
             .filter(|definition| !self.budgets.contains_key(&definition.name))
             .count();
-        if self.budgets.len() + new > StateLimits::MAX_BUDGETS {
+        if self.budgets.len() + new_count > StateLimits::MAX_BUDGETS {
             return Effect::Refused("too many budgets");
         }
         self.work.record_process_start(&name);
@@ -626,8 +626,8 @@
     }
 
     fn bump_shares_version(&mut self, session: SessionId) {
-        if let Some(known) = self.sessions.get_mut(&session) {
-            known.shares_version += 1;
+        if let Some(session_state) = self.sessions.get_mut(&session) {
+            session_state.shares_version += 1;
         }
     }
 
--- a/crates/fleet/tests/work.rs
+++ b/crates/fleet/tests/work.rs
@@ -187,16 +187,16 @@
     roster_version: u64,
 ) -> Command {
     let orders = &state.work().orders;
-    let (number, place) = orders
+    let (number, progress) = orders
         .orders()
         .iter()
-        .find_map(|(number, (_, places))| Some((*number, places.get(machine)?)))
+        .find_map(|(number, (_, machines))| Some((*number, machines.get(machine)?)))
         .expect("the machine is in an order");
     Command::ChangeWorkOrders {
         changes: vec![WorkOrderChange::Step {
             order: number,
             machine: machine.into(),
-            version: place.version,
+            version: progress.version,
             step,
             fence: Some(coordinator.1),
         }],
@@ -377,12 +377,14 @@
     world.run_for(6000);
     let phases = |world: &World| {
         let work = world.work_state().expect("a leader has a state");
-        let places = work
+        let machines = work
             .orders
             .orders()
             .values()
-            .flat_map(|(_, places)| places.values());
-        places.map(|place| place.phase.clone()).collect::<Vec<_>>()
+            .flat_map(|(_, machines)| machines.values());
+        machines
+            .map(|progress| progress.phase.clone())
+            .collect::<Vec<_>>()
     };
     let draining_count = phases(&world)
         .iter()
