--- a/crates/fleet/src/messages.rs
+++ b/crates/fleet/src/messages.rs
@@ -350,6 +350,7 @@
 pub enum OperatorAnswer {
     FleetView(FleetView),
     WorkView(WorkView),
+    /// The call has been carried out.
     Done,
     /// The duty is held here, and was before the call. The program may work on it for `remaining`, and longer only if
     /// it calls again.
--- a/crates/fleet/src/session_client.rs
+++ b/crates/fleet/src/session_client.rs
@@ -164,6 +164,7 @@
         self.has_left
     }
 
+    /// The time of the last reply of a leader.
     pub fn last_answered_at(&self) -> Millis {
         self.last_answered_at
     }
@@ -249,6 +250,7 @@
         self.meters.usage(budget, now, has_lease, limits)
     }
 
+    /// The configured budgets.
     pub fn budgets(&self) -> &[BudgetDefinition] {
         &self.budgets
     }
@@ -456,7 +458,7 @@
             _ => None,
         };
         let (kind, request) = match (session, release) {
-            // The session is kept until operators' programs have ended, or their allowed time is over.
+            // The session is kept until operators' programs have ended, or the time granted to them is over.
             (Some(session), _) if may_leave && !session.has_expired => {
                 let (kind, request) = match self.has_begun_leave
                     || (self.budgets.is_empty() && !self.leaves_after_drain)
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -232,14 +232,17 @@
         &self.work
     }
 
+    /// The sessions that have begun and not ended.
     pub fn sessions(&self) -> &BTreeMap<SessionId, Session> {
         &self.sessions
     }
 
+    /// The duties that some session holds or wants.
     pub fn duties(&self) -> &BTreeMap<Name, Duty> {
         &self.duties
     }
 
+    /// The definitions in force and the shares of all budgets.
     pub fn budgets(&self) -> &BTreeMap<Name, BudgetShares> {
         &self.budgets
     }
@@ -625,6 +628,7 @@
             .unwrap_or(self.max_dropped_change)
     }
 
+    /// Records that the shares of a session have changed.
     fn bump_shares_version(&mut self, session: SessionId) {
         if let Some(session_state) = self.sessions.get_mut(&session) {
             session_state.shares_version += 1;
