--- a/crates/catalogue/src/catalogue.rs
+++ b/crates/catalogue/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue itself: tellings in, facts out.
+//! The catalogue: applies source updates and returns status changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,30 +10,31 @@
     SourceUpdate, StatusChange, StatusReason,
 };
 
-/// A source's number; lower ones go before higher ones where descriptions differ.
+/// The number of a source. Where descriptions of a server differ, that of the lower number is used.
 pub type SourceId = u8;
 
-/// What was passed over or given up, since the start.
+/// Counts of refused and evicted servers, ignored rows and distrusted sources since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// New servers for which there was no room.
+    /// New servers that were refused because the catalogue was full.
     pub refused: u64,
-    /// Servers forgotten to make room.
+    /// Servers that were evicted to make room for others.
     pub evicted: u64,
-    /// Rows without an address of a server that was not known.
+    /// Rows without an address for a server that was not in the catalogue.
     pub unaddressed_rows: u64,
-    /// Times a source came to be doubted.
+    /// How often a source became distrusted.
     pub distrusted_sources: u64,
 }
 
-/// A source as it stands.
+/// A view of the state of one source.
 #[derive(Clone, Debug)]
 pub struct SourceView<'a> {
     pub id: SourceId,
     pub name: &'a str,
     pub listed_servers: usize,
-    /// When it last answered, and since when it has not.
+    /// When the source last answered.
     pub last_answer_at: Option<Millis>,
+    /// Since when the source has not answered.
     pub unavailable_since: Option<Millis>,
     pub distrusted_since: Option<Millis>,
 }
@@ -41,36 +42,42 @@
 #[derive(Debug, Default)]
 struct Source {
     name: Box<str>,
+    /// Whether the source was added and has not been retired.
     live: bool,
-    /// Taken away; its words stay until all others have spoken once.
+    /// Retired; its reports stay until every live source has delivered a complete snapshot.
     retiring: bool,
-    told: bool,
-    answered: Option<Millis>,
-    lost_since: Option<Millis>,
-    /// Servers on which it has a word.
-    voices: usize,
-    /// The number of its last whole list, and since when parts of that are being told.
-    mark: u64,
-    reading: Option<Millis>,
-    doubt: SourceTrust,
+    /// Whether the source has delivered a complete snapshot.
+    has_snapshot: bool,
+    last_answer_at: Option<Millis>,
+    unavailable_since: Option<Millis>,
+    /// The number of servers for which the source has a report.
+    report_count: usize,
+    /// The number of the source's latest snapshot.
+    snapshot_number: u64,
+    /// When that snapshot started, while parts of it are still outstanding.
+    snapshot_started_at: Option<Millis>,
+    trust: SourceTrust,
 }
 
+/// All servers that the sources list, with the status derived for each.
 #[derive(Debug)]
 pub struct Catalogue {
     limits: Limits,
     sources: Vec<Source>,
     servers: BTreeMap<Box<str>, ServerRecord>,
-    /// Servers that nobody lists, by when they were last listed.
+    /// Servers that no source lists, ordered by when they were last listed.
     unlisted: BTreeSet<(Millis, Box<str>)>,
-    /// Servers whose belief time may change.
+    /// Servers whose status may change through elapsed time alone, or is not ready.
     pending: BTreeSet<Box<str>>,
-    /// Servers to judge before the next facts go out, and to settle when the moment closes.
+    /// Servers to evaluate before the next changes are returned.
     dirty: BTreeSet<Box<str>>,
+    /// Servers whose flap damping is updated once all updates of the current timestamp are applied.
     touched: BTreeSet<Box<str>>,
+    /// Changes for removed servers that have not been returned yet.
     evicted: Vec<StatusChange>,
     now: Millis,
-    looked_at: Millis,
-    /// Servers that may turn gone by long absence, in thousandths.
+    last_tick_at: Millis,
+    /// How many servers may become gone through the absence timeout, in thousandths.
     gone_budget: u64,
     counts: Counts,
 }
@@ -87,7 +94,7 @@
             touched: BTreeSet::new(),
             evicted: Vec::new(),
             now: 0,
-            looked_at: 0,
+            last_tick_at: 0,
             gone_budget: 0,
             counts: Counts::default(),
         }
@@ -101,12 +108,13 @@
         self.counts
     }
 
-    /// Adds a source; none if there are too many.
+    /// Adds a source. Returns none if [`Limits::max_sources`] is reached.
     pub fn add_source(&mut self, name: &str) -> Option<SourceId> {
-        let free = |source: &Source| !source.live && !source.retiring && source.voices == 0;
-        let at = self.sources.iter().position(free);
-        let at = at.unwrap_or(self.sources.len());
-        if at >= self.limits.max_sources.min(usize::from(SourceId::MAX)) {
+        let is_free =
+            |source: &Source| !source.live && !source.retiring && source.report_count == 0;
+        let index = self.sources.iter().position(is_free);
+        let index = index.unwrap_or(self.sources.len());
+        if index >= self.limits.max_sources.min(usize::from(SourceId::MAX)) {
             return None;
         }
         let source = Source {
@@ -114,121 +122,122 @@
             live: true,
             ..Source::default()
         };
-        match self.sources.get_mut(at) {
-            Some(place) => *place = source,
+        match self.sources.get_mut(index) {
+            Some(slot) => *slot = source,
             None => self.sources.push(source),
         }
-        Some(at as SourceId)
+        Some(index as SourceId)
     }
 
-    /// Takes a source away. Its words stand until every other has spoken once, so that a change of
-    /// sources leaves no moment without a list; then servers that no other lists are absent.
+    /// Retires a source. Its reports stay in effect until every live source has delivered a complete snapshot, so
+    /// that a change of sources never leaves the catalogue without a server list. After that, servers that no
+    /// other source lists are absent.
     pub fn retire_source(&mut self, now: Millis, source: SourceId) -> Vec<StatusChange> {
-        self.advance(now);
+        self.advance_clock(now);
         if let Some(source) = self.sources.get_mut(usize::from(source)) {
             source.retiring |= std::mem::take(&mut source.live);
-            source.reading = None;
+            source.snapshot_started_at = None;
         }
-        self.release();
-        self.facts()
+        self.release_retired_sources();
+        self.collect_changes()
     }
 
-    /// Takes what a source says, and returns what changes by it.
+    /// Applies an update from a source and returns the resulting changes.
     pub fn apply_update(
         &mut self,
         now: Millis,
         source: SourceId,
-        telling: SourceUpdate,
+        update: SourceUpdate,
     ) -> Vec<StatusChange> {
-        self.advance(now);
+        self.advance_clock(now);
         let now = self.now;
-        let at = usize::from(source);
-        let Some(teller) = self.sources.get_mut(at).filter(|source| source.live) else {
+        let index = usize::from(source);
+        let Some(source_state) = self.sources.get_mut(index).filter(|source| source.live) else {
             return Vec::new();
         };
-        if let SourceUpdate::Unavailable = telling {
-            teller.reading = None;
-            teller.lost_since.get_or_insert(now);
-            return self.facts();
-        }
-        teller.answered = Some(now);
-        teller.lost_since = None;
-        match telling {
-            SourceUpdate::Snapshot(rows) => self.whole(source, true, true, rows),
+        if let SourceUpdate::Unavailable = update {
+            source_state.snapshot_started_at = None;
+            source_state.unavailable_since.get_or_insert(now);
+            return self.collect_changes();
+        }
+        source_state.last_answer_at = Some(now);
+        source_state.unavailable_since = None;
+        match update {
+            SourceUpdate::Snapshot(rows) => self.apply_snapshot_part(source, true, true, rows),
             SourceUpdate::SnapshotPart { first, last, rows } => {
-                self.whole(source, first, last, rows)
+                self.apply_snapshot_part(source, first, last, rows)
             }
             SourceUpdate::Delta(rows) => {
                 for row in rows {
-                    self.row(source, row);
+                    self.apply_row(source, row);
                 }
             }
             SourceUpdate::StaleSnapshot(rows) => {
-                // A drain is a drain, however old the word; nothing else is believed.
+                // A drain takes effect however old the list is; all other rows are ignored.
                 for row in rows
                     .into_iter()
                     .filter(|row| row.status == ReportedStatus::Draining)
                 {
-                    self.row(source, row);
+                    self.apply_row(source, row);
                 }
             }
             SourceUpdate::Unchanged | SourceUpdate::Unavailable => {}
         }
-        self.release();
-        self.facts()
+        self.release_retired_sources();
+        self.collect_changes()
     }
 
-    /// A server answered a probe, or brought something back for a line or an attempt; or it did not.
+    /// Records whether a server responded to a probe, an `OPEN` line or an attempt.
     pub fn record_liveness(&mut self, now: Millis, uid: &str, answered: bool) -> Vec<StatusChange> {
         let Some(record) = self.servers.get_mut(uid) else {
             return Vec::new();
         };
-        let misses = match answered {
+        let missed_responses = match answered {
             true => 0,
             false => record.missed_responses.saturating_add(1),
         };
-        if std::mem::replace(&mut record.missed_responses, misses) == misses
+        if std::mem::replace(&mut record.missed_responses, missed_responses) == missed_responses
             || !record.needs_reevaluation()
         {
             return Vec::new();
         }
-        self.advance(now);
-        self.touch(uid.into());
-        self.facts()
+        self.advance_clock(now);
+        self.mark_changed(uid.into());
+        self.collect_changes()
     }
 
-    /// When time alone may change something next.
+    /// When [`Catalogue::tick`] is due next; none if no status depends on elapsed time.
     pub fn next_tick(&self) -> Option<Millis> {
-        let busy = [&self.pending, &self.touched, &self.dirty];
-        let busy = busy.iter().any(|set| !set.is_empty());
-        let doubted = self
+        let work_pending = [&self.pending, &self.touched, &self.dirty];
+        let work_pending = work_pending.iter().any(|set| !set.is_empty());
+        let any_distrusted = self
             .sources
             .iter()
-            .any(|source| source.doubt.was_distrusted);
-        (busy || doubted).then_some(self.looked_at + self.limits.tick_interval)
+            .any(|source| source.trust.was_distrusted);
+        (work_pending || any_distrusted).then_some(self.last_tick_at + self.limits.tick_interval)
     }
 
-    /// Looks again at all that depends on time.
+    /// Evaluates again everything that depends on elapsed time.
     pub fn tick(&mut self, now: Millis) -> Vec<StatusChange> {
-        self.advance(now);
-        let span = self.now.saturating_sub(self.looked_at);
-        self.looked_at = self.now;
-        // Those that were held, or whose source is believed again, change by time alone.
+        self.advance_clock(now);
+        let elapsed = self.now.saturating_sub(self.last_tick_at);
+        self.last_tick_at = self.now;
+        // The status changes by elapsed time alone when flap damping ends or a source is trusted again.
         self.touched.extend(self.pending.iter().cloned());
-        self.settle();
-        self.ripen(span);
+        self.close_timestamp();
+        self.expire_unlisted_servers(elapsed);
         self.dirty.extend(self.pending.iter().cloned());
-        self.facts()
+        self.collect_changes()
     }
 
-    /// Every server, in the order of identities.
+    /// Returns all servers, ordered by uid.
     pub fn servers(&self) -> impl Iterator<Item = ServerView<'_>> {
         self.servers.iter().filter_map(|(uid, record)| {
-            let (belief, why) = self.judge(record);
+            let (status, reason) = self.evaluate_server(record);
             Some(ServerView {
                 uid,
-                status: belief,
-                reason: why,
+                status,
+                reason,
                 instance: record.instance()?,
                 reports: &record.reports,
                 flap_penalty: record.flap_penalty(self.now, &self.limits),
@@ -236,15 +245,20 @@
         })
     }
 
+    /// Returns the sources that have not been retired.
     pub fn sources(&self) -> impl Iterator<Item = SourceView<'_>> {
-        let live = self.sources.iter().enumerate().filter(|(_, s)| s.live);
+        let live = self
+            .sources
+            .iter()
+            .enumerate()
+            .filter(|(_, source)| source.live);
         live.map(|(id, source)| SourceView {
             id: id as SourceId,
             name: &source.name,
-            listed_servers: source.doubt.listed_servers(),
-            last_answer_at: source.answered,
-            unavailable_since: source.lost_since,
-            distrusted_since: source.doubt.distrusted_since(),
+            listed_servers: source.trust.listed_servers(),
+            last_answer_at: source.last_answer_at,
+            unavailable_since: source.unavailable_since,
+            distrusted_since: source.trust.distrusted_since(),
         })
     }
 
@@ -260,52 +274,52 @@
         self.servers.is_empty()
     }
 
-    // Words.
+    // Applying updates.
 
-    /// Takes a whole list, or a part of one.
-    fn whole(&mut self, source: SourceId, first: bool, last: bool, rows: Vec<Row>) {
+    /// Applies a complete snapshot, or one part of it.
+    fn apply_snapshot_part(&mut self, source: SourceId, first: bool, last: bool, rows: Vec<Row>) {
         let now = self.now;
-        let teller = &mut self.sources[usize::from(source)];
+        let source_state = &mut self.sources[usize::from(source)];
         if first {
-            teller.mark += 1;
-            teller.reading = Some(now);
-        } else if teller.reading.is_none() {
-            // Its beginning was given up.
+            source_state.snapshot_number += 1;
+            source_state.snapshot_started_at = Some(now);
+        } else if source_state.snapshot_started_at.is_none() {
+            // The earlier parts were discarded, so the rest is no complete snapshot.
             return;
         }
         for row in rows {
-            self.row(source, row);
+            self.apply_row(source, row);
         }
         if last {
-            self.leave_out(source);
-            let teller = &mut self.sources[usize::from(source)];
-            teller.reading = None;
-            teller.told = true;
+            self.mark_absent_servers(source);
+            let source_state = &mut self.sources[usize::from(source)];
+            source_state.snapshot_started_at = None;
+            source_state.has_snapshot = true;
         }
     }
 
-    fn row(&mut self, source: SourceId, row: Row) {
-        let heard = match row.status {
+    fn apply_row(&mut self, source: SourceId, row: Row) {
+        let status = match row.status {
             ReportedStatus::Ready => SourceStatus::Ready,
             ReportedStatus::Failing => SourceStatus::Failing,
             ReportedStatus::Draining => SourceStatus::Draining,
             ReportedStatus::Left => SourceStatus::Left,
         };
         if !self.servers.contains_key(&row.uid) {
-            if heard == SourceStatus::Left || row.instance.is_none() {
-                self.counts.unaddressed_rows += u64::from(heard != SourceStatus::Left);
+            if status == SourceStatus::Left || row.instance.is_none() {
+                self.counts.unaddressed_rows += u64::from(status != SourceStatus::Left);
                 return;
             }
-            if !self.make_room() {
+            if !self.ensure_capacity() {
                 self.counts.refused += 1;
                 return;
             }
         }
-        self.say(source, &row.uid, heard, row.instance);
+        self.record_report(source, &row.uid, status, row.instance);
     }
 
-    /// Whether there is room for one more server, if need be by forgetting one that nobody lists.
-    fn make_room(&mut self) -> bool {
+    /// Makes room for one more server, if necessary by evicting an unlisted one. Returns whether there is room.
+    fn ensure_capacity(&mut self) -> bool {
         if self.servers.len() < self.limits.max_servers {
             return true;
         }
@@ -313,18 +327,18 @@
             return false;
         };
         self.counts.evicted += 1;
-        self.remove(&uid, StatusReason::Evicted);
+        self.remove_server(&uid, StatusReason::Evicted);
         true
     }
 
-    /// Forgets a server; the engine hears that it is gone if it has not yet.
-    fn remove(&mut self, uid: &str, why: StatusReason) {
+    /// Removes a server, and queues a change to gone unless that was published before.
+    fn remove_server(&mut self, uid: &str, reason: StatusReason) {
         let Some(record) = self.servers.remove(uid) else {
             return;
         };
-        for said in &record.reports {
-            self.uncount(said);
-            self.sources[usize::from(said.source)].voices -= 1;
+        for report in &record.reports {
+            self.uncount_report(report);
+            self.sources[usize::from(report.source)].report_count -= 1;
         }
         if let Some(since) = record.unlisted_since {
             self.unlisted.remove(&(since, uid.into()));
@@ -332,106 +346,119 @@
         for set in [&mut self.pending, &mut self.dirty, &mut self.touched] {
             set.remove(uid);
         }
-        let known = record
+        let previously_published = record
             .last_published
             .as_ref()
-            .filter(|told| told.status != EffectiveStatus::Gone);
-        if let (Some(_), Some(instance)) = (known, record.instance()) {
+            .filter(|published| published.status != EffectiveStatus::Gone);
+        if let (Some(_), Some(instance)) = (previously_published, record.instance()) {
             self.evicted.push(StatusChange {
                 uid: uid.into(),
                 status: EffectiveStatus::Gone,
-                reason: why,
+                reason,
                 instance: instance.clone(),
                 born: None,
             });
         }
     }
 
-    fn uncount(&mut self, said: &SourceReport) {
-        let source = &mut self.sources[usize::from(said.source)];
+    fn uncount_report(&mut self, report: &SourceReport) {
+        let source = &mut self.sources[usize::from(report.source)];
         source
-            .doubt
-            .count_report(said.status, said.suspect_since, false);
+            .trust
+            .count_report(report.status, report.suspect_since, false);
     }
 
-    /// Notes a source's word on a server that is known, or that there is room for.
-    fn say(
+    /// Records a source's report on a server that is in the catalogue or for which there is room.
+    fn record_report(
         &mut self,
         source: SourceId,
         uid: &str,
-        heard: SourceStatus,
+        status: SourceStatus,
         instance: Option<Instance>,
     ) {
         let now = self.now;
-        let mark = self.sources[usize::from(source)].mark;
-        // A list read for the first time tells of servers that may have run for long.
-        let news = self.sources[usize::from(source)].told;
+        let snapshot_number = self.sources[usize::from(source)].snapshot_number;
+        // Servers in the first snapshot of a source may have been running for a long time.
+        let has_snapshot = self.sources[usize::from(source)].has_snapshot;
         let new = !self.servers.contains_key(uid);
         if new {
-            let record = ServerRecord::new(news.then_some(now));
+            let record = ServerRecord::new(has_snapshot.then_some(now));
             self.servers.insert(uid.into(), record);
         }
         let Some(record) = self.servers.get_mut(uid) else {
             return;
         };
-        let old = record.reports.iter().position(|said| said.source == source);
-        let (before, changed) = match old {
-            Some(at) => {
-                let said = &mut record.reports[at];
-                said.snapshot_number = mark;
-                let before = said.words();
-                let mut changed = said.status != heard;
-                if let Some(instance) = instance.filter(|instance| *instance != said.instance) {
-                    let moved = instance.endpoint != said.instance.endpoint;
-                    let again = instance.epoch != said.instance.epoch && !said.status.is_listed();
-                    if moved || again || instance.epoch > said.instance.epoch {
-                        // Another process behind the same identity.
+        let position = record
+            .reports
+            .iter()
+            .position(|report| report.source == source);
+        let (previous_key, changed) = match position {
+            Some(position) => {
+                let report = &mut record.reports[position];
+                report.snapshot_number = snapshot_number;
+                let previous_key = report.trust_key();
+                let mut changed = report.status != status;
+                if let Some(instance) = instance.filter(|instance| *instance != report.instance) {
+                    let address_changed = instance.endpoint != report.instance.endpoint;
+                    let reregistered =
+                        instance.epoch != report.instance.epoch && !report.status.is_listed();
+                    if address_changed || reregistered || instance.epoch > report.instance.epoch {
+                        // A new process runs under the same uid.
                         record.observed_start = Some(now);
                         record.missed_responses = 0;
                     }
-                    said.instance = instance;
+                    report.instance = instance;
                     changed = true;
                 }
-                if said.status != heard {
-                    said.since = now;
-                    if heard.is_suspect() && !said.status.is_suspect() {
-                        said.suspect_since = now;
+                if report.status != status {
+                    report.since = now;
+                    if status.is_suspect() && !report.status.is_suspect() {
+                        report.suspect_since = now;
                     }
-                    said.status = heard;
+                    report.status = status;
                 }
-                (Some(before), changed)
+                (Some(previous_key), changed)
             }
             None => {
                 let Some(instance) = instance else { return };
                 record.reports.push(SourceReport {
                     source,
-                    status: heard,
+                    status,
                     since: now,
                     suspect_since: now,
                     instance,
-                    snapshot_number: mark,
+                    snapshot_number,
                 });
-                record.reports.sort_by_key(|said| said.source);
+                record.reports.sort_by_key(|report| report.source);
                 (None, true)
             }
         };
-        let after = record.report_of(source).expect("said just now").words();
-        if after.0.is_listed() {
+        let current_key = record
+            .report_of(source)
+            .expect("report recorded above")
+            .trust_key();
+        if current_key.0.is_listed() {
             record.absence_expired = false;
         }
-        let place = &mut self.sources[usize::from(source)];
-        match before {
-            Some((heard, bad_since)) => place.doubt.count_report(heard, bad_since, false),
-            None => place.voices += 1,
+        let source_state = &mut self.sources[usize::from(source)];
+        match previous_key {
+            Some((status, suspect_since)) => {
+                source_state
+                    .trust
+                    .count_report(status, suspect_since, false)
+            }
+            None => source_state.report_count += 1,
         }
-        place.doubt.count_report(after.0, after.1, true);
+        source_state
+            .trust
+            .count_report(current_key.0, current_key.1, true);
         if changed {
-            self.touch(uid.into());
+            self.mark_changed(uid.into());
         }
     }
 
-    /// Marks a server for judgement, and keeps the index of those that nobody lists.
-    fn touch(&mut self, uid: Box<str>) {
+    /// Marks a server for evaluation and updates the index of unlisted servers.
+    fn mark_changed(&mut self, uid: Box<str>) {
         let Some(record) = self.servers.get_mut(&uid) else {
             return;
         };
@@ -449,232 +476,257 @@
         self.touched.insert(uid);
     }
 
-    /// What the last whole list of a source left out.
-    fn leave_out(&mut self, source: SourceId) {
-        let mark = self.sources[usize::from(source)].mark;
-        let out = |record: &ServerRecord| {
-            let said = record.report_of(source)?;
-            (said.snapshot_number != mark && said.status.is_listed()).then_some(said.status)
+    /// Records as absent, or as left after a drain, the servers that the latest snapshot of a source omits.
+    fn mark_absent_servers(&mut self, source: SourceId) {
+        let snapshot_number = self.sources[usize::from(source)].snapshot_number;
+        let unlisted_status = |record: &ServerRecord| {
+            let report = record.report_of(source)?;
+            (report.snapshot_number != snapshot_number && report.status.is_listed())
+                .then_some(report.status)
         };
-        let left_out: Vec<(Box<str>, SourceStatus)> = self
+        let unlisted: Vec<(Box<str>, SourceStatus)> = self
             .servers
             .iter()
-            .filter_map(|(uid, record)| Some((uid.clone(), out(record)?)))
+            .filter_map(|(uid, record)| Some((uid.clone(), unlisted_status(record)?)))
             .collect();
-        for (uid, before) in left_out {
-            // After a drain the end was to be expected.
-            let heard = match before {
+        for (uid, previous) in unlisted {
+            // A drained server is expected to leave the list.
+            let status = match previous {
                 SourceStatus::Draining => SourceStatus::Left,
                 _ => SourceStatus::Absent,
             };
-            self.say(source, &uid, heard, None);
+            self.record_report(source, &uid, status, None);
         }
     }
 
-    /// Lets go of the words of sources that were taken away, once all others have spoken.
-    fn release(&mut self) {
+    /// Drops the reports of retired sources once every live source has delivered a complete snapshot. A server
+    /// without another source's report becomes absent or left.
+    fn release_retired_sources(&mut self) {
         if !self.sources.iter().any(|source| source.retiring) {
             return;
         }
         let mut live = self.sources.iter().filter(|source| source.live);
-        if !live.all(|source| source.told) {
+        if !live.all(|source| source.has_snapshot) {
             return;
         }
-        for at in 0..self.sources.len() {
-            if !std::mem::take(&mut self.sources[at].retiring) {
+        for index in 0..self.sources.len() {
+            if !std::mem::take(&mut self.sources[index].retiring) {
                 continue;
             }
-            let source = at as SourceId;
-            let spoken: Vec<Box<str>> = self
+            let source = index as SourceId;
+            let reported_uids: Vec<Box<str>> = self
                 .servers
                 .iter()
                 .filter(|(_, record)| record.report_of(source).is_some())
                 .map(|(uid, _)| uid.clone())
                 .collect();
-            for uid in spoken {
-                let record = self.servers.get_mut(&uid).expect("listed just now");
-                let other = |said: &SourceReport| said.source != source;
-                if record.reports.iter().any(other) {
-                    let at = record.reports.iter().position(|said| !other(said));
-                    let said = record.reports.remove(at.expect("it has a word"));
-                    self.uncount(&said);
-                    self.sources[usize::from(source)].voices -= 1;
-                    self.touch(uid);
+            for uid in reported_uids {
+                let record = self.servers.get_mut(&uid).expect("uid comes from the map");
+                let is_other = |report: &SourceReport| report.source != source;
+                if record.reports.iter().any(is_other) {
+                    let position = record.reports.iter().position(|report| !is_other(report));
+                    let report = record
+                        .reports
+                        .remove(position.expect("the source has a report on this server"));
+                    self.uncount_report(&report);
+                    self.sources[usize::from(source)].report_count -= 1;
+                    self.mark_changed(uid);
                 } else {
-                    let heard = match record.report_of(source).map(|said| said.status) {
-                        Some(heard) if heard.is_binding() => SourceStatus::Left,
+                    let status = match record.report_of(source).map(|report| report.status) {
+                        Some(status) if status.is_binding() => SourceStatus::Left,
                         _ => SourceStatus::Absent,
                     };
-                    self.say(source, &uid, heard, None);
+                    self.record_report(source, &uid, status, None);
                 }
             }
         }
     }
 
-    // Time.
+    // Elapsed time.
 
-    /// Closes the moment before, if time has gone on. It never goes back.
-    fn advance(&mut self, now: Millis) {
+    /// Sets the current time, after closing the previous timestamp. An earlier time is ignored.
+    fn advance_clock(&mut self, now: Millis) {
         if now > self.now {
-            self.settle();
+            self.close_timestamp();
             self.now = now;
         }
     }
 
-    /// Closes the present moment for all that was touched in it.
-    fn settle(&mut self) {
+    /// Updates the trust in all sources, and flap damping for the servers touched since the last call, once all
+    /// updates of the current timestamp are applied.
+    fn close_timestamp(&mut self) {
         let now = self.now;
         for source in &mut self.sources {
-            let before = source.doubt.distrusted_since();
-            source.doubt.update(now, &self.limits);
-            self.counts.distrusted_sources +=
-                u64::from(before.is_none() && source.doubt.distrusted_since().is_some());
+            let previously_distrusted_since = source.trust.distrusted_since();
+            source.trust.update(now, &self.limits);
+            self.counts.distrusted_sources += u64::from(
+                previously_distrusted_since.is_none() && source.trust.distrusted_since().is_some(),
+            );
         }
-        self.judge_sources();
+        self.reevaluate_source_trust();
         for uid in std::mem::take(&mut self.touched) {
             if let Some(record) = self.servers.get_mut(&uid) {
                 let sources = &self.sources;
-                let doubted = |id: SourceId| sources[usize::from(id)].doubt.was_distrusted;
-                record.update_flap_state(now, doubted, &self.limits);
+                let is_distrusted = |id: SourceId| sources[usize::from(id)].trust.was_distrusted;
+                record.update_flap_state(now, is_distrusted, &self.limits);
             }
         }
     }
 
-    /// Judges anew all servers of which a source that has just come to be doubted, or believed, thinks
-    /// ill.
-    fn judge_sources(&mut self) {
-        let mut turned = Vec::new();
-        for (at, source) in self.sources.iter_mut().enumerate() {
-            let speaks = source.live || source.retiring;
-            let doubted = speaks && source.doubt.is_distrusted(self.now, &self.limits);
-            if source.doubt.was_distrusted != doubted {
-                source.doubt.was_distrusted = doubted;
-                turned.push(at as SourceId);
+    /// Marks for evaluation all servers that a source reports as failing or absent if that source has just become
+    /// distrusted or trusted.
+    fn reevaluate_source_trust(&mut self) {
+        let mut changed_sources = Vec::new();
+        for (index, source) in self.sources.iter_mut().enumerate() {
+            let is_in_use = source.live || source.retiring;
+            let distrusted = is_in_use && source.trust.is_distrusted(self.now, &self.limits);
+            if source.trust.was_distrusted != distrusted {
+                source.trust.was_distrusted = distrusted;
+                changed_sources.push(index as SourceId);
             }
         }
-        if turned.is_empty() {
+        if changed_sources.is_empty() {
             return;
         }
         for (uid, record) in &self.servers {
-            let ill =
-                |said: &SourceReport| said.status.is_suspect() && turned.contains(&said.source);
-            if record.reports.iter().any(ill) {
+            let is_affected = |report: &SourceReport| {
+                report.status.is_suspect() && changed_sources.contains(&report.source)
+            };
+            if record.reports.iter().any(is_affected) {
                 self.dirty.insert(uid.clone());
                 self.touched.insert(uid.clone());
             }
         }
     }
 
-    /// Lets servers that nobody has listed for long turn gone, a bounded number a second, and forgets
-    /// those that have been gone for as long again.
-    fn ripen(&mut self, span: Millis) {
+    /// Expires servers that have been unlisted for the absence timeout, at a bounded rate, and removes expired
+    /// ones that have been unlisted for twice that time.
+    fn expire_unlisted_servers(&mut self, elapsed: Millis) {
         let limits = &self.limits;
-        let a_second = (limits.max_gone_ratio_per_s * self.servers.len() as f64).max(1.0);
-        let most = (a_second * 1000.0) as u64;
-        self.gone_budget = (self.gone_budget + (a_second * span as f64) as u64).min(most.max(1000));
-        let due = self.now.saturating_sub(limits.absence_timeout);
-        let mut ripe = Vec::new();
-        let mut over = Vec::new();
-        for (since, uid) in self.unlisted.iter().take_while(|(since, _)| *since <= due) {
+        let gone_per_s = (limits.max_gone_ratio_per_s * self.servers.len() as f64).max(1.0);
+        let max_budget = (gone_per_s * 1000.0) as u64;
+        self.gone_budget =
+            (self.gone_budget + (gone_per_s * elapsed as f64) as u64).min(max_budget.max(1000));
+        let expiry_cutoff = self.now.saturating_sub(limits.absence_timeout);
+        let mut expired = Vec::new();
+        let mut forgotten = Vec::new();
+        for (since, uid) in self
+            .unlisted
+            .iter()
+            .take_while(|(since, _)| *since <= expiry_cutoff)
+        {
             let record = &self.servers[uid];
-            let doubted = |id: SourceId| self.sources[usize::from(id)].doubt.was_distrusted;
-            let forget = since.saturating_add(2 * limits.absence_timeout) <= self.now;
-            let told = record.last_published.as_ref();
-            let gone = told.is_some_and(|told| told.status == EffectiveStatus::Gone);
-            if gone && forget && record.absence_expired {
-                over.push(uid.clone());
-            } else if record.is_absence_trusted(doubted) {
-                // After a drain, or once it was told gone, its clients have been moved already.
-                if !record.is_draining() && !gone {
+            let is_distrusted = |id: SourceId| self.sources[usize::from(id)].trust.was_distrusted;
+            let is_retention_over = since.saturating_add(2 * limits.absence_timeout) <= self.now;
+            let published = record.last_published.as_ref();
+            let is_gone =
+                published.is_some_and(|published| published.status == EffectiveStatus::Gone);
+            if is_gone && is_retention_over && record.absence_expired {
+                forgotten.push(uid.clone());
+            } else if record.is_absence_trusted(is_distrusted) {
+                // The budget limits connection moves. After a drain, or once the server was published as gone, its
+                // connections have been moved already.
+                if !record.is_draining() && !is_gone {
                     if self.gone_budget < 1000 {
                         continue;
                     }
                     self.gone_budget -= 1000;
                 }
-                ripe.push(uid.clone());
+                expired.push(uid.clone());
             }
         }
-        for uid in ripe {
+        for uid in expired {
             if let Some(record) = self.servers.get_mut(&uid) {
                 record.absence_expired = true;
                 self.dirty.insert(uid);
             }
         }
-        for uid in over {
-            self.remove(&uid, StatusReason::AbsenceExpired);
+        for uid in forgotten {
+            self.remove_server(&uid, StatusReason::AbsenceExpired);
         }
     }
 
-    // Facts.
+    // Publishing changes.
 
-    fn judge(&self, record: &ServerRecord) -> (EffectiveStatus, StatusReason) {
-        let doubted = |id: SourceId| self.sources[usize::from(id)].doubt.was_distrusted;
-        record.evaluate(doubted, &self.limits)
+    fn evaluate_server(&self, record: &ServerRecord) -> (EffectiveStatus, StatusReason) {
+        let is_distrusted = |id: SourceId| self.sources[usize::from(id)].trust.was_distrusted;
+        record.evaluate(is_distrusted, &self.limits)
     }
 
-    /// What has changed since the last facts.
-    fn facts(&mut self) -> Vec<StatusChange> {
-        self.judge_sources();
-        let mut facts = std::mem::take(&mut self.evicted);
-        // Half of a list may look like a loss of the other half: until its end only drains go out.
-        let begun = self.now.saturating_sub(self.limits.tick_interval);
-        let reading = |source: &Source| source.reading.is_some_and(|at| at >= begun);
-        let half = self.sources.iter().any(reading);
-        let mut held = BTreeSet::new();
+    /// Returns the changes since the last call.
+    fn collect_changes(&mut self) -> Vec<StatusChange> {
+        self.reevaluate_source_trust();
+        let mut changes = std::mem::take(&mut self.evicted);
+        // An incomplete snapshot may look like the loss of the missing servers, so only drains are published until
+        // it is complete, or until a tick interval after it started.
+        let earliest_start = self.now.saturating_sub(self.limits.tick_interval);
+        let is_recent = |source: &Source| {
+            source
+                .snapshot_started_at
+                .is_some_and(|at| at >= earliest_start)
+        };
+        let snapshot_incomplete = self.sources.iter().any(is_recent);
+        let mut deferred = BTreeSet::new();
         for uid in std::mem::take(&mut self.dirty) {
             let Some(record) = self.servers.get(&uid) else {
                 continue;
             };
-            if half && !record.is_draining() {
-                held.insert(uid);
+            if snapshot_incomplete && !record.is_draining() {
+                deferred.insert(uid);
                 continue;
             }
-            let (belief, why) = self.judge(record);
-            let pending = record.needs_reevaluation();
-            let record = self.servers.get_mut(&uid).expect("found just now");
-            let was = record.last_published.as_ref().map(|told| told.status);
-            if was == Some(EffectiveStatus::Gone) && belief != EffectiveStatus::Gone {
-                // Back from the dead: its process may have been started anew.
+            let (status, reason) = self.evaluate_server(record);
+            let needs_reevaluation = record.needs_reevaluation();
+            let record = self.servers.get_mut(&uid).expect("looked up above");
+            let previous_status = record
+                .last_published
+                .as_ref()
+                .map(|published| published.status);
+            if previous_status == Some(EffectiveStatus::Gone) && status != EffectiveStatus::Gone {
+                // The server was gone and is back: its process may have been restarted.
                 record.observed_start = Some(self.now);
                 record.missed_responses = 0;
             }
-            let Some(said) = record.primary_report() else {
+            let Some(report) = record.primary_report() else {
                 continue;
             };
-            let seen = record.observed_start;
-            let born = said.instance.born.max(seen);
-            let same = |told: &PublishedStatus| {
-                told.status == belief && told.started_at == born && told.instance == said.instance
+            let observed_start = record.observed_start;
+            let started_at = report.instance.born.max(observed_start);
+            let is_unchanged = |published: &PublishedStatus| {
+                published.status == status
+                    && published.started_at == started_at
+                    && published.instance == report.instance
             };
-            let same = record.last_published.as_ref().is_some_and(same);
-            let instance = said.instance.clone();
-            match pending || belief != EffectiveStatus::Ready {
+            let is_unchanged = record.last_published.as_ref().is_some_and(is_unchanged);
+            let instance = report.instance.clone();
+            match needs_reevaluation || status != EffectiveStatus::Ready {
                 true => self.pending.insert(uid.clone()),
                 false => self.pending.remove(&uid),
             };
-            if same {
+            if is_unchanged {
                 continue;
             }
             record.last_published = Some(PublishedStatus {
-                status: belief,
-                started_at: born,
+                status,
+                started_at,
                 instance: instance.clone(),
             });
-            facts.push(StatusChange {
+            changes.push(StatusChange {
                 uid,
-                status: belief,
-                reason: why,
+                status,
+                reason,
                 instance,
-                born,
+                born: started_at,
             });
         }
-        self.dirty = held;
-        facts
+        self.dirty = deferred;
+        changes
     }
 }
 
 impl SourceReport {
-    fn words(&self) -> (SourceStatus, Millis) {
+    /// The status and the time under which [`SourceTrust`] counts this report.
+    fn trust_key(&self) -> (SourceStatus, Millis) {
         (self.status, self.suspect_since)
     }
 }
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,19 +1,20 @@
-//! Merges what any number of sources tell of servers into one view, and doubts all of it.
+//! Merges the server lists of any number of sources into one view, without fully trusting any source.
 //!
-//! A source (a registry, Consul, ...) is late, knows nothing of load, sometimes lies and sometimes falls
-//! silent. So each word is weighed:
+//! The updates of a source (a registry, Consul, ...) come late, contain no load, are sometimes wrong and
+//! sometimes stop. Therefore:
 //!
-//! - **A drain binds.** Nothing else overrules it; only the source that told it takes it back.
-//! - **Absence and failed checks are suspicion.** A suspect gets nothing new while others have room, and
-//!   keeps its clients while it answers. It is gone once it leaves probes unanswered too, or once no
-//!   source has listed it for [`Limits::absent_for`], so many a second at most.
-//! - **A source that loses much at once is doubted**: its suspicions then count only for servers that
-//!   don't answer. So a flap of half a fleet moves nobody.
-//! - **Silence changes nothing.** The last view stays, ageing, without end.
+//! - **A drain takes precedence** over all other reports; only the source that reported it can revoke it.
+//! - **Absence and failed checks make a server suspected.** It gets no new requests while other servers have
+//!   capacity, and keeps its connections while it answers. It is gone once it also leaves probes unanswered, or
+//!   once no source has listed it for [`Limits::absence_timeout`]; the latter is limited to
+//!   [`Limits::max_gone_ratio_per_s`].
+//! - **A source that loses many servers at once is distrusted**: its failing and absent reports then count only
+//!   for servers that don't answer. So a flap of half the servers moves no connection.
+//! - **An unavailable source changes nothing.** The last view stays in use without a time limit.
 //!
-//! Nothing here reads a clock or a socket: times come in with each call, in Unix milliseconds, and facts
-//! go out as values. The view at a moment depends on what was told at that moment, not on its order
-//! (words of one source on one server excepted: its last word counts).
+//! The crate reads no clock and no socket: each call passes the time, in Unix milliseconds, and returns the status
+//! changes. The view at a timestamp doesn't depend on the order of the updates with that timestamp, except
+//! that the last report of one source on one server counts.
 
 mod catalogue;
 mod limits;
--- a/crates/catalogue/src/limits.rs
+++ b/crates/catalogue/src/limits.rs
@@ -1,35 +1,37 @@
-//! Every size, share and time of the catalogue.
+//! The limits, ratios and timeouts of the catalogue.
 
 use crate::types::Millis;
 
+/// The limits of a [`Catalogue`](crate::Catalogue); times in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Servers that are remembered. Past it the one that nobody has listed for longest is forgotten;
-    /// where all are listed, a new one is refused, which is counted.
+    /// The maximum number of servers in the catalogue. When it is reached, the server that has been unlisted for
+    /// longest is evicted; if all servers are listed, a new one is refused. Both are counted.
     pub max_servers: usize,
-    /// Sources at one time, those that were taken away and still hold servers included.
+    /// The maximum number of sources, including retired ones that still have reports.
     pub max_sources: usize,
-    /// A server that no source lists is gone after this, though it answers.
+    /// After this time a server that no source lists is gone, even if it still answers.
     pub absence_timeout: Millis,
-    /// The share of all servers that turn gone by that in a second, one at least: no wave of moves.
+    /// The maximum ratio of all servers that become gone through `absence_timeout` per second, at least one server.
+    /// It prevents a burst of connection moves.
     pub max_gone_ratio_per_s: f64,
-    /// Probes or lines in a row that a suspect leaves unanswered until it is gone.
+    /// The number of consecutive unanswered probes or `OPEN` lines after which a suspected server is gone.
     pub max_unanswered: u32,
-    /// A source is doubted when more than such a share of its servers, and no fewer than so many, turned
-    /// suspect within the window.
+    /// A source is distrusted when more than `distrust_ratio` of its servers, and at least `distrust_min_servers`,
+    /// became suspect within `distrust_window`.
     pub distrust_ratio: f64,
     pub distrust_min_servers: usize,
     pub distrust_window: Millis,
-    /// It is trusted again once less than half that share has been suspect for so long, or at the latest
-    /// after the second time.
+    /// A source is trusted again once at most half of `distrust_ratio`, or fewer than `distrust_min_servers`, have
+    /// been suspect for `trust_recovery_delay`, and at the latest after `max_distrust_time`.
     pub trust_recovery_delay: Millis,
     pub max_distrust_time: Millis,
-    /// Each time a server turns suspect costs it one, which fades by half in such a time; from the
-    /// first bound on it stays suspect until it is below the second.
+    /// Each transition of a server to suspect adds 1 to its penalty, which halves every `flap_half_life`. From
+    /// `flap_suppress_threshold` on the server stays suspected until the penalty is below `flap_reuse_threshold`.
     pub flap_half_life: Millis,
     pub flap_suppress_threshold: f64,
     pub flap_reuse_threshold: f64,
-    /// How often what depends on time is looked at again.
+    /// How often state that depends on elapsed time is evaluated again.
     pub tick_interval: Millis,
 }
 
--- a/crates/catalogue/src/server_record.rs
+++ b/crates/catalogue/src/server_record.rs
@@ -1,29 +1,32 @@
-//! What is known of one server, and what to believe of it.
+//! The reports of all sources on one server, and the effective status derived from them.
 
 use crate::catalogue::SourceId;
 use crate::limits::Limits;
 use crate::types::{EffectiveStatus, Instance, Millis, SourceReport, SourceStatus, StatusReason};
 
+/// The state that the catalogue keeps for one server.
 #[derive(Debug, Default)]
 pub(crate) struct ServerRecord {
+    /// At most one report per source, sorted by source.
     pub reports: Vec<SourceReport>,
-    /// Probes and lines in a row that it left unanswered.
+    /// Consecutive probes and `OPEN` lines without a response.
     pub missed_responses: u32,
-    /// When it was first seen, or seen again, where that means that its process may be cold.
+    /// When the server was first seen, or seen again, if its process may be cold because of that.
     pub observed_start: Option<Millis>,
-    /// Times it turned suspect, fading, and when that was last worked out.
+    /// The decaying count of transitions to suspect, and when it was last updated.
     penalty: (f64, Millis),
-    /// It is suspect by a source that is believed.
+    /// Whether a trusted source currently reports the server as failing or absent.
     in_episode: bool,
+    /// Whether flap damping keeps the server suspected.
     damped: bool,
-    /// Absent for so long that it is gone, though it may answer.
+    /// Unlisted for longer than [`Limits::absence_timeout`]: the server is gone even if it still answers.
     pub absence_expired: bool,
     pub last_published: Option<PublishedStatus>,
-    /// Since when nobody lists it: the key that `Catalogue::unlisted` holds for it.
+    /// Since when no source lists the server; the key of its entry in `Catalogue::unlisted`.
     pub unlisted_since: Option<Millis>,
 }
 
-/// What the engine was last told.
+/// The status that was last published to the engine.
 #[derive(Clone, Debug)]
 pub(crate) struct PublishedStatus {
     pub status: EffectiveStatus,
@@ -40,66 +43,71 @@
     }
 
     pub fn report_of(&self, source: SourceId) -> Option<&SourceReport> {
-        self.reports.iter().find(|said| said.source == source)
+        self.reports.iter().find(|report| report.source == source)
     }
 
     pub fn is_listed(&self) -> bool {
-        self.reports.iter().any(|said| said.status.is_listed())
+        self.reports.iter().any(|report| report.status.is_listed())
     }
 
-    /// When the last source stopped listing it.
+    /// The time of the latest status change among the reports; for an unlisted server, when the last source
+    /// stopped listing it.
     pub fn last_listed_at(&self) -> Millis {
         self.reports
             .iter()
-            .map(|said| said.since)
+            .map(|report| report.since)
             .max()
             .unwrap_or(0)
     }
 
-    /// The description that counts: that of the first source that lists it, else of the first.
+    /// The report whose instance description is used: that of the lowest-numbered source that lists the server,
+    /// otherwise that of the lowest-numbered source.
     pub fn primary_report(&self) -> Option<&SourceReport> {
-        let listing = self.reports.iter().filter(|said| said.status.is_listed());
-        listing
-            .min_by_key(|said| said.source)
-            .or_else(|| self.reports.iter().min_by_key(|said| said.source))
+        let listing_reports = self
+            .reports
+            .iter()
+            .filter(|report| report.status.is_listed());
+        listing_reports
+            .min_by_key(|report| report.source)
+            .or_else(|| self.reports.iter().min_by_key(|report| report.source))
     }
 
     pub fn instance(&self) -> Option<&Instance> {
-        self.primary_report().map(|said| &said.instance)
+        self.primary_report().map(|report| &report.instance)
     }
 
-    /// A drain binds, whoever else says otherwise.
+    /// Whether any source reports a drain. A drain takes precedence over the reports of all other sources.
     pub fn is_draining(&self) -> bool {
-        self.reports.iter().any(|said| said.status.is_binding())
+        self.reports.iter().any(|report| report.status.is_binding())
     }
 
-    /// What to believe of it, given which sources are doubted.
+    /// Derives the effective status and its reason; `is_distrusted` says which sources are distrusted.
     pub fn evaluate(
         &self,
-        doubted: impl Fn(SourceId) -> bool,
+        is_distrusted: impl Fn(SourceId) -> bool,
         limits: &Limits,
     ) -> (EffectiveStatus, StatusReason) {
-        let dead = self.missed_responses >= limits.max_unanswered;
+        let unresponsive = self.missed_responses >= limits.max_unanswered;
         if self.is_draining() {
             return match () {
                 () if self.is_listed() => (EffectiveStatus::Draining, StatusReason::DrainReported),
-                () if dead => (EffectiveStatus::Gone, StatusReason::Unresponsive),
+                () if unresponsive => (EffectiveStatus::Gone, StatusReason::Unresponsive),
                 () if self.absence_expired => (EffectiveStatus::Gone, StatusReason::AbsenceExpired),
                 () => (EffectiveStatus::Draining, StatusReason::DrainReported),
             };
         }
-        let (mut ready, mut failing, mut absent, mut excused) = (false, false, false, false);
-        for said in &self.reports {
-            match said.status {
+        let (mut ready, mut failing, mut absent, mut distrusted) = (false, false, false, false);
+        for report in &self.reports {
+            match report.status {
                 SourceStatus::Ready => ready = true,
-                heard if heard.is_suspect() && doubted(said.source) => excused = true,
+                status if status.is_suspect() && is_distrusted(report.source) => distrusted = true,
                 SourceStatus::Failing => failing = true,
                 _ => absent = true,
             }
         }
-        // A source that still lists it makes another's silence on it no suspicion.
-        let absent = absent && !ready && !failing && !excused;
-        if dead && (failing || !ready) {
+        // Absence from one source is no ground for suspicion while another source lists the server.
+        let absent = absent && !ready && !failing && !distrusted;
+        if unresponsive && (failing || !ready) {
             return (EffectiveStatus::Gone, StatusReason::Unresponsive);
         }
         match () {
@@ -109,35 +117,37 @@
             () if absent => (EffectiveStatus::Suspected, StatusReason::Unlisted),
             () if failing => (EffectiveStatus::Suspected, StatusReason::ReportedFailing),
             () if self.damped => (EffectiveStatus::Suspected, StatusReason::FlapDamped),
-            () if excused && !ready => (EffectiveStatus::Ready, StatusReason::SourceDistrusted),
+            () if distrusted && !ready => (EffectiveStatus::Ready, StatusReason::SourceDistrusted),
             () => (EffectiveStatus::Ready, StatusReason::AllReady),
         }
     }
 
-    /// Whether time alone may change what is believed of it, or probes do.
+    /// Whether the effective status may change through elapsed time or probe results alone.
     pub fn needs_reevaluation(&self) -> bool {
-        let excused = |said: &SourceReport| said.status.is_suspect();
-        self.damped || self.in_episode || !self.is_listed() || self.reports.iter().any(excused)
+        let is_suspect = |report: &SourceReport| report.status.is_suspect();
+        self.damped || self.in_episode || !self.is_listed() || self.reports.iter().any(is_suspect)
     }
 
+    /// The flap penalty decayed to `now`.
     pub fn flap_penalty(&self, now: Millis, limits: &Limits) -> f64 {
-        let (penalty, at) = self.penalty;
-        let halves = now.saturating_sub(at) as f64 / limits.flap_half_life.max(1) as f64;
-        penalty * 0.5_f64.powf(halves)
+        let (penalty, updated_at) = self.penalty;
+        let half_lives =
+            now.saturating_sub(updated_at) as f64 / limits.flap_half_life.max(1) as f64;
+        penalty * 0.5_f64.powf(half_lives)
     }
 
-    /// Closes a moment: counts a turn to suspicion by sources that are believed, and holds a server that
-    /// turned too often.
+    /// Updates flap damping once all updates with the timestamp `now` are applied: adds one to the penalty when
+    /// trusted sources newly report the server as failing or absent, and starts or ends damping by the thresholds.
     pub fn update_flap_state(
         &mut self,
         now: Millis,
-        doubted: impl Fn(SourceId) -> bool,
+        is_distrusted: impl Fn(SourceId) -> bool,
         limits: &Limits,
     ) {
         let suspect = self
             .reports
             .iter()
-            .any(|said| said.status.is_suspect() && !doubted(said.source))
+            .any(|report| report.status.is_suspect() && !is_distrusted(report.source))
             && !self.is_draining();
         let penalty = self.flap_penalty(now, limits) + f64::from(suspect && !self.in_episode);
         self.in_episode = suspect;
@@ -149,13 +159,14 @@
         }
     }
 
-    /// Whether nobody lists it by words that are believed: then its time runs.
-    pub fn is_absence_trusted(&self, doubted: impl Fn(SourceId) -> bool) -> bool {
+    /// Whether the absence timeout applies: the server is unlisted, and each report is either an explicit removal
+    /// or comes from a trusted source.
+    pub fn is_absence_trusted(&self, is_distrusted: impl Fn(SourceId) -> bool) -> bool {
         !self.absence_expired
             && !self.is_listed()
             && self
                 .reports
                 .iter()
-                .all(|said| said.status == SourceStatus::Left || !doubted(said.source))
+                .all(|report| report.status == SourceStatus::Left || !is_distrusted(report.source))
     }
 }
--- a/crates/catalogue/src/trust.rs
+++ b/crates/catalogue/src/trust.rs
@@ -1,73 +1,79 @@
-//! Whether a source itself is to be doubted: how much of what it lists turned suspect lately.
+//! Decides whether a source is distrusted: whether too large a part of its servers became suspect recently.
 
 use std::collections::BTreeMap;
 
 use crate::limits::Limits;
 use crate::types::{Millis, SourceStatus};
 
-/// The suspicious words of one source, counted by when they turned so.
+/// Counts the failing and absent servers of one source by the time at which they became suspect, and keeps
+/// whether the source is distrusted.
 #[derive(Debug, Default)]
 pub(crate) struct SourceTrust {
-    /// Servers that it lists.
+    /// The number of servers that the source lists.
     listed: usize,
     failing: BTreeMap<Millis, usize>,
     absent: BTreeMap<Millis, usize>,
-    since: Option<Millis>,
+    distrusted_since: Option<Millis>,
     calm_since: Option<Millis>,
-    /// What was made of it when servers were last judged.
+    /// Whether the source was distrusted when the servers were last evaluated.
     pub was_distrusted: bool,
 }
 
 impl SourceTrust {
-    /// Counts a word, or with `add` false takes it out again.
-    pub fn count_report(&mut self, heard: SourceStatus, bad_since: Millis, add: bool) {
-        let by = |count: &mut usize| match add {
+    /// Adds a report to the counts, or removes it from them if `add` is false.
+    pub fn count_report(&mut self, status: SourceStatus, suspect_since: Millis, add: bool) {
+        let adjust = |count: &mut usize| match add {
             true => *count += 1,
             false => *count -= 1,
         };
-        if heard.is_listed() {
-            by(&mut self.listed);
+        if status.is_listed() {
+            adjust(&mut self.listed);
         }
-        let counts = match heard {
+        let counts = match status {
             SourceStatus::Failing => &mut self.failing,
             SourceStatus::Absent => &mut self.absent,
             _ => return,
         };
-        let count = counts.entry(bad_since).or_default();
-        by(count);
+        let count = counts.entry(suspect_since).or_default();
+        adjust(count);
         if *count == 0 {
-            counts.remove(&bad_since);
+            counts.remove(&suspect_since);
         }
     }
 
-    /// How many servers it lists.
+    /// The number of servers that the source lists.
     pub fn listed_servers(&self) -> usize {
         self.listed
     }
 
-    fn mass(&self, from: Millis, share: f64, least: usize) -> bool {
-        let sum = |counts: &BTreeMap<Millis, usize>| counts.range(from..).map(|c| c.1).sum();
-        let (failing, absent): (usize, usize) = (sum(&self.failing), sum(&self.absent));
-        let bad = failing + absent;
-        bad >= least && bad as f64 > share * (self.listed + absent) as f64
+    /// Whether the servers that became suspect at `since` or later are at least `min_servers`, and more than `ratio`
+    /// of all servers that the source lists or has lost.
+    fn exceeds_share(&self, since: Millis, ratio: f64, min_servers: usize) -> bool {
+        let count_since =
+            |counts: &BTreeMap<Millis, usize>| counts.range(since..).map(|entry| entry.1).sum();
+        let (failing, absent): (usize, usize) =
+            (count_since(&self.failing), count_since(&self.absent));
+        let suspect = failing + absent;
+        suspect >= min_servers && suspect as f64 > ratio * (self.listed + absent) as f64
     }
 
-    /// Whether it is doubted at that time, should nothing more be told.
+    /// Whether the source is distrusted at `now` if no further update arrives.
     pub fn is_distrusted(&self, now: Millis, limits: &Limits) -> bool {
-        let from = now.saturating_sub(limits.distrust_window);
-        self.since.is_some() || self.mass(from, limits.distrust_ratio, limits.distrust_min_servers)
+        let since = now.saturating_sub(limits.distrust_window);
+        self.distrusted_since.is_some()
+            || self.exceeds_share(since, limits.distrust_ratio, limits.distrust_min_servers)
     }
 
-    /// Closes a moment: begins or ends the doubt by what was told until then.
+    /// Starts or ends the distrust once all updates with the timestamp `now` are applied.
     pub fn update(&mut self, now: Millis, limits: &Limits) {
-        let Some(since) = self.since else {
-            self.since = self.is_distrusted(now, limits).then_some(now);
+        let Some(distrusted_since) = self.distrusted_since else {
+            self.distrusted_since = self.is_distrusted(now, limits).then_some(now);
             self.calm_since = None;
             return;
         };
-        let from = since.saturating_sub(limits.distrust_window);
-        if self.mass(
-            from,
+        let since = distrusted_since.saturating_sub(limits.distrust_window);
+        if self.exceeds_share(
+            since,
             limits.distrust_ratio / 2.0,
             limits.distrust_min_servers,
         ) {
@@ -75,17 +81,17 @@
         } else if self.calm_since.is_none() {
             self.calm_since = Some(now);
         }
-        let calm = self
+        let recovered = self
             .calm_since
-            .is_some_and(|at| now >= at + limits.trust_recovery_delay);
-        if calm || now >= since + limits.max_distrust_time {
-            // What has been suspect for all that time is older than the window, and is believed now.
-            self.since = None;
+            .is_some_and(|calm_since| now >= calm_since + limits.trust_recovery_delay);
+        if recovered || now >= distrusted_since + limits.max_distrust_time {
+            // Servers that were suspect all this time became so before the window, so their reports count again.
+            self.distrusted_since = None;
         }
     }
 
-    /// Since when it is doubted.
+    /// Since when the source is distrusted.
     pub fn distrusted_since(&self) -> Option<Millis> {
-        self.since
+        self.distrusted_since
     }
 }
--- a/crates/catalogue/src/types.rs
+++ b/crates/catalogue/src/types.rs
@@ -1,9 +1,9 @@
-//! What sources tell, and what the catalogue makes of it.
+//! The updates that sources report, and the statuses that the catalogue derives from them.
 
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Milliseconds of a clock that only goes forward, or a span of it.
+/// A time in milliseconds on a clock that never goes back, or a duration in milliseconds.
 pub type Millis = u64;
 
 /// A server as a source describes it.
@@ -12,58 +12,62 @@
     pub endpoint: SocketAddr,
     pub zone: Option<Box<str>>,
     pub kind: Option<Box<str>>,
+    /// The number of the server's group; 0 without one.
     pub cell: u64,
-    /// Its size beside others', where the source tells sizes.
+    /// The server's relative capacity, if the source reports one.
     pub weight: Option<f64>,
-    /// When its process started, where the source tells that.
+    /// When the server's process started, if the source reports it.
     pub born: Option<Millis>,
-    /// Changes with each registration, where the source tells that (Consul's `CreateIndex`).
+    /// Changes with each registration, if the source reports it (Consul's `CreateIndex`).
     pub epoch: u64,
 }
 
-/// A source's word on one server.
+/// The status of one server in a row of a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedStatus {
     Ready,
-    /// A check of the source's fails.
+    /// A health check of the source fails.
     Failing,
     Draining,
-    /// Told in so many words to be gone; a server that a whole list leaves out is absent instead.
+    /// Explicitly reported as removed. A server that is missing from a snapshot is
+    /// [`SourceStatus::Absent`] instead.
     Left,
 }
 
+/// One server in an update of a source.
 #[derive(Clone, Debug)]
 pub struct Row {
     pub uid: Box<str>,
     pub status: ReportedStatus,
-    /// None where the source no longer tells it ([`Word::Left`]).
+    /// None if the source gives no usable description: for a removed server ([`ReportedStatus::Left`]), or a
+    /// row without a valid address.
     pub instance: Option<Instance>,
 }
 
-/// What a source says at one time.
+/// One update from a source.
 #[derive(Clone, Debug)]
 pub enum SourceUpdate {
-    /// All servers it knows.
+    /// All servers that the source lists.
     Snapshot(Vec<Row>),
-    /// The same in parts: nothing but drains counts before the last of them. What is in none of the parts
-    /// is left out.
+    /// A part of a snapshot. Until the last part only drains take effect; servers that are in none of the parts
+    /// are absent.
     SnapshotPart {
         first: bool,
         last: bool,
         rows: Vec<Row>,
     },
-    /// Those that changed.
+    /// The servers that changed.
     Delta(Vec<Row>),
-    /// A list too old to be believed: only its drains count.
+    /// A snapshot that is too old to be trusted: only its drains take effect.
     StaleSnapshot(Vec<Row>),
-    /// Nothing new.
+    /// The source answered that nothing has changed.
     Unchanged,
-    /// A call failed, or the source is silent.
+    /// A query failed, or the source does not answer.
     Unavailable,
 }
 
 impl SourceUpdate {
-    /// Whether it ends a whole list.
+    /// Whether this update is a whole snapshot or the last part of one.
     pub fn completes_snapshot(&self) -> bool {
         matches!(
             self,
@@ -72,15 +76,15 @@
     }
 }
 
-/// What a source's word has come to.
+/// The status that the catalogue keeps for one server and one source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceStatus {
     Ready,
     Failing,
     Draining,
-    /// Listed before, and no longer.
+    /// Listed earlier, but missing from the latest snapshot.
     Absent,
-    /// Told to be gone, or no longer listed after a drain: nothing new goes there.
+    /// Reported as removed, or no longer listed after a drain: the server gets no new requests.
     Left,
 }
 
@@ -93,51 +97,56 @@
         matches!(self, Self::Failing | Self::Absent)
     }
 
+    /// Whether the status takes precedence over what other sources report.
     pub(crate) fn is_binding(self) -> bool {
         matches!(self, Self::Draining | Self::Left)
     }
 }
 
-/// One source's word on one server, and since when it stands.
+/// The current status of one server according to one source.
 #[derive(Clone, Debug)]
 pub struct SourceReport {
     pub source: super::SourceId,
     pub status: SourceStatus,
+    /// When the status last changed.
     pub since: Millis,
-    /// Since when it has been suspicious without a break.
+    /// Since when the status has been failing or absent without interruption.
     pub(crate) suspect_since: Millis,
     pub(crate) instance: Instance,
+    /// The number of the source's latest snapshot when it last reported this server.
     pub(crate) snapshot_number: u64,
 }
 
-/// What the engine is told of a server.
+/// The status of a server that the catalogue derives from all sources and publishes to the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EffectiveStatus {
     Ready,
-    /// Nothing new while others have room; its clients stay.
+    /// Gets no new requests while other servers have capacity; its connections stay.
     Suspected,
-    /// Nothing new; its clients are moved.
+    /// Gets no new requests; its connections are moved.
     Draining,
-    /// Its clients are moved at once.
+    /// Its connections are moved at once.
     Gone,
 }
 
-/// Why it is believed.
+/// The reason for an [`EffectiveStatus`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusReason {
+    /// No trusted source that lists the server reports it as failing.
     AllReady,
-    /// It is failing or absent by a source that lost too much at once.
+    /// Reported as failing or absent only by a distrusted source, one that lost too many servers at once.
     SourceDistrusted,
     ReportedFailing,
+    /// No source lists the server any more.
     Unlisted,
-    /// It went back and forth too often.
+    /// The server became suspect too often in a short time.
     FlapDamped,
     DrainReported,
-    /// Suspected, and it leaves probes or lines unanswered.
+    /// Suspected or removed, and probes or `OPEN` lines remain unanswered.
     Unresponsive,
-    /// Listed by nobody for as long as the limits say.
+    /// Not listed by any source for [`Limits::absence_timeout`](crate::Limits::absence_timeout).
     AbsenceExpired,
-    /// Forgotten to make room for others.
+    /// Removed to make room for another server.
     Evicted,
 }
 
@@ -157,19 +166,19 @@
     }
 }
 
-/// A change of the view.
+/// A change of a server's effective status or description.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StatusChange {
     pub uid: Box<str>,
     pub status: EffectiveStatus,
     pub reason: StatusReason,
     pub instance: Instance,
-    /// When its process started, as told or as seen: a server that is new, at a new address or back
-    /// from the dead counts as cold.
+    /// When the server's process started: the later of the reported and the observed time. A server that is new,
+    /// at a new address or back after it was gone counts as cold.
     pub born: Option<Millis>,
 }
 
-/// One server with everything that is known of it.
+/// A view of one server, with the reports of all sources.
 #[derive(Clone, Debug)]
 pub struct ServerView<'a> {
     pub uid: &'a str,
@@ -177,6 +186,6 @@
     pub reason: StatusReason,
     pub instance: &'a Instance,
     pub reports: &'a [SourceReport],
-    /// Times it turned suspect, fading.
+    /// The decaying count of transitions to suspect.
     pub flap_penalty: f64,
 }
--- a/crates/catalogue/tests/effective_status.rs
+++ b/crates/catalogue/tests/effective_status.rs
@@ -1,20 +1,20 @@
-//! What is believed, told as tables of events: each line of a test is a moment and what changes then.
+//! The effective status of servers: each step of a test is an event at a time, with the changes expected from it.
 
 use violetwind_catalogue::{
     Catalogue, EffectiveStatus, Instance, Limits, Millis, ReportedStatus, Row, SourceId,
     SourceUpdate, StatusChange, StatusReason,
 };
 
-const T: Millis = 1_700_000_000_000;
+const START: Millis = 1_700_000_000_000;
 
-fn row(uid: &str, word: ReportedStatus) -> Row {
-    at_port(uid, word, 3000)
+fn row(uid: &str, status: ReportedStatus) -> Row {
+    row_at_port(uid, status, 3000)
 }
 
-fn at_port(uid: &str, word: ReportedStatus, port: u16) -> Row {
+fn row_at_port(uid: &str, status: ReportedStatus, port: u16) -> Row {
     Row {
         uid: uid.into(),
-        status: word,
+        status,
         instance: Some(Instance {
             endpoint: ([127, 0, 0, 1], port).into(),
             zone: None,
@@ -27,122 +27,144 @@
     }
 }
 
-fn names(count: usize) -> Vec<String> {
+fn server_names(count: usize) -> Vec<String> {
     (0..count).map(|n| format!("s-{n:05}")).collect()
 }
 
-fn whole(names: &[String], word: impl Fn(usize) -> Option<ReportedStatus>) -> SourceUpdate {
+fn snapshot(names: &[String], status: impl Fn(usize) -> Option<ReportedStatus>) -> SourceUpdate {
     let rows = names.iter().enumerate();
     SourceUpdate::Snapshot(
-        rows.filter_map(|(n, uid)| Some(row(uid, word(n)?)))
+        rows.filter_map(|(n, uid)| Some(row(uid, status(n)?)))
             .collect(),
     )
 }
 
-/// A catalogue with one source that has listed so many servers as ready.
-fn listed(count: usize) -> (Catalogue, SourceId, Vec<String>) {
+/// Returns a catalogue with one source that has listed `count` servers as ready.
+fn catalogue_with_ready_servers(count: usize) -> (Catalogue, SourceId, Vec<String>) {
     let mut catalogue = Catalogue::new(Limits::default());
     let source = catalogue.add_source("one").unwrap();
-    let names = names(count);
-    let facts = catalogue.apply_update(T, source, whole(&names, |_| Some(ReportedStatus::Ready)));
-    assert_eq!(facts.len(), count);
+    let names = server_names(count);
+    let changes = catalogue.apply_update(
+        START,
+        source,
+        snapshot(&names, |_| Some(ReportedStatus::Ready)),
+    );
+    assert_eq!(changes.len(), count);
     assert!(
-        facts
+        changes
             .iter()
-            .all(|fact| fact.status == EffectiveStatus::Ready)
+            .all(|change| change.status == EffectiveStatus::Ready)
     );
-    // What a first list tells of may have run for long: none of it counts as cold.
-    assert!(facts.iter().all(|fact| fact.born.is_none()));
+    // Servers in the first snapshot may have been running for a long time, so none of them counts as cold.
+    assert!(changes.iter().all(|change| change.born.is_none()));
     (catalogue, source, names)
 }
 
-fn changes(rows: Vec<Row>) -> SourceUpdate {
+fn delta(rows: Vec<Row>) -> SourceUpdate {
     SourceUpdate::Delta(rows)
 }
 
-fn beliefs(facts: &[StatusChange]) -> Vec<(&str, EffectiveStatus)> {
-    facts.iter().map(|f| (&*f.uid, f.status)).collect()
+fn statuses(changes: &[StatusChange]) -> Vec<(&str, EffectiveStatus)> {
+    changes
+        .iter()
+        .map(|change| (&*change.uid, change.status))
+        .collect()
 }
 
-/// Lets time pass as the engine does, and gathers what changes.
-fn until(catalogue: &mut Catalogue, from: Millis, to: Millis) -> Vec<(Millis, StatusChange)> {
-    let mut facts = Vec::new();
+/// Advances time from tick to tick as the engine does, and collects the changes.
+fn run_until(catalogue: &mut Catalogue, from: Millis, to: Millis) -> Vec<(Millis, StatusChange)> {
+    let mut changes = Vec::new();
     let mut now = from;
     while let Some(at) = catalogue.next_tick().filter(|at| *at <= to) {
         now = at.max(now);
-        facts.extend(catalogue.tick(now).into_iter().map(|fact| (now, fact)));
+        changes.extend(catalogue.tick(now).into_iter().map(|change| (now, change)));
     }
-    facts
+    changes
 }
 
 #[test]
-fn one_failed_check_is_a_suspicion_and_silence_besides_is_the_end() {
-    let (mut c, source, names) = listed(10);
-    let facts = c.apply_update(
-        T + 1000,
+fn failing_server_is_suspected_and_gone_once_it_stops_answering() {
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(10);
+    let changes = catalogue.apply_update(
+        START + 1000,
         source,
-        changes(vec![row(&names[3], ReportedStatus::Failing)]),
+        delta(vec![row(&names[3], ReportedStatus::Failing)]),
     );
-    assert_eq!(beliefs(&facts), [(&*names[3], EffectiveStatus::Suspected)]);
-    assert_eq!(facts[0].reason, StatusReason::ReportedFailing);
-    // It answers for ten minutes: its clients stay.
+    assert_eq!(
+        statuses(&changes),
+        [(&*names[3], EffectiveStatus::Suspected)]
+    );
+    assert_eq!(changes[0].reason, StatusReason::ReportedFailing);
+    // The server answers for ten minutes, so its connections stay.
     for second in 2..600 {
         assert!(
-            c.record_liveness(T + second * 1000, &names[3], true)
+            catalogue
+                .record_liveness(START + second * 1000, &names[3], true)
                 .is_empty()
         );
     }
-    assert!(until(&mut c, T + 1000, T + 600_000).is_empty());
-    assert!(c.record_liveness(T + 601_000, &names[3], false).is_empty());
-    let facts = c.record_liveness(T + 602_000, &names[3], false);
-    assert_eq!(beliefs(&facts), [(&*names[3], EffectiveStatus::Gone)]);
-    assert_eq!(facts[0].reason, StatusReason::Unresponsive);
-    // Back: cold, for its process may be new.
-    let facts = c.apply_update(
-        T + 700_000,
+    assert!(run_until(&mut catalogue, START + 1000, START + 600_000).is_empty());
+    assert!(
+        catalogue
+            .record_liveness(START + 601_000, &names[3], false)
+            .is_empty()
+    );
+    let changes = catalogue.record_liveness(START + 602_000, &names[3], false);
+    assert_eq!(statuses(&changes), [(&*names[3], EffectiveStatus::Gone)]);
+    assert_eq!(changes[0].reason, StatusReason::Unresponsive);
+    // Listed as ready again, it counts as cold because its process may be new.
+    let changes = catalogue.apply_update(
+        START + 700_000,
         source,
-        changes(vec![row(&names[3], ReportedStatus::Ready)]),
+        delta(vec![row(&names[3], ReportedStatus::Ready)]),
     );
-    assert_eq!(beliefs(&facts), [(&*names[3], EffectiveStatus::Ready)]);
-    assert_eq!(facts[0].born, Some(T + 700_000));
+    assert_eq!(statuses(&changes), [(&*names[3], EffectiveStatus::Ready)]);
+    assert_eq!(changes[0].born, Some(START + 700_000));
 }
 
 #[test]
-fn silence_alone_is_no_catalogue_matter() {
-    let (mut c, _, names) = listed(10);
+fn missed_responses_alone_change_no_status() {
+    let (mut catalogue, _, names) = catalogue_with_ready_servers(10);
     for second in 1..10 {
-        // The module has its own suspicion; no source has spoken against it.
+        // The balancer suspects unresponsive servers itself; no source reports this one as failing or absent.
         assert!(
-            c.record_liveness(T + second * 1000, &names[3], false)
+            catalogue
+                .record_liveness(START + second * 1000, &names[3], false)
                 .is_empty()
         );
     }
 }
 
 #[test]
-fn a_server_that_nobody_lists_is_gone_after_a_while_though_it_answers() {
-    let (mut c, source, names) = listed(10);
-    let facts = c.apply_update(
-        T + 1000,
+fn unlisted_server_is_gone_after_the_absence_timeout_even_if_it_answers() {
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(10);
+    let changes = catalogue.apply_update(
+        START + 1000,
         source,
-        whole(&names, |n| (n != 4).then_some(ReportedStatus::Ready)),
-    );
-    assert_eq!(beliefs(&facts), [(&*names[4], EffectiveStatus::Suspected)]);
-    assert_eq!(facts[0].reason, StatusReason::Unlisted);
-    let facts = until(&mut c, T + 1000, T + 70_000);
-    assert_eq!(facts.len(), 1, "{facts:?}");
-    assert!((T + 61_000..T + 62_000).contains(&facts[0].0), "{facts:?}");
-    assert_eq!(facts[0].1.reason, StatusReason::AbsenceExpired);
-    // And forgotten later.
-    until(&mut c, T + 70_000, T + 200_000);
-    assert_eq!(c.len(), 9);
+        snapshot(&names, |n| (n != 4).then_some(ReportedStatus::Ready)),
+    );
+    assert_eq!(
+        statuses(&changes),
+        [(&*names[4], EffectiveStatus::Suspected)]
+    );
+    assert_eq!(changes[0].reason, StatusReason::Unlisted);
+    let changes = run_until(&mut catalogue, START + 1000, START + 70_000);
+    assert_eq!(changes.len(), 1, "{changes:?}");
+    assert!(
+        (START + 61_000..START + 62_000).contains(&changes[0].0),
+        "{changes:?}"
+    );
+    assert_eq!(changes[0].1.reason, StatusReason::AbsenceExpired);
+    // Later the server is removed.
+    run_until(&mut catalogue, START + 70_000, START + 200_000);
+    assert_eq!(catalogue.len(), 9);
 }
 
-/// The flap of the issue: half of all checks fail for two seconds.
+/// The flap described in the issue: half of all health checks fail for two seconds.
 #[test]
-fn half_a_fleet_that_fails_for_two_seconds_changes_nothing() {
-    let (mut c, source, names) = listed(100);
-    let half = |n: usize| {
+fn half_the_servers_failing_for_two_seconds_changes_nothing() {
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(100);
+    let half_status = |n: usize| {
         Some(if n.is_multiple_of(2) {
             ReportedStatus::Failing
         } else {
@@ -150,61 +172,73 @@
         })
     };
     assert!(
-        c.apply_update(T + 5000, source, whole(&names, half))
+        catalogue
+            .apply_update(START + 5000, source, snapshot(&names, half_status))
             .is_empty()
     );
-    assert!(until(&mut c, T + 5000, T + 7000).is_empty());
-    let facts = c.apply_update(
-        T + 7000,
+    assert!(run_until(&mut catalogue, START + 5000, START + 7000).is_empty());
+    let changes = catalogue.apply_update(
+        START + 7000,
         source,
-        whole(&names, |_| Some(ReportedStatus::Ready)),
-    );
-    assert!(facts.is_empty(), "{facts:?}");
-    assert_eq!(c.counts().distrusted_sources, 1);
-    // Trusted again after a while of calm.
-    assert!(until(&mut c, T + 7000, T + 60_000).is_empty());
-    assert!(c.sources().all(|source| source.distrusted_since.is_none()));
-    let facts = c.apply_update(
-        T + 60_000,
+        snapshot(&names, |_| Some(ReportedStatus::Ready)),
+    );
+    assert!(changes.is_empty(), "{changes:?}");
+    assert_eq!(catalogue.counts().distrusted_sources, 1);
+    // The source is trusted again after the recovery delay.
+    assert!(run_until(&mut catalogue, START + 7000, START + 60_000).is_empty());
+    assert!(
+        catalogue
+            .sources()
+            .all(|source| source.distrusted_since.is_none())
+    );
+    let changes = catalogue.apply_update(
+        START + 60_000,
         source,
-        changes(vec![row(&names[0], ReportedStatus::Failing)]),
+        delta(vec![row(&names[0], ReportedStatus::Failing)]),
+    );
+    assert_eq!(
+        statuses(&changes),
+        [(&*names[0], EffectiveStatus::Suspected)]
     );
-    assert_eq!(beliefs(&facts), [(&*names[0], EffectiveStatus::Suspected)]);
 }
 
-/// The same left out of a whole list, three times a minute for ten minutes.
+/// Half of the servers are missing from a snapshot for two seconds, three times a minute for ten minutes.
 #[test]
-fn half_a_fleet_that_vanishes_three_times_a_minute_changes_nothing() {
-    let (mut c, source, names) = listed(100);
-    for time in 1..30 {
-        let at = T + time * 20_000;
-        let half = |n: usize| n.is_multiple_of(2).then_some(ReportedStatus::Ready);
-        let mut facts = c.apply_update(at, source, whole(&names, half));
-        facts.extend(until(&mut c, at, at + 2000).into_iter().map(|f| f.1));
-        facts.extend(c.apply_update(
+fn half_the_servers_missing_three_times_a_minute_changes_nothing() {
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(100);
+    for repetition in 1..30 {
+        let at = START + repetition * 20_000;
+        let half_status = |n: usize| n.is_multiple_of(2).then_some(ReportedStatus::Ready);
+        let mut changes = catalogue.apply_update(at, source, snapshot(&names, half_status));
+        changes.extend(
+            run_until(&mut catalogue, at, at + 2000)
+                .into_iter()
+                .map(|change| change.1),
+        );
+        changes.extend(catalogue.apply_update(
             at + 2000,
             source,
-            whole(&names, |_| Some(ReportedStatus::Ready)),
+            snapshot(&names, |_| Some(ReportedStatus::Ready)),
         ));
-        facts.extend(
-            until(&mut c, at + 2000, at + 20_000)
+        changes.extend(
+            run_until(&mut catalogue, at + 2000, at + 20_000)
                 .into_iter()
-                .map(|f| f.1),
+                .map(|change| change.1),
         );
-        assert!(facts.is_empty(), "{time}: {facts:?}");
+        assert!(changes.is_empty(), "{repetition}: {changes:?}");
     }
 }
 
-/// Words that come one by one look like single failures at first; with the next ones the source is
-/// doubted and all of them are taken back.
+/// Failures that arrive one by one look like single failures at first. Once there are enough of them, the source
+/// is distrusted and all of the servers become ready again.
 #[test]
-fn a_fleet_that_fails_one_by_one_at_a_go_is_taken_back() {
-    let (mut c, source, names) = listed(20);
+fn suspicions_are_revoked_when_successive_failures_make_the_source_distrusted() {
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(20);
     let mut suspects = 0_i32;
     for (n, uid) in names[..10].iter().enumerate() {
-        let word = changes(vec![row(uid, ReportedStatus::Failing)]);
-        for fact in c.apply_update(T + 1000 + n as u64, source, word) {
-            suspects += if fact.status == EffectiveStatus::Suspected {
+        let status = delta(vec![row(uid, ReportedStatus::Failing)]);
+        for change in catalogue.apply_update(START + 1000 + n as u64, source, status) {
+            suspects += if change.status == EffectiveStatus::Suspected {
                 1
             } else {
                 -1
@@ -215,9 +249,9 @@
 }
 
 #[test]
-fn of_a_doubted_source_those_that_do_not_answer_are_believed_dead() {
-    let (mut c, source, names) = listed(10);
-    let half = |n: usize| {
+fn unresponsive_server_of_a_distrusted_source_is_gone() {
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(10);
+    let half_status = |n: usize| {
         Some(if n < 5 {
             ReportedStatus::Failing
         } else {
@@ -225,276 +259,336 @@
         })
     };
     assert!(
-        c.apply_update(T + 1000, source, whole(&names, half))
+        catalogue
+            .apply_update(START + 1000, source, snapshot(&names, half_status))
             .is_empty()
     );
     for uid in &names {
-        c.record_liveness(T + 1500, uid, uid != &names[1]);
+        catalogue.record_liveness(START + 1500, uid, uid != &names[1]);
     }
-    let facts = c.record_liveness(T + 2500, &names[1], false);
-    assert_eq!(beliefs(&facts), [(&*names[1], EffectiveStatus::Gone)]);
-    // One that the source speaks well of is not its matter.
-    c.record_liveness(T + 1500, &names[8], false);
-    assert!(c.record_liveness(T + 2500, &names[8], false).is_empty());
+    let changes = catalogue.record_liveness(START + 2500, &names[1], false);
+    assert_eq!(statuses(&changes), [(&*names[1], EffectiveStatus::Gone)]);
+    // Missed responses of a server that the source reports as ready change nothing.
+    catalogue.record_liveness(START + 1500, &names[8], false);
+    assert!(
+        catalogue
+            .record_liveness(START + 2500, &names[8], false)
+            .is_empty()
+    );
 }
 
-/// An hour without an answer, then a list with a different half.
+/// The source does not answer for an hour, then lists half of the servers and as many new ones.
 #[test]
-fn an_hour_of_silence_changes_nothing_and_a_different_half_is_no_wave() {
+fn hour_of_unavailability_changes_nothing_and_a_different_half_expires_at_a_bounded_rate() {
     let hour = 3_600_000;
-    let (mut c, source, names) = listed(100);
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(100);
     for second in 0..3600 {
         assert!(
-            c.apply_update(T + second * 1000, source, SourceUpdate::Unavailable)
+            catalogue
+                .apply_update(START + second * 1000, source, SourceUpdate::Unavailable)
                 .is_empty()
         );
     }
-    assert_eq!(c.sources().next().unwrap().unavailable_since, Some(T));
-    let back = T + hour;
+    assert_eq!(
+        catalogue.sources().next().unwrap().unavailable_since,
+        Some(START)
+    );
+    let resumed_at = START + hour;
     let mut rows: Vec<Row> = names[..50]
         .iter()
         .map(|n| row(n, ReportedStatus::Ready))
         .collect();
     rows.extend((0..50).map(|n| row(&format!("new-{n:02}"), ReportedStatus::Ready)));
-    let facts = c.apply_update(back, source, SourceUpdate::Snapshot(rows.clone()));
-    // One step: the new ones are there, and cold; of the others nobody is told anything.
-    assert_eq!(facts.len(), 50);
+    let changes = catalogue.apply_update(resumed_at, source, SourceUpdate::Snapshot(rows.clone()));
+    // The new servers are added at once and count as cold; no change is published for the others.
+    assert_eq!(changes.len(), 50);
     assert!(
-        facts
+        changes
             .iter()
-            .all(|f| f.uid.starts_with("new-") && f.born == Some(back))
+            .all(|change| change.uid.starts_with("new-") && change.born == Some(resumed_at))
     );
-    // They answer: once the source has said so for long enough they go, two a second of a hundred.
-    let facts = until(&mut c, back, back + 599_000);
-    assert!(facts.is_empty(), "{:?}", facts.first());
-    let facts = until(&mut c, back + 599_000, back + 700_000);
-    let gone: Vec<Millis> = facts
+    // The missing servers still answer. Once the maximum distrust time is over they expire, two of a hundred per
+    // second.
+    let changes = run_until(&mut catalogue, resumed_at, resumed_at + 599_000);
+    assert!(changes.is_empty(), "{:?}", changes.first());
+    let changes = run_until(&mut catalogue, resumed_at + 599_000, resumed_at + 700_000);
+    let gone: Vec<Millis> = changes
         .iter()
-        .filter(|(_, f)| f.status == EffectiveStatus::Gone)
+        .filter(|(_, change)| change.status == EffectiveStatus::Gone)
         .map(|(at, _)| *at)
         .collect();
     assert_eq!(gone.len(), 50);
     for (n, at) in gone.iter().enumerate() {
-        let within = gone[n..].iter().take_while(|later| **later < at + 1000);
-        assert!(within.count() <= 6, "a wave at {}", at - back);
+        let within_one_second = gone[n..]
+            .iter()
+            .take_while(|other_gone_at| **other_gone_at < at + 1000);
+        assert!(
+            within_one_second.count() <= 6,
+            "more than 6 servers gone within a second at {} ms",
+            at - resumed_at
+        );
     }
 }
 
 #[test]
-fn two_sources_that_contradict_each_other_about_a_drain() {
-    let (mut c, one, names) = listed(4);
-    let two = c.add_source("two").unwrap();
-    c.apply_update(T, two, whole(&names, |_| Some(ReportedStatus::Ready)));
-    let facts = c.apply_update(
-        T + 1,
+fn drain_reported_by_one_source_overrides_ready_from_another() {
+    let (mut catalogue, one, names) = catalogue_with_ready_servers(4);
+    let two = catalogue.add_source("two").unwrap();
+    catalogue.apply_update(
+        START,
+        two,
+        snapshot(&names, |_| Some(ReportedStatus::Ready)),
+    );
+    let changes = catalogue.apply_update(
+        START + 1,
         one,
-        changes(vec![row(&names[0], ReportedStatus::Draining)]),
+        delta(vec![row(&names[0], ReportedStatus::Draining)]),
     );
-    assert_eq!(beliefs(&facts), [(&*names[0], EffectiveStatus::Draining)]);
-    // Whatever the other says, as often as it likes.
+    assert_eq!(
+        statuses(&changes),
+        [(&*names[0], EffectiveStatus::Draining)]
+    );
+    // Repeated ready reports from the other source don't override the drain.
     for n in 2..100 {
         assert!(
-            c.apply_update(T + n, two, whole(&names, |_| Some(ReportedStatus::Ready)))
+            catalogue
+                .apply_update(
+                    START + n,
+                    two,
+                    snapshot(&names, |_| Some(ReportedStatus::Ready))
+                )
                 .is_empty()
         );
     }
-    // The teller stops listing it, as after a drain: the other's word still does not bring it back.
-    c.apply_update(
-        T + 100,
+    // The source that reported the drain stops listing the server. The other source's ready report still doesn't
+    // make it ready.
+    catalogue.apply_update(
+        START + 100,
         one,
-        whole(&names, |n| (n > 0).then_some(ReportedStatus::Ready)),
+        snapshot(&names, |n| (n > 0).then_some(ReportedStatus::Ready)),
     );
-    assert!(until(&mut c, T + 100, T + 500_000).is_empty());
-    let facts = c.apply_update(
-        T + 500_000,
+    assert!(run_until(&mut catalogue, START + 100, START + 500_000).is_empty());
+    let changes = catalogue.apply_update(
+        START + 500_000,
         one,
-        changes(vec![row(&names[0], ReportedStatus::Ready)]),
+        delta(vec![row(&names[0], ReportedStatus::Ready)]),
     );
-    assert_eq!(beliefs(&facts), [(&*names[0], EffectiveStatus::Ready)]);
+    assert_eq!(statuses(&changes), [(&*names[0], EffectiveStatus::Ready)]);
 }
 
 #[test]
-fn absent_from_one_and_listed_by_another_is_ready() {
-    let (mut c, one, names) = listed(4);
-    let two = c.add_source("two").unwrap();
-    c.apply_update(T, two, whole(&names, |_| Some(ReportedStatus::Ready)));
+fn server_absent_from_one_source_and_listed_by_another_is_ready() {
+    let (mut catalogue, one, names) = catalogue_with_ready_servers(4);
+    let two = catalogue.add_source("two").unwrap();
+    catalogue.apply_update(
+        START,
+        two,
+        snapshot(&names, |_| Some(ReportedStatus::Ready)),
+    );
     assert!(
-        c.apply_update(
-            T + 1,
-            one,
-            whole(&names, |n| (n > 0).then_some(ReportedStatus::Ready))
-        )
-        .is_empty()
-    );
-    // Failing is more than absence: it is suspect whatever the other says, and stays in use.
-    let facts = c.apply_update(
-        T + 2,
+        catalogue
+            .apply_update(
+                START + 1,
+                one,
+                snapshot(&names, |n| (n > 0).then_some(ReportedStatus::Ready))
+            )
+            .is_empty()
+    );
+    // Unlike absence, a failing report makes the server suspected even if another source lists it as ready.
+    let changes = catalogue.apply_update(
+        START + 2,
         two,
-        changes(vec![row(&names[1], ReportedStatus::Failing)]),
+        delta(vec![row(&names[1], ReportedStatus::Failing)]),
+    );
+    assert_eq!(
+        statuses(&changes),
+        [(&*names[1], EffectiveStatus::Suspected)]
     );
-    assert_eq!(beliefs(&facts), [(&*names[1], EffectiveStatus::Suspected)]);
 }
 
 #[test]
-fn the_same_identity_at_a_new_address_is_cold_there() {
-    let (mut c, source, names) = listed(10);
-    let gone = whole(&names, |n| (n != 2).then_some(ReportedStatus::Ready));
-    c.apply_update(T + 1000, source, gone);
-    let facts = c.apply_update(
-        T + 3000,
+fn same_uid_at_a_new_address_counts_as_cold() {
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(10);
+    let gone = snapshot(&names, |n| (n != 2).then_some(ReportedStatus::Ready));
+    catalogue.apply_update(START + 1000, source, gone);
+    let changes = catalogue.apply_update(
+        START + 3000,
         source,
-        changes(vec![at_port(&names[2], ReportedStatus::Ready, 4000)]),
+        delta(vec![row_at_port(&names[2], ReportedStatus::Ready, 4000)]),
     );
-    assert_eq!(beliefs(&facts), [(&*names[2], EffectiveStatus::Ready)]);
-    assert_eq!(facts[0].instance.endpoint.port(), 4000);
-    assert_eq!(facts[0].born, Some(T + 3000));
+    assert_eq!(statuses(&changes), [(&*names[2], EffectiveStatus::Ready)]);
+    assert_eq!(changes[0].instance.endpoint.port(), 4000);
+    assert_eq!(changes[0].born, Some(START + 3000));
 }
 
 #[test]
-fn a_flapping_server_is_held_suspect_and_let_free_again() {
-    let (mut c, source, names) = listed(100);
+fn flapping_server_is_damped_and_ready_again_once_the_penalty_decays() {
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(100);
     let mut last = Vec::new();
-    for time in 0..4 {
-        let at = T + 1000 + time * 4000;
-        c.apply_update(
+    for repetition in 0..4 {
+        let at = START + 1000 + repetition * 4000;
+        catalogue.apply_update(
             at,
             source,
-            changes(vec![row(&names[7], ReportedStatus::Failing)]),
+            delta(vec![row(&names[7], ReportedStatus::Failing)]),
         );
-        until(&mut c, at, at + 2000);
-        last = c.apply_update(
+        run_until(&mut catalogue, at, at + 2000);
+        last = catalogue.apply_update(
             at + 2000,
             source,
-            changes(vec![row(&names[7], ReportedStatus::Ready)]),
+            delta(vec![row(&names[7], ReportedStatus::Ready)]),
         );
     }
-    // Three turns and more: its recovery is not believed at once.
+    // The penalty has reached the suppress threshold of 3, so the recovery doesn't take effect at once.
     assert!(last.is_empty(), "{last:?}");
-    let held = c.servers().find(|seen| seen.uid == names[7]).unwrap();
+    let damped_view = catalogue
+        .servers()
+        .find(|view| view.uid == names[7])
+        .unwrap();
     assert_eq!(
-        (held.status, held.reason),
+        (damped_view.status, damped_view.reason),
         (EffectiveStatus::Suspected, StatusReason::FlapDamped)
     );
-    let facts = until(&mut c, T + 20_000, T + 400_000);
-    assert_eq!(facts.len(), 1);
-    assert_eq!(facts[0].1.status, EffectiveStatus::Ready);
-    // By half a minute: from over three to under one takes more than 90 s.
-    assert!((T + 100_000..T + 200_000).contains(&facts[0].0));
-    assert!(c.next_tick().is_none(), "nothing is left to look at");
+    let changes = run_until(&mut catalogue, START + 20_000, START + 400_000);
+    assert_eq!(changes.len(), 1);
+    assert_eq!(changes[0].1.status, EffectiveStatus::Ready);
+    // The penalty halves every minute: from above 3 to below 1 it takes more than 90 s.
+    assert!((START + 100_000..START + 200_000).contains(&changes[0].0));
+    assert!(catalogue.next_tick().is_none(), "no tick is due");
 }
 
 #[test]
-fn only_drains_of_a_stale_list_count() {
-    let (mut c, source, names) = listed(10);
+fn only_drains_of_a_stale_snapshot_take_effect() {
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(10);
     let rows = vec![
         row(&names[0], ReportedStatus::Draining),
         row(&names[1], ReportedStatus::Failing),
         row("new", ReportedStatus::Ready),
     ];
-    let facts = c.apply_update(T + 1, source, SourceUpdate::StaleSnapshot(rows));
-    assert_eq!(beliefs(&facts), [(&*names[0], EffectiveStatus::Draining)]);
-    // Nor does a stale list take a drain back.
+    let changes = catalogue.apply_update(START + 1, source, SourceUpdate::StaleSnapshot(rows));
+    assert_eq!(
+        statuses(&changes),
+        [(&*names[0], EffectiveStatus::Draining)]
+    );
+    // Neither does a stale snapshot revoke a drain.
     let rows = vec![row(&names[0], ReportedStatus::Ready)];
     assert!(
-        c.apply_update(T + 2, source, SourceUpdate::StaleSnapshot(rows))
+        catalogue
+            .apply_update(START + 2, source, SourceUpdate::StaleSnapshot(rows))
             .is_empty()
     );
 }
 
-/// What SIGHUP does under load: the old source's words stand until the new one has spoken.
+/// A reload by SIGHUP replaces a source: the reports of the old source stay in effect until the new one has
+/// delivered a snapshot.
 #[test]
-fn a_change_of_sources_leaves_no_moment_without_a_list() {
-    let (mut c, old, names) = listed(10);
-    let new = c.add_source("new").unwrap();
-    assert!(c.retire_source(T + 1, old).is_empty());
+fn reports_of_a_retired_source_stay_until_its_replacement_delivers_a_snapshot() {
+    let (mut catalogue, old, names) = catalogue_with_ready_servers(10);
+    let new = catalogue.add_source("new").unwrap();
+    assert!(catalogue.retire_source(START + 1, old).is_empty());
     assert!(
-        c.apply_update(T + 2, old, whole(&names, |_| None))
+        catalogue
+            .apply_update(START + 2, old, snapshot(&names, |_| None))
             .is_empty(),
-        "its time is over"
+        "a retired source has no effect"
     );
     assert!(
-        c.apply_update(T + 3, new, SourceUpdate::Unavailable)
+        catalogue
+            .apply_update(START + 3, new, SourceUpdate::Unavailable)
             .is_empty()
     );
-    let facts = c.apply_update(
-        T + 4,
+    let changes = catalogue.apply_update(
+        START + 4,
         new,
-        whole(&names, |n| (n < 9).then_some(ReportedStatus::Ready)),
+        snapshot(&names, |n| (n < 9).then_some(ReportedStatus::Ready)),
     );
-    assert_eq!(beliefs(&facts), [(&*names[9], EffectiveStatus::Suspected)]);
-    // Its place is free once nothing is left of it.
-    until(&mut c, T + 4, T + 300_000);
-    assert_eq!(c.add_source("third"), Some(old));
+    assert_eq!(
+        statuses(&changes),
+        [(&*names[9], EffectiveStatus::Suspected)]
+    );
+    // The number of the retired source is reused once no reports of it are left.
+    run_until(&mut catalogue, START + 4, START + 300_000);
+    assert_eq!(catalogue.add_source("third"), Some(old));
 }
 
 #[test]
-fn a_full_catalogue_forgets_the_longest_unlisted_and_else_refuses() {
+fn full_catalogue_evicts_the_longest_unlisted_server_and_otherwise_refuses() {
     let limits = Limits {
         max_servers: 10,
         ..Limits::default()
     };
-    let mut c = Catalogue::new(limits);
-    let source = c.add_source("one").unwrap();
-    let names = names(10);
-    c.apply_update(T, source, whole(&names, |_| Some(ReportedStatus::Ready)));
+    let mut catalogue = Catalogue::new(limits);
+    let source = catalogue.add_source("one").unwrap();
+    let names = server_names(10);
+    catalogue.apply_update(
+        START,
+        source,
+        snapshot(&names, |_| Some(ReportedStatus::Ready)),
+    );
     assert!(
-        c.apply_update(
-            T + 1,
-            source,
-            changes(vec![row("x", ReportedStatus::Ready)])
-        )
-        .is_empty()
+        catalogue
+            .apply_update(
+                START + 1,
+                source,
+                delta(vec![row("x", ReportedStatus::Ready)])
+            )
+            .is_empty()
     );
-    assert_eq!((c.len(), c.counts().refused), (10, 1));
-    c.apply_update(
-        T + 2,
+    assert_eq!((catalogue.len(), catalogue.counts().refused), (10, 1));
+    catalogue.apply_update(
+        START + 2,
         source,
-        changes(vec![row(&names[6], ReportedStatus::Left)]),
+        delta(vec![row(&names[6], ReportedStatus::Left)]),
     );
-    let facts = c.apply_update(
-        T + 3,
+    let changes = catalogue.apply_update(
+        START + 3,
         source,
-        changes(vec![row("x", ReportedStatus::Ready)]),
+        delta(vec![row("x", ReportedStatus::Ready)]),
     );
     let expected = [
         (&*names[6], EffectiveStatus::Gone),
         ("x", EffectiveStatus::Ready),
     ];
-    assert_eq!(beliefs(&facts), expected);
-    assert_eq!((c.len(), c.counts().evicted), (10, 1));
+    assert_eq!(statuses(&changes), expected);
+    assert_eq!((catalogue.len(), catalogue.counts().evicted), (10, 1));
 }
 
-/// A list of which half is still to come looks like a loss of that half.
+/// An incomplete snapshot must not look like the loss of the servers in the missing parts.
 #[test]
-fn a_list_in_parts_counts_at_its_end_but_for_its_drains() {
-    let (mut c, source, names) = listed(100);
-    let part = |from: usize, to: usize, word: ReportedStatus| {
-        let rows = names[from..to].iter().map(|uid| row(uid, word)).collect();
+fn snapshot_in_parts_takes_effect_at_its_last_part_except_drains() {
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(100);
+    let part = |from: usize, to: usize, status: ReportedStatus| {
+        let rows = names[from..to].iter().map(|uid| row(uid, status)).collect();
         SourceUpdate::SnapshotPart {
             first: from == 0,
             last: to == 100,
             rows,
         }
     };
-    let facts = c.apply_update(T + 1, source, part(0, 10, ReportedStatus::Draining));
-    assert_eq!(facts.len(), 10);
+    let changes = catalogue.apply_update(START + 1, source, part(0, 10, ReportedStatus::Draining));
+    assert_eq!(changes.len(), 10);
     assert!(
-        facts
+        changes
             .iter()
-            .all(|fact| fact.status == EffectiveStatus::Draining)
+            .all(|change| change.status == EffectiveStatus::Draining)
     );
     assert!(
-        c.apply_update(T + 2, source, part(10, 30, ReportedStatus::Failing))
+        catalogue
+            .apply_update(START + 2, source, part(10, 30, ReportedStatus::Failing))
             .is_empty()
     );
-    assert!(c.record_liveness(T + 3, &names[12], false).is_empty());
-    // 20 of 100 fail and one is left out: too few for a doubt.
+    assert!(
+        catalogue
+            .record_liveness(START + 3, &names[12], false)
+            .is_empty()
+    );
+    // 20 of 100 servers fail and one is missing: too few for distrust.
     let rows = names[30..99]
         .iter()
         .map(|uid| row(uid, ReportedStatus::Ready))
         .collect();
-    let facts = c.apply_update(
-        T + 4,
+    let changes = catalogue.apply_update(
+        START + 4,
         source,
         SourceUpdate::SnapshotPart {
             first: false,
@@ -502,56 +596,66 @@
             rows,
         },
     );
-    assert_eq!(facts.len(), 21);
+    assert_eq!(changes.len(), 21);
     assert!(
-        facts
+        changes
             .iter()
-            .all(|fact| fact.status == EffectiveStatus::Suspected)
+            .all(|change| change.status == EffectiveStatus::Suspected)
     );
-    // One that was given up half-way holds nothing back for long, and its rest is not taken for a list.
-    c.apply_update(T + 10_000, source, part(0, 10, ReportedStatus::Failing));
-    c.apply_update(T + 10_001, source, SourceUpdate::Unavailable);
+    // A snapshot that was aborted defers no changes for long, and its remaining parts are not taken for a snapshot.
+    catalogue.apply_update(START + 10_000, source, part(0, 10, ReportedStatus::Failing));
+    catalogue.apply_update(START + 10_001, source, SourceUpdate::Unavailable);
     let rows = vec![row(&names[99], ReportedStatus::Ready)];
     let rest = SourceUpdate::SnapshotPart {
         first: false,
         last: true,
         rows,
     };
-    assert!(c.apply_update(T + 10_002, source, rest).is_empty());
+    assert!(
+        catalogue
+            .apply_update(START + 10_002, source, rest)
+            .is_empty()
+    );
 }
 
-/// 1,000 of 20,000 change each second: what is told is what changed, and what is remembered is bounded.
+/// 1,000 of 20,000 servers change each second: the status changes match the updates, and memory stays bounded.
 #[test]
-fn a_thousand_changes_a_second_among_twenty_thousand() {
-    let (mut c, source, names) = listed(20_000);
+fn thousand_changes_per_second_among_twenty_thousand_servers_stay_bounded() {
+    let (mut catalogue, source, names) = catalogue_with_ready_servers(20_000);
     let mut failing: Vec<bool> = vec![false; names.len()];
     for second in 1..=20_u64 {
         let at = second as usize * 1000 % names.len();
         let mut changed = Vec::new();
         for (n, uid) in names.iter().enumerate().skip(at).take(1000) {
             failing[n] = !failing[n];
-            let word = if failing[n] {
+            let status = if failing[n] {
                 ReportedStatus::Failing
             } else {
                 ReportedStatus::Ready
             };
-            changed.push(row(uid, word));
+            changed.push(row(uid, status));
         }
-        let facts = c.apply_update(T + second * 1000, source, changes(changed));
-        assert!(c.len() == names.len() && facts.len() <= 20_000);
-        let doubted = c.sources().any(|source| source.distrusted_since.is_some());
-        let suspects = c
+        let changes = catalogue.apply_update(START + second * 1000, source, delta(changed));
+        assert!(catalogue.len() == names.len() && changes.len() <= 20_000);
+        let distrusted = catalogue
+            .sources()
+            .any(|source| source.distrusted_since.is_some());
+        let suspects = catalogue
             .servers()
-            .filter(|seen| seen.status == EffectiveStatus::Suspected)
+            .filter(|view| view.status == EffectiveStatus::Suspected)
             .count();
-        // 5% a second: from the sixth on it is more than a quarter of the fleet in half a minute.
-        let told = if second <= 5 {
+        // 5% per second: from the sixth second on more than a quarter of the servers became suspect within the
+        // window of 30 s.
+        let expected = if second <= 5 {
             second as usize * 1000
         } else {
             0
         };
-        assert_eq!(suspects, told, "second {second}, doubted: {doubted}");
-        c.tick(T + second * 1000 + 500);
+        assert_eq!(
+            suspects, expected,
+            "second {second}, distrusted: {distrusted}"
+        );
+        catalogue.tick(START + second * 1000 + 500);
     }
-    assert_eq!(c.counts().distrusted_sources, 1);
+    assert_eq!(catalogue.counts().distrusted_sources, 1);
 }
--- a/crates/catalogue/tests/properties.rs
+++ b/crates/catalogue/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Invariants over random tellings: a told drain is never overruled, memory is bounded whatever is told,
-//! the order of words of one moment does not matter.
+//! Invariants over random updates: a reported drain is never overridden, memory is bounded for any updates, and
+//! the order of reports with the same timestamp does not matter.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,15 +14,15 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Word(SourceId, u8, ReportedStatus),
-    Whole(SourceId, Vec<(u8, ReportedStatus)>),
-    Stale(SourceId, Vec<(u8, ReportedStatus)>),
-    Lost(SourceId),
-    Heard(u8, bool),
-    Pass(Millis),
+    Report(SourceId, u8, ReportedStatus),
+    Snapshot(SourceId, Vec<(u8, ReportedStatus)>),
+    StaleSnapshot(SourceId, Vec<(u8, ReportedStatus)>),
+    Unavailable(SourceId),
+    Liveness(u8, bool),
+    Advance(Millis),
 }
 
-fn word() -> impl Strategy<Value = ReportedStatus> {
+fn any_status() -> impl Strategy<Value = ReportedStatus> {
     prop_oneof![
         4 => Just(ReportedStatus::Ready),
         3 => Just(ReportedStatus::Failing),
@@ -31,28 +31,28 @@
     ]
 }
 
-fn step() -> impl Strategy<Value = Step> {
-    let rows = || prop::collection::vec((0..40_u8, word()), 0..30);
+fn any_step() -> impl Strategy<Value = Step> {
+    let rows = || prop::collection::vec((0..40_u8, any_status()), 0..30);
     prop_oneof![
-        4 => (0..SOURCES, 0..40_u8, word()).prop_map(|(s, n, w)| Step::Word(s, n, w)),
-        2 => (0..SOURCES, rows()).prop_map(|(s, r)| Step::Whole(s, r)),
-        1 => (0..SOURCES, rows()).prop_map(|(s, r)| Step::Stale(s, r)),
-        1 => (0..SOURCES).prop_map(Step::Lost),
-        3 => (0..40_u8, any::<bool>()).prop_map(|(n, a)| Step::Heard(n, a)),
-        3 => (0..90_000_u64).prop_map(Step::Pass),
+        4 => (0..SOURCES, 0..40_u8, any_status()).prop_map(|(source, number, status)| Step::Report(source, number, status)),
+        2 => (0..SOURCES, rows()).prop_map(|(source, rows)| Step::Snapshot(source, rows)),
+        1 => (0..SOURCES, rows()).prop_map(|(source, rows)| Step::StaleSnapshot(source, rows)),
+        1 => (0..SOURCES).prop_map(Step::Unavailable),
+        3 => (0..40_u8, any::<bool>()).prop_map(|(number, answered)| Step::Liveness(number, answered)),
+        3 => (0..90_000_u64).prop_map(Step::Advance),
     ]
 }
 
-fn uid(n: u8) -> String {
-    format!("s-{n}")
+fn uid(number: u8) -> String {
+    format!("s-{number}")
 }
 
-fn row(n: u8, word: ReportedStatus) -> Row {
+fn row(number: u8, status: ReportedStatus) -> Row {
     Row {
-        uid: uid(n).into(),
-        status: word,
+        uid: uid(number).into(),
+        status,
         instance: Some(Instance {
-            endpoint: ([127, 0, 0, 1], 3000 + u16::from(n)).into(),
+            endpoint: ([127, 0, 0, 1], 3000 + u16::from(number)).into(),
             zone: None,
             kind: None,
             cell: 0,
@@ -63,54 +63,76 @@
     }
 }
 
-fn rows(rows: &[(u8, ReportedStatus)]) -> Vec<Row> {
-    rows.iter().map(|(n, word)| row(*n, *word)).collect()
+fn to_rows(rows: &[(u8, ReportedStatus)]) -> Vec<Row> {
+    rows.iter()
+        .map(|(number, status)| row(*number, *status))
+        .collect()
 }
 
-fn catalogue(servers: usize) -> Catalogue {
+fn new_catalogue(servers: usize) -> Catalogue {
     let mut catalogue = Catalogue::new(Limits {
         max_servers: servers,
         ..Limits::default()
     });
-    for n in 0..SOURCES {
-        catalogue.add_source(&n.to_string()).unwrap();
+    for number in 0..SOURCES {
+        catalogue.add_source(&number.to_string()).unwrap();
     }
     catalogue
 }
 
-fn apply(c: &mut Catalogue, now: Millis, step: &Step) -> Vec<violetwind_catalogue::StatusChange> {
+fn apply(
+    catalogue: &mut Catalogue,
+    now: Millis,
+    step: &Step,
+) -> Vec<violetwind_catalogue::StatusChange> {
     match step {
-        Step::Word(s, n, w) => c.apply_update(now, *s, SourceUpdate::Delta(vec![row(*n, *w)])),
-        Step::Whole(s, r) => c.apply_update(now, *s, SourceUpdate::Snapshot(rows(r))),
-        Step::Stale(s, r) => c.apply_update(now, *s, SourceUpdate::StaleSnapshot(rows(r))),
-        Step::Lost(s) => c.apply_update(now, *s, SourceUpdate::Unavailable),
-        Step::Heard(n, answered) => c.record_liveness(now, &uid(*n), *answered),
-        Step::Pass(_) => c.tick(now),
+        Step::Report(source, number, status) => catalogue.apply_update(
+            now,
+            *source,
+            SourceUpdate::Delta(vec![row(*number, *status)]),
+        ),
+        Step::Snapshot(source, rows) => {
+            catalogue.apply_update(now, *source, SourceUpdate::Snapshot(to_rows(rows)))
+        }
+        Step::StaleSnapshot(source, rows) => {
+            catalogue.apply_update(now, *source, SourceUpdate::StaleSnapshot(to_rows(rows)))
+        }
+        Step::Unavailable(source) => {
+            catalogue.apply_update(now, *source, SourceUpdate::Unavailable)
+        }
+        Step::Liveness(number, answered) => {
+            catalogue.record_liveness(now, &uid(*number), *answered)
+        }
+        Step::Advance(_) => catalogue.tick(now),
     }
 }
 
-/// The drains in force, worked out without any of the catalogue's ideas: who told them and has not told
-/// the server ready or failing since.
+/// An independent model of the drains in effect: for each server, the sources that reported a drain and have not
+/// reported the server as ready or failing since.
 #[derive(Default)]
-struct Drains(BTreeMap<u8, BTreeSet<SourceId>>);
-
-impl Drains {
-    fn word(&mut self, source: SourceId, n: u8, word: ReportedStatus) {
-        let by = self.0.entry(n).or_default();
-        match word {
-            ReportedStatus::Draining => by.insert(source),
-            ReportedStatus::Ready | ReportedStatus::Failing => by.remove(&source),
+struct DrainModel(BTreeMap<u8, BTreeSet<SourceId>>);
+
+impl DrainModel {
+    fn record(&mut self, source: SourceId, number: u8, status: ReportedStatus) {
+        let reporting_sources = self.0.entry(number).or_default();
+        match status {
+            ReportedStatus::Draining => reporting_sources.insert(source),
+            ReportedStatus::Ready | ReportedStatus::Failing => reporting_sources.remove(&source),
             ReportedStatus::Left => false,
         };
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
-            Step::Word(s, n, w) => self.word(*s, *n, *w),
-            Step::Whole(s, r) => r.iter().for_each(|(n, w)| self.word(*s, *n, *w)),
-            Step::Stale(s, r) => {
-                let drains = r.iter().filter(|(_, w)| *w == ReportedStatus::Draining);
-                drains.for_each(|(n, w)| self.word(*s, *n, *w));
+            Step::Report(source, number, status) => self.record(*source, *number, *status),
+            Step::Snapshot(source, rows) => rows
+                .iter()
+                .for_each(|(number, status)| self.record(*source, *number, *status)),
+            Step::StaleSnapshot(source, rows) => {
+                let drains = rows
+                    .iter()
+                    .filter(|(_, status)| *status == ReportedStatus::Draining);
+                drains.for_each(|(number, status)| self.record(*source, *number, *status));
             }
             _ => {}
         }
@@ -121,89 +143,89 @@
     #![proptest_config(ProptestConfig {
         cases: 120,
         failure_persistence: None,
-        // The same cases at every run.
+        // Every run generates the same cases.
         rng_seed: RngSeed::Fixed(14),
         ..ProptestConfig::default()
     })]
 
     #[test]
-    fn a_told_drain_is_never_overruled(steps in prop::collection::vec(step(), 1..80)) {
-        let (mut c, mut drains, mut now) = (catalogue(1000), Drains::default(), 1_000_000);
-        let mut believed: BTreeMap<Box<str>, EffectiveStatus> = BTreeMap::new();
+    fn reported_drain_is_never_overridden(steps in prop::collection::vec(any_step(), 1..80)) {
+        let (mut catalogue, mut drains, mut now) = (new_catalogue(1000), DrainModel::default(), 1_000_000);
+        let mut published: BTreeMap<Box<str>, EffectiveStatus> = BTreeMap::new();
         for step in &steps {
-            now += if let Step::Pass(span) = step { *span } else { 0 };
-            for fact in apply(&mut c, now, step) {
-                believed.insert(fact.uid, fact.status);
+            now += if let Step::Advance(interval) = step { *interval } else { 0 };
+            for change in apply(&mut catalogue, now, step) {
+                published.insert(change.uid, change.status);
             }
-            drains.take(step);
-            let known: BTreeSet<String> = c.servers().map(|seen| seen.uid.to_string()).collect();
-            for (n, by) in &drains.0 {
-                // One that is forgotten altogether begins anew; it was gone before that.
-                if by.is_empty() || !known.contains(&uid(*n)) {
+            drains.apply(step);
+            let known_uids: BTreeSet<String> = catalogue.servers().map(|view| view.uid.to_string()).collect();
+            for (number, reporting_sources) in &drains.0 {
+                // A server that was removed from the catalogue starts afresh; it was gone before that.
+                if reporting_sources.is_empty() || !known_uids.contains(&uid(*number)) {
                     continue;
                 }
-                let belief = believed.get(uid(*n).as_str());
+                let published_status = published.get(uid(*number).as_str());
                 prop_assert!(
-                    matches!(belief, Some(EffectiveStatus::Draining | EffectiveStatus::Gone)),
-                    "{} drained by {by:?} is {belief:?} after {step:?}", uid(*n)
+                    matches!(published_status, Some(EffectiveStatus::Draining | EffectiveStatus::Gone)),
+                    "{} drained by {reporting_sources:?} is {published_status:?} after {step:?}", uid(*number)
                 );
             }
-            let seen = c.servers().map(|seen| seen.uid.to_string()).collect::<BTreeSet<_>>();
-            drains.0.retain(|n, _| seen.contains(&uid(*n)));
+            let remaining_uids = catalogue.servers().map(|view| view.uid.to_string()).collect::<BTreeSet<_>>();
+            drains.0.retain(|number, _| remaining_uids.contains(&uid(*number)));
         }
     }
 
     #[test]
-    fn memory_is_bounded_whatever_is_told(steps in prop::collection::vec(step(), 1..120)) {
-        let (mut c, mut now) = (catalogue(12), 1_000_000);
+    fn memory_is_bounded_for_any_updates(steps in prop::collection::vec(any_step(), 1..120)) {
+        let (mut catalogue, mut now) = (new_catalogue(12), 1_000_000);
         for step in &steps {
-            now += if let Step::Pass(span) = step { *span } else { 0 };
-            apply(&mut c, now, step);
-            prop_assert!(c.len() <= 12);
-            prop_assert!(c.servers().all(|seen| seen.reports.len() <= usize::from(SOURCES)));
+            now += if let Step::Advance(interval) = step { *interval } else { 0 };
+            apply(&mut catalogue, now, step);
+            prop_assert!(catalogue.len() <= 12);
+            prop_assert!(catalogue.servers().all(|view| view.reports.len() <= usize::from(SOURCES)));
         }
-        // Once every source lists nothing, nothing is left after a while.
+        // Once every source lists no servers, the catalogue becomes empty after some time.
         for source in 0..SOURCES {
-            c.apply_update(now, source, SourceUpdate::Snapshot(Vec::new()));
+            catalogue.apply_update(now, source, SourceUpdate::Snapshot(Vec::new()));
         }
         for _ in 0..4000 {
-            let Some(at) = c.next_tick() else { break };
+            let Some(at) = catalogue.next_tick() else { break };
             now = now.max(at);
-            c.tick(now);
+            catalogue.tick(now);
         }
-        prop_assert!(c.is_empty(), "{} left", c.len());
-        prop_assert!(c.next_tick().is_none());
+        prop_assert!(catalogue.is_empty(), "{} left", catalogue.len());
+        prop_assert!(catalogue.next_tick().is_none());
     }
 
     #[test]
-    fn the_order_of_words_of_one_moment_does_not_matter(
-        moments in prop::collection::vec(
-            prop::collection::btree_map((0..SOURCES, 0..40_u8), word(), 1..60), 1..8),
-        spans in prop::collection::vec(1..40_000_u64, 8),
+    fn order_of_reports_with_one_timestamp_does_not_matter(
+        batches in prop::collection::vec(
+            prop::collection::btree_map((0..SOURCES, 0..40_u8), any_status(), 1..60), 1..8),
+        intervals in prop::collection::vec(1..40_000_u64, 8),
         seed in any::<u64>(),
     ) {
-        let (mut one, mut two, mut now) = (catalogue(1000), catalogue(1000), 1_000_000);
-        for c in [&mut one, &mut two] {
+        let (mut in_order, mut shuffled, mut now) = (new_catalogue(1000), new_catalogue(1000), 1_000_000);
+        for catalogue in [&mut in_order, &mut shuffled] {
             for source in 0..SOURCES {
-                let all: Vec<(u8, ReportedStatus)> = (0..40).map(|n| (n, ReportedStatus::Ready)).collect();
-                c.apply_update(now, source, SourceUpdate::Snapshot(rows(&all)));
+                let all: Vec<(u8, ReportedStatus)> = (0..40).map(|number| (number, ReportedStatus::Ready)).collect();
+                catalogue.apply_update(now, source, SourceUpdate::Snapshot(to_rows(&all)));
             }
         }
-        for (moment, span) in moments.iter().zip(&spans) {
-            now += span;
-            let mut words: Vec<Step> =
-                moment.iter().map(|((s, n), w)| Step::Word(*s, *n, *w)).collect();
-            words.iter().for_each(|step| drop(apply(&mut one, now, step)));
-            // Another order, the same for the same seed.
-            let len = words.len() as u64;
-            for at in 0..words.len() {
-                words.swap(at, (seed.wrapping_mul(at as u64 + 7) % len) as usize);
+        for (batch, interval) in batches.iter().zip(&intervals) {
+            now += interval;
+            let mut steps: Vec<Step> =
+                batch.iter().map(|((source, number), status)| Step::Report(*source, *number, *status)).collect();
+            steps.iter().for_each(|step| drop(apply(&mut in_order, now, step)));
+            // A different order, deterministic for the seed.
+            let count = steps.len() as u64;
+            for at in 0..steps.len() {
+                steps.swap(at, (seed.wrapping_mul(at as u64 + 7) % count) as usize);
             }
-            words.iter().for_each(|step| drop(apply(&mut two, now, step)));
-            let view = |c: &Catalogue| -> Vec<(String, EffectiveStatus)> {
-                c.servers().map(|seen| (seen.uid.to_string(), seen.status)).collect()
+            steps.iter().for_each(|step| drop(apply(&mut shuffled, now, step)));
+            let statuses = |catalogue: &Catalogue| -> Vec<(String, EffectiveStatus)> {
+                catalogue.servers().map(|view| (view.uid.to_string(), view.status)).collect()
             };
-            prop_assert_eq!(view(&one), view(&two));
+            prop_assert_eq!(statuses(&in_order), statuses(&shuffled));
         }
     }
 }
