--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,10 +1,10 @@
-//! Servers from Consul, by its public HTTP API: `/v1/health/service/NAME` or
+//! Reads servers from Consul through its public HTTP API: `/v1/health/service/NAME` or
 //! `/v1/catalog/service/NAME` with blocking queries (API documentation, "Features: Blocking Queries",
 //! "Consistency Modes", "Health" and "Catalog").
 //!
-//! The parts that settle something do no I/O: [`query`] follows the index and says how far an answer is
-//! to be believed and when to ask again, [`rows`] cuts a body into rows as it comes and reads each by the
-//! rules of the operator's file. [`watch`] only does what they say.
+//! The modules that make decisions do no I/O: [`query`] follows the index, classifies responses and schedules the
+//! next query; [`rows`] splits a body into rows as it arrives and maps each row according to the rules of the
+//! operator's file. The modules `watch` and `client` do the I/O.
 
 mod client;
 mod limits;
--- a/crates/consul/src/limits.rs
+++ b/crates/consul/src/limits.rs
@@ -1,37 +1,45 @@
-//! Every size and time of the source.
+//! The limits and timeouts of the Consul source.
 
 use std::time::Duration;
 
+/// The limits of a Consul source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The longest body, its most rows, the longest row and the longest field of one that is kept.
+    /// The maximum size of a response body.
     pub max_body_bytes: usize,
+    /// The maximum number of rows in a body.
     pub max_rows: usize,
     pub max_row_bytes: usize,
+    /// The maximum length of a field that is kept from a row.
     pub max_field_bytes: usize,
-    /// Bytes of a body, and rows of a list, that are dealt with before connections are served again.
+    /// How many bytes of a body are parsed before other tasks may run.
     pub chunk_bytes: usize,
+    /// The maximum number of rows of a snapshot that are sent to the engine at once.
     pub chunk_rows: usize,
-    /// The longest token file.
+    /// The maximum size of the token file.
     pub max_token_bytes: u64,
-    /// How often that file is looked at while a call is out.
+    /// How often the token file is read while a query is in flight.
     pub token_poll_interval: Duration,
     pub connect_timeout: Duration,
-    /// How long a call may wait for a change; the API adds up to a sixteenth.
+    /// How long a query may block until the list changes; Consul adds up to a sixteenth.
     pub blocking_wait: Duration,
-    /// How much longer the head of an answer may take.
+    /// How much longer than that the head of the response may take.
     pub response_margin: Duration,
-    /// From one part of a body to the next, and for all of it.
+    /// The maximum time between two frames of a body.
     pub body_idle_timeout: Duration,
+    /// The maximum time for a whole body.
     pub body_timeout: Duration,
-    /// An answer whose server heard from the leader longer ago is stale: only its drains count.
+    /// A response is stale, and only its drains take effect, if the last contact of the answering Consul server
+    /// with the leader is longer ago than this.
     pub max_staleness: Duration,
-    /// Between an answer and the next call: at least this, and so many times what reading it took.
+    /// The delay between a response and the next query: `min_query_delay`, or `query_delay_factor` times the time
+    /// that parsing took if that is longer.
     pub min_query_delay: Duration,
     pub query_delay_factor: u32,
-    /// Where no index is told, how often is asked.
+    /// The minimum delay between queries while responses carry no usable index or are stale.
     pub poll_interval: Duration,
-    /// Waits between failed calls: the first, doubled up to the longest, times 0.5 to 1 by chance.
+    /// The backoff after failed queries: it starts at `initial_backoff` and doubles up to `max_backoff`, each time
+    /// multiplied by a random factor from 0.5 to 1.
     pub initial_backoff: Duration,
     pub max_backoff: Duration,
 }
--- a/crates/consul/src/rows.rs
+++ b/crates/consul/src/rows.rs
@@ -1,6 +1,6 @@
-//! Bodies of the API, cut into rows as they come: 20,000 instances in one array are never held as a
-//! tree, nor as text. No library reads an array of JSON in parts that are pushed to it without an
-//! own thread, so the cutting is done here and each row is left to `serde_json`.
+//! Splits response bodies into rows as they arrive, so that an array of 20,000 instances is never held in memory as
+//! a tree or as text. No library parses a JSON array from chunks that are pushed to it without a thread of its
+//! own, so the splitting is done here, and `serde_json` parses each row.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashSet};
@@ -13,124 +13,130 @@
 use crate::limits::Limits;
 use crate::rules::{Api, FieldSource, Identity, MappingRules};
 
-/// Why a body is given up.
+/// The reason why a body is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// Something else than an array of objects, at this byte.
+    /// The body is not an array of objects: unexpected input at this byte.
     NotAnArray(usize),
+    /// A row exceeds [`Limits::max_row_bytes`]; holds the byte offset of the chunk in which it does.
     RowTooLong(usize),
+    /// The body has more rows than this limit.
     TooManyRows(usize),
-    /// It ended within the array.
+    /// The body ended before the array was closed, at this byte.
     Truncated(usize),
 }
 
 impl std::fmt::Display for BodyError {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::NotAnArray(at) => write!(out, "no array of objects at byte {at}"),
-            Self::RowTooLong(at) => write!(out, "a row that is too long at byte {at}"),
+            Self::NotAnArray(at) => write!(out, "expected an array of objects at byte {at}"),
+            Self::RowTooLong(at) => write!(out, "row too long at byte {at}"),
             Self::TooManyRows(most) => write!(out, "more than {most} rows"),
-            Self::Truncated(at) => write!(out, "it ends within the array, at byte {at}"),
+            Self::Truncated(at) => write!(out, "body truncated at byte {at}"),
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
+enum SplitState {
     Start,
-    /// After `[` or a comma; the array may end only after the former.
-    First,
-    Next,
+    /// After `[`: a row or the end of the array follows.
+    AfterOpen,
+    /// After a comma: only a row may follow.
+    AfterComma,
     Row,
     AfterRow,
     End,
 }
 
-/// Cuts an array of objects into the texts of its objects.
+/// Splits a JSON array of objects into the texts of its objects.
 #[derive(Debug)]
 pub struct RowSplitter {
-    at: At,
+    state: SplitState,
     depth: usize,
-    in_text: bool,
+    in_string: bool,
     escaped: bool,
-    row: Vec<u8>,
-    rows: usize,
-    bytes: usize,
-    most_row: usize,
-    most_rows: usize,
+    partial_row: Vec<u8>,
+    row_count: usize,
+    bytes_read: usize,
+    max_row_bytes: usize,
+    max_rows: usize,
 }
 
 impl RowSplitter {
     pub fn new(limits: &Limits) -> Self {
         Self {
-            at: At::Start,
+            state: SplitState::Start,
             depth: 0,
-            in_text: false,
+            in_string: false,
             escaped: false,
-            row: Vec::new(),
-            rows: 0,
-            bytes: 0,
-            most_row: limits.max_row_bytes,
-            most_rows: limits.max_rows,
+            partial_row: Vec::new(),
+            row_count: 0,
+            bytes_read: 0,
+            max_row_bytes: limits.max_row_bytes,
+            max_rows: limits.max_rows,
         }
     }
 
-    /// Takes the next bytes and hands on each row that ends in them.
-    pub fn feed(&mut self, bytes: &[u8], mut row: impl FnMut(&[u8])) -> Result<(), BodyError> {
-        let mut from = (self.at == At::Row).then_some(0);
-        for (at, &byte) in bytes.iter().enumerate() {
-            match (self.at, byte) {
-                (At::Row, _) => {
-                    if !self.within_row(byte) {
+    /// Processes the next chunk and calls `on_row` for each row that ends in it. Fails if the body is not an array of
+    /// objects or exceeds a limit.
+    pub fn feed(&mut self, bytes: &[u8], mut on_row: impl FnMut(&[u8])) -> Result<(), BodyError> {
+        let mut row_start = (self.state == SplitState::Row).then_some(0);
+        for (position, &byte) in bytes.iter().enumerate() {
+            match (self.state, byte) {
+                (SplitState::Row, _) => {
+                    if !self.consume_row_byte(byte) {
                         continue;
                     }
-                    let start = from.take().unwrap_or(0);
-                    let part = &bytes[start..=at];
-                    self.check_length(part.len())?;
-                    if self.row.is_empty() {
-                        row(part);
+                    let start = row_start.take().unwrap_or(0);
+                    let row_bytes = &bytes[start..=position];
+                    self.check_length(row_bytes.len())?;
+                    if self.partial_row.is_empty() {
+                        on_row(row_bytes);
                     } else {
-                        self.row.extend_from_slice(part);
-                        row(&self.row);
-                        self.row.clear();
+                        self.partial_row.extend_from_slice(row_bytes);
+                        on_row(&self.partial_row);
+                        self.partial_row.clear();
                     }
-                    self.at = At::AfterRow;
+                    self.state = SplitState::AfterRow;
                 }
                 (_, b' ' | b'\t' | b'\r' | b'\n') => {}
-                (At::Start, b'[') => self.at = At::First,
-                (At::First, b']') | (At::AfterRow, b']') => self.at = At::End,
-                (At::AfterRow, b',') => self.at = At::Next,
-                (At::First | At::Next, b'{') => {
-                    self.rows += 1;
-                    if self.rows > self.most_rows {
-                        return Err(BodyError::TooManyRows(self.most_rows));
+                (SplitState::Start, b'[') => self.state = SplitState::AfterOpen,
+                (SplitState::AfterOpen, b']') | (SplitState::AfterRow, b']') => {
+                    self.state = SplitState::End
+                }
+                (SplitState::AfterRow, b',') => self.state = SplitState::AfterComma,
+                (SplitState::AfterOpen | SplitState::AfterComma, b'{') => {
+                    self.row_count += 1;
+                    if self.row_count > self.max_rows {
+                        return Err(BodyError::TooManyRows(self.max_rows));
                     }
-                    (self.at, self.depth, from) = (At::Row, 1, Some(at));
+                    (self.state, self.depth, row_start) = (SplitState::Row, 1, Some(position));
                 }
-                _ => return Err(BodyError::NotAnArray(self.bytes + at)),
+                _ => return Err(BodyError::NotAnArray(self.bytes_read + position)),
             }
         }
-        if let Some(start) = from {
+        if let Some(start) = row_start {
             self.check_length(bytes.len() - start)?;
-            self.row.extend_from_slice(&bytes[start..]);
+            self.partial_row.extend_from_slice(&bytes[start..]);
         }
-        self.bytes += bytes.len();
+        self.bytes_read += bytes.len();
         Ok(())
     }
 
-    /// Whether a row ends with this byte of it.
-    fn within_row(&mut self, byte: u8) -> bool {
-        if self.in_text {
+    /// Processes one byte of a row. Returns whether the row ends with it.
+    fn consume_row_byte(&mut self, byte: u8) -> bool {
+        if self.in_string {
             match byte {
                 _ if self.escaped => self.escaped = false,
                 b'\\' => self.escaped = true,
-                b'"' => self.in_text = false,
+                b'"' => self.in_string = false,
                 _ => {}
             }
             return false;
         }
         match byte {
-            b'"' => self.in_text = true,
+            b'"' => self.in_string = true,
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => self.depth -= 1,
             _ => {}
@@ -138,23 +144,23 @@
         self.depth == 0
     }
 
-    fn check_length(&self, more: usize) -> Result<(), BodyError> {
-        match self.row.len() + more <= self.most_row {
+    fn check_length(&self, added: usize) -> Result<(), BodyError> {
+        match self.partial_row.len() + added <= self.max_row_bytes {
             true => Ok(()),
-            false => Err(BodyError::RowTooLong(self.bytes)),
+            false => Err(BodyError::RowTooLong(self.bytes_read)),
         }
     }
 
-    /// The body has ended here.
+    /// Checks that the body ended after the array.
     pub fn finish(&self) -> Result<(), BodyError> {
-        match self.at {
-            At::End => Ok(()),
-            _ => Err(BodyError::Truncated(self.bytes)),
+        match self.state {
+            SplitState::End => Ok(()),
+            _ => Err(BodyError::Truncated(self.bytes_read)),
         }
     }
 }
 
-type Words<'a> = Option<BTreeMap<Cow<'a, str>, Cow<'a, str>>>;
+type MetaMap<'a> = Option<BTreeMap<Cow<'a, str>, Cow<'a, str>>>;
 
 #[derive(Debug, Deserialize)]
 struct Weights {
@@ -173,7 +179,7 @@
     #[serde(rename = "Datacenter", borrow, default)]
     datacenter: Cow<'a, str>,
     #[serde(rename = "Meta", borrow, default)]
-    meta: Words<'a>,
+    meta: MetaMap<'a>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -187,7 +193,7 @@
     #[serde(rename = "Port", default)]
     port: u16,
     #[serde(rename = "Meta", borrow, default)]
-    meta: Words<'a>,
+    meta: MetaMap<'a>,
     #[serde(rename = "Weights", default)]
     weights: Option<Weights>,
     #[serde(rename = "CreateIndex", default)]
@@ -204,7 +210,7 @@
 
 /// A row of `/v1/health/service/NAME`.
 #[derive(Debug, Deserialize)]
-struct Health<'a> {
+struct HealthRow<'a> {
     #[serde(rename = "Node", borrow)]
     node: Node<'a>,
     #[serde(rename = "Service", borrow)]
@@ -213,9 +219,9 @@
     checks: Option<Vec<Check<'a>>>,
 }
 
-/// A row of `/v1/catalog/service/NAME`: the node's and the service's fields side by side.
+/// A row of `/v1/catalog/service/NAME`: the fields of the node and the service in one object.
 #[derive(Debug, Deserialize)]
-struct Listed<'a> {
+struct CatalogRow<'a> {
     #[serde(rename = "Node", borrow, default)]
     node: Cow<'a, str>,
     #[serde(rename = "Address", borrow, default)]
@@ -223,7 +229,7 @@
     #[serde(rename = "Datacenter", borrow, default)]
     datacenter: Cow<'a, str>,
     #[serde(rename = "NodeMeta", borrow, default)]
-    node_meta: Words<'a>,
+    node_meta: MetaMap<'a>,
     #[serde(rename = "ServiceID", borrow, default)]
     id: Cow<'a, str>,
     #[serde(rename = "ServiceTags", borrow, default)]
@@ -233,15 +239,15 @@
     #[serde(rename = "ServicePort", default)]
     port: u16,
     #[serde(rename = "ServiceMeta", borrow, default)]
-    meta: Words<'a>,
+    meta: MetaMap<'a>,
     #[serde(rename = "ServiceWeights", default)]
     weights: Option<Weights>,
     #[serde(rename = "CreateIndex", default)]
     create_index: u64,
 }
 
-impl<'a> From<Listed<'a>> for Health<'a> {
-    fn from(row: Listed<'a>) -> Self {
+impl<'a> From<CatalogRow<'a>> for HealthRow<'a> {
+    fn from(row: CatalogRow<'a>) -> Self {
         Self {
             node: Node {
                 name: row.node,
@@ -263,7 +269,7 @@
     }
 }
 
-/// Reads the rows of one answer.
+/// Parses the rows of one response.
 #[derive(Debug)]
 pub struct RowParser<'a> {
     rules: &'a MappingRules,
@@ -271,8 +277,9 @@
     api: Api,
     seen: HashSet<Box<str>>,
     pub rows: Vec<Row>,
-    /// Rows that made no sense, and what was wrong with the first of them.
+    /// The number of invalid rows, including those that are kept without an address.
     pub invalid_rows: usize,
+    /// The error in the first of them.
     pub first_error: Option<String>,
 }
 
@@ -289,35 +296,37 @@
         }
     }
 
-    /// Takes the text of one row; one that makes no sense is counted and passed over.
+    /// Parses the text of one row and adds it to `rows`. An invalid row is counted and skipped; one whose only fault
+    /// is its address is counted and kept without an instance.
     pub fn parse_row(&mut self, text: &[u8]) {
-        match self.read(text) {
+        match self.parse(text) {
             Ok(row) => self.rows.push(row),
             Err(error) => {
                 self.invalid_rows += 1;
-                let at = self.rows.len() + self.invalid_rows;
+                let row_number = self.rows.len() + self.invalid_rows;
                 self.first_error
-                    .get_or_insert_with(|| format!("row {at}: {error}"));
+                    .get_or_insert_with(|| format!("row {row_number}: {error}"));
             }
         }
     }
 
-    fn read(&mut self, text: &[u8]) -> Result<Row, String> {
-        let told = |error: serde_json::Error| error.to_string();
-        let health: Health<'_> = match self.api {
-            Api::Health => serde_json::from_slice(text).map_err(told)?,
-            Api::Catalog => serde_json::from_slice::<Listed<'_>>(text)
-                .map_err(told)?
+    fn parse(&mut self, text: &[u8]) -> Result<Row, String> {
+        let describe = |error: serde_json::Error| error.to_string();
+        let row: HealthRow<'_> = match self.api {
+            Api::Health => serde_json::from_slice(text).map_err(describe)?,
+            Api::Catalog => serde_json::from_slice::<CatalogRow<'_>>(text)
+                .map_err(describe)?
                 .into(),
         };
-        let uid = self.identity(&health)?;
+        let uid = self.identity(&row)?;
         if !self.seen.insert(uid.clone()) {
-            return Err(format!("{uid}: an identity that comes twice"));
+            return Err(format!("{uid}: duplicate identity"));
         }
-        let (word, warning) = self.word(&health);
-        let instance = match self.endpoint(&health) {
-            Ok(endpoint) => Some(self.instance(&health, endpoint, warning)?),
-            // Known before, it is listed still: a lost address must not look like a lost server.
+        let (status, has_warning) = self.status(&row);
+        let instance = match self.endpoint(&row) {
+            Ok(endpoint) => Some(self.instance(&row, endpoint, has_warning)?),
+            // The row is kept, so that a known server stays listed: a missing address must not look like a missing
+            // server.
             Err(error) if self.first_error.is_none() => {
                 self.first_error = Some(format!("{uid}: {error}"));
                 None
@@ -327,16 +336,16 @@
         self.invalid_rows += usize::from(instance.is_none());
         Ok(Row {
             uid,
-            status: word,
+            status,
             instance,
         })
     }
 
-    fn identity(&self, row: &Health<'_>) -> Result<Box<str>, String> {
+    fn identity(&self, row: &HealthRow<'_>) -> Result<Box<str>, String> {
         let (node, id) = (&row.node.name, &row.service.id);
         let uid = match &self.rules.identity {
             Identity::ServiceId => id.to_string(),
-            Identity::NodeAndId if node.is_empty() => return Err("no node".into()),
+            Identity::NodeAndId if node.is_empty() => return Err("no node name".into()),
             Identity::NodeAndId => format!("{node}/{id}"),
             Identity::Meta(key) => {
                 let meta = row.service.meta.as_ref();
@@ -347,49 +356,51 @@
         if uid.is_empty() {
             return Err("no identity".into());
         }
-        self.bounded(&uid)
+        self.checked_field(&uid)
     }
 
-    fn bounded(&self, text: &str) -> Result<Box<str>, String> {
+    /// Checks the length of a field, and that it has no control characters.
+    fn checked_field(&self, text: &str) -> Result<Box<str>, String> {
         if text.len() > self.limits.max_field_bytes {
-            return Err(format!("a field of {} bytes", text.len()));
+            return Err(format!("field too long: {} bytes", text.len()));
         }
         match text.chars().any(char::is_control) {
-            true => Err("a field with control characters".into()),
+            true => Err("field contains control characters".into()),
             false => Ok(text.into()),
         }
     }
 
-    /// What its checks say, and whether one of them warns.
-    fn word(&self, row: &Health<'_>) -> (ReportedStatus, bool) {
+    /// Derives the status from tags and checks, and whether one of the checks has a warning.
+    fn status(&self, row: &HealthRow<'_>) -> (ReportedStatus, bool) {
         let tags = row.service.tags.iter().flatten();
-        let drain = self.rules.drain_tag.as_deref();
-        let tagged = drain.is_some_and(|drain| tags.into_iter().any(|tag| tag == drain));
+        let drain_tag = self.rules.drain_tag.as_deref();
+        let tagged =
+            drain_tag.is_some_and(|drain_tag| tags.into_iter().any(|tag| tag == drain_tag));
         let checks = || row.checks.iter().flatten();
-        let maintenance = |check: &Check<'_>| {
+        let is_maintenance = |check: &Check<'_>| {
             check.id == "_node_maintenance" || check.id.starts_with("_service_maintenance")
         };
-        if tagged || checks().any(|check| maintenance(check) && check.status != "passing") {
+        if tagged || checks().any(|check| is_maintenance(check) && check.status != "passing") {
             return (ReportedStatus::Draining, false);
         }
-        let sound = |check: &Check<'_>| matches!(&*check.status, "passing" | "warning");
-        let warns = checks().any(|check| check.status == "warning");
-        match checks().all(sound) {
-            true => (ReportedStatus::Ready, warns),
-            false => (ReportedStatus::Failing, warns),
+        let is_healthy = |check: &Check<'_>| matches!(&*check.status, "passing" | "warning");
+        let has_warning = checks().any(|check| check.status == "warning");
+        match checks().all(is_healthy) {
+            true => (ReportedStatus::Ready, has_warning),
+            false => (ReportedStatus::Failing, has_warning),
         }
     }
 
     /// The service's address and port, or the node's address where the service has none.
-    fn endpoint(&self, row: &Health<'_>) -> Result<SocketAddr, String> {
+    fn endpoint(&self, row: &HealthRow<'_>) -> Result<SocketAddr, String> {
         let text = match &*row.service.address {
             "" => &*row.node.address,
             address => address,
         };
-        // An address only: no name is ever looked up.
+        // Only IP addresses are accepted; names are never resolved.
         let ip: Result<IpAddr, _> = text.parse();
-        let shown: String = text.chars().take(64).collect();
-        let ip = ip.map_err(|_| format!("`{shown}` is no IP address"))?;
+        let excerpt: String = text.chars().take(64).collect();
+        let ip = ip.map_err(|_| format!("`{excerpt}` is not an IP address"))?;
         match row.service.port {
             0 => Err("no port".into()),
             port => Ok((ip, port).into()),
@@ -398,37 +409,44 @@
 
     fn instance(
         &self,
-        row: &Health<'_>,
+        row: &HealthRow<'_>,
         endpoint: SocketAddr,
-        warning: bool,
+        has_warning: bool,
     ) -> Result<Instance, String> {
-        let bounded = |text: Option<&str>| text.map(|text| self.bounded(text)).transpose();
+        let checked_field =
+            |text: Option<&str>| text.map(|text| self.checked_field(text)).transpose();
         let zone = self.field(&self.rules.zone, row);
         let zone = zone.map(|zone| self.rules.zones.get(zone).map_or(zone, String::as_str));
         let weight = row.service.weights.as_ref();
-        let weight = weight.map(|w| if warning { w.warning } else { w.passing });
+        let weight = weight.map(|weights| {
+            if has_warning {
+                weights.warning
+            } else {
+                weights.passing
+            }
+        });
         let group = self.field(&self.rules.group, row);
-        let born = self.field(&self.rules.boot_ms, row);
+        let boot_ms = self.field(&self.rules.boot_ms, row);
         Ok(Instance {
             endpoint,
-            zone: bounded(zone)?,
-            kind: bounded(self.field(&self.rules.kind, row))?,
-            cell: group.map_or(0, cell),
+            zone: checked_field(zone)?,
+            kind: checked_field(self.field(&self.rules.kind, row))?,
+            cell: group.map_or(0, group_number),
             weight: weight.filter(|weight| weight.is_finite() && *weight > 0.0),
-            born: born
+            born: boot_ms
                 .and_then(|text| text.parse().ok())
-                .filter(|born| *born > 0),
+                .filter(|ms| *ms > 0),
             epoch: row.service.create_index,
         })
     }
 
-    fn field<'r>(&self, field: &FieldSource, row: &'r Health<'_>) -> Option<&'r str> {
+    fn field<'r>(&self, field: &FieldSource, row: &'r HealthRow<'_>) -> Option<&'r str> {
         let text = match field {
             FieldSource::Nothing => None,
             FieldSource::Datacenter => Some(&*row.node.datacenter),
             FieldSource::Meta(key) => {
-                let metas = [&row.service.meta, &row.node.meta];
-                let mut values = metas
+                let meta_maps = [&row.service.meta, &row.node.meta];
+                let mut values = meta_maps
                     .into_iter()
                     .flatten()
                     .filter_map(|meta| meta.get(key.as_str()));
@@ -443,7 +461,8 @@
     }
 }
 
-/// A group's number: its own, or one made of its name, the same at every proxy.
-fn cell(name: &str) -> u64 {
+/// The number of a group: its name if that is a number, otherwise a hash of the name that is the same at every
+/// proxy.
+fn group_number(name: &str) -> u64 {
     name.parse().unwrap_or_else(|_| group_id(name))
 }
--- a/crates/consul/src/rules.rs
+++ b/crates/consul/src/rules.rs
@@ -1,4 +1,4 @@
-//! How Consul's words become the project's: the rules of the operator's file.
+//! The settings of a Consul source, with the rules that map Consul's fields to those of the catalogue.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,48 +6,51 @@
 
 use crate::limits::Limits;
 
-/// Which of the two endpoints is asked.
+/// Which of the two API endpoints is queried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Api {
-    /// Instances with their checks.
+    /// `/v1/health/service`: instances with their checks.
     Health,
-    /// Instances alone: without checks every one that is listed is ready.
+    /// `/v1/catalog/service`: instances without checks, so each listed one is ready unless its tags mean a drain.
     Catalog,
 }
 
-/// What tells two servers apart, and finds the same one in two sources.
+/// The field that identifies a server, also across sources.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Identity {
-    /// The service's id, where an installation keeps it unique.
+    /// The service's ID, for installations that keep it unique.
     ServiceId,
-    /// The node's name and the service's id: `NODE/ID`, unique by Consul's own rules.
+    /// The node's name and the service's ID as `NODE/ID`, which Consul itself keeps unique.
     NodeAndId,
-    /// A value of the service's meta.
+    /// The value of this key in the service's meta.
     Meta(String),
 }
 
-/// Where a word about a server is found.
+/// The source of one field of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FieldSource {
+    /// The field is not set.
     Nothing,
+    /// The name of the node's data centre.
     Datacenter,
-    /// A value of the service's meta, or else of the node's.
+    /// The value of this key in the service's meta, otherwise in the node's meta.
     Meta(String),
-    /// What follows this in a tag.
+    /// The rest of the first tag with this prefix.
     TagPrefix(String),
 }
 
+/// Maps the fields of a Consul row to those of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MappingRules {
     pub identity: Identity,
     pub zone: FieldSource,
     pub kind: FieldSource,
     pub group: FieldSource,
-    /// When its process started, in Unix milliseconds.
+    /// The start time of the server's process, in Unix milliseconds.
     pub boot_ms: FieldSource,
-    /// A tag that means a drain, beside the maintenance of service and node.
+    /// A tag that means a drain, in addition to maintenance of the service or the node.
     pub drain_tag: Option<String>,
-    /// Names of zones as Consul has them, and as the settings have them.
+    /// Maps the zone names of Consul to those of the settings.
     pub zones: BTreeMap<String, String>,
 }
 
@@ -65,21 +68,24 @@
     }
 }
 
+/// The settings of one Consul source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub address: SocketAddr,
     pub service: String,
-    /// Empty: the agent's own.
+    /// The data centres to query; if empty, that of the queried agent.
     pub datacenters: Vec<String>,
     pub api: Api,
-    /// Lets any server answer, not only the leader.
+    /// Whether any Consul server may answer, not only the leader.
     pub allow_stale: bool,
+    /// The file with the ACL token; it is read before each query and polled while one is in flight.
     pub token_file: Option<PathBuf>,
     pub rules: MappingRules,
     pub limits: Limits,
 }
 
 impl Settings {
+    /// Default settings for a service, queried at the agent with this address.
     pub fn new(address: SocketAddr, service: &str) -> Self {
         Self {
             address,
--- a/crates/consul/src/token.rs
+++ b/crates/consul/src/token.rs
@@ -1,32 +1,34 @@
-//! The token of the access control, read from a file that may be replaced at any time. It is shown to
-//! Consul alone: no log line and no error holds it.
+//! The ACL token, read from a file that may be replaced at any time. It is sent to Consul only and never appears in
+//! a log line or an error.
 
 use std::fmt;
 use std::fs::File;
 use std::io::Read;
 use std::path::Path;
 
+/// An ACL token for Consul; its `Debug` output hides the value.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Token(String);
 
 impl Token {
-    /// Reads a token file: one line, printable, without spaces.
-    pub fn read(path: &Path, most: u64) -> Result<Self, String> {
-        let told = |error: std::io::Error| format!("{}: {error}", path.display());
-        let file = File::open(path).map_err(told)?;
-        if !file.metadata().map_err(told)?.is_file() {
-            return Err(format!("{}: no ordinary file", path.display()));
+    /// Reads a token file of at most `max_bytes` bytes: one line of printable ASCII without spaces. Fails if the file
+    /// can't be read, is not a regular file or contains anything else.
+    pub fn read(path: &Path, max_bytes: u64) -> Result<Self, String> {
+        let describe = |error: std::io::Error| format!("{}: {error}", path.display());
+        let file = File::open(path).map_err(describe)?;
+        if !file.metadata().map_err(describe)?.is_file() {
+            return Err(format!("{}: not a regular file", path.display()));
         }
         let mut text = String::new();
-        file.take(most + 1)
+        file.take(max_bytes + 1)
             .read_to_string(&mut text)
-            .map_err(told)?;
+            .map_err(describe)?;
         let token = text.trim();
-        let sound = !token.is_empty() && token.chars().all(|c| c.is_ascii_graphic());
-        match sound && text.len() as u64 <= most {
+        let is_valid = !token.is_empty() && token.chars().all(|c| c.is_ascii_graphic());
+        match is_valid && text.len() as u64 <= max_bytes {
             true => Ok(Self(token.to_string())),
             false => Err(format!(
-                "{}: expected one token in one line",
+                "{}: expected a single token on one line",
                 path.display()
             )),
         }
@@ -48,7 +50,7 @@
     use super::*;
 
     #[test]
-    fn a_token_is_read_whole_or_not_at_all_and_never_shown() {
+    fn token_is_read_completely_or_rejected_and_never_printed() {
         let path = std::env::temp_dir().join(format!("violetwind-token-{}", std::process::id()));
         let read = |text: &str| {
             std::fs::write(&path, text).unwrap();
@@ -57,10 +59,10 @@
         let token = read("5e1c-77\n").unwrap();
         assert_eq!(token.secret(), "5e1c-77");
         assert!(!format!("{token:?}").contains("5e1c"));
-        for bad in ["", "\n", "two words", "5e1c\u{7}", &"x".repeat(65)] {
-            let error = read(bad).unwrap_err();
+        for invalid in ["", "\n", "two words", "5e1c\u{7}", &"x".repeat(65)] {
+            let error = read(invalid).unwrap_err();
             assert!(
-                bad.trim().is_empty() || !error.contains(bad.trim()),
+                invalid.trim().is_empty() || !error.contains(invalid.trim()),
                 "{error}"
             );
         }
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches one service in one data centre for good.
+//! Watches one service in one data centre by blocking queries.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::rules::Settings;
 use crate::token::Token;
 
-/// Tells the engine what Consul lists, under the source's name, until the engine is gone.
+/// Sends Consul's lists to the engine as updates of the source `name`, until the engine has ended.
 pub async fn watch_service(
     settings: Rc<Settings>,
     datacenter: Option<String>,
@@ -24,81 +24,86 @@
 ) {
     let mut client = Client::new(&settings, datacenter.as_deref());
     let mut query = BlockingQuery::new(settings.limits.clone());
-    let mut token = Secret::new(&settings);
-    let mut noted: Option<String> = None;
+    let mut token = TokenFile::new(&settings);
+    let mut last_reported: Option<String> = None;
     loop {
         token.refresh(&name);
         let index = query.next_index();
-        let answer = tokio::select! {
-            answer = call(&mut client, &query, index, token.get()) => Some(answer),
-            // A call that is out goes on with the old token; it is made again with the new one.
-            () = token.changed() => None,
+        let response = tokio::select! {
+            response = query_list(&mut client, &query, index, token.get()) => Some(response),
+            // A query in flight was sent with the old token, so it is repeated with the new one.
+            () = token.wait_for_change() => None,
         };
-        let Some(answer) = answer else {
+        let Some(response) = response else {
             info!(
                 source = &*name,
-                "the token was replaced: the call is made again"
+                "token replaced: repeating the query with the new token"
             );
             client.disconnect();
             continue;
         };
-        let (telling, wait) = match answer {
-            Ok((head, verdict, read)) => {
-                note_faults(&name, &read, &mut noted);
+        let (update, delay) = match response {
+            Ok((head, kind, list)) => {
+                report_invalid_rows(&name, &list, &mut last_reported);
                 let resets = query.index_resets;
-                let wait = query.record_success(&head, verdict, read.parse_time);
+                let delay = query.record_success(&head, kind, list.parse_time);
                 if query.index_resets > resets {
                     warn!(
                         source = &*name,
                         index = head.index,
-                        "an index that went back or is none: asked anew"
+                        "index missing, zero or lower than before: next query asks for the current list"
                     );
                 }
-                (told(verdict, read.rows), wait)
+                (to_source_update(kind, list.rows), delay)
             }
-            Err(failure) => {
+            Err(error) => {
                 client.disconnect();
-                warn!(source = &*name, error = failure.error, "consul");
-                let chance = rand::random_range(0.0..1.0);
+                warn!(
+                    source = &*name,
+                    error = error.error,
+                    "query to consul failed"
+                );
+                let jitter = rand::random_range(0.0..1.0);
                 (
                     SourceUpdate::Unavailable,
-                    query.record_failure(failure.head.as_ref(), chance),
+                    query.record_failure(error.head.as_ref(), jitter),
                 )
             }
         };
-        if !tell(&engine, &name, telling, settings.limits.chunk_rows).await {
+        if !send_update(&engine, &name, update, settings.limits.chunk_rows).await {
             return;
         }
-        sleep(wait).await;
+        sleep(delay).await;
     }
 }
 
-/// Tells the engine, a long list in parts between which connections are served. False if it is gone.
-async fn tell(
+/// Sends an update to the engine, a long snapshot in parts between which other tasks serve connections. Returns
+/// false if the engine has ended.
+async fn send_update(
     engine: &mpsc::Sender<EngineEvent>,
     name: &Rc<str>,
-    telling: SourceUpdate,
-    slice: usize,
+    update: SourceUpdate,
+    chunk_rows: usize,
 ) -> bool {
-    let send = async |telling| {
+    let send = async |update| {
         engine
-            .send(EngineEvent::SourceUpdate(name.clone(), telling))
+            .send(EngineEvent::SourceUpdate(name.clone(), update))
             .await
             .is_ok()
     };
-    let mut rows = match telling {
-        SourceUpdate::Snapshot(rows) if rows.len() > slice => rows.into_iter().peekable(),
-        telling => return send(telling).await,
+    let mut rows = match update {
+        SourceUpdate::Snapshot(rows) if rows.len() > chunk_rows => rows.into_iter().peekable(),
+        update => return send(update).await,
     };
     let mut first = true;
     while rows.peek().is_some() {
-        let part: Vec<Row> = rows.by_ref().take(slice.max(1)).collect();
-        let telling = SourceUpdate::SnapshotPart {
+        let chunk: Vec<Row> = rows.by_ref().take(chunk_rows.max(1)).collect();
+        let update = SourceUpdate::SnapshotPart {
             first: std::mem::take(&mut first),
             last: rows.peek().is_none(),
-            rows: part,
+            rows: chunk,
         };
-        if !send(telling).await {
+        if !send(update).await {
             return false;
         }
         yield_now().await;
@@ -106,7 +111,7 @@
     true
 }
 
-/// What Consul lists now, asked once: the rows, and what was wrong with some of them.
+/// Queries Consul once. Returns the current list and the first error in its rows, or why there is no list.
 pub async fn fetch_once(
     settings: &Settings,
     datacenter: Option<&str>,
@@ -117,28 +122,28 @@
     }
     let mut client = Client::new(settings, datacenter);
     let query = BlockingQuery::new(settings.limits.clone());
-    match call(&mut client, &query, None, token.as_ref()).await {
-        Ok((_, verdict, read)) => Ok((told(verdict, read.rows), read.first_error)),
-        Err(failure) => Err(failure.error),
+    match query_list(&mut client, &query, None, token.as_ref()).await {
+        Ok((_, kind, list)) => Ok((to_source_update(kind, list.rows), list.first_error)),
+        Err(error) => Err(error.error),
     }
 }
 
-async fn call(
+async fn query_list(
     client: &mut Client<'_>,
     query: &BlockingQuery,
     index: Option<u64>,
     token: Option<&Token>,
 ) -> Result<(ResponseHead, ResponseKind, ParsedList), QueryError> {
     let (head, response) = client.send_query(index, token).await?;
-    let verdict = query.classify_response(&head);
-    let read = client
-        .read_list(response, verdict != ResponseKind::Unchanged)
+    let kind = query.classify_response(&head);
+    let list = client
+        .read_list(response, kind != ResponseKind::Unchanged)
         .await?;
-    Ok((head, verdict, read))
+    Ok((head, kind, list))
 }
 
-fn told(verdict: ResponseKind, rows: Vec<Row>) -> SourceUpdate {
-    match verdict {
+fn to_source_update(kind: ResponseKind, rows: Vec<Row>) -> SourceUpdate {
+    match kind {
         ResponseKind::Snapshot => SourceUpdate::Snapshot(rows),
         ResponseKind::Unchanged => SourceUpdate::Unchanged,
         ResponseKind::StaleSnapshot => SourceUpdate::StaleSnapshot(rows),
@@ -146,35 +151,35 @@
     }
 }
 
-/// Rows that make no sense are told once, until something else is wrong.
-fn note_faults(name: &str, read: &ParsedList, noted: &mut Option<String>) {
-    if read.first_error.is_some() && read.first_error != *noted {
+/// Logs invalid rows, unless the first error is the one that was logged last.
+fn report_invalid_rows(name: &str, list: &ParsedList, last_reported: &mut Option<String>) {
+    if list.first_error.is_some() && list.first_error != *last_reported {
         warn!(
             source = name,
-            faults = read.invalid_rows,
-            first = read.first_error,
-            "rows that make no sense are passed over"
+            faults = list.invalid_rows,
+            first = list.first_error,
+            "invalid rows skipped"
         );
     }
-    if !read.rows.is_empty() || read.first_error.is_some() {
-        noted.clone_from(&read.first_error);
+    if !list.rows.is_empty() || list.first_error.is_some() {
+        last_reported.clone_from(&list.first_error);
     }
 }
 
-/// The token as its file last had it.
-struct Secret<'a> {
+/// The token file and the token last read from it.
+struct TokenFile<'a> {
     settings: &'a Settings,
     token: Option<Token>,
-    /// The file could not be read the last time.
-    broken: bool,
+    /// Whether the last attempt to read the file failed.
+    unreadable: bool,
 }
 
-impl<'a> Secret<'a> {
+impl<'a> TokenFile<'a> {
     fn new(settings: &'a Settings) -> Self {
         Self {
             settings,
             token: None,
-            broken: false,
+            unreadable: false,
         }
     }
 
@@ -182,34 +187,37 @@
         self.token.as_ref()
     }
 
-    fn read(&self) -> Option<Result<Token, String>> {
+    fn read_token(&self) -> Option<Result<Token, String>> {
         let path = self.settings.token_file.as_ref()?;
         Some(Token::read(path, self.settings.limits.max_token_bytes))
     }
 
-    /// Reads the file again. One that is half written or gone leaves the token as it was.
+    /// Reads the file again. If it is incomplete or missing, the token stays unchanged.
     fn refresh(&mut self, name: &str) {
-        match self.read() {
-            Some(Ok(token)) => (self.token, self.broken) = (Some(token), false),
-            Some(Err(error)) if !std::mem::replace(&mut self.broken, true) => {
-                warn!(source = name, error, "the token stays as it was");
+        match self.read_token() {
+            Some(Ok(token)) => (self.token, self.unreadable) = (Some(token), false),
+            Some(Err(error)) if !std::mem::replace(&mut self.unreadable, true) => {
+                warn!(
+                    source = name,
+                    error, "token file not usable: token unchanged"
+                );
             }
             _ => {}
         }
     }
 
-    /// Returns when the file holds another token than this.
-    async fn changed(&self) {
-        let every = self
+    /// Waits until the file contains a token other than the current one; forever without a token file.
+    async fn wait_for_change(&self) {
+        let poll_interval = self
             .settings
             .limits
             .token_poll_interval
             .max(Duration::from_millis(10));
-        let mut ticks = interval(every);
-        ticks.tick().await;
+        let mut ticker = interval(poll_interval);
+        ticker.tick().await;
         loop {
-            ticks.tick().await;
-            match self.read() {
+            ticker.tick().await;
+            match self.read_token() {
                 None => return std::future::pending().await,
                 Some(Ok(token)) if Some(&token) != self.token.as_ref() => return,
                 _ => {}
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -1,4 +1,4 @@
-//! The source against a stand-in that lies, stalls and breaks off.
+//! Runs the source against a stand-in for Consul that returns wrong data, stalls and drops connections.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,13 +12,14 @@
 use violetwind_standins::WAIT_TIMEOUT;
 use violetwind_standins::consul::{Check, Consul, ConsulMode, Instance, Maintenance};
 
-fn at(n: u16) -> SocketAddr {
-    ([127, 0, 0, 1], 3000 + n).into()
+fn address(number: u16) -> SocketAddr {
+    ([127, 0, 0, 1], 3000 + number).into()
 }
 
-fn three() -> Consul {
+fn consul_with_three_servers() -> Consul {
     let consul = Consul::start("agenda");
-    consul.register_all((1..4).map(|n| Instance::new(&format!("s-{n}"), at(n))));
+    consul
+        .register_all((1..4).map(|number| Instance::new(&format!("s-{number}"), address(number))));
     consul
 }
 
@@ -37,111 +38,125 @@
     settings
 }
 
-/// What a watch tells.
-struct Told(mpsc::Receiver<EngineEvent>);
+/// The updates that a watch sends to the engine.
+struct Updates(mpsc::Receiver<EngineEvent>);
 
-impl Told {
+impl Updates {
     async fn next(&mut self) -> SourceUpdate {
-        let notice = timeout(WAIT_TIMEOUT, self.0.recv())
+        let event = timeout(WAIT_TIMEOUT, self.0.recv())
             .await
-            .expect("nothing is told");
-        match notice.expect("the watch goes on") {
-            EngineEvent::SourceUpdate(_, telling) => telling,
+            .expect("no update in time");
+        match event.expect("the watch has ended") {
+            EngineEvent::SourceUpdate(_, update) => update,
             other => panic!("{other:?}"),
         }
     }
 
-    async fn rows(&mut self) -> Vec<Row> {
-        let until = Instant::now() + WAIT_TIMEOUT;
+    async fn next_snapshot(&mut self) -> Vec<Row> {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             match self.next().await {
                 SourceUpdate::Snapshot(rows) => return rows,
-                other => assert!(Instant::now() < until, "{other:?} for long"),
+                other => assert!(
+                    Instant::now() < deadline,
+                    "no snapshot in time, last update: {other:?}"
+                ),
             }
         }
     }
 
-    async fn lost(&mut self) {
-        let until = Instant::now() + WAIT_TIMEOUT;
+    async fn wait_until_unavailable(&mut self) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !matches!(self.next().await, SourceUpdate::Unavailable) {
-            assert!(Instant::now() < until, "never lost");
+            assert!(Instant::now() < deadline, "never unavailable");
         }
     }
 }
 
-fn words(rows: &[Row]) -> Vec<(&str, ReportedStatus)> {
+fn statuses(rows: &[Row]) -> Vec<(&str, ReportedStatus)> {
     rows.iter().map(|row| (&*row.uid, row.status)).collect()
 }
 
-/// Runs a watch beside a test.
-fn watched(settings: Settings, test: impl AsyncFnOnce(Told)) {
+/// Runs a watch concurrently with a test.
+fn run_watch(settings: Settings, test: impl AsyncFnOnce(Updates)) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (to, told) = mpsc::channel(64);
-        let task = watch_service(Rc::new(settings), None, "main".into(), to);
+        let (sender, updates) = mpsc::channel(64);
+        let task = watch_service(Rc::new(settings), None, "main".into(), sender);
         let task = tokio::task::spawn_local(task);
-        test(Told(told)).await;
+        test(Updates(updates)).await;
         task.abort();
     });
 }
 
 #[test]
-fn changes_come_by_blocking_queries_and_maintenance_is_a_drain() {
-    let consul = three();
-    watched(settings(&consul), async |mut told: Told| {
-        let rows = told.rows().await;
+fn blocking_queries_deliver_changes_and_maintenance_is_a_drain() {
+    let consul = consul_with_three_servers();
+    run_watch(settings(&consul), async |mut updates: Updates| {
+        let rows = updates.next_snapshot().await;
         let ready = [
             ("s-1", ReportedStatus::Ready),
             ("s-2", ReportedStatus::Ready),
             ("s-3", ReportedStatus::Ready),
         ];
-        assert_eq!(words(&rows), ready);
-        assert_eq!(rows[0].instance.as_ref().unwrap().endpoint, at(1));
+        assert_eq!(statuses(&rows), ready);
+        assert_eq!(rows[0].instance.as_ref().unwrap().endpoint, address(1));
         assert_eq!(
             rows[0].instance.as_ref().unwrap().zone.as_deref(),
             Some("dc1")
         );
         consul.set_check(&["s-2"], Check::Critical);
-        assert_eq!(told.rows().await[1].status, ReportedStatus::Failing);
-        consul.update_instances(&["s-2"], |i| {
-            (i.check, i.maintenance) = (Check::Critical, Maintenance::Service);
+        assert_eq!(
+            updates.next_snapshot().await[1].status,
+            ReportedStatus::Failing
+        );
+        consul.update_instances(&["s-2"], |instance| {
+            (instance.check, instance.maintenance) = (Check::Critical, Maintenance::Service);
+        });
+        assert_eq!(
+            updates.next_snapshot().await[1].status,
+            ReportedStatus::Draining
+        );
+        consul.update_instances(&["s-2"], |instance| {
+            instance.maintenance = Maintenance::Node
         });
-        assert_eq!(told.rows().await[1].status, ReportedStatus::Draining);
-        consul.update_instances(&["s-2"], |i| i.maintenance = Maintenance::Node);
-        assert_eq!(told.rows().await[1].status, ReportedStatus::Draining);
+        assert_eq!(
+            updates.next_snapshot().await[1].status,
+            ReportedStatus::Draining
+        );
         consul.deregister(&["s-2"]);
         assert_eq!(
-            words(&told.rows().await),
+            statuses(&updates.next_snapshot().await),
             [
                 ("s-1", ReportedStatus::Ready),
                 ("s-3", ReportedStatus::Ready)
             ]
         );
-        // Nothing new for a while is told as that, and no list is read again for it.
-        while !matches!(told.next().await, SourceUpdate::Unchanged) {}
-        let calls = consul.wait_for_requests(2);
-        assert!(calls[0].1.query_param("index").is_none());
-        assert_eq!(calls[1].1.query_param("index"), Some("13"));
-        assert_eq!(calls[1].1.query_param("wait"), Some("300ms"));
+        // A query without changes yields `Unchanged`, and its body is not parsed again.
+        while !matches!(updates.next().await, SourceUpdate::Unchanged) {}
+        let requests = consul.wait_for_requests(2);
+        assert!(requests[0].1.query_param("index").is_none());
+        assert_eq!(requests[1].1.query_param("index"), Some("13"));
+        assert_eq!(requests[1].1.query_param("wait"), Some("300ms"));
         assert_eq!(
             consul.max_open_connections(),
             1,
-            "one call at a time, on one connection"
+            "one query at a time, on one connection"
         );
     });
 }
 
 #[test]
-fn every_way_to_fail_is_a_loss_that_leaves_nothing_half_told_and_ends() {
-    let consul = three();
+fn every_failure_makes_the_source_unavailable_without_partial_lists_until_it_ends() {
+    let consul = consul_with_three_servers();
     let mut settings = settings(&consul);
     settings.limits.max_rows = 100;
-    watched(settings, async |mut told: Told| {
-        told.rows().await;
-        for mood in [
+    run_watch(settings, async |mut updates: Updates| {
+        updates.next_snapshot().await;
+        for mode in [
             ConsulMode::Silent,
             ConsulMode::Resets,
             ConsulMode::TooMany,
@@ -152,67 +167,71 @@
             ConsulMode::Garbles,
         ] {
             let start = Instant::now();
-            consul.set_mode(mood);
-            // With the index as it was, no body would be read.
+            consul.set_mode(mode);
+            // With an unchanged index no body would be parsed.
             consul.set_check(&["s-1"], Check::Critical);
-            told.lost().await;
-            assert!(start.elapsed() < Duration::from_secs(3), "{mood:?}");
-            let told_in_mood = told.next().await;
+            updates.wait_until_unavailable().await;
+            assert!(start.elapsed() < Duration::from_secs(3), "{mode:?}");
+            let next_update = updates.next().await;
             assert!(
-                matches!(told_in_mood, SourceUpdate::Unavailable),
-                "{mood:?}: {told_in_mood:?}"
+                matches!(next_update, SourceUpdate::Unavailable),
+                "{mode:?}: {next_update:?}"
             );
             consul.set_mode(ConsulMode::Works);
             consul.set_check(&["s-1"], Check::Passing);
-            assert_eq!(told.rows().await.len(), 3, "{mood:?}");
+            assert_eq!(updates.next_snapshot().await.len(), 3, "{mode:?}");
         }
     });
 }
 
 #[test]
-fn old_and_leaderless_answers_are_told_as_stale() {
-    let consul = three();
-    watched(settings(&consul), async |mut told: Told| {
-        told.rows().await;
-        for mood in [ConsulMode::Old(60_000), ConsulMode::NoLeader] {
-            consul.set_mode(mood);
-            consul.update_instances(&["s-3"], |i| i.maintenance = Maintenance::Service);
+fn outdated_and_leaderless_responses_become_stale_snapshots() {
+    let consul = consul_with_three_servers();
+    run_watch(settings(&consul), async |mut updates: Updates| {
+        updates.next_snapshot().await;
+        for mode in [ConsulMode::Old(60_000), ConsulMode::NoLeader] {
+            consul.set_mode(mode);
+            consul.update_instances(&["s-3"], |instance| {
+                instance.maintenance = Maintenance::Service
+            });
             loop {
-                if let SourceUpdate::StaleSnapshot(rows) = told.next().await {
-                    // The old list is from before the drain.
+                if let SourceUpdate::StaleSnapshot(rows) = updates.next().await {
+                    // The outdated list was taken before the drain.
                     let drained = rows[2].status == ReportedStatus::Draining;
-                    assert_eq!(drained, mood == ConsulMode::NoLeader);
+                    assert_eq!(drained, mode == ConsulMode::NoLeader);
                     break;
                 }
             }
             consul.set_mode(ConsulMode::Works);
-            consul.update_instances(&["s-3"], |i| i.maintenance = Maintenance::None);
-            told.rows().await;
+            consul.update_instances(&["s-3"], |instance| {
+                instance.maintenance = Maintenance::None
+            });
+            updates.next_snapshot().await;
         }
     });
 }
 
 #[test]
-fn an_index_that_is_reset_or_none_is_asked_anew_without_a_busy_loop() {
-    let consul = three();
-    watched(settings(&consul), async |mut told: Told| {
-        told.rows().await;
+fn index_that_is_reset_or_missing_restarts_without_a_busy_loop() {
+    let consul = consul_with_three_servers();
+    run_watch(settings(&consul), async |mut updates: Updates| {
+        updates.next_snapshot().await;
         consul.reset_index();
         consul.set_check(&["s-1"], Check::Critical);
-        while told.rows().await[0].status != ReportedStatus::Failing {}
-        for mood in [ConsulMode::IndexZero, ConsulMode::NoIndex] {
-            consul.set_mode(mood);
-            told.rows().await;
-            let before = consul.request_count();
+        while updates.next_snapshot().await[0].status != ReportedStatus::Failing {}
+        for mode in [ConsulMode::IndexZero, ConsulMode::NoIndex] {
+            consul.set_mode(mode);
+            updates.next_snapshot().await;
+            let requests_before = consul.request_count();
             let start = Instant::now();
             for _ in 0..5 {
-                told.rows().await;
+                updates.next_snapshot().await;
             }
-            let calls = consul.request_count() - before;
-            assert!(calls <= 7, "{calls} calls for 5 lists");
+            let requests = consul.request_count() - requests_before;
+            assert!(requests <= 7, "{requests} queries for 5 lists");
             assert!(
                 start.elapsed() >= Duration::from_millis(80),
-                "polled, not looped"
+                "queries are delayed by the poll interval"
             );
             consul.set_mode(ConsulMode::Works);
         }
@@ -220,8 +239,8 @@
 }
 
 #[test]
-fn a_token_replaced_in_the_middle_of_a_call_is_used_at_once_and_never_shown() {
-    let consul = three();
+fn token_replaced_during_a_query_is_used_at_once() {
+    let consul = consul_with_three_servers();
     consul.require_token(Some("old-token"));
     let path = std::env::temp_dir().join(format!("violetwind-consul-{}", std::process::id()));
     let replace = |text: &str| {
@@ -233,53 +252,56 @@
     let mut settings = settings(&consul);
     settings.limits.blocking_wait = Duration::from_secs(3600);
     settings.token_file = Some(path.clone());
-    watched(settings, async |mut told: Told| {
-        told.rows().await;
-        // The call for changes is out, and would be for an hour.
+    run_watch(settings, async |mut updates: Updates| {
+        updates.next_snapshot().await;
+        // The blocking query is in flight and would stay so for an hour.
         while consul.request_count() < 2 {
             tokio::task::yield_now().await;
         }
         consul.require_token(Some("new-token"));
-        // A file half written or gone changes nothing.
+        // An incomplete or missing token file changes nothing.
         replace("");
         std::fs::remove_file(&path).unwrap();
         replace("new-token\n");
-        let calls = tokio::task::spawn_blocking({
+        let requests = tokio::task::spawn_blocking({
             let consul = consul.clone();
             move || consul.wait_for_requests(3)
         });
-        let calls = calls.await.unwrap();
-        assert_eq!(calls[2].1.header("x-consul-token"), Some("new-token"));
+        let requests = requests.await.unwrap();
+        assert_eq!(requests[2].1.header("x-consul-token"), Some("new-token"));
         consul.set_check(&["s-1"], Check::Critical);
-        assert_eq!(told.rows().await[0].status, ReportedStatus::Failing);
-        // One that is refused is a loss like any other.
+        assert_eq!(
+            updates.next_snapshot().await[0].status,
+            ReportedStatus::Failing
+        );
+        // A rejected token makes the source unavailable like any other failure.
         consul.require_token(Some("another"));
         consul.set_check(&["s-1"], Check::Passing);
-        told.lost().await;
+        updates.wait_until_unavailable().await;
     });
     std::fs::remove_file(&path).unwrap();
 }
 
 #[test]
-fn rows_are_read_by_the_rules_and_those_that_make_no_sense_are_passed_over() {
+fn rows_are_mapped_by_the_rules_and_invalid_rows_are_skipped() {
     let consul = Consul::start("agenda");
-    let mut full = Instance::new("s-1", at(1));
-    full.tags = vec!["v2".into(), "model=m2".into()];
-    full.meta.extend([
+    let mut all_fields = Instance::new("s-1", address(1));
+    all_fields.tags = vec!["v2".into(), "model=m2".into()];
+    all_fields.meta.extend([
         ("rack".to_string(), "7".to_string()),
         ("boot".to_string(), "1700000000000".to_string()),
     ]);
-    full.check = Check::Warning;
-    full.weights = (10, 3);
-    // The node's address counts where the service has none.
-    full.address = String::new();
-    let mut tagged = Instance::new("s-2", at(2));
-    tagged.tags = vec!["leaving".into()];
-    let mut named = Instance::new("s-3", at(3));
-    named.address = "server.example".into();
-    let mut long = Instance::new(&"x".repeat(300), at(4));
-    long.node = "n".into();
-    consul.register_all([full, tagged, named, long]);
+    all_fields.check = Check::Warning;
+    all_fields.weights = (10, 3);
+    // The node's address is used because the service has none.
+    all_fields.address = String::new();
+    let mut drain_tagged = Instance::new("s-2", address(2));
+    drain_tagged.tags = vec!["leaving".into()];
+    let mut hostname = Instance::new("s-3", address(3));
+    hostname.address = "server.example".into();
+    let mut long_id = Instance::new(&"x".repeat(300), address(4));
+    long_id.node = "n".into();
+    consul.register_all([all_fields, drain_tagged, hostname, long_id]);
     let mut settings = settings(&consul);
     settings.rules.identity = Identity::NodeAndId;
     settings.rules.kind = FieldSource::TagPrefix("model=".into());
@@ -290,27 +312,27 @@
     for api in [Api::Health, Api::Catalog] {
         let mut settings = settings.clone();
         settings.api = api;
-        watched(settings, async |mut told: Told| {
-            let rows = told.rows().await;
+        run_watch(settings, async |mut updates: Updates| {
+            let rows = updates.next_snapshot().await;
             let uids: Vec<&str> = rows.iter().map(|row| &*row.uid).collect();
             assert_eq!(uids, ["node-s-1/s-1", "node-s-2/s-2", "node-s-3/s-3"]);
-            let one = rows[0].instance.as_ref().unwrap();
-            assert_eq!(one.endpoint, at(1));
+            let first = rows[0].instance.as_ref().unwrap();
+            assert_eq!(first.endpoint, address(1));
             assert_eq!(
-                (one.zone.as_deref(), one.kind.as_deref()),
+                (first.zone.as_deref(), first.kind.as_deref()),
                 (Some("a"), Some("m2"))
             );
-            assert_eq!((one.cell, one.born), (7, Some(1_700_000_000_000)));
-            // Without checks nothing warns.
+            assert_eq!((first.cell, first.born), (7, Some(1_700_000_000_000)));
+            // Without checks there is no warning, so the weight for passing checks applies.
             assert_eq!(
-                one.weight,
+                first.weight,
                 Some(if api == Api::Health { 3.0 } else { 10.0 })
             );
             assert_eq!(
                 (rows[0].status, rows[1].status),
                 (ReportedStatus::Ready, ReportedStatus::Draining)
             );
-            // A name is never looked up; the server is listed all the same.
+            // Host names are not resolved; the server is still listed.
             assert!(rows[2].instance.is_none());
         });
     }
