--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,6 +1,7 @@
-//! Recorded traffic. A file begins with [`MAGIC`]; then come records, each its length and its CRC-32 (both
-//! little-endian, 32 bits) and as many bytes of postcard. A file that was cut or altered is read up to
-//! there, and the reader says so. Ids are not recorded, groups as hashes.
+//! Recordings of traffic. A file starts with [`MAGIC`], followed by records: each consists of the length and the
+//! CRC-32 of its body (both 32 bits, little-endian) and the body, encoded with postcard. A file that is truncated or
+//! altered is read up to that point, which the reader reports. Request IDs are not recorded, and groups only as
+//! hashes.
 
 mod reader;
 mod writer;
@@ -10,51 +11,55 @@
 pub use reader::{Reader, RecordingEnd};
 pub use writer::{Limits, Recorder};
 
+/// The first bytes of each file, with the version of the format.
 pub const MAGIC: &[u8; 8] = b"VWREC01\n";
-/// The longest record that is written or read.
+/// The maximum length of a record's body, for writing and reading.
 pub const MAX_RECORD_BYTES: usize = 4096;
 
+/// One record of a file. Its encoding depends on the order of variants and fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// First in each file: when it began, in Unix milliseconds, and the names that numbers stand for.
+    /// The first record of each file: when the file was started, in Unix milliseconds, and the names of the request
+    /// classes in the order of their numbers.
     Start {
         unix_ms: u64,
         classes: Vec<String>,
     },
     Request(Request),
-    /// So many requests since the last record found no room on the way to the file.
+    /// The number of requests since the previous record that could not be recorded.
     Dropped(u64),
 }
 
-/// One request, told when nothing more comes of it.
+/// One request, recorded once it and its connection have ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// When it came, in microseconds after the start of the proxy.
+    /// When the request arrived, in microseconds since the start of the proxy.
     pub at_us: u64,
     pub class: u16,
     pub tenant: Option<u16>,
-    /// A hash of the group's name.
+    /// The hash of the group's name.
     pub group: Option<u64>,
     pub timeout_ms: u32,
     pub answer: Answer,
-    /// From its coming to its answer.
+    /// The time from the arrival of the request to its answer.
     pub latency_us: u64,
-    /// From the answer to the end of the connection; 0 for one that never was up.
+    /// The time from the answer to the end of the connection; 0 if no connection was established.
     pub connected_ms: u64,
-    /// The load last told, in microseconds of work a second.
+    /// The last reported load of the connection, in microseconds of work per second.
     pub load: Option<u32>,
 }
 
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
     Up,
     Refused,
     Failed,
-    /// The client left before.
+    /// The client left before it got an answer.
     ClientLeft,
 }
 
-/// A record as it stands in a file.
+/// Encodes a record with its length and checksum; none if it exceeds [`MAX_RECORD_BYTES`].
 pub(crate) fn encode_record(record: &Record) -> Option<Vec<u8>> {
     let bytes = postcard::to_stdvec(record).ok()?;
     if bytes.len() > MAX_RECORD_BYTES {
--- a/crates/record/src/writer.rs
+++ b/crates/record/src/writer.rs
@@ -1,5 +1,5 @@
-//! Writes records on a thread of its own. Serving only puts them into a bounded queue; when the disk is
-//! slow, full or gone, records are left out, counted and told, and nobody waits.
+//! Writes records on a separate thread. Callers only put them into a bounded queue. If the disk is slow, full or
+//! unavailable, records are dropped, counted and reported, and no caller is blocked.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::Write;
@@ -14,16 +14,19 @@
 
 use crate::{MAGIC, Record, encode_record};
 
+/// The limits of a [`Recorder`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// A file is closed at this length and the next begun; so many older ones are kept beside it.
+    /// The length from which on a file is closed and the next one started.
     pub max_file_bytes: u64,
+    /// The number of older files that are kept.
     pub max_old_files: usize,
-    /// Records on the way to the file.
+    /// The maximum number of queued records.
     pub queue_capacity: usize,
-    /// After a failure nothing is tried for so long.
+    /// How long records are dropped after a failed write before the next attempt.
     pub retry_delay: Duration,
-    /// At the end the disk has so long to take what is queued; a stalled one must not hold up an exit.
+    /// How long dropping the recorder waits until the queued records are written; a stalled disk must not block the
+    /// exit of the program.
     pub flush_timeout: Duration,
 }
 
@@ -39,51 +42,54 @@
     }
 }
 
-/// Where requests are put. Dropping it gives the thread a bounded time to write what is queued.
+/// Queues records for the writer thread. Dropping the recorder gives the thread a bounded time to write the queued
+/// records.
 #[derive(Debug)]
 pub struct Recorder {
     queue: Option<SyncSender<Record>>,
-    left: Arc<AtomicU64>,
-    /// Hangs up when the thread ends.
-    ended: Receiver<()>,
-    farewell: Duration,
+    /// Records dropped since the last [`Record::Dropped`].
+    dropped: Arc<AtomicU64>,
+    /// Disconnects when the thread ends.
+    thread_ended: Receiver<()>,
+    flush_timeout: Duration,
 }
 
 impl Recorder {
-    /// Begins a recording at `path`; older files of that name get `.1`, `.2` and so on.
+    /// Starts a recording at `path`; older files with that name get the suffixes `.1`, `.2` and so on. Fails if the
+    /// thread can't be started.
     pub fn start(path: &Path, classes: Vec<String>, limits: Limits) -> std::io::Result<Self> {
         let (queue, records) = sync_channel(limits.queue_capacity);
-        let left = Arc::new(AtomicU64::new(0));
-        let (end, ended) = sync_channel(0);
-        let farewell = limits.flush_timeout;
+        let dropped = Arc::new(AtomicU64::new(0));
+        let (thread_alive, thread_ended) = sync_channel(0);
+        let flush_timeout = limits.flush_timeout;
         let writer = Writer {
             path: path.to_path_buf(),
             classes,
             limits,
-            left: left.clone(),
+            dropped: dropped.clone(),
             file: None,
-            length: 0,
+            file_bytes: 0,
             paused_until: None,
         };
         thread::Builder::new()
             .name("record".into())
             .spawn(move || {
                 writer.run(&records);
-                drop::<SyncSender<()>>(end);
+                drop::<SyncSender<()>>(thread_alive);
             })?;
         Ok(Self {
             queue: Some(queue),
-            left,
-            ended,
-            farewell,
+            dropped,
+            thread_ended,
+            flush_timeout,
         })
     }
 
-    /// Puts a record into the queue; with no room it is left out and counted.
+    /// Queues a record without blocking. If the queue is full, the record is dropped and counted.
     pub fn enqueue(&self, record: Record) {
         let queued = self.queue.as_ref().map(|queue| queue.try_send(record));
         if !matches!(queued, Some(Ok(()))) {
-            self.left.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
@@ -91,8 +97,8 @@
 impl Drop for Recorder {
     fn drop(&mut self) {
         self.queue = None;
-        if let Err(RecvTimeoutError::Timeout) = self.ended.recv_timeout(self.farewell) {
-            warn!("recording: the disk did not take all that was queued in time");
+        if let Err(RecvTimeoutError::Timeout) = self.thread_ended.recv_timeout(self.flush_timeout) {
+            warn!("recording: not all queued records were written before the flush timeout");
         }
     }
 }
@@ -101,9 +107,9 @@
     path: PathBuf,
     classes: Vec<String>,
     limits: Limits,
-    left: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
     file: Option<File>,
-    length: u64,
+    file_bytes: u64,
     paused_until: Option<Instant>,
 }
 
@@ -112,65 +118,65 @@
         while let Ok(record) = records.recv() {
             if self
                 .paused_until
-                .is_some_and(|until| Instant::now() < until)
+                .is_some_and(|paused_until| Instant::now() < paused_until)
             {
-                self.left.fetch_add(1, Ordering::Relaxed);
+                self.dropped.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
             if let Err(error) = self.write(&record) {
-                let left = self.left.fetch_add(1, Ordering::Relaxed) + 1;
-                warn!(path = %self.path.display(), %error, left, "recording pauses");
-                // A file that may end within a record is not gone on with.
+                let dropped = self.dropped.fetch_add(1, Ordering::Relaxed) + 1;
+                warn!(path = %self.path.display(), %error, left = dropped, "recording pauses");
+                // The file may end within a record, so no further records are appended to it.
                 self.file = None;
                 self.paused_until = Some(Instant::now() + self.limits.retry_delay);
             }
         }
-        let left = self.left.load(Ordering::Relaxed);
-        info!(path = %self.path.display(), left, "recording ends");
+        let dropped = self.dropped.load(Ordering::Relaxed);
+        info!(path = %self.path.display(), left = dropped, "recording ends");
     }
 
     fn write(&mut self, record: &Record) -> std::io::Result<()> {
-        if self.file.is_none() || self.length >= self.limits.max_file_bytes {
-            self.begin()?;
+        if self.file.is_none() || self.file_bytes >= self.limits.max_file_bytes {
+            self.open_next_file()?;
         }
-        let left = self.left.swap(0, Ordering::Relaxed);
-        if left > 0
-            && let Err(error) = self.append(&Record::Dropped(left))
+        let dropped = self.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0
+            && let Err(error) = self.append(&Record::Dropped(dropped))
         {
-            self.left.fetch_add(left, Ordering::Relaxed);
+            self.dropped.fetch_add(dropped, Ordering::Relaxed);
             return Err(error);
         }
         self.append(record)
     }
 
     fn append(&mut self, record: &Record) -> std::io::Result<()> {
-        let too_long = || std::io::Error::other("a record that is too long");
+        let too_long = || std::io::Error::other("record exceeds the maximum length");
         let frame = encode_record(record).ok_or_else(too_long)?;
         let file = self
             .file
             .as_mut()
-            .ok_or_else(|| std::io::Error::other("no file"))?;
+            .ok_or_else(|| std::io::Error::other("no open recording file"))?;
         file.write_all(&frame)?;
-        self.length += frame.len() as u64;
+        self.file_bytes += frame.len() as u64;
         Ok(())
     }
 
-    /// Moves older files on by one, the oldest away, and begins a new one.
-    fn begin(&mut self) -> std::io::Result<()> {
-        let numbered = |n: usize| -> PathBuf {
+    /// Rotates the older files, replacing the oldest, and starts a new file.
+    fn open_next_file(&mut self) -> std::io::Result<()> {
+        let rotated_path = |n: usize| -> PathBuf {
             let mut name = self.path.clone().into_os_string();
             name.push(format!(".{n}"));
             name.into()
         };
         for n in (1..self.limits.max_old_files).rev() {
-            if numbered(n).exists() {
-                fs::rename(numbered(n), numbered(n + 1))?;
+            if rotated_path(n).exists() {
+                fs::rename(rotated_path(n), rotated_path(n + 1))?;
             }
         }
         if self.path.exists() {
             match self.limits.max_old_files {
                 0 => fs::remove_file(&self.path)?,
-                _ => fs::rename(&self.path, numbered(1))?,
+                _ => fs::rename(&self.path, rotated_path(1))?,
             }
         }
         let mut file = OpenOptions::new()
@@ -178,11 +184,11 @@
             .create_new(true)
             .open(&self.path)?;
         file.write_all(MAGIC)?;
-        self.length = MAGIC.len() as u64;
+        self.file_bytes = MAGIC.len() as u64;
         self.file = Some(file);
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let start = Record::Start {
-            unix_ms: unix.map_or(0, |since| since.as_millis() as u64),
+            unix_ms: since_epoch.map_or(0, |elapsed| elapsed.as_millis() as u64),
             classes: self.classes.clone(),
         };
         self.append(&start)
@@ -193,16 +199,16 @@
 mod tests {
     use super::*;
 
-    /// A disk that stalls for good: the thread never ends. The program's exit used to wait for it.
+    /// The writer thread never ends if the disk stalls for good; the exit of the program used to wait for it.
     #[test]
-    fn a_stalled_disk_does_not_hold_up_the_end() {
+    fn drop_does_not_wait_for_a_stalled_disk() {
         let (queue, _records) = sync_channel(1);
-        let (_never, ended) = sync_channel(0);
+        let (_thread_alive, thread_ended) = sync_channel(0);
         let recorder = Recorder {
             queue: Some(queue),
-            left: Arc::default(),
-            ended,
-            farewell: Duration::from_millis(20),
+            dropped: Arc::default(),
+            thread_ended,
+            flush_timeout: Duration::from_millis(20),
         };
         recorder.enqueue(Record::Dropped(1));
         drop(recorder);
--- a/crates/record/tests/recording.rs
+++ b/crates/record/tests/recording.rs
@@ -1,36 +1,36 @@
-//! Files cut anywhere, altered anywhere, rotated, and a disk that takes nothing.
+//! Truncated, altered and rotated files, and a disk that is unavailable.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use violetwind_record::{Answer, Limits, Reader, Record, Recorder, RecordingEnd, Request};
 
-fn dir(name: &str) -> PathBuf {
+fn create_dir(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("violetwind-record-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     dir
 }
 
-fn request(n: u64) -> Record {
+fn request(number: u64) -> Record {
     Record::Request(Request {
-        at_us: n * 1000,
-        class: (n % 3) as u16,
-        tenant: n.is_multiple_of(2).then_some(7),
-        group: Some(n ^ 0x5bd1_e995),
+        at_us: number * 1000,
+        class: (number % 3) as u16,
+        tenant: number.is_multiple_of(2).then_some(7),
+        group: Some(number ^ 0x5bd1_e995),
         timeout_ms: 2000,
         answer: Answer::Up,
-        latency_us: 900 + n,
+        latency_us: 900 + number,
         connected_ms: 30_000,
         load: Some(11_000),
     })
 }
 
-fn recorded(name: &str, count: u64) -> (PathBuf, Vec<u8>) {
-    let dir = dir(name);
+fn write_recording(name: &str, count: u64) -> (PathBuf, Vec<u8>) {
+    let dir = create_dir(name);
     let path = dir.join("day");
     let classes = vec!["watch".to_string()];
     let recorder = Recorder::start(&path, classes, Limits::default()).unwrap();
-    (0..count).for_each(|n| recorder.enqueue(request(n)));
+    (0..count).for_each(|number| recorder.enqueue(request(number)));
     drop(recorder);
     let bytes = std::fs::read(&path).unwrap();
     (dir, bytes)
@@ -43,50 +43,50 @@
 }
 
 #[test]
-fn a_file_cut_anywhere_is_read_up_to_the_cut() {
-    let (dir, bytes) = recorded("cut", 50);
-    let (all, end) = read(&bytes);
-    assert_eq!((all.len(), end), (51, RecordingEnd::Whole));
-    assert!(matches!(all[0], Record::Start { .. }));
-    for cut in 0..bytes.len() {
-        let (records, end) = read(&bytes[..cut]);
+fn truncated_file_is_read_up_to_the_truncation() {
+    let (dir, bytes) = write_recording("cut", 50);
+    let (all_records, end) = read(&bytes);
+    assert_eq!((all_records.len(), end), (51, RecordingEnd::Whole));
+    assert!(matches!(all_records[0], Record::Start { .. }));
+    for length in 0..bytes.len() {
+        let (records, end) = read(&bytes[..length]);
         assert!(
-            records.len() <= 50 && records == all[..records.len()],
-            "{cut}"
+            records.len() <= 50 && records == all_records[..records.len()],
+            "{length}"
         );
-        // A cut between two records can't be told from an end.
+        // A truncation between two records can't be distinguished from a regular end.
         assert!(
             matches!(end, RecordingEnd::Cut(_) | RecordingEnd::Whole),
-            "{cut}: {end:?}"
+            "{length}: {end:?}"
         );
-        if let RecordingEnd::Cut(at) = end {
-            assert_eq!(at, cut as u64);
+        if let RecordingEnd::Cut(byte) = end {
+            assert_eq!(byte, length as u64);
         }
     }
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
-fn a_file_altered_anywhere_is_read_up_to_there() {
-    let (dir, bytes) = recorded("altered", 20);
-    let (all, _) = read(&bytes);
-    for at in 0..bytes.len() {
+fn altered_file_is_read_up_to_the_altered_record() {
+    let (dir, bytes) = write_recording("altered", 20);
+    let (all_records, _) = read(&bytes);
+    for byte in 0..bytes.len() {
         let mut altered = bytes.clone();
-        altered[at] ^= 0x20;
+        altered[byte] ^= 0x20;
         let (records, end) = read(&altered);
         assert!(
-            records == all[..records.len()] && records.len() < all.len(),
-            "{at}"
+            records == all_records[..records.len()] && records.len() < all_records.len(),
+            "{byte}"
         );
-        assert_ne!(end, RecordingEnd::Whole, "{at}");
+        assert_ne!(end, RecordingEnd::Whole, "{byte}");
     }
     assert_eq!(read(b"something else").1, RecordingEnd::Foreign);
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
-fn files_are_bounded_and_the_oldest_goes() {
-    let dir = dir("rotated");
+fn file_size_and_count_are_bounded_and_the_oldest_file_is_removed() {
+    let dir = create_dir("rotated");
     let path = dir.join("day");
     let limits = Limits {
         max_file_bytes: 2000,
@@ -94,7 +94,7 @@
         ..Limits::default()
     };
     let recorder = Recorder::start(&path, Vec::new(), limits).unwrap();
-    (0..500).for_each(|n| recorder.enqueue(request(n)));
+    (0..500).for_each(|number| recorder.enqueue(request(number)));
     drop(recorder);
     let mut names: Vec<String> = std::fs::read_dir(&dir)
         .unwrap()
@@ -110,10 +110,10 @@
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// A disk that takes nothing: here a folder that is not there, and later is.
+/// An unavailable disk, simulated by a directory that is created only later, must not block the caller.
 #[test]
-fn a_disk_that_takes_nothing_costs_nobody_anything_and_is_told_later() {
-    let dir = dir("gone");
+fn records_dropped_while_the_disk_is_unavailable_are_counted_in_the_file() {
+    let dir = create_dir("gone");
     let path = dir.join("not-yet").join("day");
     let limits = Limits {
         retry_delay: Duration::ZERO,
@@ -121,29 +121,29 @@
         ..Limits::default()
     };
     let recorder = Recorder::start(&path, Vec::new(), limits).unwrap();
-    (0..1000).for_each(|n| recorder.enqueue(request(n)));
+    (0..1000).for_each(|number| recorder.enqueue(request(number)));
     std::fs::create_dir_all(path.parent().unwrap()).unwrap();
-    let mut n = 1000;
-    // Until one is through: the thread has tried again.
+    let mut number = 1000;
+    // Until the thread has tried again and written a record.
     while std::fs::metadata(&path).map_or(0, |meta| meta.len()) < 100 {
-        recorder.enqueue(request(n));
-        n += 1;
+        recorder.enqueue(request(number));
+        number += 1;
         std::thread::yield_now();
     }
     drop(recorder);
     let (records, end) = read(&std::fs::read(&path).unwrap());
     assert_eq!(end, RecordingEnd::Whole);
-    let left = records.iter().map(|record| match record {
-        Record::Dropped(left) => *left,
+    let dropped = records.iter().map(|record| match record {
+        Record::Dropped(dropped) => *dropped,
         _ => 0,
     });
     let written = records
         .iter()
         .filter(|record| matches!(record, Record::Request(_)));
-    let (left, written) = (left.sum::<u64>(), written.count() as u64);
+    let (dropped, written) = (dropped.sum::<u64>(), written.count() as u64);
     assert!(
-        left > 0 && left + written <= n,
-        "{left} left out and {written} written of {n}"
+        dropped > 0 && dropped + written <= number,
+        "{dropped} dropped and {written} written of {number}"
     );
     std::fs::remove_dir_all(dir).unwrap();
 }
