--- a/crates/catalogue/src/catalogue.rs
+++ b/crates/catalogue/src/catalogue.rs
@@ -380,8 +380,8 @@
         let snapshot_number = self.sources[usize::from(source)].snapshot_number;
         // Servers in the first snapshot of a source may have been running for a long time.
         let has_snapshot = self.sources[usize::from(source)].has_snapshot;
-        let new = !self.servers.contains_key(uid);
-        if new {
+        let is_new = !self.servers.contains_key(uid);
+        if is_new {
             let record = ServerRecord::new(has_snapshot.then_some(now));
             self.servers.insert(uid.into(), record);
         }
@@ -609,7 +609,7 @@
             (self.gone_budget + (gone_per_s * elapsed as f64) as u64).min(max_budget.max(1000));
         let expiry_cutoff = self.now.saturating_sub(limits.absence_timeout);
         let mut expired = Vec::new();
-        let mut forgotten = Vec::new();
+        let mut to_remove = Vec::new();
         for (since, uid) in self
             .unlisted
             .iter()
@@ -622,7 +622,7 @@
             let is_gone =
                 published.is_some_and(|published| published.status == EffectiveStatus::Gone);
             if is_gone && is_retention_over && record.absence_expired {
-                forgotten.push(uid.clone());
+                to_remove.push(uid.clone());
             } else if record.is_absence_trusted(is_distrusted) {
                 // The budget limits connection moves. After a drain, or once the server was published as gone, its
                 // connections have been moved already.
@@ -641,7 +641,7 @@
                 self.dirty.insert(uid);
             }
         }
-        for uid in forgotten {
+        for uid in to_remove {
             self.remove_server(&uid, StatusReason::AbsenceExpired);
         }
     }
--- a/crates/catalogue/src/server_record.rs
+++ b/crates/catalogue/src/server_record.rs
@@ -76,12 +76,12 @@
         self.primary_report().map(|report| &report.instance)
     }
 
-    /// Whether any source reports a drain. A drain takes precedence over the reports of all other sources.
+    /// Whether any source reports a drain or a removal. Both take precedence over the reports of all other sources.
     pub fn is_draining(&self) -> bool {
         self.reports.iter().any(|report| report.status.is_binding())
     }
 
-    /// Derives the effective status and its reason; `is_distrusted` says which sources are distrusted.
+    /// Derives the effective status and its reason; `is_distrusted` returns whether a source is distrusted.
     pub fn evaluate(
         &self,
         is_distrusted: impl Fn(SourceId) -> bool,
--- a/crates/catalogue/src/trust.rs
+++ b/crates/catalogue/src/trust.rs
@@ -14,6 +14,7 @@
     failing: BTreeMap<Millis, usize>,
     absent: BTreeMap<Millis, usize>,
     distrusted_since: Option<Millis>,
+    /// While the source is distrusted: since when few enough servers are suspect for it to be trusted again.
     calm_since: Option<Millis>,
     /// Whether the source was distrusted when the servers were last evaluated.
     pub was_distrusted: bool,
--- a/crates/catalogue/tests/effective_status.rs
+++ b/crates/catalogue/tests/effective_status.rs
@@ -75,8 +75,8 @@
 fn run_until(catalogue: &mut Catalogue, from: Millis, to: Millis) -> Vec<(Millis, StatusChange)> {
     let mut changes = Vec::new();
     let mut now = from;
-    while let Some(at) = catalogue.next_tick().filter(|at| *at <= to) {
-        now = at.max(now);
+    while let Some(tick_at) = catalogue.next_tick().filter(|tick_at| *tick_at <= to) {
+        now = tick_at.max(now);
         changes.extend(catalogue.tick(now).into_iter().map(|change| (now, change)));
     }
     changes
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn unlisted_server_is_gone_after_the_absence_timeout_even_if_it_answers() {
+fn unlisted_server_is_gone_after_the_absence_timeout_and_removed_later() {
     let (mut catalogue, source, names) = catalogue_with_ready_servers(10);
     let changes = catalogue.apply_update(
         START + 1000,
@@ -235,9 +235,9 @@
 fn suspicions_are_revoked_when_successive_failures_make_the_source_distrusted() {
     let (mut catalogue, source, names) = catalogue_with_ready_servers(20);
     let mut suspects = 0_i32;
-    for (n, uid) in names[..10].iter().enumerate() {
-        let status = delta(vec![row(uid, ReportedStatus::Failing)]);
-        for change in catalogue.apply_update(START + 1000 + n as u64, source, status) {
+    for (index, uid) in names[..10].iter().enumerate() {
+        let update = delta(vec![row(uid, ReportedStatus::Failing)]);
+        for change in catalogue.apply_update(START + 1000 + index as u64, source, update) {
             suspects += if change.status == EffectiveStatus::Suspected {
                 1
             } else {
@@ -296,9 +296,9 @@
     let resumed_at = START + hour;
     let mut rows: Vec<Row> = names[..50]
         .iter()
-        .map(|n| row(n, ReportedStatus::Ready))
+        .map(|uid| row(uid, ReportedStatus::Ready))
         .collect();
-    rows.extend((0..50).map(|n| row(&format!("new-{n:02}"), ReportedStatus::Ready)));
+    rows.extend((0..50).map(|index| row(&format!("new-{index:02}"), ReportedStatus::Ready)));
     let changes = catalogue.apply_update(resumed_at, source, SourceUpdate::Snapshot(rows.clone()));
     // The new servers are added at once and count as cold; no change is published for the others.
     assert_eq!(changes.len(), 50);
@@ -318,8 +318,8 @@
         .map(|(at, _)| *at)
         .collect();
     assert_eq!(gone.len(), 50);
-    for (n, at) in gone.iter().enumerate() {
-        let within_one_second = gone[n..]
+    for (index, at) in gone.iter().enumerate() {
+        let within_one_second = gone[index..]
             .iter()
             .take_while(|other_gone_at| **other_gone_at < at + 1000);
         assert!(
@@ -332,16 +332,16 @@
 
 #[test]
 fn drain_reported_by_one_source_overrides_ready_from_another() {
-    let (mut catalogue, one, names) = catalogue_with_ready_servers(4);
-    let two = catalogue.add_source("two").unwrap();
+    let (mut catalogue, first_source, names) = catalogue_with_ready_servers(4);
+    let second_source = catalogue.add_source("two").unwrap();
     catalogue.apply_update(
         START,
-        two,
+        second_source,
         snapshot(&names, |_| Some(ReportedStatus::Ready)),
     );
     let changes = catalogue.apply_update(
         START + 1,
-        one,
+        first_source,
         delta(vec![row(&names[0], ReportedStatus::Draining)]),
     );
     assert_eq!(
@@ -349,12 +349,12 @@
         [(&*names[0], EffectiveStatus::Draining)]
     );
     // Repeated ready reports from the other source don't override the drain.
-    for n in 2..100 {
+    for offset_ms in 2..100 {
         assert!(
             catalogue
                 .apply_update(
-                    START + n,
-                    two,
+                    START + offset_ms,
+                    second_source,
                     snapshot(&names, |_| Some(ReportedStatus::Ready))
                 )
                 .is_empty()
@@ -364,13 +364,13 @@
     // make it ready.
     catalogue.apply_update(
         START + 100,
-        one,
-        snapshot(&names, |n| (n > 0).then_some(ReportedStatus::Ready)),
+        first_source,
+        snapshot(&names, |index| (index > 0).then_some(ReportedStatus::Ready)),
     );
     assert!(run_until(&mut catalogue, START + 100, START + 500_000).is_empty());
     let changes = catalogue.apply_update(
         START + 500_000,
-        one,
+        first_source,
         delta(vec![row(&names[0], ReportedStatus::Ready)]),
     );
     assert_eq!(statuses(&changes), [(&*names[0], EffectiveStatus::Ready)]);
@@ -378,26 +378,26 @@
 
 #[test]
 fn server_absent_from_one_source_and_listed_by_another_is_ready() {
-    let (mut catalogue, one, names) = catalogue_with_ready_servers(4);
-    let two = catalogue.add_source("two").unwrap();
+    let (mut catalogue, first_source, names) = catalogue_with_ready_servers(4);
+    let second_source = catalogue.add_source("two").unwrap();
     catalogue.apply_update(
         START,
-        two,
+        second_source,
         snapshot(&names, |_| Some(ReportedStatus::Ready)),
     );
     assert!(
         catalogue
             .apply_update(
                 START + 1,
-                one,
-                snapshot(&names, |n| (n > 0).then_some(ReportedStatus::Ready))
+                first_source,
+                snapshot(&names, |index| (index > 0).then_some(ReportedStatus::Ready))
             )
             .is_empty()
     );
     // Unlike absence, a failing report makes the server suspected even if another source lists it as ready.
     let changes = catalogue.apply_update(
         START + 2,
-        two,
+        second_source,
         delta(vec![row(&names[1], ReportedStatus::Failing)]),
     );
     assert_eq!(
@@ -409,8 +409,10 @@
 #[test]
 fn same_uid_at_a_new_address_counts_as_cold() {
     let (mut catalogue, source, names) = catalogue_with_ready_servers(10);
-    let gone = snapshot(&names, |n| (n != 2).then_some(ReportedStatus::Ready));
-    catalogue.apply_update(START + 1000, source, gone);
+    let snapshot_without_server = snapshot(&names, |index| {
+        (index != 2).then_some(ReportedStatus::Ready)
+    });
+    catalogue.apply_update(START + 1000, source, snapshot_without_server);
     let changes = catalogue.apply_update(
         START + 3000,
         source,
@@ -424,23 +426,23 @@
 #[test]
 fn flapping_server_is_damped_and_ready_again_once_the_penalty_decays() {
     let (mut catalogue, source, names) = catalogue_with_ready_servers(100);
-    let mut last = Vec::new();
+    let mut last_changes = Vec::new();
     for repetition in 0..4 {
-        let at = START + 1000 + repetition * 4000;
+        let failed_at = START + 1000 + repetition * 4000;
         catalogue.apply_update(
-            at,
+            failed_at,
             source,
             delta(vec![row(&names[7], ReportedStatus::Failing)]),
         );
-        run_until(&mut catalogue, at, at + 2000);
-        last = catalogue.apply_update(
-            at + 2000,
+        run_until(&mut catalogue, failed_at, failed_at + 2000);
+        last_changes = catalogue.apply_update(
+            failed_at + 2000,
             source,
             delta(vec![row(&names[7], ReportedStatus::Ready)]),
         );
     }
     // The penalty has reached the suppress threshold of 3, so the recovery doesn't take effect at once.
-    assert!(last.is_empty(), "{last:?}");
+    assert!(last_changes.is_empty(), "{last_changes:?}");
     let damped_view = catalogue
         .servers()
         .find(|view| view.uid == names[7])
@@ -483,24 +485,24 @@
 /// delivered a snapshot.
 #[test]
 fn reports_of_a_retired_source_stay_until_its_replacement_delivers_a_snapshot() {
-    let (mut catalogue, old, names) = catalogue_with_ready_servers(10);
-    let new = catalogue.add_source("new").unwrap();
-    assert!(catalogue.retire_source(START + 1, old).is_empty());
+    let (mut catalogue, old_source, names) = catalogue_with_ready_servers(10);
+    let new_source = catalogue.add_source("new").unwrap();
+    assert!(catalogue.retire_source(START + 1, old_source).is_empty());
     assert!(
         catalogue
-            .apply_update(START + 2, old, snapshot(&names, |_| None))
+            .apply_update(START + 2, old_source, snapshot(&names, |_| None))
             .is_empty(),
         "a retired source has no effect"
     );
     assert!(
         catalogue
-            .apply_update(START + 3, new, SourceUpdate::Unavailable)
+            .apply_update(START + 3, new_source, SourceUpdate::Unavailable)
             .is_empty()
     );
     let changes = catalogue.apply_update(
         START + 4,
-        new,
-        snapshot(&names, |n| (n < 9).then_some(ReportedStatus::Ready)),
+        new_source,
+        snapshot(&names, |index| (index < 9).then_some(ReportedStatus::Ready)),
     );
     assert_eq!(
         statuses(&changes),
@@ -508,7 +510,7 @@
     );
     // The number of the retired source is reused once no reports of it are left.
     run_until(&mut catalogue, START + 4, START + 300_000);
-    assert_eq!(catalogue.add_source("third"), Some(old));
+    assert_eq!(catalogue.add_source("third"), Some(old_source));
 }
 
 #[test]
@@ -624,11 +626,11 @@
     let (mut catalogue, source, names) = catalogue_with_ready_servers(20_000);
     let mut failing: Vec<bool> = vec![false; names.len()];
     for second in 1..=20_u64 {
-        let at = second as usize * 1000 % names.len();
+        let first_changed = second as usize * 1000 % names.len();
         let mut changed = Vec::new();
-        for (n, uid) in names.iter().enumerate().skip(at).take(1000) {
-            failing[n] = !failing[n];
-            let status = if failing[n] {
+        for (index, uid) in names.iter().enumerate().skip(first_changed).take(1000) {
+            failing[index] = !failing[index];
+            let status = if failing[index] {
                 ReportedStatus::Failing
             } else {
                 ReportedStatus::Ready
--- a/crates/catalogue/tests/properties.rs
+++ b/crates/catalogue/tests/properties.rs
@@ -34,7 +34,8 @@
 fn any_step() -> impl Strategy<Value = Step> {
     let rows = || prop::collection::vec((0..40_u8, any_status()), 0..30);
     prop_oneof![
-        4 => (0..SOURCES, 0..40_u8, any_status()).prop_map(|(source, number, status)| Step::Report(source, number, status)),
+        4 => (0..SOURCES, 0..40_u8, any_status())
+            .prop_map(|(source, number, status)| Step::Report(source, number, status)),
         2 => (0..SOURCES, rows()).prop_map(|(source, rows)| Step::Snapshot(source, rows)),
         1 => (0..SOURCES, rows()).prop_map(|(source, rows)| Step::StaleSnapshot(source, rows)),
         1 => (0..SOURCES).prop_map(Step::Unavailable),
--- a/crates/consul/src/client.rs
+++ b/crates/consul/src/client.rs
@@ -42,7 +42,7 @@
     pub rows: Vec<Row>,
     pub invalid_rows: usize,
     pub first_error: Option<String>,
-    /// The processor time spent on parsing.
+    /// The time spent on parsing, during which no other task ran on the thread.
     pub parse_time: Duration,
 }
 
@@ -114,7 +114,7 @@
         index: Option<u64>,
         token: Option<&Token>,
     ) -> Result<Response<Incoming>, QueryError> {
-        let path = self.path(index);
+        let path = self.request_path(index);
         let sender = self.ensure_connected().await?;
         sender.ready().await.map_err(QueryError::from_error)?;
         let mut request = Request::get(path)
@@ -126,7 +126,7 @@
         if let Some(token) = token {
             let value = HeaderValue::from_str(token.secret());
             let mut value = value.map_err(|_| {
-                QueryError::from_error("token contains characters that a header can not hold")
+                QueryError::from_error("token contains characters that a header cannot hold")
             })?;
             value.set_sensitive(true);
             headers.insert("X-Consul-Token", value);
@@ -138,7 +138,7 @@
             .map_err(QueryError::from_error)
     }
 
-    fn path(&self, index: Option<u64>) -> String {
+    fn request_path(&self, index: Option<u64>) -> String {
         let kind = match self.settings.api {
             Api::Health => "health",
             Api::Catalog => "catalog",
--- a/crates/consul/src/rows.rs
+++ b/crates/consul/src/rows.rs
@@ -31,7 +31,7 @@
         match self {
             Self::NotAnArray(at) => write!(out, "expected an array of objects at byte {at}"),
             Self::RowTooLong(at) => write!(out, "row too long at byte {at}"),
-            Self::TooManyRows(most) => write!(out, "more than {most} rows"),
+            Self::TooManyRows(limit) => write!(out, "more than {limit} rows"),
             Self::Truncated(at) => write!(out, "body truncated at byte {at}"),
         }
     }
@@ -415,7 +415,7 @@
     ) -> Result<Instance, String> {
         let checked_field =
             |text: Option<&str>| text.map(|text| self.checked_field(text)).transpose();
-        let zone = self.field(&self.rules.zone, row);
+        let zone = self.lookup_field(&self.rules.zone, row);
         let zone = zone.map(|zone| self.rules.zones.get(zone).map_or(zone, String::as_str));
         let weight = row.service.weights.as_ref();
         let weight = weight.map(|weights| {
@@ -425,12 +425,12 @@
                 weights.passing
             }
         });
-        let group = self.field(&self.rules.group, row);
-        let boot_ms = self.field(&self.rules.boot_ms, row);
+        let group = self.lookup_field(&self.rules.group, row);
+        let boot_ms = self.lookup_field(&self.rules.boot_ms, row);
         Ok(Instance {
             endpoint,
             zone: checked_field(zone)?,
-            kind: checked_field(self.field(&self.rules.kind, row))?,
+            kind: checked_field(self.lookup_field(&self.rules.kind, row))?,
             cell: group.map_or(0, group_number),
             weight: weight.filter(|weight| weight.is_finite() && *weight > 0.0),
             born: boot_ms
@@ -440,7 +440,7 @@
         })
     }
 
-    fn field<'r>(&self, field: &FieldSource, row: &'r HealthRow<'_>) -> Option<&'r str> {
+    fn lookup_field<'r>(&self, field: &FieldSource, row: &'r HealthRow<'_>) -> Option<&'r str> {
         let text = match field {
             FieldSource::Nothing => None,
             FieldSource::Datacenter => Some(&*row.node.datacenter),
--- a/crates/record/src/reader.rs
+++ b/crates/record/src/reader.rs
@@ -24,7 +24,7 @@
     input: R,
     position: u64,
     end: Option<RecordingEnd>,
-    is_magic_checked: bool,
+    has_started: bool,
 }
 
 impl<R: Read> Reader<R> {
@@ -33,7 +33,7 @@
             input,
             position: 0,
             end: None,
-            is_magic_checked: false,
+            has_started: false,
         }
     }
 
@@ -60,7 +60,7 @@
     }
 
     fn read_record(&mut self) -> Result<Record, RecordingEnd> {
-        if !std::mem::replace(&mut self.is_magic_checked, true) {
+        if !std::mem::replace(&mut self.has_started, true) {
             let mut magic = [0; MAGIC.len()];
             self.fill(&mut magic, false)?;
             if magic != *MAGIC {
