--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Stage one: accepts connections, reads the first line of each, and answers what needs no server.
+//! Stage one: accepts client connections, reads their first lines, and answers the lines that need no server.
 
 use std::cell::{Cell, RefCell};
 use std::future::pending;
@@ -24,7 +24,7 @@
 use violetwind_engine::EngineEvent;
 use violetwind_net::{try_write, write_all};
 
-/// What all connections share.
+/// State shared by all client connections.
 pub struct SharedState {
     pub config: ActiveConfig,
     pub limits: Rc<Limits>,
@@ -35,11 +35,11 @@
     pub load_classifier: Rc<RefCell<LoadClassifier>>,
     pub recording: Option<Recording>,
     pub engine: mpsc::Sender<EngineEvent>,
-    /// Whether the list has come from discovery.
-    ready: watch::Receiver<bool>,
+    /// Whether discovery has sent a list of servers, or the list of the last run is in use.
+    has_list: watch::Receiver<bool>,
     pub service: Rc<OperatorService>,
     started: Instant,
-    ids: Cell<u64>,
+    next_id: Cell<u64>,
 }
 
 impl SharedState {
@@ -48,7 +48,7 @@
         limits: &Rc<Limits>,
         (requests, first_lines): (DescriptorPool, PendingSlots),
         engine: mpsc::Sender<EngineEvent>,
-        ready: watch::Receiver<bool>,
+        has_list: watch::Receiver<bool>,
         service: Rc<OperatorService>,
         recording: Option<Recording>,
     ) -> Rc<Self> {
@@ -64,44 +64,47 @@
             ))),
             recording,
             engine,
-            ready,
+            has_list,
             service,
             started: Instant::now(),
-            ids: Cell::new(0),
+            next_id: Cell::new(0),
         })
     }
 
-    /// A number of this process's own: a client may repeat its id.
+    /// Returns a request id that is unique within this process; clients may reuse their own ids.
     pub fn next_request_id(&self) -> u64 {
-        self.ids.replace(self.ids.get() + 1)
+        self.next_id.replace(self.next_id.get() + 1)
     }
 
-    /// With discovery down for long, the list of the last run must do.
-    fn ready(&self) -> bool {
-        *self.ready.borrow() || self.started.elapsed() >= self.limits.first_list_timeout
+    /// Whether requests can be served: there is a list of servers, or discovery has not answered within
+    /// `first_list_timeout` and the list of the last run has to do.
+    fn is_ready(&self) -> bool {
+        *self.has_list.borrow() || self.started.elapsed() >= self.limits.first_list_timeout
     }
 }
 
-/// A client's side of a connection.
+/// The client's side of a connection.
 #[derive(Debug)]
 pub struct ClientConnection {
     pub stream: TcpStream,
-    /// What the client has sent and no server has got yet.
+    /// Bytes received from the client that have not been sent to a server.
     pub ring: RingBuffer,
+    /// When the last line was received; before the first line, when the connection was accepted.
     pub arrived: Instant,
-    /// Until its request is admitted.
+    /// The slot of a connection whose request is not admitted yet.
     pub pending_slot: Option<PendingSlot>,
 }
 
-/// Accepts for good. With no place left the oldest that has said nothing goes.
+/// Accepts connections until the sender of `accepting` is dropped. When all pending slots are in use, the connection
+/// that has been idle the longest is evicted.
 pub async fn accept_clients(
     listener: Rc<TcpListener>,
     mut accepting: watch::Receiver<bool>,
     shared: Rc<SharedState>,
 ) {
     loop {
-        let place = shared.pending_slots.acquire().await;
-        // The queue is another process's while this one does not accept.
+        let slot = shared.pending_slots.acquire().await;
+        // While this process does not accept, the other process that shares the socket accepts from its queue.
         let accepted = tokio::select! {
             biased;
             stopped = accepting.wait_for(|on| !on) => Err(stopped.is_err()),
@@ -111,7 +114,7 @@
             Ok(accepted) => accepted,
             Err(true) => return,
             Err(false) => {
-                drop(place);
+                drop(slot);
                 if accepting.wait_for(|on| *on).await.is_err() {
                     return;
                 }
@@ -121,24 +124,24 @@
         match accepted {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                let probes = TcpKeepalive::new()
+                let keepalive = TcpKeepalive::new()
                     .with_time(shared.limits.keepalive_idle)
                     .with_interval(shared.limits.keepalive_interval)
                     .with_retries(3);
-                let _ = SockRef::from(&stream).set_tcp_keepalive(&probes);
-                place.allow_eviction();
+                let _ = SockRef::from(&stream).set_tcp_keepalive(&keepalive);
+                slot.allow_eviction();
                 let client = ClientConnection {
                     stream,
                     ring: RingBuffer::new(shared.limits.ring_buffer_bytes),
                     arrived: Instant::now(),
-                    pending_slot: Some(place),
+                    pending_slot: Some(slot),
                 };
-                tokio::task::spawn_local(take_in(client, shared.clone()));
+                tokio::task::spawn_local(read_first_lines(client, shared.clone()));
             }
             Err(error) => {
-                // One that left while it waited, or a shortage: others are served on.
+                // Either the client left while it was queued, or resources are short: other clients are still served.
                 if let Some(left_out) = shared.log_throttle.try_acquire() {
-                    info!(%error, left_out, "accept");
+                    info!(%error, left_out, "accept failed");
                 }
                 sleep(shared.limits.accept_retry_delay).await;
             }
@@ -146,72 +149,77 @@
     }
 }
 
-async fn take_in(mut client: ClientConnection, shared: Rc<SharedState>) {
+async fn read_first_lines(mut client: ClientConnection, shared: Rc<SharedState>) {
     let limits = &shared.limits;
-    let mut within = limits.first_line_timeout;
+    let mut line_timeout = limits.first_line_timeout;
     let (error, line) = loop {
-        let until = Instant::now() + within;
-        let told_to_go = client
+        let deadline = Instant::now() + line_timeout;
+        let eviction = client
             .pending_slot
             .as_ref()
             .map(PendingSlot::eviction_signal)
             .unwrap_or_default();
         let read = tokio::select! {
             biased;
-            read = timeout_at(until, client.line(limits.max_line_bytes)) => Some(read),
-            () = told_to_go.notified() => None,
+            read = timeout_at(deadline, client.read_line(limits.max_line_bytes)) => Some(read),
+            () = eviction.notified() => None,
         };
         let line = match read {
             Some(Ok(Ok(Some(line)))) => line,
             Some(Ok(Ok(None))) => return,
             Some(Ok(Err(error))) => break (error, client.ring.to_vec()),
-            // Who rested for long and comes in this very moment may come again.
+            // An idle client whose next line crosses with this close learns from `BUSY` that it may try again.
             Some(Err(_)) if client.ring.is_empty() => {
                 return client.answer_and_close("BUSY", limits).await;
             }
-            Some(Err(_)) => break ("it never ended", client.ring.to_vec()),
-            // A request may have come in the same moment.
-            None => match client.look(limits.max_line_bytes) {
+            Some(Err(_)) => {
+                break (
+                    "the line is incomplete at the timeout",
+                    client.ring.to_vec(),
+                );
+            }
+            // A line may have arrived together with the eviction signal.
+            None => match client.read_available_line(limits.max_line_bytes) {
                 Some(line) => {
-                    // It has its answer, and goes all the same unless it is admitted.
-                    told_to_go.notify_one();
+                    // The line is answered; unless its request is admitted, the connection is evicted afterwards.
+                    eviction.notify_one();
                     line
                 }
                 None if shared.pending_slots.is_closing() => {
                     return client.answer_and_close("BUSY", limits).await;
                 }
-                None => return client.turn_away(),
+                None => return client.reject_immediately(),
             },
         };
         client.arrived = Instant::now();
         debug!(line = %line_protocol::log_excerpt(&line), "first line");
-        let word = match line_protocol::parse_first_line(&line) {
+        let answer = match line_protocol::parse_first_line(&line) {
             Some(FirstLine::Open(open)) => {
                 return admission::admit_request(client, &open, &shared).await;
             }
-            // A proxy that is left is no place for new clients, whether or not it could serve them.
-            Some(FirstLine::Ping) if shared.ready() && !shared.service.has_left() => "PONG",
+            // A proxy that an operator has taken out of use (`LEAVE`) accepts no new clients, even if it could serve them.
+            Some(FirstLine::Ping) if shared.is_ready() && !shared.service.has_left() => "PONG",
             Some(FirstLine::Ping) => "ERR",
             Some(FirstLine::Stats) => "NO",
-            None => break ("it is unknown", line),
+            None => break ("the line is not a known command", line),
         };
-        // One who asks waits for the answer. Hundreds of lines at once would keep the others waiting.
+        // A client has to wait for each answer: hundreds of lines at once would delay the other clients.
         if !client.ring.is_empty() {
-            break ("more follows it", line);
+            break ("more data follows the line", line);
         }
-        if !client.say(word, limits).await {
+        if !client.write_line(answer, limits).await {
             return;
         }
         if shared.service.process_state() == ProcessState::Superseded
             || shared.pending_slots.is_closing()
         {
-            // Who goes on asking finds the successor, or another proxy.
+            // On its next connection the client reaches the successor, or another proxy.
             return client.linger_close(limits).await;
         }
-        if let Some(place) = &mut client.pending_slot {
-            place.touch();
+        if let Some(slot) = &mut client.pending_slot {
+            slot.touch();
         }
-        within = limits.idle_timeout;
+        line_timeout = limits.idle_timeout;
         sleep(limits.min_line_interval).await;
     };
     if let Some(left_out) = shared.log_throttle.try_acquire() {
@@ -221,79 +229,83 @@
 }
 
 impl ClientConnection {
-    /// The next line; none if the client left before.
-    async fn line(&mut self, longest: usize) -> Result<Option<Vec<u8>>, &'static str> {
+    /// Reads the next line; `None` if the client left without sending one. Fails if the line is longer than
+    /// `max_bytes` or ends without a line end.
+    async fn read_line(&mut self, max_bytes: usize) -> Result<Option<Vec<u8>>, &'static str> {
         loop {
             if let Some(line) = self.ring.take_line() {
-                return match line.len() <= longest {
+                return match line.len() <= max_bytes {
                     true => Ok(Some(line)),
-                    false => Err("it is too long"),
+                    false => Err("the line is too long"),
                 };
             }
-            if self.ring.len() > longest {
-                return Err("it is too long");
+            if self.ring.len() > max_bytes {
+                return Err("the line is too long");
             }
             match self.ring.fill(&self.stream).await {
-                Ok(0) if !self.ring.is_empty() => return Err("it ends half-way"),
+                Ok(0) if !self.ring.is_empty() => return Err("the line has no line end"),
                 Ok(0) | Err(_) => return Ok(None),
                 Ok(_) => {}
             }
         }
     }
 
-    /// The line that lies unread in the socket, by the socket itself: the runtime hears of it only when it
-    /// looks next.
-    fn look(&mut self, longest: usize) -> Option<Vec<u8>> {
-        while self.ring.len() <= longest && self.ring.free_bytes() > 0 {
+    /// Takes the line that is unread in the socket, if it is complete. Reads the socket directly: the runtime
+    /// notices new data only at its next poll.
+    fn read_available_line(&mut self, max_bytes: usize) -> Option<Vec<u8>> {
+        while self.ring.len() <= max_bytes && self.ring.free_bytes() > 0 {
             match self.ring.read_now(&self.stream) {
                 Ok(Some(1..)) => {}
                 Ok(Some(0) | None) | Err(_) => break,
             }
         }
-        self.ring.take_line().filter(|line| line.len() <= longest)
+        self.ring.take_line().filter(|line| line.len() <= max_bytes)
     }
 
-    /// Lets it go for others: at once, without waiting for it to take its answer.
-    fn turn_away(self) {
+    /// Answers `BUSY` and closes at once, without waiting until the client has read the answer, so that the slot is
+    /// free for another connection.
+    fn reject_immediately(self) {
         let _ = try_write(&self.stream, b"BUSY\r\n");
     }
 
-    /// Whether it has sent more by now.
+    /// Reads once and returns whether the client had sent more.
     pub fn has_sent_more(&mut self) -> bool {
-        // An end, or an error, shows again when it is read the next time.
+        // The end of the stream, or an error, is reported again by the next read.
         let read = self.ring.read_from(&self.stream, |_| {});
         matches!(read, Ok(Some(1..)))
     }
 
-    /// Writes a line; false if the client does not take it.
-    async fn say(&mut self, word: &str, limits: &Limits) -> bool {
-        let line = format!("{word}\r\n");
+    /// Writes a line; returns false if that fails or takes longer than `linger_timeout`.
+    async fn write_line(&mut self, text: &str, limits: &Limits) -> bool {
+        let line = format!("{text}\r\n");
         let write = write_all(&self.stream, line.as_bytes());
         matches!(timeout(limits.linger_timeout, write).await, Ok(Ok(())))
     }
 
-    /// Writes the last line and ends the connection so that it arrives: closing with bytes unread
-    /// would reset it.
-    pub async fn answer_and_close(mut self, word: &str, limits: &Limits) {
-        debug!(word, "answer");
-        if self.say(word, limits).await {
+    /// Writes the last line and closes the connection so that the line arrives: a close with unread bytes would
+    /// reset the connection.
+    pub async fn answer_and_close(mut self, answer: &str, limits: &Limits) {
+        debug!(word = answer, "answer");
+        if self.write_line(answer, limits).await {
             self.linger_close(limits).await;
         }
     }
 
+    /// Ends the sending direction, then discards what the client still sends until it closes, up to
+    /// `max_linger_bytes` and for `linger_timeout` at most.
     pub async fn linger_close(&mut self, limits: &Limits) {
         let _ = self.stream.shutdown().await;
         let drain = async {
-            let mut left = limits.max_linger_bytes;
-            while left > 0 {
+            let mut remaining = limits.max_linger_bytes;
+            while remaining > 0 {
                 self.ring.truncate(0);
                 match self.ring.fill(&self.stream).await {
                     Ok(0) | Err(_) => return,
-                    Ok(got) => left = left.saturating_sub(got),
+                    Ok(read) => remaining = remaining.saturating_sub(read),
                 }
             }
         };
-        // Others wait for its place.
+        // An eviction ends the wait: another connection needs the slot.
         let evicted = async {
             match self
                 .pending_slot
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Stage four: one attempt at one server, from the connect to the server's first line.
+//! Stage four: a single attempt at one server, from the connect to the server's first line.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,59 +19,65 @@
 #[derive(Debug)]
 pub struct ServerConnection {
     pub stream: TcpStream,
-    /// What the server has sent and the client has not got yet.
+    /// Bytes received from the server that have not been sent to the client.
     pub ring: RingBuffer,
 }
 
+/// The result of one attempt.
 #[derive(Debug)]
 pub enum AttemptResult {
-    /// The ring begins with the server's `UP`.
+    /// The connection is up; the ring begins with the server's `UP` line.
     Up(ServerConnection),
-    /// Served to its end at once: the ring holds what the client gets.
+    /// The server has served the request and sent `BYE`: the ring holds what the client gets.
     Served(ServerConnection),
+    /// The attempt failed; the report is the load report in the server's line, if there was one.
     Failed(Outcome, Report),
 }
 
-/// What a server's answer comes to that is none: the request may have run. Servers that are broken must not fill
-/// the log.
-fn spoilt(endpoint: SocketAddr, line: &[u8], repeats: &LogThrottle) -> Outcome {
-    if let Some(left_out) = repeats.try_acquire() {
+/// Logs a server's line that is not a valid answer, and returns the outcome of the attempt: an error, because the
+/// request may have run. The log is throttled, so that broken servers can't fill it.
+fn log_unknown_line(endpoint: SocketAddr, line: &[u8], log_throttle: &LogThrottle) -> Outcome {
+    if let Some(left_out) = log_throttle.try_acquire() {
         warn!(%endpoint, line = %line_protocol::log_excerpt(line), left_out, "a server's line that is unknown");
     }
     Outcome::Error
 }
 
-/// A connection that is up, and whether a shortage of this machine held it up.
-struct Dialled {
+/// An established connection.
+struct Dialed {
     stream: TcpStream,
+    /// A lack of resources on this machine delayed the dial.
     delayed: bool,
 }
 
-/// Dials a server. While this machine is short of what a dial takes, that is waited for: no server is to blame.
+/// Dials a server. A dial that fails because this machine lacks resources is retried until the deadline, since the
+/// server is not at fault.
 async fn dial(
     endpoint: SocketAddr,
-    until: Instant,
+    deadline: Instant,
     limits: &Limits,
-    repeats: &LogThrottle,
-) -> Result<Dialled, Outcome> {
+    log_throttle: &LogThrottle,
+) -> Result<Dialed, Outcome> {
     let mut delayed = false;
     loop {
         let now = Instant::now();
-        let until_up = until.min(now + limits.connect_timeout);
-        let error = match timeout_at(until_up, connect(endpoint)).await {
-            Ok(Ok(stream)) => return Ok(Dialled { stream, delayed }),
+        let connect_deadline = deadline.min(now + limits.connect_timeout);
+        let error = match timeout_at(connect_deadline, connect(endpoint)).await {
+            Ok(Ok(stream)) => return Ok(Dialed { stream, delayed }),
             Ok(Err(DialError::Local(error))) => error,
             Ok(Err(DialError::Peer(_))) => return Err(Outcome::ConnectFailed),
-            // The shortage left it too little time.
+            // Waiting for resources left the dial too little time.
             Err(_) if delayed => return Err(Outcome::LocalFailure),
-            // The request had so little that nothing is known of the server.
-            Err(_) if until_up - now < limits.connect_timeout / 2 => return Err(Outcome::NotSent),
+            // The request had so little time left that the timeout says nothing about the server.
+            Err(_) if connect_deadline - now < limits.connect_timeout / 2 => {
+                return Err(Outcome::NotSent);
+            }
             Err(_) => return Err(Outcome::ConnectFailed),
         };
-        if let Some(left_out) = repeats.try_acquire() {
-            warn!(%endpoint, %error, left_out, "this machine is short of what a dial takes");
+        if let Some(left_out) = log_throttle.try_acquire() {
+            warn!(%endpoint, %error, left_out, "dial failed for lack of resources on this machine");
         }
-        if Instant::now() + limits.dial_retry_interval >= until {
+        if Instant::now() + limits.dial_retry_interval >= deadline {
             return Err(Outcome::LocalFailure);
         }
         delayed = true;
@@ -79,7 +85,7 @@
     }
 }
 
-/// One attempt as it was decided.
+/// An attempt as the balancer decided it.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTarget {
     pub request: RequestId,
@@ -88,34 +94,34 @@
     pub timeout: Duration,
 }
 
-/// Sends the client's line to a server and waits for what comes back. Dropping the future closes
-/// the connection, which gives the attempt up. The dial takes its time, and what held when the attempt was
-/// decided may hold no more: `still_valid` is asked right before the line is written, and without its word nothing
-/// is sent. `on_written` is awaited right behind the writing.
+/// Sends the client's line to a server and waits for the server's first line. Dropping the future closes the
+/// connection and so abandons the attempt. While the dial takes its time, the conditions of the decision may cease to
+/// hold: `still_valid` is called right before the line is written, and if it returns false, nothing is sent.
+/// `on_written` is awaited right after the write.
 pub async fn run_attempt(
     target: AttemptTarget,
     open: &OpenLine<'_>,
     still_valid: impl Fn() -> bool,
     on_written: impl AsyncFnOnce(),
-    (limits, repeats): (&Limits, &LogThrottle),
+    (limits, log_throttle): (&Limits, &LogThrottle),
 ) -> AttemptResult {
     let endpoint = target.endpoint;
     let start = Instant::now();
-    let until = start + target.timeout;
+    let deadline = start + target.timeout;
     let failed = |outcome| AttemptResult::Failed(outcome, Report::default());
-    let Dialled { stream, delayed } = match dial(endpoint, until, limits, repeats).await {
-        Ok(dialled) => dialled,
+    let Dialed { stream, delayed } = match dial(endpoint, deadline, limits, log_throttle).await {
+        Ok(dialed) => dialed,
         Err(outcome) => return failed(outcome),
     };
     let _ = stream.set_nodelay(true);
     if !still_valid() {
         return failed(Outcome::NotSent);
     }
-    let left = until.saturating_duration_since(Instant::now());
-    let line = open.encode_with_wait(left.as_millis() as u64);
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    let line = open.encode_with_wait(remaining.as_millis() as u64);
     let write_start_us = enabled!(Level::DEBUG).then(monotonic_us);
-    let Ok(Ok(())) = timeout_at(until, write_all(&stream, &line)).await else {
-        // Without the line's last byte nothing can have run.
+    let Ok(Ok(())) = timeout_at(deadline, write_all(&stream, &line)).await else {
+        // The server has not received the end of the line, so the request can't have run.
         return failed(Outcome::ConnectFailed);
     };
     debug!(
@@ -131,23 +137,26 @@
         stream,
         ring: RingBuffer::new(limits.ring_buffer_bytes),
     };
-    match timeout_at(until, server.ring.fill_until_line(&server.stream)).await {
-        // The server had only what a shortage of this machine left it: it may have run, and is not to blame.
+    match timeout_at(deadline, server.ring.fill_until_line(&server.stream)).await {
+        // A lack of resources on this machine left the server less time: the request may have run, and the server is
+        // not at fault.
         Err(_) if delayed => failed(Outcome::Cancelled),
         Err(_) => failed(Outcome::TimedOut),
         Ok(Err(_)) => failed(Outcome::Reset),
         Ok(Ok(line)) => match line_protocol::parse_server_line(&line) {
-            // A line that is too long is none.
-            _ if line.len() > limits.max_line_bytes => failed(spoilt(endpoint, &line, repeats)),
+            // A line that is too long is invalid.
+            _ if line.len() > limits.max_line_bytes => {
+                failed(log_unknown_line(endpoint, &line, log_throttle))
+            }
             ServerLine::Up => AttemptResult::Up(server),
             ServerLine::Bye(_) => AttemptResult::Served(server),
             ServerLine::Move => failed(Outcome::Cancelled),
-            // Only where nothing follows it does it say that the request never ran.
+            // `BUSY` means that the request never ran only if nothing follows the line.
             ServerLine::Busy(report) if server.ring.holds_one_line() => {
                 AttemptResult::Failed(Outcome::Full, report)
             }
             ServerLine::Err(report) => AttemptResult::Failed(Outcome::Error, report),
-            _ => failed(spoilt(endpoint, &line, repeats)),
+            _ => failed(log_unknown_line(endpoint, &line, log_throttle)),
         },
     }
 }
--- a/crates/proxy/src/line_protocol.rs
+++ b/crates/proxy/src/line_protocol.rs
@@ -1,4 +1,4 @@
-//! The lines that clients and servers speak, understood and written. They end by CRLF.
+//! Parser and encoder for the lines of clients and servers. A line ends with CRLF.
 
 use std::borrow::Cow;
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 
 type Parsed<T> = Result<T, ContextError>;
 
-/// A line that begins a connection to a proxy.
+/// A line that a client may send before its request is admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FirstLine<'a> {
     Ping,
@@ -23,7 +23,7 @@
     Open(OpenLine<'a>),
 }
 
-/// A client's wish: its id, the flow's key, and names with values.
+/// A client's request: its id, the key of its flow, and fields `NAME=VALUE` separated by commas.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OpenLine<'a> {
     pub id: &'a str,
@@ -31,72 +31,84 @@
     pub fields: &'a str,
 }
 
-/// What a server says.
+/// A line from a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerLine {
+    /// The connection is up.
     Up,
+    /// The server has served the request.
     Bye(Report),
+    /// The server asks the client to move to another server.
     Move,
+    /// The request or probe failed.
     Err(Report),
+    /// The server has no room.
     Busy(Report),
+    /// The answer to a probe.
     Pong(Report),
+    /// The value of a `LOAD` line; its meaning is determined by the `LoadClassifier`.
     Load(f64),
+    /// Any other line, which has no meaning for the proxy.
     Other,
 }
 
+/// Parses a client's line without its line end; `None` if it is not a known command.
 pub fn parse_first_line(line: &[u8]) -> Option<FirstLine<'_>> {
     let line = str::from_utf8(line).ok()?;
     let ping = terminated("PING", eof).value(FirstLine::Ping);
     let stats = terminated("STATS", eof).value(FirstLine::Stats);
-    alt((ping, stats, open.map(FirstLine::Open)))
+    alt((ping, stats, parse_open.map(FirstLine::Open)))
         .parse(line)
         .ok()
 }
 
-fn open<'a>(input: &mut &'a str) -> Parsed<OpenLine<'a>> {
+fn parse_open<'a>(input: &mut &'a str) -> Parsed<OpenLine<'a>> {
     let mut fields = opt(preceded(' ', token)).map(Option::unwrap_or_default);
     seq!(OpenLine { _: "OPEN ", id: token, _: ' ', flow_key: token, fields: fields, _: eof })
         .parse_next(input)
 }
 
-/// Text without spaces or control characters.
+/// Parses text without spaces or control characters.
 fn token<'a>(input: &mut &'a str) -> Parsed<&'a str> {
     take_while(1.., |c: char| c != ' ' && !c.is_control()).parse_next(input)
 }
 
 impl<'a> OpenLine<'a> {
+    /// The fields as names and values; a field without `=` has an empty value.
     fn pairs(&self) -> impl Iterator<Item = (&'a str, &'a str)> + use<'a> {
         let pairs = self.fields.split(',').filter(|pair| !pair.is_empty());
         pairs.map(|pair| pair.split_once('=').unwrap_or((pair, "")))
     }
 
-    /// Whether it is marked as a retry, or as one whose connection broke or was moved.
+    /// Whether the request is marked as a retry (`r=1`), or as a repeat after its connection broke or was moved
+    /// (`again=1`).
     pub fn is_retry(&self) -> bool {
         ["r", "again"]
             .iter()
             .any(|name| self.get(name) == Some("1"))
     }
 
+    /// The value of the first field with this name.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         self.pairs()
             .find(|(key, _)| *key == name)
             .map(|(_, value)| value)
     }
 
-    /// The line itself, without its end.
+    /// Encodes the line unchanged, without its line end.
     pub fn to_line(self) -> Vec<u8> {
         let space = if self.fields.is_empty() { "" } else { " " };
         let line = format!("OPEN {} {}{space}{}", self.id, self.flow_key, self.fields);
         line.into_bytes()
     }
 
-    /// The same line with another time to wait, in milliseconds, for the next hop.
+    /// Encodes the line with its line end for the next hop, with the wait (field `d`) replaced by `ms` milliseconds.
     pub fn encode_with_wait(&self, ms: u64) -> Vec<u8> {
         let mut line = format!("OPEN {} {}", self.id, self.flow_key);
-        let mut between = ' ';
+        let mut separator = ' ';
         for (name, value) in self.pairs() {
-            line.push(between);
-            between = ',';
+            line.push(separator);
+            separator = ',';
             match name {
                 "d" => line += &format!("d={ms}"),
                 _ if value.is_empty() => line += name,
@@ -109,64 +121,71 @@
 }
 
 impl OpenLine<'_> {
-    /// What makes the line one that no usual client sends, whatever its values mean: two of one name
-    /// would be read by one and by the other.
-    pub fn find_fault(&self, most: usize) -> Option<&'static str> {
-        let names: Vec<&str> = self.pairs().take(most + 1).map(|(name, _)| name).collect();
-        if names.len() > most {
-            return Some("too many names");
+    /// Returns the fault of a line that no conforming client sends, whatever its values mean: more than `max_fields`
+    /// fields, or a duplicate name, of which one reader might use the first value and another the second.
+    pub fn find_fault(&self, max_fields: usize) -> Option<&'static str> {
+        let names: Vec<&str> = self
+            .pairs()
+            .take(max_fields + 1)
+            .map(|(name, _)| name)
+            .collect();
+        if names.len() > max_fields {
+            return Some("too many fields");
         }
         let mut seen = BTreeSet::new();
-        (!names.into_iter().all(|name| seen.insert(name))).then_some("a name that comes twice")
+        (!names.into_iter().all(|name| seen.insert(name))).then_some("a field name occurs twice")
     }
 
-    /// A figure by its name, if it is there.
+    /// The numeric value of a field, if the field is present. Fails if it is not a finite number of 0 or more.
     pub fn number_field(&self, name: &str) -> Result<Option<f64>, &'static str> {
         let Some(text) = self.get(name) else {
             return Ok(None);
         };
-        match text.parse().ok().filter(|figure| sensible(*figure)) {
-            Some(figure) => Ok(Some(figure)),
-            None => Err("a figure that is no number, negative or endless"),
+        match text.parse().ok().filter(|value| is_valid_value(*value)) {
+            Some(value) => Ok(Some(value)),
+            None => Err("a field value is not a finite number of 0 or more"),
         }
     }
 }
 
-/// The beginning of a line that could not be understood, for the log.
+/// The first 80 bytes of a line, for the log.
 pub fn log_excerpt(line: &[u8]) -> Cow<'_, str> {
     String::from_utf8_lossy(&line[..line.len().min(80)])
 }
 
-/// Whether a figure can be a load, a time, or a value of a load report.
-fn sensible(figure: f64) -> bool {
-    figure.is_finite() && figure >= 0.0
+/// Whether a number is valid as a load, a time, or a value in a load report.
+fn is_valid_value(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
 }
 
+/// Parses a server's line without its line end.
 pub fn parse_server_line(line: &[u8]) -> ServerLine {
     let Ok(line) = str::from_utf8(line) else {
         return ServerLine::Other;
     };
-    parse_word.parse(line).unwrap_or(ServerLine::Other)
+    parse_server_command
+        .parse(line)
+        .unwrap_or(ServerLine::Other)
 }
 
-fn parse_word(input: &mut &str) -> Parsed<ServerLine> {
-    let figure = float.verify(|load| sensible(*load));
-    let load = preceded("LOAD ", figure).map(ServerLine::Load);
+fn parse_server_command(input: &mut &str) -> Parsed<ServerLine> {
+    let value = float.verify(|load| is_valid_value(*load));
+    let load = preceded("LOAD ", value).map(ServerLine::Load);
     alt((
         terminated(load, eof),
         terminated("MOVE", eof).value(ServerLine::Move),
-        // Its receipt is what the client knows the server by.
+        // The token is the receipt by which the client identifies the server.
         ("UP ", token, eof).value(ServerLine::Up),
-        preceded("BYE", report).map(ServerLine::Bye),
-        preceded("ERR", report).map(ServerLine::Err),
-        preceded("BUSY", report).map(ServerLine::Busy),
-        preceded("PONG", report).map(ServerLine::Pong),
+        preceded("BYE", parse_report).map(ServerLine::Bye),
+        preceded("ERR", parse_report).map(ServerLine::Err),
+        preceded("BUSY", parse_report).map(ServerLine::Busy),
+        preceded("PONG", parse_report).map(ServerLine::Pong),
     ))
     .parse_next(input)
 }
 
-/// A load report behind a word, if there is one. A pair that is none is passed over.
-fn report(input: &mut &str) -> Parsed<Report> {
+/// Parses the load report after a keyword, if there is one. Invalid pairs are ignored.
+fn parse_report(input: &mut &str) -> Parsed<Report> {
     let pairs = alt((eof, preceded(' ', rest))).parse_next(input)?;
     let mut report = Report::default();
     for part in pairs.split([',', ' ']) {
@@ -174,20 +193,17 @@
         let pair: Parsed<(&str, f64)> =
             separated_pair(name, alt(('=', ':')), terminated(float, eof)).parse_next(&mut &*part);
         match pair {
-            Ok((name, value)) if sensible(value) => {
+            Ok((name, value)) if is_valid_value(value) => {
                 set_report_field(&mut report, name, value);
             }
             _ if part.is_empty() => {}
-            _ => debug!(
-                part,
-                "a load report's figure that makes no sense is passed over"
-            ),
+            _ => debug!(part, "ignoring an invalid value in a load report"),
         }
     }
     Ok(report)
 }
 
-/// Follows the lines of a stream without keeping them: only the head of the present one.
+/// Finds the lines in a stream. It stores only the head of the current line, 160 bytes at most.
 #[derive(Debug)]
 pub struct LineScanner {
     head: [u8; 160],
@@ -209,18 +225,18 @@
         self.len == 0
     }
 
-    /// Takes the next bytes and calls back with each line that ends in them: its head, and where
-    /// among these bytes the line is over. Allocates nothing.
-    pub fn feed(&mut self, bytes: &[u8], mut line: impl FnMut(&[u8], usize)) {
-        for (at, &byte) in bytes.iter().enumerate() {
+    /// Scans the next bytes of the stream and calls `on_line` for each line that ends in them, with the line's head and
+    /// the position in `bytes` right after its end. Allocates nothing.
+    pub fn feed(&mut self, bytes: &[u8], mut on_line: impl FnMut(&[u8], usize)) {
+        for (index, &byte) in bytes.iter().enumerate() {
             if byte == b'\n' {
                 let head = &self.head[..self.len.min(self.head.len())];
-                line(head.strip_suffix(b"\r").unwrap_or(head), at + 1);
+                on_line(head.strip_suffix(b"\r").unwrap_or(head), index + 1);
                 self.len = 0;
                 continue;
             }
-            if let Some(place) = self.head.get_mut(self.len) {
-                *place = byte;
+            if let Some(slot) = self.head.get_mut(self.len) {
+                *slot = byte;
             }
             self.len = self.len.saturating_add(1);
         }
--- a/crates/proxy/src/load_classifier.rs
+++ b/crates/proxy/src/load_classifier.rs
@@ -1,46 +1,48 @@
-//! Tells apart the two figures that servers send as `LOAD`.
+//! Distinguishes the two kinds of values that servers send in `LOAD` lines.
 //!
-//! Where the settings say that servers tell the delay of messages too, both come under that one word:
-//! the connection's load in microseconds of work a second when it changes, and once a second, while
-//! a server is slow, the milliseconds that a message takes there. They lie orders of magnitude apart:
-//! a delay is tens to thousands, a load that fills a core among dozens tens of thousands.
+//! If the settings say that servers report their message delay too, both use the same keyword: the connection's load,
+//! in microseconds of work per second, whenever it changes; and, once per second while a server is slow, the time that
+//! a message takes there, in milliseconds. The values are orders of magnitude apart: a delay is in the tens to
+//! thousands, the load of one of dozens of connections that fill a core is in the tens of thousands.
 
-/// A figure under this part of the usual load is a delay.
-const PART: f64 = 0.1;
-/// The usual load is the mean of about so many figures.
-const MEMORY: f64 = 32.0;
+/// A value below this fraction of the mean load is a delay.
+const DELAY_FRACTION: f64 = 0.1;
+/// The number of values over which the mean load is taken, approximately.
+const MEAN_WINDOW: f64 = 32.0;
 
+/// The meaning of a `LOAD` line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LoadReading {
-    /// Seconds of work a second.
+    /// The connection's load, in seconds of work per second.
     Load(f64),
-    /// Seconds that a message takes.
+    /// The time that a message takes at the server, in seconds.
     Delay(f64),
 }
 
+/// Classifies the values of `LOAD` lines by the mean load seen so far.
 #[derive(Debug)]
 pub struct LoadClassifier {
-    tells_delay: bool,
-    usual: f64,
-    count: f64,
+    reports_delay: bool,
+    mean_load: f64,
+    sample_count: f64,
 }
 
 impl LoadClassifier {
-    pub fn new(tells_delay: bool) -> Self {
+    pub fn new(reports_delay: bool) -> Self {
         Self {
-            tells_delay,
-            usual: 0.0,
-            count: 0.0,
+            reports_delay,
+            mean_load: 0.0,
+            sample_count: 0.0,
         }
     }
 
-    /// What a figure of a `LOAD` line means.
-    pub fn classify(&mut self, figure: f64) -> LoadReading {
-        if self.tells_delay && figure < PART * self.usual {
-            return LoadReading::Delay(figure / 1e3);
+    /// Classifies the value of a `LOAD` line.
+    pub fn classify(&mut self, value: f64) -> LoadReading {
+        if self.reports_delay && value < DELAY_FRACTION * self.mean_load {
+            return LoadReading::Delay(value / 1e3);
         }
-        self.count = (self.count + 1.0).min(MEMORY);
-        self.usual += (figure - self.usual) / self.count;
-        LoadReading::Load(figure / 1e6)
+        self.sample_count = (self.sample_count + 1.0).min(MEAN_WINDOW);
+        self.mean_load += (value - self.mean_load) / self.sample_count;
+        LoadReading::Load(value / 1e6)
     }
 }
--- a/crates/proxy/src/log_throttle.rs
+++ b/crates/proxy/src/log_throttle.rs
@@ -1,42 +1,44 @@
-//! Log lines that anyone can cause without end: a few in each span, then only how many were left out.
+//! Rate limit for log lines that remote peers can cause without bound: a few are written per window, the others are
+//! only counted.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
+/// A rate limit for log lines.
 #[derive(Debug)]
 pub struct LogThrottle {
-    span: Duration,
-    most: u32,
-    since: Cell<Instant>,
-    said: Cell<u32>,
-    left_out: Cell<u64>,
+    window: Duration,
+    max_lines: u32,
+    window_start: Cell<Instant>,
+    written: Cell<u32>,
+    suppressed: Cell<u64>,
 }
 
 impl LogThrottle {
-    pub fn new(most: u32, span: Duration) -> Self {
+    pub fn new(max_lines: u32, window: Duration) -> Self {
         Self {
-            span,
-            most,
-            since: Cell::new(Instant::now()),
-            said: Cell::new(0),
-            left_out: Cell::new(0),
+            window,
+            max_lines,
+            window_start: Cell::new(Instant::now()),
+            written: Cell::new(0),
+            suppressed: Cell::new(0),
         }
     }
 
-    /// Whether the next line may be written, and how many before it were not.
+    /// Returns the number of lines suppressed since the last one if the next line may be written, else `None`.
     pub fn try_acquire(&self) -> Option<u64> {
         let now = Instant::now();
-        if self.since.get() + self.span <= now {
-            self.since.set(now);
-            self.said.set(0);
+        if self.window_start.get() + self.window <= now {
+            self.window_start.set(now);
+            self.written.set(0);
         }
-        if self.said.get() < self.most {
-            self.said.set(self.said.get() + 1);
-            return Some(self.left_out.take());
+        if self.written.get() < self.max_lines {
+            self.written.set(self.written.get() + 1);
+            return Some(self.suppressed.take());
         }
-        self.left_out.set(self.left_out.get() + 1);
+        self.suppressed.set(self.suppressed.get() + 1);
         None
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The proxy's program; all of it is in the library, so that tests can reach it.
+//! Entry point of the proxy. Everything else is in the library, so that tests can use it.
 
 use std::process::ExitCode;
 
--- a/crates/proxy/src/pending_slots.rs
+++ b/crates/proxy/src/pending_slots.rs
@@ -1,6 +1,6 @@
-//! The bounded part of the descriptors for connections whose request is not admitted yet. Many that
-//! say nothing must not keep others out: when it is full, the one that was heard of longest ago is told to go.
-//! Its task looks at its socket once more before it does: a request may lie there unread.
+//! A bounded share of the descriptors, for connections whose request is not admitted yet. Many idle connections must
+//! not keep others out: when all slots are in use, the connection that has been idle the longest is evicted. Its task
+//! reads its socket once more before it closes: a request may be unread there.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,78 +11,81 @@
 
 use crate::limits::{DescriptorPermit, DescriptorPool, Limits};
 
+/// The slots of all connections whose request is not admitted yet.
 #[derive(Clone, Debug)]
-pub struct PendingSlots(Rc<Places>);
+pub struct PendingSlots(Rc<SlotState>);
 
 #[derive(Debug)]
-struct Places {
+struct SlotState {
     limits: Rc<Limits>,
     descriptors: DescriptorPool,
-    next: Cell<u64>,
-    /// By turn: those heard of longest ago first.
-    waiting: RefCell<BTreeMap<u64, (Instant, Rc<Notify>)>>,
-    freed: Notify,
-    /// The process is about to end: all are told to go, and who still comes is so at once.
+    next_sequence: Cell<u64>,
+    /// Connections that may be evicted, with the time of their last activity, by sequence number: the one that has
+    /// been idle the longest comes first.
+    evictable: RefCell<BTreeMap<u64, (Instant, Rc<Notify>)>>,
+    slot_freed: Notify,
+    /// The process is about to end: all connections are evicted, and new ones as soon as they are accepted.
     closing: Cell<bool>,
 }
 
-/// The descriptor of one connection, until it is dropped.
+/// The slot and descriptor of one connection; dropping it frees both.
 #[derive(Debug)]
 pub struct PendingSlot {
-    turn: u64,
-    places: Rc<Places>,
-    go: Rc<Notify>,
+    sequence: u64,
+    state: Rc<SlotState>,
+    eviction: Rc<Notify>,
     _permit: DescriptorPermit,
 }
 
 impl PendingSlots {
-    pub fn new(limits: &Rc<Limits>, places: usize) -> Self {
-        Self(Rc::new(Places {
+    pub fn new(limits: &Rc<Limits>, capacity: usize) -> Self {
+        Self(Rc::new(SlotState {
             limits: limits.clone(),
-            descriptors: DescriptorPool::new(places),
-            next: Cell::new(0),
-            waiting: RefCell::default(),
-            freed: Notify::new(),
+            descriptors: DescriptorPool::new(capacity),
+            next_sequence: Cell::new(0),
+            evictable: RefCell::default(),
+            slot_freed: Notify::new(),
             closing: Cell::new(false),
         }))
     }
 
-    /// A place for the next connection; the oldest goes for it, once its line has had time to come.
+    /// Waits for a free slot. If there is none, evicts the connection that has been idle the longest, once that has
+    /// had `min_first_line_timeout` to send its line.
     pub async fn acquire(&self) -> PendingSlot {
-        let places = &self.0;
+        let state = &self.0;
         loop {
-            if let Some(permit) = places.descriptors.try_acquire(1) {
+            if let Some(permit) = state.descriptors.try_acquire(1) {
                 return PendingSlot {
-                    turn: places.next.replace(places.next.get() + 1),
-                    places: places.clone(),
-                    go: Rc::default(),
+                    sequence: state.next_sequence.replace(state.next_sequence.get() + 1),
+                    state: state.clone(),
+                    eviction: Rc::default(),
                     _permit: permit,
                 };
             }
-            let oldest = places.oldest();
-            let ripe =
-                oldest.map(|(turn, since)| (turn, since + places.limits.min_first_line_timeout));
-            match ripe {
+            let oldest = state.oldest();
+            let eviction_due = oldest
+                .map(|(sequence, since)| (sequence, since + state.limits.min_first_line_timeout));
+            match eviction_due {
                 Some((_, at)) if Instant::now() < at => tokio::select! {
                     () = sleep_until(at) => {}
-                    () = places.freed.notified() => {}
+                    () = state.slot_freed.notified() => {}
                 },
-                Some((turn, _)) => {
-                    if let Some((_, go)) = places.waiting.borrow_mut().remove(&turn) {
-                        go.notify_one();
+                Some((sequence, _)) => {
+                    if let Some((_, eviction)) = state.evictable.borrow_mut().remove(&sequence) {
+                        eviction.notify_one();
                     }
-                    places.freed.notified().await;
+                    state.slot_freed.notified().await;
                 }
-                None => places.freed.notified().await,
+                None => state.slot_freed.notified().await,
             }
         }
     }
 
-    /// Tells all to go, and from here on whoever comes.
+    /// Evicts all connections, and every later one as soon as `allow_eviction` is called on its slot.
     pub fn close(&self) {
         self.0.closing.set(true);
-        for (_, go) in std::mem::take(&mut *self.0.waiting.borrow_mut()).into_values() {
-            go.notify_one();
+        for (_, eviction) in std::mem::take(&mut *self.0.evictable.borrow_mut()).into_values() {
+            eviction.notify_one();
         }
     }
 
@@ -90,65 +93,69 @@
         self.0.closing.get()
     }
 
-    /// How many hold a place.
+    /// The number of slots in use.
     pub fn in_use(&self) -> usize {
         self.0.descriptors.in_use()
     }
 }
 
-impl Places {
+impl SlotState {
     fn oldest(&self) -> Option<(u64, Instant)> {
-        let waiting = self.waiting.borrow();
-        let (turn, (since, _)) = waiting.first_key_value()?;
-        Some((*turn, *since))
+        let evictable = self.evictable.borrow();
+        let (sequence, (since, _)) = evictable.first_key_value()?;
+        Some((*sequence, *since))
     }
 }
 
 impl PendingSlot {
-    /// Its connection has come: from here on it may be told to go.
+    /// Called once the connection is accepted: from now on it may be evicted.
     pub fn allow_eviction(&self) {
-        if self.places.closing.get() {
-            return self.go.notify_one();
+        if self.state.closing.get() {
+            return self.eviction.notify_one();
         }
-        let mut waiting = self.places.waiting.borrow_mut();
-        waiting.insert(self.turn, (Instant::now(), self.go.clone()));
+        let mut evictable = self.state.evictable.borrow_mut();
+        evictable.insert(self.sequence, (Instant::now(), self.eviction.clone()));
     }
 
-    /// Told when its connection has to go.
+    /// Notified when the connection has to close.
     pub fn eviction_signal(&self) -> Rc<Notify> {
-        self.go.clone()
+        self.eviction.clone()
     }
 
-    /// Returns when it has to go for another connection; at the end of the process nobody waits for it.
+    /// Returns when the connection is evicted in favour of another one. While the process closes all slots, no
+    /// connection waits for this one, and the signal is ignored.
     pub fn wait_for_eviction(&self) -> impl Future<Output = ()> + use<> {
-        let (go, places) = (self.go.clone(), self.places.clone());
+        let (eviction, state) = (self.eviction.clone(), self.state.clone());
         async move {
-            go.notified().await;
-            while places.closing.get() {
-                go.notified().await;
+            eviction.notified().await;
+            while state.closing.get() {
+                eviction.notified().await;
             }
         }
     }
 
-    /// It goes for nobody from here on.
+    /// From now on the connection is not evicted.
     pub fn forbid_eviction(&self) {
-        self.places.waiting.borrow_mut().remove(&self.turn);
+        self.state.evictable.borrow_mut().remove(&self.sequence);
     }
 
-    /// The connection has been heard of: others are older now.
+    /// Records activity on the connection: it moves to the end of the eviction order.
     pub fn touch(&mut self) {
-        let mut waiting = self.places.waiting.borrow_mut();
-        if let Some((_, go)) = waiting.remove(&self.turn) {
-            self.turn = self.places.next.replace(self.places.next.get() + 1);
-            waiting.insert(self.turn, (Instant::now(), go));
+        let mut evictable = self.state.evictable.borrow_mut();
+        if let Some((_, eviction)) = evictable.remove(&self.sequence) {
+            self.sequence = self
+                .state
+                .next_sequence
+                .replace(self.state.next_sequence.get() + 1);
+            evictable.insert(self.sequence, (Instant::now(), eviction));
         }
     }
 }
 
 impl Drop for PendingSlot {
     fn drop(&mut self) {
-        self.places.waiting.borrow_mut().remove(&self.turn);
-        // Its descriptor is free before anyone woken runs.
-        self.places.freed.notify_one();
+        self.state.evictable.borrow_mut().remove(&self.sequence);
+        // The permit is dropped before the woken task runs, so the descriptor is free by then.
+        self.state.slot_freed.notify_one();
     }
 }
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asks servers for their load, over one connection a server that is kept while it is used.
+//! Probes servers for their load. Each server has one probe connection, which is kept while it is in use.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,24 +17,32 @@
 use violetwind_engine::{EngineEvent, ProbeSender};
 use violetwind_net::{DialError, connect, write_all};
 
-/// All probers, by server.
+/// The probers of all servers.
 #[derive(Debug)]
 pub struct ProberPool {
     limits: Rc<Limits>,
-    /// Apart from the clients', so that neither starves the other.
+    /// Separate from the descriptors for clients, so that neither can exhaust the other.
     descriptors: DescriptorPool,
-    /// `STATS` where probes bring load reports, else `PING`.
-    question: &'static [u8],
+    /// The line that probes send: `STATS` if probes collect load reports, else `PING`.
+    probe_line: &'static [u8],
     engine: mpsc::Sender<EngineEvent>,
     probers: HashMap<ServerId, mpsc::Sender<SocketAddr>>,
 }
 
 impl ProberPool {
-    pub fn new(limits: Rc<Limits>, reports: bool, engine: mpsc::Sender<EngineEvent>) -> Self {
+    pub fn new(
+        limits: Rc<Limits>,
+        collect_reports: bool,
+        engine: mpsc::Sender<EngineEvent>,
+    ) -> Self {
         Self {
             descriptors: DescriptorPool::new(limits.probe_descriptors),
             limits,
-            question: if reports { b"STATS\r\n" } else { b"PING\r\n" },
+            probe_line: if collect_reports {
+                b"STATS\r\n"
+            } else {
+                b"PING\r\n"
+            },
             engine,
             probers: HashMap::new(),
         }
@@ -43,29 +51,32 @@
 
 impl ProbeSender for ProberPool {
     fn send_probe(&mut self, server: ServerId, at: SocketAddr) -> bool {
-        // A prober that was idle for long has ended.
-        let running = self.probers.get(&server).filter(|tx| !tx.is_closed());
-        let tx = running.cloned().unwrap_or_else(|| {
-            let (tx, rx) = mpsc::channel(self.limits.probe_queue_capacity);
+        // A prober ends once it has been idle for `idle_timeout`.
+        let running = self
+            .probers
+            .get(&server)
+            .filter(|sender| !sender.is_closed());
+        let sender = running.cloned().unwrap_or_else(|| {
+            let (sender, receiver) = mpsc::channel(self.limits.probe_queue_capacity);
             let (limits, descriptors) = (self.limits.clone(), self.descriptors.clone());
-            let prober = Prober::new(server, limits, descriptors, self.question);
-            tokio::task::spawn_local(prober.run(rx, self.engine.clone()));
-            self.probers.insert(server, tx.clone());
-            tx
+            let prober = Prober::new(server, limits, descriptors, self.probe_line);
+            tokio::task::spawn_local(prober.run(receiver, self.engine.clone()));
+            self.probers.insert(server, sender.clone());
+            sender
         });
-        tx.try_send(at).is_ok()
+        sender.try_send(at).is_ok()
     }
 }
 
-/// Asks one server.
+/// Probes one server.
 #[derive(Debug)]
 pub struct Prober {
     server: ServerId,
     limits: Rc<Limits>,
     descriptors: DescriptorPool,
-    question: &'static [u8],
-    /// Its connection while that lasts, with the descriptor it holds.
-    kept: Option<(SocketAddr, TcpStream, DescriptorPermit)>,
+    probe_line: &'static [u8],
+    /// The connection kept from the last probe, with its address and its descriptor's permit.
+    idle_connection: Option<(SocketAddr, TcpStream, DescriptorPermit)>,
 }
 
 impl Prober {
@@ -73,81 +84,86 @@
         server: ServerId,
         limits: Rc<Limits>,
         descriptors: DescriptorPool,
-        question: &'static [u8],
+        probe_line: &'static [u8],
     ) -> Self {
         Self {
             server,
             limits,
             descriptors,
-            question,
-            kept: None,
+            probe_line,
+            idle_connection: None,
         }
     }
 
     async fn run(
         mut self,
-        mut asked: mpsc::Receiver<SocketAddr>,
+        mut requests: mpsc::Receiver<SocketAddr>,
         engine: mpsc::Sender<EngineEvent>,
     ) {
-        while let Ok(Some(endpoint)) = timeout(self.limits.idle_timeout, asked.recv()).await {
-            let (outcome, report) = answer(self.probe(endpoint).await);
+        while let Ok(Some(endpoint)) = timeout(self.limits.idle_timeout, requests.recv()).await {
+            let (outcome, report) = outcome_and_report(self.probe(endpoint).await);
             if outcome != Outcome::Ok {
-                debug!(server = self.server, ?outcome, "probe");
+                debug!(server = self.server, ?outcome, "probe failed");
             }
-            let notice = EngineEvent::Probed(self.server, outcome, report);
-            if engine.send(notice).await.is_err() {
+            let event = EngineEvent::Probed(self.server, outcome, report);
+            if engine.send(event).await.is_err() {
                 return;
             }
         }
     }
 
-    /// What the server answers, or how it does not.
+    /// Sends one probe and returns the server's answer; fails with the outcome if there is none within
+    /// `probe_timeout`.
     pub async fn probe(&mut self, endpoint: SocketAddr) -> Result<ServerLine, Outcome> {
-        let until = Instant::now() + self.limits.probe_timeout;
-        if let Some((at, mut stream, permit)) = self.kept.take().filter(|kept| kept.0 == endpoint) {
-            match timeout_at(until, self.ask(&mut stream)).await {
-                Ok(Ok((word, again))) => {
-                    self.kept = again.then_some((at, stream, permit));
-                    return Ok(word);
+        let deadline = Instant::now() + self.limits.probe_timeout;
+        if let Some((at, mut stream, permit)) = self
+            .idle_connection
+            .take()
+            .filter(|idle| idle.0 == endpoint)
+        {
+            match timeout_at(deadline, self.exchange(&mut stream)).await {
+                Ok(Ok((answer, reusable))) => {
+                    self.idle_connection = reusable.then_some((at, stream, permit));
+                    return Ok(answer);
                 }
-                // It may have ended since; that says nothing about the server.
+                // The server may have closed the kept connection since; that says nothing about its state.
                 Ok(Err(_)) => {}
-                // The time is over: a fresh one would seem not to come up. The next probe has one.
+                // The time is up: a new connection would seem to fail to come up. The next probe opens one.
                 Err(_) => return Err(Outcome::TimedOut),
             }
         }
         let Some(permit) = self.descriptors.try_acquire(1) else {
             return Err(Outcome::NotSent);
         };
-        let until_up = until.min(Instant::now() + self.limits.connect_timeout);
-        let mut stream = match timeout_at(until_up, connect(endpoint)).await {
+        let connect_deadline = deadline.min(Instant::now() + self.limits.connect_timeout);
+        let mut stream = match timeout_at(connect_deadline, connect(endpoint)).await {
             Ok(Ok(stream)) => stream,
-            // A shortage of this machine says nothing about the server.
+            // A lack of resources on this machine says nothing about the server.
             Ok(Err(DialError::Local(_))) => return Err(Outcome::LocalFailure),
             Ok(Err(DialError::Peer(_))) | Err(_) => return Err(Outcome::ConnectFailed),
         };
         let _ = stream.set_nodelay(true);
-        match timeout_at(until, self.ask(&mut stream)).await {
-            Ok(Ok((word, again))) => {
-                self.kept = again.then_some((endpoint, stream, permit));
-                Ok(word)
+        match timeout_at(deadline, self.exchange(&mut stream)).await {
+            Ok(Ok((answer, reusable))) => {
+                self.idle_connection = reusable.then_some((endpoint, stream, permit));
+                Ok(answer)
             }
             Ok(Err(_)) => Err(Outcome::Reset),
             Err(_) => Err(Outcome::TimedOut),
         }
     }
 
-    /// Asks on a connection that has nothing to say yet: what lies there is the answer to another question,
-    /// or the end.
-    /// And whether another question may follow there.
-    async fn ask(&self, stream: &mut TcpStream) -> io::Result<(ServerLine, bool)> {
+    /// Sends the probe's line and reads the answer; returns it and whether the connection can be used again. Fails
+    /// if there is anything to read before the line is sent: that is the answer to an earlier probe, or the end of
+    /// the stream.
+    async fn exchange(&self, stream: &mut TcpStream) -> io::Result<(ServerLine, bool)> {
         let mut ring = RingBuffer::new(self.limits.max_line_bytes);
         match ring.read_now(stream)? {
             None => {}
             Some(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
             Some(_) => return Err(io::ErrorKind::InvalidData.into()),
         }
-        write_all(stream, self.question).await?;
+        write_all(stream, self.probe_line).await?;
         let line = ring.fill_until_line(stream).await?;
         Ok((
             line_protocol::parse_server_line(&line),
@@ -156,7 +172,7 @@
     }
 }
 
-fn answer(answer: Result<ServerLine, Outcome>) -> (Outcome, Report) {
+fn outcome_and_report(answer: Result<ServerLine, Outcome>) -> (Outcome, Report) {
     match answer {
         Ok(ServerLine::Pong(report)) => (Outcome::Ok, report),
         Ok(ServerLine::Busy(report)) => (Outcome::Full, report),
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,4 +1,4 @@
-//! Stage five: passes lines on both ways, unchanged, until one side ends or the client is moved.
+//! Stage five: relays lines unchanged in both directions until one side ends or the client is moved.
 
 use std::future::pending;
 use std::io;
@@ -24,118 +24,122 @@
 
 /// One direction of a connection.
 #[derive(Debug, Default)]
-struct Way {
+struct Direction {
     scanner: LineScanner,
-    /// Bytes at the front of the ring that end with the end of a line.
-    whole: usize,
-    /// The last byte written was within a line.
-    within_line: bool,
-    /// Only whole lines go on: what has gone on of a line whose end never comes leaves no place for a word.
-    by_lines: bool,
-    /// The reading side has seen the end of the stream, and it was passed on.
-    ended: bool,
-    closed: bool,
-    /// Not the reading side has ended, but who would get what it sends.
-    stopped: bool,
+    /// Bytes at the front of the ring up to the end of the last complete line.
+    complete_bytes: usize,
+    /// The last byte written did not end a line.
+    written_mid_line: bool,
+    /// Forward complete lines only: after a part of a line whose end never comes, the proxy can't insert a line of its
+    /// own.
+    whole_lines_only: bool,
+    /// The sender has ended its stream.
+    read_ended: bool,
+    /// The end of the stream was forwarded to the receiver.
+    write_closed: bool,
+    /// The direction was ended because the receiver reads no more, not because the sender ended its stream.
+    receiver_gone: bool,
 }
 
-/// Which socket broke.
+/// The side of a direction whose socket failed.
 #[derive(Debug)]
-enum Broken {
+enum BrokenSide {
     Reading,
     Writing,
 }
 
-impl Way {
-    /// Notes bytes that were added to the ring behind `before` others.
-    fn hear(&mut self, bytes: &[u8], before: usize, mut line: impl FnMut(&[u8])) {
+impl Direction {
+    /// Scans bytes that were appended to the ring behind `before` others, and calls `line` with the head of each line
+    /// that is completed.
+    fn scan(&mut self, bytes: &[u8], before: usize, mut line: impl FnMut(&[u8])) {
         self.scanner.feed(bytes, |head, end| {
-            self.whole = before + end;
+            self.complete_bytes = before + end;
             line(head);
         });
     }
 
-    /// How much of what is held may go on now.
-    fn due(&self, ring: &RingBuffer) -> usize {
-        match self.by_lines && !self.ended && ring.free_bytes() > 0 {
-            true => self.whole,
+    /// The number of buffered bytes that may be written now.
+    fn sendable_bytes(&self, ring: &RingBuffer) -> usize {
+        match self.whole_lines_only && !self.read_ended && ring.free_bytes() > 0 {
+            true => self.complete_bytes,
             false => ring.len(),
         }
     }
 
-    /// Nothing more goes this way: who would read it has gone.
+    /// Ends this direction and discards its buffered bytes, because the receiver reads no more.
     fn stop(&mut self, ring: &mut RingBuffer) {
         ring.truncate(0);
-        self.whole = 0;
-        (self.ended, self.closed, self.stopped) = (true, true, true);
+        self.complete_bytes = 0;
+        (self.read_ended, self.write_closed, self.receiver_gone) = (true, true, true);
     }
 
-    /// Reads and writes until neither goes on, or so many times. True if anything was read or written.
+    /// Reads and writes until neither makes progress, `max_reads` times at most. Returns whether anything was read or
+    /// written.
     fn pump(
         &mut self,
         ring: &mut RingBuffer,
         from: &TcpStream,
         to: &TcpStream,
-        reads: usize,
+        max_reads: usize,
         mut line: impl FnMut(&[u8]),
-    ) -> Result<bool, Broken> {
-        let mut moved = false;
-        for _ in 0..reads {
-            let mut now = false;
-            if !self.ended && ring.free_bytes() > 0 {
+    ) -> Result<bool, BrokenSide> {
+        let mut any_progress = false;
+        for _ in 0..max_reads {
+            let mut progress = false;
+            if !self.read_ended && ring.free_bytes() > 0 {
                 let before = ring.len();
-                let read = ring.read_from(from, |bytes| self.hear(bytes, before, &mut line));
+                let read = ring.read_from(from, |bytes| self.scan(bytes, before, &mut line));
                 match read {
-                    Ok(Some(0)) => self.ended = true,
-                    Ok(Some(_)) => now = true,
+                    Ok(Some(0)) => self.read_ended = true,
+                    Ok(Some(_)) => progress = true,
                     Ok(None) => {}
-                    Err(_) => return Err(Broken::Reading),
+                    Err(_) => return Err(BrokenSide::Reading),
                 }
             }
-            let due = self.due(ring);
-            if due > 0 {
-                match ring.write_to(to, due) {
+            let sendable = self.sendable_bytes(ring);
+            if sendable > 0 {
+                match ring.write_to(to, sendable) {
                     Ok(Some(sent)) => {
-                        self.within_line = sent != self.whole;
-                        self.whole = self.whole.saturating_sub(sent);
-                        now = true;
+                        self.written_mid_line = sent != self.complete_bytes;
+                        self.complete_bytes = self.complete_bytes.saturating_sub(sent);
+                        progress = true;
                     }
                     Ok(None) => {}
-                    Err(_) => return Err(Broken::Writing),
+                    Err(_) => return Err(BrokenSide::Writing),
                 }
             }
-            if !now {
+            if !progress {
                 break;
             }
-            moved = true;
+            any_progress = true;
         }
-        Ok(moved)
+        Ok(any_progress)
     }
 
-    /// Passes the end of the stream on, once all before it is.
-    async fn pass_end(&mut self, ring: &RingBuffer, to: &mut TcpStream) {
-        if self.ended && !self.closed && ring.is_empty() {
-            self.closed = true;
-            // A side that is broken already needs no end.
+    /// Forwards the end of the stream once all bytes before it have been written.
+    async fn forward_end(&mut self, ring: &RingBuffer, to: &mut TcpStream) {
+        if self.read_ended && !self.write_closed && ring.is_empty() {
+            self.write_closed = true;
+            // Fails only if the connection is broken already: then there is no end to forward.
             let _ = to.shutdown().await;
         }
     }
 
-    /// Returns when either socket may let it go on.
-    async fn ready(&self, ring: &RingBuffer, from: &TcpStream, to: &TcpStream) {
+    /// Waits until a read or a write may succeed.
+    async fn wait_ready(&self, ring: &RingBuffer, from: &TcpStream, to: &TcpStream) {
         let read = async {
-            match !self.ended && ring.free_bytes() > 0 {
+            match !self.read_ended && ring.free_bytes() > 0 {
                 true => from.readable().await,
                 false => pending().await,
             }
         };
         let write = async {
-            match self.due(ring) > 0 {
+            match self.sendable_bytes(ring) > 0 {
                 true => to.writable().await,
                 false => pending().await,
             }
         };
-        // An error shows at the next read or write.
+        // An error is returned by the next read or write.
         tokio::select! {
             _ = read => {}
             _ = write => {}
@@ -145,102 +149,107 @@
 
 /// How a relay ended.
 #[derive(Debug)]
-enum End {
+enum RelayEnd {
     ServerClosed,
     ClientClosed,
     ServerBroke,
     ClientBroke,
     Moved,
-    /// It stops for a successor to take it.
+    /// The connection is between lines, so that a successor can take it over.
     BetweenLines,
 }
 
-impl End {
+impl RelayEnd {
     fn is_by_server(&self) -> bool {
         matches!(self, Self::ServerClosed | Self::ServerBroke)
     }
 }
 
+/// One relayed connection.
 struct Relay<'a> {
     client: ClientConnection,
     server: ServerConnection,
-    up: Way,
-    down: Way,
-    /// Since when a line of the client waits for the server to say anything.
+    to_server: Direction,
+    to_client: Direction,
+    /// Since when a line of the client has waited for any line of the server.
     waiting_since: Option<Instant>,
-    /// What the server's last word means for the books.
+    /// How the attempt ends if the connection ends now, according to the server's last `BYE` or `MOVE` line.
     outcome: (Outcome, Report),
-    /// The connection's load as last told, until the engine has it.
-    load: Option<f64>,
-    /// The same as the server told it last.
-    told: Option<f64>,
-    /// A move was ordered, and goes ahead then whatever is under way.
-    move_by: Option<Instant>,
-    /// Nothing is waited for any more.
+    /// The connection's load from the last `LOAD` line, until it is reported to the engine.
+    unreported_load: Option<f64>,
+    /// The load that the server sent last.
+    last_load: Option<f64>,
+    /// Set once a move is commanded: from this time on, the move no longer waits for answers to the client's lines.
+    move_deadline: Option<Instant>,
+    /// The move was commanded a second time: it is done at once.
     move_now: bool,
-    /// A successor gets the connection as soon as it is between lines.
-    to_heir: bool,
+    /// The connection is offered to the successor as soon as it is between lines.
+    handover_requested: bool,
     limits: &'a Limits,
-    repeats: &'a LogThrottle,
+    log_throttle: &'a LogThrottle,
 }
 
-/// What a relay has heard that goes on at another process.
+/// The state of a relay that goes along when another process takes the connection over.
 #[derive(Debug, Default)]
 pub struct RelayState {
+    /// The load that the server sent last, in microseconds of work per second.
     pub load: Option<f64>,
+    /// Since when a line of the client has waited for any line of the server.
     pub waiting_since: Option<Instant>,
 }
 
+/// Relays a connection until it ends, then reports its end to the engine. A successor that takes the connection over
+/// continues it instead.
 pub async fn run_relay(
     client: ClientConnection,
     server: ServerConnection,
-    on: ServerId,
-    mut orders: mpsc::Receiver<ConnectionCommand>,
-    booking: RequestTracker,
-    (open, heard): (&OpenLine<'_>, RelayState),
+    server_id: ServerId,
+    mut commands: mpsc::Receiver<ConnectionCommand>,
+    tracker: RequestTracker,
+    (open, state): (&OpenLine<'_>, RelayState),
     shared: &SharedState,
 ) {
     let limits = &*shared.limits;
     let mut relay = Relay {
         client,
         server,
-        up: Way::default(),
-        down: Way {
-            by_lines: true,
-            ..Way::default()
+        to_server: Direction::default(),
+        to_client: Direction {
+            whole_lines_only: true,
+            ..Direction::default()
         },
-        waiting_since: heard.waiting_since,
+        waiting_since: state.waiting_since,
         outcome: (Outcome::Reset, Report::default()),
-        load: None,
-        told: heard.load,
-        move_by: None,
+        unreported_load: None,
+        last_load: state.load,
+        move_deadline: None,
         move_now: false,
-        to_heir: false,
+        handover_requested: false,
         limits,
-        repeats: &shared.log_throttle,
+        log_throttle: &shared.log_throttle,
     };
-    // What came with the first lines belongs to the connection.
-    let held = relay.client.ring.to_vec();
-    relay.up.hear(&held, 0, |_| {});
-    let held = relay.server.ring.to_vec();
-    let (outcome, load) = (&mut relay.outcome, &mut relay.load);
+    // Bytes that were received together with the first lines belong to the connection.
+    let buffered = relay.client.ring.to_vec();
+    relay.to_server.scan(&buffered, 0, |_| {});
+    let buffered = relay.server.ring.to_vec();
+    let (outcome, load) = (&mut relay.outcome, &mut relay.unreported_load);
     relay
-        .down
-        .hear(&held, 0, |head| understand(head, outcome, load));
+        .to_client
+        .scan(&buffered, 0, |head| apply_server_line(head, outcome, load));
     let end = loop {
-        match relay.run(on, &mut orders, &booking).await {
-            End::BetweenLines => {
-                if relay.offer(open, on, shared).await {
-                    debug!("the successor has it");
-                    return booking.report_client_left().await;
+        match relay.run(server_id, &mut commands, &tracker).await {
+            RelayEnd::BetweenLines => {
+                if relay.offer_to_successor(open, server_id, shared).await {
+                    debug!("the successor has taken the connection over");
+                    return tracker.report_client_left().await;
                 }
             }
             end => break end,
         }
     };
-    debug!(server = on, id = open.id, ?end, "relay");
-    let owed = end.is_by_server() && relay.give_rest().await;
-    let client_sends = relay.client_sends();
+    debug!(server = server_id, id = open.id, ?end, "relay ended");
+    let wrote_rest = end.is_by_server() && relay.write_complete_lines().await;
+    let client_may_send = relay.client_may_send();
     let Relay {
         mut client,
         server,
@@ -248,30 +257,30 @@
         ..
     } = relay;
     match end {
-        // What the client sends meanwhile must not reset the connection before it has read the last line.
-        End::ServerClosed => {
-            booking.report_end(on, outcome).await;
-            if client_sends {
+        // Bytes that the client sends meanwhile must not reset the connection before it has read the last line.
+        RelayEnd::ServerClosed => {
+            tracker.report_end(server_id, outcome).await;
+            if client_may_send {
                 client.linger_close(limits).await;
             }
         }
-        End::ClientClosed => booking.report_client_left().await,
-        // The other side ends in the same way, by a reset, unless that overtook what it is owed.
-        End::ServerBroke => {
-            let last_word = outcome.0 != Outcome::Reset;
-            booking.report_end(on, outcome).await;
-            match owed || last_word {
+        RelayEnd::ClientClosed => tracker.report_client_left().await,
+        // The client's connection is reset likewise, unless the reset would overtake lines that are still to reach it.
+        RelayEnd::ServerBroke => {
+            let has_last_line = outcome.0 != Outcome::Reset;
+            tracker.report_end(server_id, outcome).await;
+            match wrote_rest || has_last_line {
                 true => client.linger_close(limits).await,
                 false => drop(client.stream.set_zero_linger()),
             }
         }
-        End::ClientBroke => {
-            booking.report_client_left().await;
+        RelayEnd::ClientBroke => {
+            tracker.report_client_left().await;
             let _ = server.stream.set_zero_linger();
         }
-        End::Moved | End::BetweenLines => {
-            booking
-                .report_end(on, (Outcome::Cancelled, Report::default()))
+        RelayEnd::Moved | RelayEnd::BetweenLines => {
+            tracker
+                .report_end(server_id, (Outcome::Cancelled, Report::default()))
                 .await;
             drop(server);
             client.linger_close(limits).await;
@@ -279,12 +288,12 @@
     }
 }
 
-/// Notes what a server's line means beside its way to the client.
-fn understand(head: &[u8], outcome: &mut (Outcome, Report), load: &mut Option<f64>) {
-    // Most lines are the clients' own business.
+/// Evaluates a server's line, which is forwarded to the client as well: updates the load or the outcome.
+fn apply_server_line(head: &[u8], outcome: &mut (Outcome, Report), load: &mut Option<f64>) {
+    // Most lines concern only the client and the server.
     if !["LOAD ", "BYE", "MOVE"]
         .iter()
-        .any(|word| head.starts_with(word.as_bytes()))
+        .any(|prefix| head.starts_with(prefix.as_bytes()))
     {
         return;
     }
@@ -297,92 +306,109 @@
 }
 
 impl Relay<'_> {
+    /// Relays until the connection ends, or is between lines and to be handed over.
     async fn run(
         &mut self,
-        on: ServerId,
-        orders: &mut mpsc::Receiver<ConnectionCommand>,
-        booking: &RequestTracker,
-    ) -> End {
-        let mut active = Instant::now();
-        let mut server_first = false;
+        server_id: ServerId,
+        commands: &mut mpsc::Receiver<ConnectionCommand>,
+        tracker: &RequestTracker,
+    ) -> RelayEnd {
+        let mut last_activity = Instant::now();
+        let mut server_ended_first = false;
         loop {
             match self.pump() {
-                Ok(true) => active = Instant::now(),
+                Ok(true) => last_activity = Instant::now(),
                 Ok(false) => {}
                 Err(end) => return end,
             }
-            if let Some(load) = self.load.take() {
-                self.told = Some(load);
+            if let Some(load) = self.unreported_load.take() {
+                self.last_load = Some(load);
                 match load <= self.limits.max_connection_load {
-                    true => booking.report_load(on, load).await,
+                    true => tracker.report_load(server_id, load).await,
                     false => {
-                        if let Some(left_out) = self.repeats.try_acquire() {
-                            info!(load, left_out, "a load that makes no sense is passed over");
+                        if let Some(left_out) = self.log_throttle.try_acquire() {
+                            info!(load, left_out, "ignoring an implausible connection load");
                         }
                     }
                 }
             }
-            if let Some(by) = self.move_by {
-                let late = by <= Instant::now();
-                let between = self.down.whole > 0 || !self.down.within_line;
-                let (whole, asks) = (self.down.scanner.is_between_lines(), self.waiting_since);
-                let over = by + self.limits.linger_timeout <= Instant::now() || self.move_now;
-                if between && (over || whole && (late || asks.is_none())) {
-                    self.say_move().await;
-                    return End::Moved;
+            if let Some(move_deadline) = self.move_deadline {
+                let late = move_deadline <= Instant::now();
+                let can_insert_line =
+                    self.to_client.complete_bytes > 0 || !self.to_client.written_mid_line;
+                let (line_complete, waiting_since) = (
+                    self.to_client.scanner.is_between_lines(),
+                    self.waiting_since,
+                );
+                let overdue =
+                    move_deadline + self.limits.linger_timeout <= Instant::now() || self.move_now;
+                if can_insert_line
+                    && (overdue || line_complete && (late || waiting_since.is_none()))
+                {
+                    self.write_move().await;
+                    return RelayEnd::Moved;
                 }
-                if over {
-                    // A server that has stopped within a line leaves no place for a word.
-                    return End::ServerBroke;
+                if overdue {
+                    // The server has stopped within a line, so that `MOVE` can't be inserted.
+                    return RelayEnd::ServerBroke;
                 }
             }
-            if self.to_heir && self.move_by.is_none() && self.rests() {
-                self.to_heir = false;
-                return End::BetweenLines;
+            if self.handover_requested && self.move_deadline.is_none() && self.is_idle() {
+                self.handover_requested = false;
+                return RelayEnd::BetweenLines;
             }
-            server_first |= self.down.ended && self.client_sends();
+            server_ended_first |= self.to_client.read_ended && self.client_may_send();
             let (client, server) = (&mut self.client, &mut self.server);
-            self.up.pass_end(&client.ring, &mut server.stream).await;
-            self.down.pass_end(&server.ring, &mut client.stream).await;
-            let end = match server_first {
-                true => End::ServerClosed,
-                false => End::ClientClosed,
+            self.to_server
+                .forward_end(&client.ring, &mut server.stream)
+                .await;
+            self.to_client
+                .forward_end(&server.ring, &mut client.stream)
+                .await;
+            let end = match server_ended_first {
+                true => RelayEnd::ServerClosed,
+                false => RelayEnd::ClientClosed,
             };
-            if self.up.closed && self.down.closed {
+            if self.to_server.write_closed && self.to_client.write_closed {
                 return end;
             }
-            // A client that does not read says nothing about its server.
+            // While the client reads nothing and the ring is full, the server can't be called silent.
             let since = self.waiting_since.filter(|_| server.ring.free_bytes() > 0);
-            let silent = since.map(|since| since + self.limits.server_silence_timeout);
-            let half_closed = (self.up.closed || self.down.closed)
-                .then(|| active + self.limits.half_close_timeout);
-            let moving = self.move_by.map(|by| match by <= Instant::now() {
-                true => by + self.limits.linger_timeout,
-                false => by,
-            });
-            let due = [moving, silent, half_closed].into_iter().flatten().min();
+            let silent_at = since.map(|since| since + self.limits.server_silence_timeout);
+            let half_close_end = (self.to_server.write_closed || self.to_client.write_closed)
+                .then(|| last_activity + self.limits.half_close_timeout);
+            let move_at =
+                self.move_deadline
+                    .map(|move_deadline| match move_deadline <= Instant::now() {
+                        true => move_deadline + self.limits.linger_timeout,
+                        false => move_deadline,
+                    });
+            let wake_at = [move_at, silent_at, half_close_end]
+                .into_iter()
+                .flatten()
+                .min();
             tokio::select! {
-                () = self.up.ready(&client.ring, &client.stream, &server.stream) => {}
-                () = self.down.ready(&server.ring, &server.stream, &client.stream) => {}
-                order = orders.recv() => match order {
-                    // Told twice, it is out of time.
-                    Some(ConnectionCommand::Move) if self.move_by.is_some() => self.move_now = true,
+                () = self.to_server.wait_ready(&client.ring, &client.stream, &server.stream) => {}
+                () = self.to_client.wait_ready(&server.ring, &server.stream, &client.stream) => {}
+                command = commands.recv() => match command {
+                    // The engine repeats the command when no time is left to wait.
+                    Some(ConnectionCommand::Move) if self.move_deadline.is_some() => self.move_now = true,
                     Some(ConnectionCommand::Move) => {
-                        self.move_by = Some(Instant::now() + self.limits.move_timeout);
+                        self.move_deadline = Some(Instant::now() + self.limits.move_timeout);
                     }
-                    Some(ConnectionCommand::HandOver) => self.to_heir = true,
+                    Some(ConnectionCommand::HandOver) => self.handover_requested = true,
                     Some(_) => {}
-                    // The engine is gone, and so is the process.
-                    None => return End::ServerBroke,
+                    // The engine has ended, so the process ends too.
+                    None => return RelayEnd::ServerBroke,
                 },
-                () = until(due) => {
+                () = sleep_until_some(wake_at) => {
                     let now = Instant::now();
-                    if silent.is_some_and(|at| at <= now) {
-                        info!(server = on, "a server is silent: its client is moved");
-                        booking.report_silence(on).await;
+                    if silent_at.is_some_and(|at| at <= now) {
+                        info!(server = server_id, "the server does not answer: moving its client");
+                        tracker.report_silence(server_id).await;
                         self.waiting_since = None;
-                        self.move_by = Some(now);
-                    } else if half_closed.is_some_and(|at| at <= now) {
+                        self.move_deadline = Some(now);
+                    } else if half_close_end.is_some_and(|at| at <= now) {
                         return end;
                     }
                 }
@@ -390,135 +416,145 @@
         }
     }
 
-    /// Whether the client may send more: its end has not been read.
-    fn client_sends(&self) -> bool {
-        !self.up.ended || self.up.stopped
+    /// Whether the client may send more: the end of its stream has not been read.
+    fn client_may_send(&self) -> bool {
+        !self.to_server.read_ended || self.to_server.receiver_gone
     }
 
-    /// Whether it is between lines both ways and nothing of it is held here.
-    fn rests(&self) -> bool {
-        let rests = |way: &Way, ring: &RingBuffer| {
-            way.scanner.is_between_lines() && !way.ended && ring.is_empty()
+    /// Whether both directions are between lines, no bytes are buffered, and the server has sent no last line.
+    fn is_idle(&self) -> bool {
+        let is_idle = |direction: &Direction, ring: &RingBuffer| {
+            direction.scanner.is_between_lines() && !direction.read_ended && ring.is_empty()
         };
-        rests(&self.up, &self.client.ring)
-            && rests(&self.down, &self.server.ring)
+        is_idle(&self.to_server, &self.client.ring)
+            && is_idle(&self.to_client, &self.server.ring)
             && self.outcome.0 == Outcome::Reset
     }
 
-    /// Offers the connection to the successor; false if that does not take it. Nothing is read meanwhile.
-    async fn offer(&self, open: &OpenLine<'_>, on: ServerId, shared: &SharedState) -> bool {
-        let Some(heir) = shared.service.successor_sender() else {
+    /// Offers the connection to the successor and returns whether the successor has accepted it. Nothing is read from
+    /// the connection meanwhile.
+    async fn offer_to_successor(
+        &self,
+        open: &OpenLine<'_>,
+        server_id: ServerId,
+        shared: &SharedState,
+    ) -> bool {
+        let Some(successor) = shared.service.successor_sender() else {
             return false;
         };
-        // Descriptors are doubled only once there is room on the way.
-        let Ok(room) = heir.reserve().await else {
+        // Descriptors are duplicated only once the queue to the successor has room.
+        let Ok(queue_slot) = successor.reserve().await else {
             return false;
         };
-        let double = |stream: &TcpStream| stream.as_fd().try_clone_to_owned();
-        let (Ok(client), Ok(server)) = (double(&self.client.stream), double(&self.server.stream))
-        else {
+        let duplicate = |stream: &TcpStream| stream.as_fd().try_clone_to_owned();
+        let (Ok(client), Ok(server)) = (
+            duplicate(&self.client.stream),
+            duplicate(&self.server.stream),
+        ) else {
             warn!(
-                server = on,
-                "no descriptor left to offer a connection: it stays"
+                server = server_id,
+                "no descriptor left to hand the connection over: it stays with this process"
             );
             return false;
         };
-        let waits = self.waiting_since.map(|since| since.elapsed().as_millis());
-        let (answer, given) = oneshot::channel();
-        room.send(ConnectionOffer {
+        let waiting_ms = self.waiting_since.map(|since| since.elapsed().as_millis());
+        let (reply, accepted) = oneshot::channel();
+        queue_slot.send(ConnectionOffer {
             connection: Connection {
                 first_line: open.to_line(),
-                server: on,
-                load: self.told,
-                unanswered_ms: waits.map(|ms| u32::try_from(ms).unwrap_or(u32::MAX)),
+                server: server_id,
+                load: self.last_load,
+                unanswered_ms: waiting_ms.map(|ms| u32::try_from(ms).unwrap_or(u32::MAX)),
             },
             fds: [client, server],
-            reply: OfferReply(answer),
+            reply: OfferReply(reply),
         });
-        given.await.is_ok()
+        accepted.await.is_ok()
     }
 
-    fn pump(&mut self) -> Result<bool, End> {
+    /// Relays what is ready in both directions. Returns whether anything was read or written.
+    fn pump(&mut self) -> Result<bool, RelayEnd> {
         let (client, server) = (&mut self.client, &mut self.server);
-        let reads = self.limits.max_consecutive_reads;
-        let mut asked = false;
-        let sent = self.up.pump(
+        let max_reads = self.limits.max_consecutive_reads;
+        let mut client_line_ended = false;
+        let sent = self.to_server.pump(
             &mut client.ring,
             &client.stream,
             &server.stream,
-            reads,
-            |_| asked = true,
+            max_reads,
+            |_| client_line_ended = true,
         );
         let sent = match sent {
             Ok(sent) => sent,
-            Err(Broken::Reading) => return Err(End::ClientBroke),
-            // A server that reads no more may have said its last word, which is still to be read.
-            Err(Broken::Writing) => {
-                self.up.stop(&mut client.ring);
+            Err(BrokenSide::Reading) => return Err(RelayEnd::ClientBroke),
+            // A server that reads no more may have sent a last line, which is still to be read.
+            Err(BrokenSide::Writing) => {
+                self.to_server.stop(&mut client.ring);
                 true
             }
         };
-        if asked {
+        if client_line_ended {
             self.waiting_since.get_or_insert_with(Instant::now);
         }
-        let (outcome, load) = (&mut self.outcome, &mut self.load);
-        let mut heard = false;
-        let got = self
-            .down
+        let (outcome, load) = (&mut self.outcome, &mut self.unreported_load);
+        let mut server_line_ended = false;
+        let received = self
+            .to_client
             .pump(
                 &mut server.ring,
                 &server.stream,
                 &client.stream,
-                reads,
+                max_reads,
                 |head| {
-                    heard = true;
-                    understand(head, outcome, load);
+                    server_line_ended = true;
+                    apply_server_line(head, outcome, load);
                 },
             )
             .map_err(|broken| match broken {
-                Broken::Reading => End::ServerBroke,
-                Broken::Writing => End::ClientBroke,
+                BrokenSide::Reading => RelayEnd::ServerBroke,
+                BrokenSide::Writing => RelayEnd::ClientBroke,
             })?;
-        if heard {
+        if server_line_ended {
             self.waiting_since = None;
         }
-        Ok(sent || got)
+        Ok(sent || received)
     }
 
-    /// Writes the whole lines that are held, and `MOVE` behind them.
-    async fn say_move(&mut self) {
-        self.give(b"MOVE\r\n").await;
+    /// Writes the complete lines that are buffered for the client, then `MOVE`.
+    async fn write_move(&mut self) {
+        self.write_lines_and(b"MOVE\r\n").await;
     }
 
-    /// Writes the whole lines that a server has left behind; false if there are none.
-    async fn give_rest(&mut self) -> bool {
-        let some = self.down.whole > 0;
-        if some {
-            self.give(b"").await;
+    /// Writes the complete lines of the server that are still buffered; returns false if there are none.
+    async fn write_complete_lines(&mut self) -> bool {
+        let has_lines = self.to_client.complete_bytes > 0;
+        if has_lines {
+            self.write_lines_and(b"").await;
         }
-        some
+        has_lines
     }
 
-    /// Writes the whole lines that are held, and another one.
-    async fn give(&mut self, line: &[u8]) {
+    /// Writes the complete lines that are buffered for the client, then `last_line`, for `linger_timeout` at most.
+    async fn write_lines_and(&mut self, last_line: &[u8]) {
         let (ring, stream) = (&mut self.server.ring, &self.client.stream);
-        ring.truncate(self.down.whole);
+        ring.truncate(self.to_client.complete_bytes);
         let write = async {
-            let mut said = ring.push(line);
-            while !ring.is_empty() || !said {
+            let mut line_pushed = ring.push(last_line);
+            while !ring.is_empty() || !line_pushed {
                 stream.writable().await?;
                 ring.write_to(stream, usize::MAX)?;
-                said = said || ring.push(line);
+                line_pushed = line_pushed || ring.push(last_line);
             }
             io::Result::Ok(())
         };
-        // A client that takes nothing more, or has left, can't be told.
+        // A client that reads nothing more, or has left, can't receive the lines.
         let _ = timeout(self.limits.linger_timeout, write).await;
     }
 }
 
-async fn until(due: Option<Instant>) {
-    match due {
+/// Waits until an instant, or forever if there is none.
+async fn sleep_until_some(wake_at: Option<Instant>) {
+    match wake_at {
         Some(at) => sleep_until(at).await,
         None => pending().await,
     }
--- a/crates/proxy/src/request_tracker.rs
+++ b/crates/proxy/src/request_tracker.rs
@@ -1,4 +1,4 @@
-//! Last stage: tells the engine how a connection ended, once and on every way out.
+//! Last stage: reports the end of a request or connection to the engine, exactly once on every path.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,15 +14,16 @@
 use crate::load_classifier::{LoadClassifier, LoadReading};
 use crate::recording::RecordingEntry;
 
-/// An entry in the engine's books, from the request until its end.
+/// Reports the events of one request to the engine and the recording. If it is dropped without a final report, it
+/// reports that the client has left.
 #[derive(Debug)]
 pub struct RequestTracker {
     id: RequestId,
     engine: mpsc::Sender<EngineEvent>,
-    notes: Rc<RefCell<LoadClassifier>>,
-    /// What a recording gets of it; nothing where none is made.
+    load_classifier: Rc<RefCell<LoadClassifier>>,
+    /// The request's entry in the recording; `None` if no recording is made.
     entry: Option<Box<RecordingEntry>>,
-    closed: bool,
+    is_finished: bool,
 }
 
 impl RequestTracker {
@@ -30,87 +31,95 @@
         Self {
             id: request.id,
             engine: shared.engine.clone(),
-            notes: shared.load_classifier.clone(),
+            load_classifier: shared.load_classifier.clone(),
             entry: shared
                 .recording
                 .as_ref()
                 .map(|r| r.start_entry(request, arrived)),
-            closed: false,
+            is_finished: false,
         }
     }
 
-    /// A server has it.
+    /// Records that the connection to a server is up.
     pub fn mark_up(&self) {
         if let Some(entry) = &self.entry {
             entry.set_answer(Answer::Up);
         }
     }
 
-    /// The end of an attempt, after which the module goes on.
+    /// Reports the end of an attempt after which the balancer decides on the request again.
     pub async fn report_attempt_end(&self, server: ServerId, outcome: Outcome, report: Report) {
-        self.tell_end(server, outcome, report, false).await;
+        self.send_attempt_ended(server, outcome, report, false)
+            .await;
     }
 
-    /// The figure of a `LOAD` line.
-    pub async fn report_load(&self, server: ServerId, figure: f64) {
+    /// Reports the value of a `LOAD` line: the connection's load, or the server's message delay.
+    pub async fn report_load(&self, server: ServerId, value: f64) {
         if let Some(entry) = &self.entry {
-            entry.set_load(figure);
+            entry.set_load(value);
         }
-        let note = self.notes.borrow_mut().classify(figure);
-        self.notify_engine(match note {
+        let reading = self.load_classifier.borrow_mut().classify(value);
+        self.notify_engine(match reading {
             LoadReading::Load(load) => EngineEvent::ConnectionLoad(self.id, load),
             LoadReading::Delay(delay) => EngineEvent::MessageDelay(server, delay),
         })
         .await;
     }
 
-    /// The server leaves the client's lines without an answer.
+    /// Reports that the server leaves the client's lines unanswered.
     pub async fn report_silence(&self, server: ServerId) {
         self.notify_engine(EngineEvent::ServerUnresponsive(server))
             .await;
     }
 
-    /// The connection ended from the server's side, or was moved.
+    /// Reports that the server ended the connection, or that the connection was moved.
     pub async fn report_end(mut self, server: ServerId, (outcome, report): (Outcome, Report)) {
-        self.closed = true;
-        self.tell_end(server, outcome, report, true).await;
+        self.is_finished = true;
+        self.send_attempt_ended(server, outcome, report, true).await;
     }
 
-    async fn tell_end(&self, server: ServerId, outcome: Outcome, report: Report, last: bool) {
+    async fn send_attempt_ended(
+        &self,
+        server: ServerId,
+        outcome: Outcome,
+        report: Report,
+        is_final: bool,
+    ) {
         self.notify_engine(EngineEvent::AttemptEnded(AttemptEnd {
             id: self.id,
             server,
             outcome,
-            is_final: last,
+            is_final,
             report,
         }))
         .await;
     }
 
-    /// The client left.
+    /// Reports that the client left.
     pub async fn report_client_left(mut self) {
-        self.closed = true;
+        self.is_finished = true;
         self.notify_engine(EngineEvent::ClientGone(self.id)).await;
     }
 
-    /// The module itself has given the final answer.
+    /// Records the balancer's final answer; the engine needs no report.
     pub fn mark_answered(mut self, answer: Answer) {
         if let Some(entry) = &self.entry {
             entry.set_answer(answer);
         }
-        self.closed = true;
+        self.is_finished = true;
     }
 
-    pub async fn notify_engine(&self, notice: EngineEvent) {
-        // Without an engine the process ends.
-        let _ = self.engine.send(notice).await;
+    /// Sends an event to the engine, waiting for room in its queue.
+    pub async fn notify_engine(&self, event: EngineEvent) {
+        // If the engine has ended, the process ends too.
+        let _ = self.engine.send(event).await;
     }
 }
 
 impl Drop for RequestTracker {
     fn drop(&mut self) {
-        // A connection whose task ended on no known way must not stay in the books.
-        if !self.closed {
+        // A connection whose task ended without a report must not stay registered in the engine.
+        if !self.is_finished {
             let _ = self.engine.try_send(EngineEvent::ClientGone(self.id));
         }
     }
--- a/crates/proxy/src/ring_buffer.rs
+++ b/crates/proxy/src/ring_buffer.rs
@@ -5,9 +5,10 @@
 use tokio::net::TcpStream;
 use violetwind_net::{read_now, try_read, try_write};
 
+/// A byte ring of fixed size.
 #[derive(Debug)]
 pub struct RingBuffer {
-    /// Of its size once something has come: most that connect to harm say nothing.
+    /// Allocated when the first bytes are to be stored, because most hostile connections never send any.
     bytes: Box<[u8]>,
     size: usize,
     head: usize,
@@ -32,6 +33,7 @@
         self.len == 0
     }
 
+    /// The number of bytes that can be appended.
     pub fn free_bytes(&self) -> usize {
         self.size - self.len
     }
@@ -42,8 +44,8 @@
         }
     }
 
-    /// Reads once what the socket has, as far as it fits in one piece, and hands it to `seen` too.
-    /// 0 is the end of the stream, `None` a socket that has nothing; the ring must not be full.
+    /// Reads once from the socket, as much as fits contiguously, and passes the bytes to `seen` as well. Returns 0 at
+    /// the end of the stream and `None` if the socket is not ready. The ring must not be full.
     pub fn read_from(
         &mut self,
         stream: &TcpStream,
@@ -61,7 +63,7 @@
         Ok(got)
     }
 
-    /// Reads once by the socket itself, whether or not the runtime has heard that it may.
+    /// Reads once from the socket itself, whether or not the runtime considers it ready.
     pub fn read_now(&mut self, stream: &TcpStream) -> io::Result<Option<usize>> {
         self.allocate();
         let tail = (self.head + self.len) % self.size;
@@ -75,7 +77,8 @@
         Ok(got)
     }
 
-    /// Waits for what comes and reads once. 0 is the end of the stream; the ring must not be full.
+    /// Waits until the socket is readable and reads once. Returns 0 at the end of the stream. The ring must not be
+    /// full.
     pub async fn fill(&mut self, stream: &TcpStream) -> io::Result<usize> {
         loop {
             stream.readable().await?;
@@ -85,7 +88,8 @@
         }
     }
 
-    /// Reads until the first line is whole; it stays in the ring.
+    /// Reads until the ring holds a complete line and returns a copy of it; the line stays in the ring. Fails if the
+    /// ring is full or the stream ends before.
     pub async fn fill_until_line(&mut self, stream: &TcpStream) -> io::Result<Vec<u8>> {
         loop {
             if let Some(line) = self.peek_line() {
@@ -100,9 +104,10 @@
         }
     }
 
-    /// Writes once what the socket takes of the first so many bytes; `None` if it takes none now.
-    pub fn write_to(&mut self, stream: &TcpStream, most: usize) -> io::Result<Option<usize>> {
-        let end = (self.head + self.len.min(most)).min(self.bytes.len());
+    /// Writes once, `max_bytes` of the first bytes at most, and removes what was written. Returns `None` if the socket
+    /// is not ready.
+    pub fn write_to(&mut self, stream: &TcpStream, max_bytes: usize) -> io::Result<Option<usize>> {
+        let end = (self.head + self.len.min(max_bytes)).min(self.bytes.len());
         let sent = try_write(stream, &self.bytes[self.head..end])?;
         self.skip(sent.unwrap_or(0));
         Ok(sent)
@@ -110,59 +115,59 @@
 
     fn skip(&mut self, count: usize) {
         self.len -= count;
-        // An empty ring starts over: a first line then lies in one piece.
+        // An empty ring starts over at index 0, so that a first line is contiguous.
         self.head = match self.len {
             0 => 0,
             _ => (self.head + count) % self.bytes.len(),
         };
     }
 
-    /// Drops all but the first bytes.
+    /// Drops all bytes behind the first `len`.
     pub fn truncate(&mut self, len: usize) {
         self.len = self.len.min(len);
     }
 
-    /// Appends bytes; false if they don't fit.
+    /// Appends bytes; returns false and appends nothing if they don't fit.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         if bytes.len() > self.free_bytes() {
             return false;
         }
         self.allocate();
         for &byte in bytes {
-            let at = (self.head + self.len) % self.bytes.len();
-            self.bytes[at] = byte;
+            let index = (self.head + self.len) % self.bytes.len();
+            self.bytes[index] = byte;
             self.len += 1;
         }
         true
     }
 
-    fn at(&self, place: usize) -> u8 {
-        self.bytes[(self.head + place) % self.bytes.len()]
+    fn byte_at(&self, offset: usize) -> u8 {
+        self.bytes[(self.head + offset) % self.bytes.len()]
     }
 
-    /// The length of the first line with its end, if it is whole.
+    /// The length of the first line with its line end, if it is complete.
     fn line_len(&self) -> Option<usize> {
         (0..self.len)
-            .position(|place| self.at(place) == b'\n')
-            .map(|at| at + 1)
+            .position(|offset| self.byte_at(offset) == b'\n')
+            .map(|offset| offset + 1)
     }
 
-    /// Whether there is a whole line and nothing behind it.
+    /// Whether the ring holds exactly one complete line and nothing behind it.
     pub fn holds_one_line(&self) -> bool {
         self.line_len() == Some(self.len)
     }
 
-    /// A copy of the first line without its end, if it is whole.
+    /// A copy of the first line without its line end, if it is complete.
     pub fn peek_line(&self) -> Option<Vec<u8>> {
         let end = self.line_len()?;
-        let mut line: Vec<u8> = (0..end - 1).map(|place| self.at(place)).collect();
+        let mut line: Vec<u8> = (0..end - 1).map(|offset| self.byte_at(offset)).collect();
         if line.last() == Some(&b'\r') {
             line.pop();
         }
         Some(line)
     }
 
-    /// Takes the first line out.
+    /// Removes the first line and returns it without its line end, if it is complete.
     pub fn take_line(&mut self) -> Option<Vec<u8>> {
         let line = self.peek_line()?;
         let end = self.line_len()?;
@@ -170,8 +175,8 @@
         Some(line)
     }
 
-    /// What is held, in one piece, for a scan of what was read before a relay began.
+    /// A contiguous copy of all bytes, for a scan of what was read before the relay began.
     pub fn to_vec(&self) -> Vec<u8> {
-        (0..self.len).map(|place| self.at(place)).collect()
+        (0..self.len).map(|offset| self.byte_at(offset)).collect()
     }
 }
--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -1,4 +1,4 @@
-//! Stage three: asks the module, does as it says, and gives the client its one answer.
+//! Stage three: requests decisions from the balancer, executes them, and gives the client exactly one answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,92 +19,115 @@
 use violetwind_engine::{ConnectionCommand, EngineEvent};
 use violetwind_net::is_open_and_idle;
 
-/// What a request comes to.
-enum Answer {
-    /// A server has it; what it said so far is for the client.
-    Taken(ServerId, ServerConnection),
+/// The result of routing a request.
+enum Routed {
+    /// A server serves the request; what the server has sent so far is to be relayed to the client.
+    Connected(ServerId, ServerConnection),
     Refused(Option<Seconds>),
     Failed,
-    /// The client stopped waiting, by leaving or by its deadline.
-    Gone,
-    /// It sent on before it was up, which no usual client does.
-    Early,
+    /// The client stopped waiting: it left, or its deadline passed.
+    ClientLeft,
+    /// The client sent data before the request was connected, which conforming clients don't.
+    EarlyData,
 }
 
+/// Routes an admitted request to a server, and relays the connection or answers the client.
 pub async fn route_request(
     mut client: ClientConnection,
     admitted: AdmittedRequest<'_>,
     shared: &Rc<SharedState>,
 ) {
     let limits = &shared.limits;
-    let (to, mut orders) = mpsc::channel(limits.order_queue_capacity);
+    let (command_sender, mut commands) = mpsc::channel(limits.order_queue_capacity);
     let id = admitted.open_line.id;
-    let request_number = admitted.request.id;
-    let booking = RequestTracker::new(&admitted.request, client.arrived, shared);
-    match decide(&mut client, &admitted, shared, &booking, to, &mut orders).await {
-        Answer::Taken(on, server) => {
-            booking.mark_up();
-            let heard = (admitted.open_line, RelayState::default());
-            relay::run_relay(client, server, on, orders, booking, heard, shared).await;
+    let request_id = admitted.request.id;
+    let tracker = RequestTracker::new(&admitted.request, client.arrived, shared);
+    match decide(
+        &mut client,
+        &admitted,
+        shared,
+        &tracker,
+        command_sender,
+        &mut commands,
+    )
+    .await
+    {
+        Routed::Connected(server_id, server) => {
+            tracker.mark_up();
+            let relay_start = (admitted.open_line, RelayState::default());
+            relay::run_relay(
+                client,
+                server,
+                server_id,
+                commands,
+                tracker,
+                relay_start,
+                shared,
+            )
+            .await;
         }
-        Answer::Refused(wait) => {
-            debug!(id, request = request_number, "refused");
-            booking.mark_answered(violetwind_record::Answer::Refused);
-            let word = match wait.map(|wait| (wait * 1e3).round() as u64) {
+        Routed::Refused(wait) => {
+            debug!(id, request = request_id, "refused");
+            tracker.mark_answered(violetwind_record::Answer::Refused);
+            let answer = match wait.map(|wait| (wait * 1e3).round() as u64) {
                 Some(ms) if ms > 0 => format!("BUSY {ms}"),
                 _ => "BUSY".to_string(),
             };
-            client.answer_and_close(&word, limits).await;
+            client.answer_and_close(&answer, limits).await;
         }
-        Answer::Failed => {
-            debug!(id, request = request_number, "failed");
-            booking.mark_answered(violetwind_record::Answer::Failed);
+        Routed::Failed => {
+            debug!(id, request = request_id, "failed");
+            tracker.mark_answered(violetwind_record::Answer::Failed);
             client.answer_and_close("ERR", limits).await;
         }
-        Answer::Gone => {
-            debug!(id, "the client left, or its time is over");
-            booking.report_client_left().await;
+        Routed::ClientLeft => {
+            debug!(id, "the client left, or its deadline passed");
+            tracker.report_client_left().await;
             client.answer_and_close("ERR", limits).await;
         }
-        Answer::Early => {
+        Routed::EarlyData => {
             if let Some(left_out) = shared.log_throttle.try_acquire() {
-                info!(id, left_out, "a client sends on before it is up");
+                info!(
+                    id,
+                    left_out, "the client sent data before its request was connected"
+                );
             }
-            booking.report_client_left().await;
+            tracker.report_client_left().await;
             client.answer_and_close("ERR", limits).await;
         }
     }
     drop(admitted.guards);
 }
 
+/// Executes the balancer's commands until a server serves the request or it gets its final answer.
 async fn decide(
     client: &mut ClientConnection,
     admitted: &AdmittedRequest<'_>,
     shared: &Rc<SharedState>,
-    booking: &RequestTracker,
-    to: mpsc::Sender<ConnectionCommand>,
-    orders: &mut mpsc::Receiver<ConnectionCommand>,
-) -> Answer {
+    tracker: &RequestTracker,
+    command_sender: mpsc::Sender<ConnectionCommand>,
+    commands: &mut mpsc::Receiver<ConnectionCommand>,
+) -> Routed {
     let limits = &shared.limits;
     let request = &admitted.request;
-    let ask = || match admitted.previous_server {
-        Some(uid) => EngineEvent::Resume(request.id, uid.to_string(), to.clone()),
-        None => EngineEvent::Request(request.clone(), to.clone()),
+    let engine_request = || match admitted.previous_server {
+        Some(uid) => EngineEvent::Resume(request.id, uid.to_string(), command_sender.clone()),
+        None => EngineEvent::Request(request.clone(), command_sender.clone()),
     };
-    booking.notify_engine(ask()).await;
-    let end = admitted.deadline + limits.answer_slack;
+    tracker.notify_engine(engine_request()).await;
+    let decision_deadline = admitted.deadline + limits.answer_slack;
     loop {
-        // The client goes first: nothing is sent for one that has left in the same moment.
-        let order = tokio::select! {
+        // The client is polled first: nothing is sent for a client that has left in the same moment.
+        let command = tokio::select! {
             biased;
-            answer = client_first(&mut client.ring, &client.stream) => return answer,
-            order = orders.recv() => order,
-            () = sleep_until(end) => {
+            routed = wait_for_client_activity(&mut client.ring, &client.stream) => return routed,
+            command = commands.recv() => command,
+            () = sleep_until(decision_deadline) => {
                 warn!(id = admitted.open_line.id, "no decision by the deadline");
-                return Answer::Gone;
+                return Routed::ClientLeft;
             }
         };
-        let (on, endpoint, within, write_by, report_write) = match order {
+        let (server_id, endpoint, attempt_timeout, write_by, report_write) = match command {
             Some(ConnectionCommand::Send {
                 server,
                 endpoint,
@@ -112,9 +135,9 @@
                 write_by,
                 report_write,
             }) => (server, endpoint, within, write_by, report_write),
-            Some(ConnectionCommand::Refuse(wait)) => return Answer::Refused(wait),
-            Some(ConnectionCommand::Fail) | None => return Answer::Failed,
-            // Nothing is out that could be called off or moved.
+            Some(ConnectionCommand::Refuse(wait)) => return Routed::Refused(wait),
+            Some(ConnectionCommand::Fail) | None => return Routed::Failed,
+            // No attempt or connection is open that could be cancelled or moved.
             Some(
                 ConnectionCommand::Cancel
                 | ConnectionCommand::Recall
@@ -122,31 +145,33 @@
                 | ConnectionCommand::HandOver,
             ) => continue,
             Some(ConnectionCommand::NotYet) => {
-                if let Some(answer) = rest(client, limits.resume_retry_interval).await {
-                    return answer;
+                if let Some(routed) =
+                    pause_unless_client_acts(client, limits.resume_retry_interval).await
+                {
+                    return routed;
                 }
-                booking.notify_engine(ask()).await;
+                tracker.notify_engine(engine_request()).await;
                 continue;
             }
         };
-        let left = admitted.deadline.saturating_duration_since(Instant::now());
+        let remaining = admitted.deadline.saturating_duration_since(Instant::now());
         let recalled = Cell::new(false);
         let target = AttemptTarget {
             request: request.id,
-            server: on,
+            server: server_id,
             endpoint,
-            timeout: within.min(left),
+            timeout: attempt_timeout.min(remaining),
         };
         let ClientConnection { ring, stream, .. } = &mut *client;
         let still_valid = || {
             let in_time = write_by.is_none_or(|by| Instant::now() < by);
-            // The client waits still, by its socket itself: the runtime hears of an end only when it looks next.
+            // Checks the client's socket directly: the runtime notices that the client has left only at its next poll.
             in_time && !recalled.get() && is_open_and_idle(stream)
         };
         let on_written = async || {
             if report_write {
-                booking
-                    .notify_engine(EngineEvent::Written(request.id, on))
+                tracker
+                    .notify_engine(EngineEvent::Written(request.id, server_id))
                     .await;
             }
         };
@@ -159,67 +184,83 @@
         );
         let attempt = tokio::select! {
             biased;
-            answer = client_first(ring, stream) => return answer,
-            () = called_off(orders, &recalled) => AttemptResult::Failed(Outcome::Cancelled, Default::default()),
+            routed = wait_for_client_activity(ring, stream) => return routed,
+            () = wait_for_cancellation(commands, &recalled) => AttemptResult::Failed(Outcome::Cancelled, Default::default()),
             attempt = attempt => attempt,
         };
         match attempt {
-            // Bytes may have come together with the server's answer.
+            // The client may have sent data in the same moment in which the server answered.
             AttemptResult::Up(_) | AttemptResult::Served(_) if client.has_sent_more() => {
-                return Answer::Early;
+                return Routed::EarlyData;
             }
             AttemptResult::Up(server) => {
-                booking
+                tracker
                     .notify_engine(match admitted.previous_server {
-                        Some(_) => EngineEvent::Resumed(request.clone(), on),
-                        None => EngineEvent::ConnectionUp(request.id, on),
+                        Some(_) => EngineEvent::Resumed(request.clone(), server_id),
+                        None => EngineEvent::ConnectionUp(request.id, server_id),
                     })
                     .await;
-                return Answer::Taken(on, server);
+                return Routed::Connected(server_id, server);
             }
-            AttemptResult::Served(server) => return Answer::Taken(on, server),
+            AttemptResult::Served(server) => return Routed::Connected(server_id, server),
             AttemptResult::Failed(outcome, _) if admitted.previous_server.is_some() => {
                 debug!(
                     id = admitted.open_line.id,
                     ?outcome,
-                    "a standing connection is tried again"
+                    "resuming the connection failed; retrying"
                 );
-                if let Some(answer) = rest(client, limits.resume_retry_interval).await {
-                    return answer;
+                if let Some(routed) =
+                    pause_unless_client_acts(client, limits.resume_retry_interval).await
+                {
+                    return routed;
                 }
-                booking.notify_engine(ask()).await;
+                tracker.notify_engine(engine_request()).await;
             }
             AttemptResult::Failed(outcome, report) => {
-                debug!(id = admitted.open_line.id, server = on, ?outcome, "attempt");
-                booking.report_attempt_end(on, outcome, report).await;
+                debug!(
+                    id = admitted.open_line.id,
+                    server = server_id,
+                    ?outcome,
+                    "attempt ended"
+                );
+                tracker.report_attempt_end(server_id, outcome, report).await;
             }
         }
     }
 }
 
-/// What a client comes to that does anything but wait.
-async fn client_first(ring: &mut RingBuffer, stream: &TcpStream) -> Answer {
+/// Waits until the client leaves or sends data; a conforming client does neither before its answer.
+async fn wait_for_client_activity(ring: &mut RingBuffer, stream: &TcpStream) -> Routed {
     match ring.fill(stream).await {
-        Ok(0) | Err(_) => Answer::Gone,
-        Ok(_) => Answer::Early,
+        Ok(0) | Err(_) => Routed::ClientLeft,
+        Ok(_) => Routed::EarlyData,
     }
 }
 
-/// What the client comes to within such a time, if it does not wait.
-async fn rest(client: &mut ClientConnection, time: Duration) -> Option<Answer> {
-    timeout(time, client_first(&mut client.ring, &client.stream))
-        .await
-        .ok()
+/// Pauses for `duration`; returns early with the result if the client leaves or sends data.
+async fn pause_unless_client_acts(
+    client: &mut ClientConnection,
+    duration: Duration,
+) -> Option<Routed> {
+    timeout(
+        duration,
+        wait_for_client_activity(&mut client.ring, &client.stream),
+    )
+    .await
+    .ok()
 }
 
-/// Returns when the module calls the attempt off; notes that its server drains.
-async fn called_off(orders: &mut mpsc::Receiver<ConnectionCommand>, recalled: &Cell<bool>) {
+/// Returns when the balancer cancels the attempt. Sets `recalled` if the server of the attempt drains.
+async fn wait_for_cancellation(
+    commands: &mut mpsc::Receiver<ConnectionCommand>,
+    recalled: &Cell<bool>,
+) {
     loop {
-        match orders.recv().await {
+        match commands.recv().await {
             Some(ConnectionCommand::Cancel) | None => return,
             Some(ConnectionCommand::Recall) => recalled.set(true),
-            // Nothing else is said while an attempt is out.
-            Some(order) => warn!(?order, "out of turn"),
+            // The engine sends nothing else during an attempt.
+            Some(command) => warn!(order = ?command, "unexpected command during an attempt"),
         }
     }
 }
