--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -197,8 +197,7 @@
             Some(FirstLine::Open(open)) => {
                 return admission::admit_request(client, &open, &shared).await;
             }
-            // A proxy that an operator has taken out of use (`LEAVE`) accepts no new clients, even if it could serve
-            // them.
+            // A proxy that has been taken out of use accepts no new clients, even if it could serve them.
             Some(FirstLine::Ping) if shared.is_ready() && !shared.service.has_left() => "PONG",
             Some(FirstLine::Ping) => "ERR",
             Some(FirstLine::Stats) => "NO",
--- a/crates/proxy/src/line_protocol.rs
+++ b/crates/proxy/src/line_protocol.rs
@@ -34,7 +34,7 @@
 /// A line from a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerLine {
-    /// The connection is up.
+    /// The server has accepted the request: the connection is up.
     Up,
     /// The server has served the request.
     Bye(Report),
