--- a/crates/fleet/src/budget/mod.rs
+++ b/crates/fleet/src/budget/mod.rs
@@ -1,13 +1,16 @@
-//! Budgets of the whole fleet. What is divided is in the log ([`Shares`]); who needs what is told with each renewal
-//! and divided by the leader ([`Divider`]); what a member may use right now is its own to count ([`Meters`]).
+//! Budgets of the whole fleet. The log holds the shares ([`BudgetShares`]); members report their needs with each
+//! renewal, and the leader divides the budgets by them ([`ShareAllocator`]); each member counts locally what it uses
+//! and what it may use ([`Meters`]).
 //!
-//! - *Never More Than The Whole*: floors of all possible members, shares, and what is stranded never sum to more
-//!   than the whole in force. The log refuses any command that would break it. A share grows only after the log
-//!   has it, and shrinks in the log only after its member has stopped using it.
-//! - *A Share Is A Lease*: it counts as long as the session's lease, from before it was asked for.
-//! - *Stranded*: what the share of a session that ended may still be in use for stays set aside: of a rate for a
-//!   whole window; of units that are held until the same process says what it still uses, another process
-//!   of that name has begun, or staff say that the machine is gone.
+//! Invariants:
+//!
+//! - *Never More Than The Whole*: the floors of all possible members, the shares and the stranded units never sum to
+//!   more than the total in force. The log refuses any command that would break this. A share is raised for use only
+//!   after the raise is in the log, and is lowered in the log only after its member has stopped using the units.
+//! - *A Share Is A Lease*: it is valid as long as the session's lease, counted from before the request for it.
+//! - *Stranded*: units of the share of an ended session that may still be in use stay reserved: of a rate budget for
+//!   one whole window; of a concurrency budget until the same process reports what it still uses, another process of
+//!   that name has started, or an operator declares the machine gone.
 
 mod allocator;
 mod meter;
@@ -22,45 +25,49 @@
 
 use crate::messages::Name;
 
+/// How the units of a budget are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum BudgetKind {
-    /// So many at once.
+    /// The total bounds the units in use at the same time.
     Concurrent,
-    /// So many in any span of the window's length.
+    /// The total bounds the units used within any time span as long as the window.
     Rate,
 }
 
-/// A budget as one file has it.
+/// A budget as one configuration file defines it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BudgetDefinition {
     pub name: Name,
     pub kind: BudgetKind,
+    /// The units of the whole fleet.
     pub total: u64,
-    /// What each member may use without asking.
+    /// Units that each member may use without a share.
     pub floor: u64,
-    /// Of a rate.
+    /// The window of a rate budget; unused for concurrency budgets.
     pub window: Millis,
-    /// Members that there may be at most; their floors are set aside.
+    /// The largest number of members; a floor is reserved for each.
     pub max_members: u64,
-    /// Of two files the one with the larger number is in force.
+    /// Of two definitions the one with the larger version is in force.
     pub version: u64,
 }
 
 impl BudgetDefinition {
-    /// What can be divided beyond the floors.
+    /// Units that can be divided beyond the floors.
     pub fn pool(&self) -> u64 {
         self.total
             .saturating_sub(self.floor.saturating_mul(self.max_members))
     }
 
+    /// Checks that the definition is consistent.
+    ///
     /// # Errors
-    /// Floors that exceed the whole, or a rate without a window.
+    /// The floors of all members exceed the total, or a rate budget has no window.
     pub fn validate(&self) -> Result<(), String> {
         let floors = self.floor.saturating_mul(self.max_members);
         if floors > self.total {
-            let (floor, members, whole) = (self.floor, self.max_members, self.total);
+            let (floor, members, total) = (self.floor, self.max_members, self.total);
             return Err(format!(
-                "floors of {floor} for {members} members are more than the whole, {whole}"
+                "floors of {floor} for {members} members are more than the whole, {total}"
             ));
         }
         if self.kind == BudgetKind::Rate && self.window == 0 {
@@ -70,12 +77,12 @@
     }
 }
 
-/// What a member tells of a budget with a renewal; units beyond its floor.
+/// What a member reports of a budget with a renewal, in units beyond its floor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Need {
     pub budget: Name,
-    /// In use, or used within the window.
+    /// Units in use; of a rate budget, units used within the window.
     pub in_use: u64,
-    /// What it would use if it could.
+    /// Units that the member would use if its share allowed it.
     pub wanted: u64,
 }
--- a/crates/fleet/src/budget/shares.rs
+++ b/crates/fleet/src/budget/shares.rs
@@ -1,4 +1,4 @@
-//! What the log has settled of one budget.
+//! The replicated state of one budget.
 
 use std::collections::BTreeMap;
 
@@ -8,49 +8,53 @@
 use crate::limits::StateLimits;
 use crate::messages::{Name, Number, SessionId};
 
+/// The part of a budget that a session may use beyond its floor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     pub units: u64,
-    /// Grows when units do; a change names the one that it is made upon.
+    /// Incremented when the units are raised; a change carries the version that it is based on.
     pub version: u64,
 }
 
-/// Units of a session that has ended, which may be in use still.
+/// Units of an ended session that may still be in use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StrandedUnits {
     pub member: Name,
-    /// The process that had them.
+    /// The process that the units were allocated to.
     pub incarnation: Number,
     pub units: u64,
-    /// That process is known to be gone, and its connections with it.
+    /// That process is known to have ended, and its connections with it.
     pub is_process_gone: bool,
 }
 
+/// One budget: the definition in force, the shares of all sessions, and the stranded units.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetShares {
-    /// In force.
-    def: BudgetDefinition,
-    /// The largest floor and the most members that any file has had: somebody may still go by them.
-    floor: u64,
-    members: u64,
+    /// The definition in force.
+    definition: BudgetDefinition,
+    /// The largest floor and the largest number of members of any definition so far: a member may still use an older
+    /// file.
+    reserved_floor: u64,
+    reserved_members: u64,
     shares: BTreeMap<SessionId, Share>,
     stranded: BTreeMap<Number, StrandedUnits>,
 }
 
 impl BudgetShares {
-    pub fn new(def: BudgetDefinition) -> Self {
-        let (floor, members) = (def.floor, def.max_members);
+    /// A budget without shares.
+    pub fn new(definition: BudgetDefinition) -> Self {
+        let (reserved_floor, reserved_members) = (definition.floor, definition.max_members);
         Self {
-            def,
-            floor,
-            members,
+            definition,
+            reserved_floor,
+            reserved_members,
             shares: BTreeMap::new(),
             stranded: BTreeMap::new(),
         }
     }
 
     pub fn definition(&self) -> &BudgetDefinition {
-        &self.def
+        &self.definition
     }
 
     pub fn shares(&self) -> &BTreeMap<SessionId, Share> {
@@ -61,37 +65,39 @@
         &self.stranded
     }
 
-    /// Another file's word. The larger version is in force; of two that differ under one version nobody uses
-    /// the larger whole.
-    pub fn merge_definition(&mut self, def: &BudgetDefinition) {
-        self.floor = self.floor.max(def.floor);
-        self.members = self.members.max(def.max_members);
-        if def.version > self.def.version {
-            self.def = def.clone();
-        } else if def.version == self.def.version && *def != self.def {
-            self.def.total = self.def.total.min(def.total);
-            self.def.floor = self.def.floor.min(def.floor);
-            self.def.window = self.def.window.max(def.window);
-            self.def.max_members = self.def.max_members.max(def.max_members);
-            if def.kind != self.def.kind {
-                // Neither can be kept by those that count the other way.
-                self.def.total = 0;
+    /// Merges the definition of another member's file. The larger version is in force; of two definitions that differ
+    /// under the same version the stricter values are, so that no member uses the larger total.
+    pub fn merge_definition(&mut self, definition: &BudgetDefinition) {
+        self.reserved_floor = self.reserved_floor.max(definition.floor);
+        self.reserved_members = self.reserved_members.max(definition.max_members);
+        if definition.version > self.definition.version {
+            self.definition = definition.clone();
+        } else if definition.version == self.definition.version && *definition != self.definition {
+            self.definition.total = self.definition.total.min(definition.total);
+            self.definition.floor = self.definition.floor.min(definition.floor);
+            self.definition.window = self.definition.window.max(definition.window);
+            self.definition.max_members = self.definition.max_members.max(definition.max_members);
+            if definition.kind != self.definition.kind {
+                // Members that count by one kind can't keep a total of the other kind.
+                self.definition.total = 0;
             }
         }
     }
 
-    /// So many members there are, whatever files say: each has a floor that it may use without asking.
+    /// Reserves floors for at least `members` members: each existing member may use its floor without a share, whatever
+    /// number the definitions state.
     pub fn raise_max_members(&mut self, members: u64) {
-        self.members = self.members.max(members);
+        self.reserved_members = self.reserved_members.max(members);
     }
 
-    /// What may be given beyond floors.
+    /// Units that can be allocated beyond the reserved floors.
     pub fn pool(&self) -> u64 {
-        self.def
+        self.definition
             .total
-            .saturating_sub(self.floor.saturating_mul(self.members))
+            .saturating_sub(self.reserved_floor.saturating_mul(self.reserved_members))
     }
 
+    /// Units in shares and stranded units.
     pub fn allocated(&self) -> u64 {
         let shares: u64 = self.shares.values().map(|share| share.units).sum();
         shares
@@ -102,71 +108,77 @@
                 .sum::<u64>()
     }
 
+    /// Units of the pool that can be allocated now.
     pub fn free(&self) -> u64 {
         self.pool().saturating_sub(self.allocated())
     }
 
+    /// The share of a session; zero units at version 0 if it has none.
     pub fn share(&self, session: SessionId) -> Share {
         self.shares.get(&session).copied().unwrap_or_default()
     }
 
-    /// Whether the share was raised: only from what is free, and only upon the version named.
-    pub fn raise_share(&mut self, session: SessionId, to: u64, version: u64) -> bool {
+    /// Raises a share to `units`. Returns false and changes nothing if the free units don't suffice, the share is of
+    /// another version, or it already has as many.
+    pub fn raise_share(&mut self, session: SessionId, units: u64, version: u64) -> bool {
         let known = self.share(session);
-        if known.version != version || to <= known.units || to - known.units > self.free() {
+        if known.version != version || units <= known.units || units - known.units > self.free() {
             return false;
         }
         self.shares.insert(
             session,
             Share {
-                units: to,
+                units,
                 version: version + 1,
             },
         );
         true
     }
 
-    /// Whether it was lowered, by its member's own word. That leaves the version: words that it uses less and less may
-    /// follow each other without waiting, and a late one lowers nothing.
-    pub fn lower_share(&mut self, session: SessionId, to: u64, version: u64) -> bool {
+    /// Lowers a share at the request of its member; returns whether it was lowered. The version stays, so that a member
+    /// can send further requests to lower it without waiting for an answer; a request that was delayed until after the
+    /// share was raised again names an older version and is ignored.
+    pub fn lower_share(&mut self, session: SessionId, units: u64, version: u64) -> bool {
         match self.shares.get_mut(&session) {
-            Some(known) if known.version == version && to < known.units => {
-                known.units = to;
+            Some(known) if known.version == version && units < known.units => {
+                known.units = units;
                 true
             }
             _ => false,
         }
     }
 
-    /// A session has ended: what `uses` says of it, or all of its share, is stranded under a new number.
+    /// Removes the share of an ended session. The units that may still be in use are stranded under `number`: `in_use`
+    /// of them if that is known, otherwise the whole share.
     pub fn strand_share(
         &mut self,
         session: SessionId,
         (member, process): (&str, Number),
-        uses: Option<u64>,
+        in_use: Option<u64>,
         number: Number,
     ) {
         let Some(share) = self.shares.remove(&session) else {
             return;
         };
-        let units = uses.map_or(share.units, |uses| uses.min(share.units));
+        let units = in_use.map_or(share.units, |in_use| in_use.min(share.units));
         if units == 0 {
             return;
         }
         if self.stranded.len() >= StateLimits::MAX_STRANDED_SHARES {
-            // No unit is lost for want of room: it joins what the same member has there.
+            // At the limit of entries the units are added to an entry of the same member, or else to any other entry
+            // whose process is not gone, so that no unit is lost.
             let same = self
                 .stranded
                 .values_mut()
                 .find(|known| known.member == member && !known.is_process_gone);
-            let any = match same {
+            let mergeable = match same {
                 Some(same) => Some(same),
                 None => self
                     .stranded
                     .values_mut()
                     .find(|known| !known.is_process_gone),
             };
-            if let Some(known) = any {
+            if let Some(known) = mergeable {
                 known.units += units;
                 return;
             }
@@ -183,15 +195,16 @@
         );
     }
 
-    /// A process has a session again: what it had and still uses is its share. Units of processes of that name
-    /// before it are gone with them.
+    /// Converts stranded units of a process that has a new session back into a share, as far as they are in use; the
+    /// others become free. For stranded units of earlier processes of the same name it records that the process is
+    /// gone.
     pub fn restore_share(
         &mut self,
         session: SessionId,
         (member, process): (&str, Number),
-        uses: u64,
+        in_use: u64,
     ) {
-        let mut had = 0;
+        let mut stranded_units = 0;
         self.stranded.retain(|_, stranded| {
             if stranded.member != member {
                 return true;
@@ -200,35 +213,36 @@
                 stranded.is_process_gone = true;
                 return true;
             }
-            had += stranded.units;
+            stranded_units += stranded.units;
             false
         });
-        let units = had.min(uses);
+        let units = stranded_units.min(in_use);
         if units > 0 {
             self.shares.insert(session, Share { units, version: 1 });
         }
     }
 
-    /// Staff say that a member's machine is gone.
+    /// Records an operator's declaration that the machine of a member is gone.
     pub fn mark_member_gone(&mut self, member: &str) {
         for stranded in self.stranded.values_mut() {
             stranded.is_process_gone |= stranded.member == member;
         }
     }
 
-    /// What is not in use any more can be given again.
+    /// Frees stranded units whose process is gone. Those of a rate budget need no such proof: the caller releases them
+    /// after a whole window.
     pub fn release_stranded(&mut self, number: Number) {
-        let rate = self.def.kind == BudgetKind::Rate;
+        let is_rate = self.definition.kind == BudgetKind::Rate;
         if self
             .stranded
             .get(&number)
-            .is_some_and(|stranded| stranded.is_process_gone || rate)
+            .is_some_and(|stranded| stranded.is_process_gone || is_rate)
         {
             self.stranded.remove(&number);
         }
     }
 
-    /// Whether nothing of it is out.
+    /// Whether no units are allocated or stranded.
     pub fn is_idle(&self) -> bool {
         self.shares.values().all(|share| share.units == 0) && self.stranded.is_empty()
     }
--- a/crates/fleet/src/fencing.rs
+++ b/crates/fleet/src/fencing.rs
@@ -1,23 +1,24 @@
-//! What a receiver of a duty's work does with the numbers that come with it.
+//! Fencing at the receiver of a duty's work: it rejects work of holders that have been replaced.
 
 use crate::messages::Number;
 
-/// Lets work pass in the order of holdings: once a newer holder was heard, an older one never passes again.
+/// Admits work by its fencing number: after work of a newer holder, work of an older one is rejected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FenceGuard {
-    newest: Number,
+    highest: Number,
 }
 
 impl FenceGuard {
-    /// Whether work with this number may be done. Must be kept on disk with the work where the receiver
-    /// may be restarted.
+    /// Returns whether work with this fencing number may be done, and records the number. If the receiver may be
+    /// restarted, the guard must be stored on disk together with the work.
     pub fn admit(&mut self, fence: Number) -> bool {
-        let passes = fence >= self.newest;
-        self.newest = self.newest.max(fence);
-        passes
+        let is_admitted = fence >= self.highest;
+        self.highest = self.highest.max(fence);
+        is_admitted
     }
 
+    /// The highest fencing number seen so far.
     pub fn highest_fence(&self) -> Number {
-        self.newest
+        self.highest
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,24 +1,26 @@
-//! Proxies as one fleet, without I/O, clock or chance: [`Member`] is what one process knows and does. Times,
-//! frames of peers, acknowledgements of the disk and calls of operators come in as [`Input`]s; frames, records
-//! to be synced, answers and events go out as [`Output`]s.
+//! The proxies of a fleet as one distributed system, without I/O, clocks or random numbers: [`Member`] is the state
+//! machine of one process. Times, frames from peers, disk acknowledgements and operator calls are its [`Input`]s;
+//! frames, records to be synced, answers and events are its [`Output`]s.
 //!
-//! A few members vote and keep the log (`violetwind_consensus`); what it settles is [`State`]: the sessions of
-//! all members, and who holds which duty with which fencing number. All members, hundreds that never vote
-//! among them, are clients of whoever leads ([`holder`]); the leader counts their leases ([`grantor`]).
+//! A few members vote and replicate the log (`violetwind_consensus`). The log's [`State`] holds the sessions of all
+//! members, and the holder and fencing number of each duty. All members, including hundreds that never vote, are
+//! clients of the leader (`session_client`); the leader keeps their leases (`leases`).
 //!
-//! Invariants, by the names that design note and tests use:
+//! Invariants, under the names that the design note and the tests use:
 //!
-//! - *One Holder*: at no instant of true time do two processes count a duty as theirs. A holder counts its lease
-//!   from before it asked; a leader counts it from after it granted, longer by the stated drift of clocks;
-//!   a renewal is granted only once a majority has confirmed, after it came, that the leader still leads; a
-//!   new leader waits out a whole lease of every session.
-//! - *Fencing*: every holding has a number larger than all before it, for the life of the fleet's log.
-//! - *Given Up In Time*: who can't renew stops by itself a margin before the lease ends.
-//! - *Held Again*: with a majority a duty of a dead holder is held again within lease and election time.
-//! - *Never Too Many Out*, *Empty Means Empty*: orders for work ([`work`]) change in the log alone; a step that stands on
-//!   everybody's word names the roster that was asked.
-//! - *Unanimous Formation*: a fleet begins when every voter has the same list of directories on disk; who comes
-//!   with another directory is a stranger until it is let in.
+//! - *One Holder*: at no instant do two processes regard themselves as the holder of a duty. A holder counts its lease
+//!   from before its request; the leader counts it from after the grant, extended by the configured clock drift. A
+//!   renewal is granted only after a majority has confirmed, later than the renewal arrived, that the leader still
+//!   leads. A new leader waits for a whole lease of every session.
+//! - *Fencing*: each time a duty is granted it gets a fencing number larger than all before it, for the life of the
+//!   fleet's log.
+//! - *Given Up In Time*: a holder that can't renew its lease stops a margin before the lease expires.
+//! - *Held Again*: while there is a majority, the duty of a failed holder is held again within the lease and the
+//!   election time.
+//! - *Never Too Many Out*, *Empty Means Empty*: work orders ([`work_orders`]) change only through the log; a step that
+//!   needs the confirmation of all serving members names the version of the roster that was asked.
+//! - *Unanimous Formation*: a fleet is formed when every voter has the same list of directories on disk; a member that
+//!   comes with another directory is refused until an operator admits it.
 
 pub mod budget;
 mod events;
--- a/crates/fleet/src/limits.rs
+++ b/crates/fleet/src/limits.rs
@@ -1,45 +1,51 @@
-//! Every time, size and count of the fleet.
+//! Time-outs, sizes and counts of the fleet.
 
 use violetwind_consensus::Millis;
 
+/// Time-outs, in milliseconds, and limits of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// A session, and with it all that it holds, ends so long after it was last renewed.
+    /// A session, and with it every duty and share that it holds, expires this long after its last renewal.
     pub lease_duration: Millis,
-    /// A holder stops so long before its lease ends.
+    /// A holder stops its work this long before its lease expires.
     pub lease_margin: Millis,
-    /// The clocks of two machines run apart by no more than this part in a thousand.
+    /// The largest relative drift between the clocks of two machines, in thousandths.
     pub max_clock_drift_permille: u64,
-    /// A session is renewed so often, and an answer waited for so long before another member is asked.
+    /// The interval between renewals of a session, and the time-out of a request to the leader, after which it is sent
+    /// to another member.
     pub renew_interval: Millis,
-    /// Before a session that was refused, or is not free yet, is asked for again.
+    /// The delay before a session is requested again that was refused, or whose name is not free yet.
     pub retry_delay: Millis,
-    /// Who ends waits so long for its duties to be taken over.
+    /// How long a member that shuts down waits for its duties to be taken over.
     pub handoff_timeout: Millis,
-    /// Of what is divided this member gets so much more than one of weight 1.
+    /// This member's weight in the division of budgets, relative to a member of weight 1.
     pub weight: u64,
-    /// Needs that a member tells with one renewal.
+    /// The largest number of needs that a member reports with one renewal.
     pub max_needs_per_renewal: usize,
-    /// After a new process of a name has begun: what the one before held is not given out again for so long, until
-    /// the servers have seen the end of its connections.
+    /// How long units that a process held stay reserved after another process of the same name has started or an
+    /// operator has declared its machine gone: servers need that time to notice the end of its connections.
     pub reclaim_delay: Millis,
-    /// A need that the leader has left open for so long, and in so many answers, is taken for one that it can't meet.
+    /// A need that the leader has left unmet for this long, and in `unmet_need_min_answers` answers, is taken to be one
+    /// that it can't meet.
     pub unmet_need_timeout: Millis,
     pub unmet_need_min_answers: u32,
-    /// Where an exchange has brought nothing, nobody waits for another one so soon.
+    /// How long after the first such answer the need counts as unmet: where an exchange with the leader has brought no
+    /// units, requests don't wait for another exchange sooner.
     pub unmet_need_cooldown: Millis,
-    /// Calls that wait for a unit of a budget; more are refused at once.
+    /// The largest number of calls that wait for a unit of a budget; further ones are refused at once.
     pub max_unit_waiters: usize,
-    /// Where it takes part in work on machines it waits so much longer until it serves nobody and the log has that:
-    /// who ends otherwise has to confirm on its return, or be called gone.
+    /// How much longer than `handoff_timeout` a member that takes part in work orders waits, when it shuts down, until
+    /// it serves no client and the log has recorded that. A member that ends earlier stays among those that have to
+    /// confirm each step, until it returns and confirms or an operator declares its machine gone.
     pub drain_timeout: Millis,
-    /// While there are orders for work, a member asks so often what is out; otherwise as often as it renews.
+    /// The interval at which a member polls the list of machines while there are work orders; without work orders it
+    /// polls at `renew_interval`.
     pub work_poll_interval: Millis,
-    /// Machines that the sources have not told for so long are no part of the fleet any more.
+    /// Machines that the sources have not listed for this long are removed from the fleet.
     pub machine_expiry: Millis,
-    /// Asks that wait for the log at a leader.
+    /// The largest number of requests that wait for the log at a leader.
     pub max_pending_leader_requests: usize,
-    /// Entries between two snapshots.
+    /// Log entries between two snapshots.
     pub snapshot_interval_entries: u64,
     pub consensus: violetwind_consensus::Limits,
 }
@@ -50,21 +56,21 @@
     }
 }
 
-/// Why times do not fit each other.
+/// Time-outs that contradict each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitsError {
-    /// No session would outlive a change of the leader.
+    /// The lease is shorter than `min_lease`: no session would outlive a change of leader.
     LeaseTooShort { min_lease: Millis },
-    /// Nothing of a lease would be left.
+    /// The margin is longer than `max_margin`: too little of a lease would be left to use.
     MarginTooLong { max_margin: Millis },
 }
 
 impl Limits {
-    /// All times from the two that operators set.
-    pub fn with_timeouts(lease_duration: Millis, election: Millis) -> Self {
+    /// Derives all time-outs from the two that operators set, in milliseconds.
+    pub fn with_timeouts(lease_duration: Millis, election_timeout: Millis) -> Self {
         let consensus = violetwind_consensus::Limits {
-            election_timeout: election,
-            heartbeat_interval: (election / 5).max(1),
+            election_timeout,
+            heartbeat_interval: (election_timeout / 5).max(1),
             ..violetwind_consensus::Limits::default()
         };
         Self {
@@ -90,31 +96,33 @@
         }
     }
 
-    /// How long a leader counts a lease that it grants now.
+    /// How long a leader counts a lease from its grant: the lease duration, extended by the clock drift.
     pub fn granted_lease_duration(&self) -> Millis {
         self.lease_duration
             + (self.lease_duration * self.max_clock_drift_permille).div_ceil(1000)
             + 1
     }
 
+    /// Checks that the time-outs are consistent.
+    ///
     /// # Errors
-    /// Where a lease can't outlive an election, or its margin leaves nothing of it.
+    /// The lease can't outlive an election, or its margin is longer than half of it.
     pub fn validate(&self) -> Result<(), LimitsError> {
-        // Two draws of an election, and a renewal before and behind.
-        let least = 3 * self.consensus.election_timeout;
-        if self.lease_duration < least {
-            return Err(LimitsError::LeaseTooShort { min_lease: least });
+        // Two randomized election time-outs, and a renewal before and after them.
+        let min_lease = 3 * self.consensus.election_timeout;
+        if self.lease_duration < min_lease {
+            return Err(LimitsError::LeaseTooShort { min_lease });
         }
-        let most = self.lease_duration / 2;
-        if self.lease_margin > most {
-            return Err(LimitsError::MarginTooLong { max_margin: most });
+        let max_margin = self.lease_duration / 2;
+        if self.lease_margin > max_margin {
+            return Err(LimitsError::MarginTooLong { max_margin });
         }
         Ok(())
     }
 }
 
-/// Sizes of what the log settles. They are the same at every member, or members would settle differently: a
-/// change of one is a new version of [`crate::Command`].
+/// Limits of the replicated state. They must be the same at every member, because members that apply the same commands
+/// under different limits would reach different states: a change of one requires a new version of [`crate::Command`].
 pub struct StateLimits;
 
 impl StateLimits {
@@ -122,10 +130,10 @@
     pub const MAX_DUTIES: usize = 256;
     /// The longest name of a member or a duty, in bytes.
     pub const MAX_NAME_BYTES: usize = 64;
-    /// Members that were put out and may not come back.
+    /// Members that an operator has removed and that are refused if they return.
     pub const MAX_BLOCKED_MEMBERS: usize = 1024;
     pub const MAX_BUDGETS: usize = 1024;
     pub const MAX_WEIGHT: u64 = 1000;
-    /// Stranded shares of one budget that are kept apart.
+    /// Stranded shares of one budget that are kept as separate entries; more are added to existing ones.
     pub const MAX_STRANDED_SHARES: usize = 4096;
 }
