--- a/crates/workorders/src/availability.rs
+++ b/crates/workorders/src/availability.rs
@@ -1,4 +1,4 @@
-//! What one proxy goes by: which machines it sends nothing to, and what it confirms of them.
+//! The availability of machines at one proxy: which machines it sends no connections to, and what it confirms of them.
 
 use std::collections::BTreeMap;
 
@@ -8,99 +8,112 @@
 use crate::planner::MachineReport;
 use crate::types::{ListedMachine, Name, Number, Phase};
 
-/// The list of what is out as one proxy has heard it. It is kept on disk, and a new process goes by it from before its
-/// first client until it hears a newer one.
+/// The list of machines in orders as one proxy has received it, and the overrides of operators at this proxy. It is
+/// kept on disk: a new process applies it before it accepts its first client, and until it receives a newer one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineAvailability {
-    /// How far the log was that it was heard from.
-    at: Number,
-    /// Machines of orders.
-    places: BTreeMap<Name, ListedMachine>,
-    /// Operators' own words at this proxy, which are stronger: open or closed.
-    words: BTreeMap<Name, bool>,
+    /// The version of the list; a list of an older version is not applied.
+    #[serde(rename = "at")]
+    list_version: Number,
+    /// The machines of all orders.
+    #[serde(rename = "places")]
+    machines: BTreeMap<Name, ListedMachine>,
+    /// Overrides of operators at this proxy, which take precedence over the list: open (true) or closed (false).
+    #[serde(rename = "words")]
+    overrides: BTreeMap<Name, bool>,
 }
 
-/// What a proxy is to do now about a machine.
+/// A change that the proxy has to apply to a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MachineAction {
-    /// Nothing new goes there, and what is there is moved.
+    /// Send no new connections there, and move the existing ones.
     Close(Name),
+    /// Send new connections there again.
     Open(Name),
 }
 
 impl MachineAvailability {
-    /// What the log says of all machines of orders.
+    /// The list of all machines in orders, from the replicated state.
     pub fn list_machines(orders: &WorkOrders) -> BTreeMap<Name, ListedMachine> {
-        let closes =
+        let is_closed =
             |phase: &Phase| matches!(phase, Phase::Draining | Phase::Drained | Phase::Failed(_));
-        let each = orders.orders().values().flat_map(|(_, places)| places);
-        each.map(|(name, place)| {
-            let listed = ListedMachine {
-                version: place.version,
-                closed: closes(&place.phase),
-                machine: orders.machines().get(name).cloned().unwrap_or_default(),
-            };
-            (name.clone(), listed)
-        })
-        .collect()
+        let in_orders = orders.orders().values().flat_map(|(_, machines)| machines);
+        in_orders
+            .map(|(name, progress)| {
+                let listed = ListedMachine {
+                    version: progress.version,
+                    closed: is_closed(&progress.phase),
+                    machine: orders.machines().get(name).cloned().unwrap_or_default(),
+                };
+                (name.clone(), listed)
+            })
+            .collect()
     }
 
+    /// The entry of a machine, if it is in an order.
     pub fn listed_machine(&self, machine: &str) -> Option<&ListedMachine> {
-        self.places.get(machine)
+        self.machines.get(machine)
     }
 
-    /// How far the log was that it was heard from.
+    /// The version of the list that was applied last.
     pub fn list_version(&self) -> Number {
-        self.at
+        self.list_version
     }
 
-    /// Machines that are out here, with what is on them as the log has it.
+    /// Machines of orders that are closed at this proxy, by the orders or by an operator, with their entries.
     pub fn closed_machines(&self) -> impl Iterator<Item = (&Name, &ListedMachine)> {
-        self.places.iter().filter(|(name, _)| self.is_closed(name))
+        self.machines
+            .iter()
+            .filter(|(name, _)| self.is_closed(name))
     }
 
-    /// Machines that the orders have out, whatever operators say here.
+    /// Machines that are closed by the orders, whatever the overrides of operators at this proxy.
     pub fn closed_by_orders(&self) -> impl Iterator<Item = (&Name, &ListedMachine)> {
-        self.places.iter().filter(|(_, listed)| listed.closed)
+        self.machines.iter().filter(|(_, listed)| listed.closed)
     }
 
     /// The machine that a proxy runs on, if it is in an order.
     pub fn machine_of(&self, proxy: &str) -> Option<(&Name, &ListedMachine)> {
-        let runs = |listed: &ListedMachine| matches!(&listed.machine.proxy, Some((name, _)) if name == proxy);
-        self.places.iter().find(|(_, listed)| runs(listed))
+        let runs_proxy = |listed: &ListedMachine| matches!(&listed.machine.proxy, Some((name, _)) if name == proxy);
+        self.machines.iter().find(|(_, listed)| runs_proxy(listed))
     }
 
-    /// Takes a list that was true when the log was as far as `at`; an older one than is known is passed over.
+    /// Applies a list of that version and returns the resulting changes; a list older than the known one is ignored.
     pub fn apply_list(
         &mut self,
-        at: Number,
+        list_version: Number,
         list: BTreeMap<Name, ListedMachine>,
     ) -> Vec<MachineAction> {
-        if at < self.at {
+        if list_version < self.list_version {
             return Vec::new();
         }
-        self.at = at;
-        self.change(|belief| belief.places = list)
+        self.list_version = list_version;
+        self.change(|availability| availability.machines = list)
     }
 
-    /// An operator's word on a machine at this proxy; `None` takes it back.
+    /// Sets an operator's override for a machine at this proxy, open (true) or closed (false); `None` removes it.
+    /// Returns the resulting changes.
     pub fn set_override(&mut self, machine: &str, open: Option<bool>) -> Vec<MachineAction> {
-        self.change(|belief| match open {
-            Some(open) => drop(belief.words.insert(machine.into(), open)),
-            None => drop(belief.words.remove(machine)),
+        self.change(|availability| match open {
+            Some(open) => drop(availability.overrides.insert(machine.into(), open)),
+            None => drop(availability.overrides.remove(machine)),
         })
     }
 
+    /// Whether a machine is closed at this proxy. One that is in no order and has no override is open.
     pub fn is_closed(&self, machine: &str) -> bool {
-        match self.words.get(machine) {
+        match self.overrides.get(machine) {
             Some(open) => !open,
-            None => self.places.get(machine).is_some_and(|listed| listed.closed),
+            None => self
+                .machines
+                .get(machine)
+                .is_some_and(|listed| listed.closed),
         }
     }
 
-    /// What this proxy confirms of a machine; none of one that is in no order.
+    /// The report of this proxy about a machine; `None` for a machine that is in no order.
     pub fn report(&self, machine: &str, clients: u64, warm: bool) -> Option<MachineReport> {
-        let listed = self.places.get(machine)?;
+        let listed = self.machines.get(machine)?;
         Some(MachineReport {
             version: listed.version,
             clients,
@@ -109,26 +122,27 @@
         })
     }
 
-    /// Machines of orders that it has heard of.
+    /// The names of the machines in the list.
     pub fn machines(&self) -> impl Iterator<Item = &Name> {
-        self.places.keys()
+        self.machines.keys()
     }
 
+    /// Applies `change`, and returns the machines that it has opened or closed.
     fn change(&mut self, change: impl FnOnce(&mut Self)) -> Vec<MachineAction> {
         let before = self.clone();
         change(self);
-        let names = before.places.keys().chain(self.places.keys());
+        let names = before.machines.keys().chain(self.machines.keys());
         let mut names: Vec<&Name> = names
-            .chain(before.words.keys())
-            .chain(self.words.keys())
+            .chain(before.overrides.keys())
+            .chain(self.overrides.keys())
             .collect();
         names.sort();
         names.dedup();
-        let turn = |name: &Name| match (before.is_closed(name), self.is_closed(name)) {
+        let action = |name: &Name| match (before.is_closed(name), self.is_closed(name)) {
             (false, true) => Some(MachineAction::Close(name.clone())),
             (true, false) => Some(MachineAction::Open(name.clone())),
             _ => None,
         };
-        names.into_iter().filter_map(turn).collect()
+        names.into_iter().filter_map(action).collect()
     }
 }
--- a/crates/workorders/src/lib.rs
+++ b/crates/workorders/src/lib.rs
@@ -1,17 +1,23 @@
-//! Work orders: machines that staff want to work on are taken out, told as empty, worked on and put back, in an order
-//! that the proxies of a fleet settle in their log. No I/O, no clock and no chance of its own.
+//! Work orders: machines that need maintenance are taken out of service, drained, worked on and returned to service, in
+//! a sequence that the proxies of a fleet agree on through their replicated log. The crate has no I/O, no clock and no
+//! random numbers.
 //!
-//! [`Belief`] is what one proxy goes by. [`Orders`] is what the log has settled: each change names the version of the machine that it is made upon, and
-//! one that would break a bound is refused whoever asks for it. [`plan`] is what the proxy that conducts proposes next,
-//! from what the proxies report, with a line of why for each machine that waits.
+//! [`MachineAvailability`] is the list of machines that one proxy has. [`WorkOrders`] is the replicated state: each
+//! change names the version of the machine that it is based on, and a change that would violate a bound is refused, no
+//! matter which member proposes it. [`plan_steps`] computes the steps that the coordinating proxy proposes next from
+//! the reports of the proxies, with a reason for each machine that has to wait.
 //!
-//! - *Never Too Many Out*: at no instant are more machines out than the order allows, over what any proxy believes:
-//!   one counts from before the first proxy hears that it goes until the last has confirmed that it is back.
-//! - *Empty Means Empty*: a machine is told as empty after every proxy that may serve has confirmed, for this very
-//!   going, that nothing new goes there and that it holds nothing there.
-//! - *Once*: each machine of an order that has ended was told as empty once, or the list of what is left says why not.
-//! - *Floor Held*: what is planned to be in has the room that the order's floor asks for, and some of each kind.
-//! - *Nobody Forgotten*: whatever ends an order, what is still out is listed.
+//! Invariants:
+//!
+//! - *Never Too Many Out*: at no instant are more machines out than the order allows, counted over the lists of all
+//!   proxies: a machine counts as out from before the first proxy is notified that it is taken out until the last one
+//!   has confirmed that it is back.
+//! - *Empty Means Empty*: a machine is reported as drained only after every proxy that may serve has confirmed, for
+//!   this version of the machine's progress, that it sends no new connections there and has none left there.
+//! - *Once*: each machine of an ended order was reported as drained once, or the list of what is left tells why not.
+//! - *Floor Held*: the machines that are planned to be in service have the capacity that the order's floor requires,
+//!   and some capacity of each kind.
+//! - *Nobody Forgotten*: however an order ends, the machines that are still out are listed.
 
 mod availability;
 mod limits;
--- a/crates/workorders/src/limits.rs
+++ b/crates/workorders/src/limits.rs
@@ -1,12 +1,15 @@
-/// What grows, and how far: more is refused with the name of the limit.
+/// Limits of the replicated state; a change that exceeds one is refused with the name of the limit.
 pub struct OrderLimits;
 
 impl OrderLimits {
-    /// Orders that have not ended, and ended ones that are remembered.
+    /// Orders that have not ended.
     pub const MAX_ORDERS: usize = 64;
+    /// Ended orders that are kept as history.
     pub const MAX_ENDED_ORDERS: usize = 64;
-    /// Machines of the whole fleet, servers of one of them, and the length of a name.
+    /// Machines of the whole fleet.
     pub const MAX_MACHINES: usize = 10_000;
+    /// Servers of one machine.
     pub const MAX_SERVERS_PER_MACHINE: usize = 1_000;
+    /// The length of the name of an order or a machine.
     pub const MAX_NAME_BYTES: usize = 64;
 }
--- a/crates/workorders/src/orders.rs
+++ b/crates/workorders/src/orders.rs
@@ -1,4 +1,4 @@
-//! What the log has settled of orders and of each machine's way.
+//! The replicated state of work orders, and of the progress of each machine.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -10,18 +10,20 @@
     FailureReason, FailureTolerance, Machine, Name, Number, Phase, Step, WorkOrder, WorkOrderChange,
 };
 
-/// Why a change was not made, or a machine does not go yet: for staff to read.
+/// Why a change was refused, or why a machine is not taken out yet. Its text is shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It names another version than there is, or another conductor has come since.
+    /// The change is based on another version than the current one, or a newer coordinator has made changes since.
     Superseded,
     NotFound(&'static str),
-    /// The step does not follow from where the machine is.
+    /// The step is not possible in the machine's phase.
     InvalidTransition,
+    /// A limit of [`OrderLimits`] would be exceeded.
     LimitReached(&'static str),
     InvalidOrder(&'static str),
+    /// The order is paused or cancelled.
     Paused,
-    /// Another order comes first.
+    /// The order with this number comes first.
     Queued(Number),
     TooManyOut {
         out: usize,
@@ -32,14 +34,16 @@
         out: usize,
         max: u32,
     },
-    /// Room that would stay in, and that has to.
+    /// The capacity that would remain in service is less than required.
     BelowFloor {
         remaining: u64,
         required: u64,
     },
+    /// No server of this kind would remain in service.
     OnlyOfKind(Name),
+    /// No server of this cell would remain in service.
     OnlyOfCell(u64),
-    /// A voter's machine, while another is out or no majority would be left.
+    /// The proxy on the machine is a voter, and another voter is out or no majority would remain.
     VoterQuorum,
 }
 
@@ -52,18 +56,16 @@
             Self::LimitReached(what) => write!(f, "too many {what}"),
             Self::InvalidOrder(what) => f.write_str(what),
             Self::Paused => f.write_str("the order is paused"),
-            Self::Queued(before) => write!(f, "order {before} comes first"),
-            Self::TooManyOut { out, max: most } => write!(f, "{out} of {most} are out"),
-            Self::TooManyOutInZone {
-                zone,
-                out,
-                max: most,
-            } => write!(f, "{out} of {most} are out in {zone}"),
+            Self::Queued(first) => write!(f, "order {first} comes first"),
+            Self::TooManyOut { out, max } => write!(f, "{out} of {max} are out"),
+            Self::TooManyOutInZone { zone, out, max } => {
+                write!(f, "{out} of {max} are out in {zone}")
+            }
             Self::BelowFloor {
-                remaining: left,
-                required: least,
+                remaining,
+                required,
             } => {
-                write!(f, "room of {left} would be left, {least} has to be")
+                write!(f, "room of {remaining} would be left, {required} has to be")
             }
             Self::OnlyOfKind(kind) => write!(f, "it has the only room of kind {kind}"),
             Self::OnlyOfCell(cell) => write!(f, "it has the only room of cell {cell}"),
@@ -74,25 +76,28 @@
     }
 }
 
-/// Where a machine of an order is.
+/// The progress of a machine within its order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineProgress {
     pub phase: Phase,
-    /// Never the same again; what proxies confirm names it.
+    /// Changes with each step and is never reused; the confirmations of proxies refer to it.
     pub version: Number,
-    /// How often it was told as empty.
+    /// How many times the machine was reported as drained.
     pub times_drained: u32,
 }
 
+/// All machines and work orders. It is deterministic: the same changes in the same sequence lead to the same state at
+/// every member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkOrders {
     machines: BTreeMap<Name, Machine>,
     orders: BTreeMap<Number, (WorkOrder, BTreeMap<Name, MachineProgress>)>,
-    /// Orders that have ended, the newest last: name, machines done, machines spared.
-    ended: VecDeque<(Number, Name, usize, usize)>,
-    next: Number,
-    /// The largest fencing number of a conductor so far.
-    fence: Number,
+    /// Ended orders, the newest last: number, name, machines done, machines skipped.
+    ended_orders: VecDeque<(Number, Name, usize, usize)>,
+    /// The last number given to an order or a version.
+    last_number: Number,
+    /// The highest fencing number of a coordinator so far.
+    highest_fence: Number,
 }
 
 impl WorkOrders {
@@ -100,56 +105,70 @@
         &self.machines
     }
 
+    /// The orders that have not ended, by number, each with the progress of its machines.
     pub fn orders(&self) -> &BTreeMap<Number, (WorkOrder, BTreeMap<Name, MachineProgress>)> {
         &self.orders
     }
 
+    /// Ended orders, the newest last: number, name, machines done, machines skipped.
     pub fn ended_orders(&self) -> &VecDeque<(Number, Name, usize, usize)> {
-        &self.ended
+        &self.ended_orders
     }
 
-    /// Machines that some proxy may hold for out, with the order and the phase: the list that outlives all.
+    /// Machines that some proxy may regard as out, each with its order and progress. An order is kept until all of its
+    /// machines are in a terminal phase, so that no machine that is out is missing here, even if its order is
+    /// cancelled.
     pub fn machines_out(&self) -> BTreeMap<&Name, (Number, &MachineProgress)> {
-        let each = self.orders.iter().flat_map(|(number, (_, places))| {
-            let out = places.iter().filter(|(_, place)| place.phase.is_out());
-            out.map(move |(name, place)| (name, (*number, place)))
+        let machines_out = self.orders.iter().flat_map(|(number, (_, machines))| {
+            let out = machines
+                .iter()
+                .filter(|(_, progress)| progress.phase.is_out());
+            out.map(move |(name, progress)| (name, (*number, progress)))
         });
-        each.collect()
+        machines_out.collect()
     }
 
-    /// The order whose machines may go: the first with one whose turn is to come.
+    /// The order whose machines may be taken out: the first one with a machine that is neither in a terminal phase nor
+    /// failed.
     pub fn active_order(&self) -> Option<Number> {
-        let moves = |place: &MachineProgress| {
-            !place.phase.is_terminal() && !matches!(place.phase, Phase::Failed(_))
+        let is_pending = |progress: &MachineProgress| {
+            !progress.phase.is_terminal() && !matches!(progress.phase, Phase::Failed(_))
         };
-        let mut each = self.orders.iter();
-        let first = each.find(|(_, (_, places))| places.values().any(moves));
+        let mut orders = self.orders.iter();
+        let first = orders.find(|(_, (_, machines))| machines.values().any(is_pending));
         first.map(|(number, _)| *number)
     }
 
+    /// Applies a change.
+    ///
     /// # Errors
-    /// What stands against it; nothing has changed then.
+    /// Why the change is refused; the state is unchanged then.
     pub fn apply(&mut self, change: WorkOrderChange) -> Result<(), Refusal> {
         match change {
             WorkOrderChange::SetMachines(machines) => {
-                let long = |machine: &Machine| {
+                let has_too_many_servers = |machine: &Machine| {
                     machine.servers.len() > OrderLimits::MAX_SERVERS_PER_MACHINE
                 };
-                if machines.len() > OrderLimits::MAX_MACHINES || machines.values().any(long) {
+                if machines.len() > OrderLimits::MAX_MACHINES
+                    || machines.values().any(has_too_many_servers)
+                {
                     return Err(Refusal::LimitReached("machines"));
                 }
-                let before = std::mem::replace(&mut self.machines, machines);
-                // What an order is about stays as it was last told, also where sources have forgotten it.
-                let places = self.orders.values().flat_map(|(_, places)| places.keys());
-                for name in places {
-                    if let Some(machine) = before.get(name) {
-                        let known = self.machines.entry(name.clone());
-                        known.or_insert_with(|| machine.clone());
+                let previous = std::mem::replace(&mut self.machines, machines);
+                // A machine of an order that the sources no longer list is kept as they last described it.
+                let names_in_orders = self
+                    .orders
+                    .values()
+                    .flat_map(|(_, machines)| machines.keys());
+                for name in names_in_orders {
+                    if let Some(machine) = previous.get(name) {
+                        let entry = self.machines.entry(name.clone());
+                        entry.or_insert_with(|| machine.clone());
                     }
                 }
                 Ok(())
             }
-            WorkOrderChange::AddOrder(order) => self.add(order),
+            WorkOrderChange::AddOrder(order) => self.add_order(order),
             WorkOrderChange::SetPaused(number, paused) => {
                 let (order, _) = self
                     .orders
@@ -159,15 +178,15 @@
                 Ok(())
             }
             WorkOrderChange::Cancel(number) => {
-                let (order, places) = self
+                let (order, machines) = self
                     .orders
                     .get_mut(&number)
                     .ok_or(Refusal::NotFound("order"))?;
                 order.cancelled = true;
-                for place in places.values_mut().filter(|p| p.phase == Phase::Waiting) {
-                    place.phase = Phase::Skipped;
+                for progress in machines.values_mut().filter(|p| p.phase == Phase::Waiting) {
+                    progress.phase = Phase::Skipped;
                 }
-                self.sweep();
+                self.archive_ended_orders();
                 Ok(())
             }
             WorkOrderChange::Step {
@@ -176,13 +195,14 @@
                 version,
                 step,
                 fence,
-            } => self.step(order, &machine, version, step, fence),
+            } => self.apply_step(order, &machine, version, step, fence),
         }
     }
 
-    fn add(&mut self, order: WorkOrder) -> Result<(), Refusal> {
-        let short = |name: &Name| !name.is_empty() && name.len() <= OrderLimits::MAX_NAME_BYTES;
-        if !short(&order.name) || !order.machines.iter().all(short) {
+    fn add_order(&mut self, order: WorkOrder) -> Result<(), Refusal> {
+        let is_valid_name =
+            |name: &Name| !name.is_empty() && name.len() <= OrderLimits::MAX_NAME_BYTES;
+        if !is_valid_name(&order.name) || !order.machines.iter().all(is_valid_name) {
             return Err(Refusal::InvalidOrder("a name of 1 to 64 bytes"));
         }
         if order.machines.is_empty() {
@@ -208,33 +228,33 @@
         if self.orders.len() >= OrderLimits::MAX_ORDERS {
             return Err(Refusal::LimitReached("orders"));
         }
-        // A machine has one place at a time: who wants more work done there waits for the first order.
-        let taken = |name: &Name| {
+        // A machine is in one order at a time; further work on it has to wait until the first order has ended.
+        let is_in_order = |name: &Name| {
             self.orders
                 .values()
-                .any(|(_, places)| places.contains_key(name))
+                .any(|(_, machines)| machines.contains_key(name))
         };
-        if order.machines.iter().any(taken) {
+        if order.machines.iter().any(is_in_order) {
             return Err(Refusal::InvalidOrder(
                 "a machine of it is in an order that has not ended",
             ));
         }
-        let mut places = BTreeMap::new();
+        let mut machines = BTreeMap::new();
         for name in &order.machines {
-            self.next += 1;
-            let place = MachineProgress {
+            self.last_number += 1;
+            let progress = MachineProgress {
                 phase: Phase::Waiting,
-                version: self.next,
+                version: self.last_number,
                 times_drained: 0,
             };
-            places.insert(name.clone(), place);
+            machines.insert(name.clone(), progress);
         }
-        self.next += 1;
-        self.orders.insert(self.next, (order, places));
+        self.last_number += 1;
+        self.orders.insert(self.last_number, (order, machines));
         Ok(())
     }
 
-    fn step(
+    fn apply_step(
         &mut self,
         number: Number,
         name: &Name,
@@ -242,47 +262,52 @@
         step: Step,
         fence: Option<Number>,
     ) -> Result<(), Refusal> {
-        let (order, places) = self.orders.get(&number).ok_or(Refusal::NotFound("order"))?;
-        let place = places.get(name).ok_or(Refusal::NotFound("machine"))?;
-        if place.version != version || fence.is_some_and(|fence| fence < self.fence) {
+        let (order, machines) = self.orders.get(&number).ok_or(Refusal::NotFound("order"))?;
+        let progress = machines.get(name).ok_or(Refusal::NotFound("machine"))?;
+        if progress.version != version || fence.is_some_and(|fence| fence < self.highest_fence) {
             return Err(Refusal::Superseded);
         }
-        let staff = fence.is_none();
-        let next = match (&place.phase, step) {
-            (Phase::Waiting, Step::TakeOut) if !staff => {
+        let is_by_operator = fence.is_none();
+        let next_phase = match (&progress.phase, step) {
+            (Phase::Waiting, Step::TakeOut) if !is_by_operator => {
                 self.check_take_out(number, name, &BTreeSet::new())?;
                 Phase::Draining
             }
-            (Phase::Draining, Step::MarkDrained) if !staff => Phase::Drained,
-            (Phase::Draining, Step::Recall) if !staff => Phase::Returning { work_done: false },
+            (Phase::Draining, Step::MarkDrained) if !is_by_operator => Phase::Drained,
+            (Phase::Draining, Step::Recall) if !is_by_operator => {
+                Phase::Returning { work_done: false }
+            }
             (Phase::Draining, Step::Fail(FailureReason::NeverEmpty))
             | (Phase::Drained, Step::Fail(FailureReason::NeverWorked))
             | (Phase::Drained, Step::Fail(FailureReason::Opened))
             | (Phase::Returning { .. }, Step::Fail(FailureReason::NeverBack))
-                if !staff =>
+                if !is_by_operator =>
             {
-                let Step::Fail(why) = step else {
+                let Step::Fail(reason) = step else {
                     return Err(Refusal::InvalidTransition);
                 };
-                Phase::Failed(why)
+                Phase::Failed(reason)
             }
-            (Phase::Drained, Step::CompleteWork) if staff == order.waits_for_done => {
+            (Phase::Drained, Step::CompleteWork) if is_by_operator == order.waits_for_done => {
                 Phase::Returning { work_done: true }
             }
             (Phase::Drained, Step::Recall) if order.cancelled => {
                 Phase::Returning { work_done: false }
             }
             (Phase::Drained | Phase::Returning { .. }, Step::Fail(FailureReason::Staff))
-                if staff =>
+                if is_by_operator =>
             {
                 Phase::Failed(FailureReason::Staff)
             }
-            // Staff have looked after it. What was told as empty is not told so again.
-            (Phase::Failed(_), Step::Recall | Step::CompleteWork) if staff => Phase::Returning {
-                work_done: step == Step::CompleteWork || place.times_drained > 0,
-            },
-            (Phase::Returning { work_done: worked }, Step::CompleteReturn) if !staff => {
-                match (worked, order.cancelled) {
+            // An operator has handled the failure. A machine that was reported as drained before counts as worked on,
+            // so that it is not reported as drained a second time.
+            (Phase::Failed(_), Step::Recall | Step::CompleteWork) if is_by_operator => {
+                Phase::Returning {
+                    work_done: step == Step::CompleteWork || progress.times_drained > 0,
+                }
+            }
+            (Phase::Returning { work_done }, Step::CompleteReturn) if !is_by_operator => {
+                match (work_done, order.cancelled) {
                     (true, _) => Phase::Done,
                     (false, true) => Phase::Skipped,
                     (false, false) => Phase::Waiting,
@@ -290,37 +315,41 @@
             }
             _ => return Err(Refusal::InvalidTransition),
         };
-        self.next += 1;
-        let version = self.next;
-        self.fence = self.fence.max(fence.unwrap_or(0));
-        let (_, places) = self.orders.get_mut(&number).expect("just seen");
-        let place = places.get_mut(name).expect("just seen");
-        place.times_drained += u32::from(next == Phase::Drained);
-        (place.phase, place.version) = (next, version);
-        self.sweep();
+        self.last_number += 1;
+        let version = self.last_number;
+        self.highest_fence = self.highest_fence.max(fence.unwrap_or(0));
+        let (_, machines) = self
+            .orders
+            .get_mut(&number)
+            .expect("the order was found above");
+        let progress = machines.get_mut(name).expect("the machine was found above");
+        progress.times_drained += u32::from(next_phase == Phase::Drained);
+        (progress.phase, progress.version) = (next_phase, version);
+        self.archive_ended_orders();
         Ok(())
     }
 
-    /// The same with a machine in that is out now.
+    /// A copy of this state in which a machine that is out is waiting instead, and its order is not paused.
     pub(crate) fn with_machine_in(&self, name: &Name) -> Self {
         let mut orders = self.clone();
-        for (order, places) in orders.orders.values_mut() {
-            if let Some(place) = places.get_mut(name) {
-                (place.phase, order.paused) = (Phase::Waiting, false);
+        for (order, machines) in orders.orders.values_mut() {
+            if let Some(progress) = machines.get_mut(name) {
+                (progress.phase, order.paused) = (Phase::Waiting, false);
             }
         }
         orders
     }
 
-    /// Whether a machine may go out now, besides what is out and what is `dead` of itself.
+    /// Checks whether a machine of an order may be taken out now, in addition to the machines that are out and to those
+    /// that are `unavailable` for other reasons.
     ///
     /// # Errors
-    /// What stands against it.
+    /// The first rule that forbids it.
     pub fn check_take_out(
         &self,
         number: Number,
         name: &Name,
-        dead: &BTreeSet<Name>,
+        unavailable: &BTreeSet<Name>,
     ) -> Result<(), Refusal> {
         let (order, _) = self.orders.get(&number).ok_or(Refusal::NotFound("order"))?;
         let machine = self
@@ -335,92 +364,109 @@
         }
         let bounds = &order.bounds;
         let mut out: BTreeSet<&Name> = self.machines_out().into_keys().collect();
-        out.extend(dead.iter().filter(|dead| self.machines.contains_key(*dead)));
+        out.extend(
+            unavailable
+                .iter()
+                .filter(|name| self.machines.contains_key(*name)),
+        );
         if out.len() >= bounds.max_out as usize {
-            let (out, most) = (out.len(), bounds.max_out);
-            return Err(Refusal::TooManyOut { out, max: most });
+            let (out, max) = (out.len(), bounds.max_out);
+            return Err(Refusal::TooManyOut { out, max });
         }
-        let of = |name: &Name| self.machines.get(name);
-        let in_zone = |name: &&&Name| of(name).is_some_and(|m| m.zone == machine.zone);
-        let there = out.iter().filter(in_zone).count();
-        if there >= bounds.max_out_per_zone as usize {
+        let find_machine = |name: &Name| self.machines.get(name);
+        let is_in_zone = |name: &&&Name| find_machine(name).is_some_and(|m| m.zone == machine.zone);
+        let out_in_zone = out.iter().filter(is_in_zone).count();
+        if out_in_zone >= bounds.max_out_per_zone as usize {
             return Err(Refusal::TooManyOutInZone {
                 zone: machine.zone.clone(),
-                out: there,
+                out: out_in_zone,
                 max: bounds.max_out_per_zone,
             });
         }
-        let votes = |machine: &Machine| machine.proxy.as_ref().is_some_and(|(_, votes)| *votes);
+        let is_voter = |machine: &Machine| {
+            machine
+                .proxy
+                .as_ref()
+                .is_some_and(|(_, is_voter)| *is_voter)
+        };
         let voters = self
             .machines
             .values()
-            .filter(|machine| votes(machine))
+            .filter(|machine| is_voter(machine))
             .count();
-        let voter_out = out.iter().any(|name| of(name).is_some_and(votes));
-        if votes(machine) && (voter_out || voters < 3) {
+        let is_voter_out = out
+            .iter()
+            .any(|name| find_machine(name).is_some_and(is_voter));
+        if is_voter(machine) && (is_voter_out || voters < 3) {
             return Err(Refusal::VoterQuorum);
         }
         out.insert(name);
-        let stays = || self.machines.iter().filter(|(name, _)| !out.contains(name));
+        let remaining_machines = || self.machines.iter().filter(|(name, _)| !out.contains(name));
         for server in &machine.servers {
-            let same = |m: &Machine| {
+            let has_kind = |m: &Machine| {
                 m.servers
                     .iter()
                     .any(|s| s.kind == server.kind && s.room > 0)
             };
-            if !stays().any(|(_, machine)| same(machine)) {
+            if !remaining_machines().any(|(_, machine)| has_kind(machine)) {
                 return Err(Refusal::OnlyOfKind(server.kind.clone()));
             }
-            // One that is alone in its cell has nobody to know its repeats at any time.
-            let cell = |m: &Machine| {
+            // The rule applies only to a cell with servers on other machines too: where this machine is the only one,
+            // no other server recognizes its repeats at any time.
+            let has_cell = |m: &Machine| {
                 m.servers
                     .iter()
                     .any(|s| s.cell == server.cell && s.room > 0)
             };
-            let others = self
+            let has_other_machines = self
                 .machines
                 .iter()
-                .any(|(other, m)| other != name && cell(m));
-            if others && !stays().any(|(_, machine)| cell(machine)) {
+                .any(|(other, m)| other != name && has_cell(m));
+            if has_other_machines && !remaining_machines().any(|(_, machine)| has_cell(machine)) {
                 return Err(Refusal::OnlyOfCell(server.cell));
             }
         }
         let total: u64 = self.machines.values().map(Machine::capacity).sum();
-        let left: u64 = stays().map(|(_, machine)| machine.capacity()).sum();
-        let mut lost: BTreeMap<&Name, u64> = BTreeMap::new();
-        for (name, machine) in stays() {
-            let part = match bounds.failure_tolerance {
+        let remaining: u64 = remaining_machines()
+            .map(|(_, machine)| machine.capacity())
+            .sum();
+        let mut capacity_by_domain: BTreeMap<&Name, u64> = BTreeMap::new();
+        for (name, machine) in remaining_machines() {
+            let failure_domain = match bounds.failure_tolerance {
                 FailureTolerance::Nothing => continue,
                 FailureTolerance::Machine => name,
                 FailureTolerance::Zone => &machine.zone,
             };
-            *lost.entry(part).or_default() += machine.capacity();
+            *capacity_by_domain.entry(failure_domain).or_default() += machine.capacity();
         }
-        let left = left - lost.into_values().max().unwrap_or(0);
-        let least = (total * u64::from(bounds.min_capacity_permille)).div_ceil(1000);
-        match left >= least {
+        let remaining = remaining - capacity_by_domain.into_values().max().unwrap_or(0);
+        let required = (total * u64::from(bounds.min_capacity_permille)).div_ceil(1000);
+        match remaining >= required {
             true => Ok(()),
             false => Err(Refusal::BelowFloor {
-                remaining: left,
-                required: least,
+                remaining,
+                required,
             }),
         }
     }
 
-    /// Orders of which nothing is left to do are remembered in a line each.
-    fn sweep(&mut self) {
-        let over = |_: &Number, (_, places): &mut (WorkOrder, BTreeMap<Name, MachineProgress>)| {
-            places.values().all(|place| place.phase.is_terminal())
-        };
-        for (number, (order, places)) in self.orders.extract_if(.., over) {
-            let done = places
+    /// Moves orders whose machines are all in a terminal phase to the list of ended orders.
+    fn archive_ended_orders(&mut self) {
+        let has_ended =
+            |_: &Number, (_, machines): &mut (WorkOrder, BTreeMap<Name, MachineProgress>)| {
+                machines
+                    .values()
+                    .all(|progress| progress.phase.is_terminal())
+            };
+        for (number, (order, machines)) in self.orders.extract_if(.., has_ended) {
+            let done = machines
                 .values()
-                .filter(|place| place.phase == Phase::Done)
+                .filter(|progress| progress.phase == Phase::Done)
                 .count();
-            self.ended
-                .push_back((number, order.name, done, places.len() - done));
-            if self.ended.len() > OrderLimits::MAX_ENDED_ORDERS {
-                self.ended.pop_front();
+            self.ended_orders
+                .push_back((number, order.name, done, machines.len() - done));
+            if self.ended_orders.len() > OrderLimits::MAX_ENDED_ORDERS {
+                self.ended_orders.pop_front();
             }
         }
     }
--- a/crates/workorders/tests/properties.rs
+++ b/crates/workorders/tests/properties.rs
@@ -1,5 +1,5 @@
-//! The planner over any fleet, bounds and order of events, against a model that counts anew from the list of what is out;
-//! what fails is shrunk to the fewest machines and events.
+//! Property tests of the planner over random fleets, bounds and sequences of events. Each machine that is taken out is
+//! checked against an independent model of the bounds; a failing case is shrunk to the fewest machines and events.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,115 +9,132 @@
 
 #[derive(Clone, Debug)]
 struct Fleet {
-    /// Zone, kind and room of each machine.
+    /// Zone, kind and capacity of each machine.
     machines: Vec<(u8, u8, u64)>,
-    most: u32,
-    zone_most: u32,
-    floor: u32,
-    spare: u8,
+    max_out: u32,
+    max_out_per_zone: u32,
+    min_capacity_permille: u32,
+    /// The index of the tolerance in [`FailureTolerance::NAMES`].
+    failure_tolerance: u8,
     events: Vec<Event>,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// Whoever conducts takes all steps that it plans.
-    Conduct,
-    /// A machine's clients leave, or come.
-    Clients(usize, u64),
-    Dies(usize),
-    Returns(usize),
-    Worked(usize),
-    Pause(bool),
+    /// The coordinator plans, and proposes all planned steps.
+    RunPlanner,
+    /// Sets the number of clients at a machine.
+    SetClients(usize, u64),
+    FailMachine(usize),
+    RecoverMachine(usize),
+    /// An operator reports the work on a machine as done.
+    CompleteWork(usize),
+    SetPaused(bool),
 }
 
 fn fleet() -> impl Strategy<Value = Fleet> {
     let machine = (0..3u8, 0..2u8, 1..10u64);
     let event = prop_oneof![
-        4 => Just(Event::Conduct),
-        2 => (0..12usize, 0..3u64).prop_map(|(at, clients)| Event::Clients(at, clients)),
-        1 => (0..12usize).prop_map(Event::Dies),
-        1 => (0..12usize).prop_map(Event::Returns),
-        2 => (0..12usize).prop_map(Event::Worked),
-        1 => any::<bool>().prop_map(Event::Pause),
+        4 => Just(Event::RunPlanner),
+        2 => (0..12usize, 0..3u64).prop_map(|(index, clients)| Event::SetClients(index, clients)),
+        1 => (0..12usize).prop_map(Event::FailMachine),
+        1 => (0..12usize).prop_map(Event::RecoverMachine),
+        2 => (0..12usize).prop_map(Event::CompleteWork),
+        1 => any::<bool>().prop_map(Event::SetPaused),
     ];
     let machines = prop::collection::vec(machine, 2..12);
     let events = prop::collection::vec(event, 1..60);
     (machines, 1..4u32, 1..4u32, 0..900u32, 0..3u8, events).prop_map(
-        |(machines, most, zone_most, floor, spare, events)| Fleet {
+        |(
             machines,
-            most,
-            zone_most,
-            floor,
-            spare,
+            max_out,
+            max_out_per_zone,
+            min_capacity_permille,
+            failure_tolerance,
+            events,
+        )| Fleet {
+            machines,
+            max_out,
+            max_out_per_zone,
+            min_capacity_permille,
+            failure_tolerance,
             events,
         },
     )
 }
 
-/// What the bounds say of a machine that goes, counted here from nothing but who is out and who is dead.
-fn breaks(
+/// The bound that is violated by taking out a machine, computed only from the machines that are out or have failed.
+fn violated_bound(
     fleet: &Fleet,
-    goes: usize,
+    taken_out: usize,
     out: &BTreeSet<usize>,
-    dead: &BTreeSet<usize>,
+    failed: &BTreeSet<usize>,
 ) -> Option<String> {
-    let gone: BTreeSet<usize> = out.union(dead).copied().collect();
-    if gone.len() > fleet.most as usize {
-        return Some(format!("{gone:?} of {} out", fleet.most));
+    let unavailable: BTreeSet<usize> = out.union(failed).copied().collect();
+    if unavailable.len() > fleet.max_out as usize {
+        return Some(format!("{unavailable:?} out, {} allowed", fleet.max_out));
     }
-    let zone = fleet.machines[goes].0;
-    let there = gone.iter().filter(|at| fleet.machines[**at].0 == zone);
-    if there.count() > fleet.zone_most as usize {
-        return Some(format!("{gone:?}: too many in zone {zone}"));
+    let zone = fleet.machines[taken_out].0;
+    let in_zone = unavailable
+        .iter()
+        .filter(|index| fleet.machines[**index].0 == zone);
+    if in_zone.count() > fleet.max_out_per_zone as usize {
+        return Some(format!("{unavailable:?}: too many in zone {zone}"));
     }
-    let stays: Vec<&(u8, u8, u64)> = (0..fleet.machines.len())
-        .filter(|at| !gone.contains(at))
-        .map(|at| &fleet.machines[at])
+    let remaining: Vec<&(u8, u8, u64)> = (0..fleet.machines.len())
+        .filter(|index| !unavailable.contains(index))
+        .map(|index| &fleet.machines[index])
         .collect();
-    if !stays
+    if !remaining
         .iter()
-        .any(|machine| machine.1 == fleet.machines[goes].1)
+        .any(|machine| machine.1 == fleet.machines[taken_out].1)
     {
-        return Some("nothing of its kind is left".into());
+        return Some("no machine of its kind remains".into());
     }
-    let sum = |machines: &[&(u8, u8, u64)]| machines.iter().map(|machine| machine.2).sum::<u64>();
+    let capacity =
+        |machines: &[&(u8, u8, u64)]| machines.iter().map(|machine| machine.2).sum::<u64>();
     let all: Vec<_> = fleet.machines.iter().collect();
-    let lost = match fleet.spare {
+    let lost = match fleet.failure_tolerance {
         0 => 0,
-        1 => stays.iter().map(|machine| machine.2).max().unwrap_or(0),
+        1 => remaining.iter().map(|machine| machine.2).max().unwrap_or(0),
         _ => (0..3)
             .map(|zone| {
-                sum(&stays
-                    .iter()
-                    .copied()
-                    .filter(|m| m.0 == zone)
-                    .collect::<Vec<_>>())
+                capacity(
+                    &remaining
+                        .iter()
+                        .copied()
+                        .filter(|machine| machine.0 == zone)
+                        .collect::<Vec<_>>(),
+                )
             })
             .max()
             .unwrap_or(0),
     };
-    let left = sum(&stays) - lost;
-    (left * 1000 < sum(&all) * u64::from(fleet.floor)).then(|| format!("room of {left} is left"))
+    let left = capacity(&remaining) - lost;
+    (left * 1000 < capacity(&all) * u64::from(fleet.min_capacity_permille))
+        .then(|| format!("a capacity of {left} remains"))
 }
 
-fn name(at: usize) -> Name {
-    format!("m-{at:02}")
+fn machine_name(index: usize) -> Name {
+    format!("m-{index:02}")
 }
 
-fn play(fleet: &Fleet, loose: u32) -> Result<(), String> {
-    let machine = |(at, (zone, kind, room)): (usize, &(u8, u8, u64))| {
+/// Runs the events of a fleet whose order allows `extra_out` more machines than the fleet's bounds. Returns the first
+/// violation.
+fn run_events(fleet: &Fleet, extra_out: u32) -> Result<(), String> {
+    let machine = |(index, (zone, kind, capacity)): (usize, &(u8, u8, u64))| {
         let server = Server {
-            name: format!("s-{at}"),
+            name: format!("s-{index}"),
             kind: format!("k-{kind}"),
-            cell: at as u64,
-            room: *room,
+            cell: index as u64,
+            room: *capacity,
         };
         let machine = Machine {
             zone: format!("z-{zone}"),
             servers: vec![server],
             proxy: None,
         };
-        (name(at), machine)
+        (machine_name(index), machine)
     };
     let machines: BTreeMap<Name, Machine> =
         fleet.machines.iter().enumerate().map(machine).collect();
@@ -125,15 +142,15 @@
     let mut orders = WorkOrders::default();
     orders
         .apply(WorkOrderChange::SetMachines(machines.clone()))
-        .expect("sound");
+        .expect("a valid change");
     let order = WorkOrder {
         name: "all".into(),
         machines: machines.into_keys().collect(),
         bounds: Bounds {
-            max_out: fleet.most + loose,
-            max_out_per_zone: fleet.zone_most + loose,
-            min_capacity_permille: fleet.floor,
-            failure_tolerance: FailureTolerance::NAMES[usize::from(fleet.spare)].1,
+            max_out: fleet.max_out + extra_out,
+            max_out_per_zone: fleet.max_out_per_zone + extra_out,
+            min_capacity_permille: fleet.min_capacity_permille,
+            failure_tolerance: FailureTolerance::NAMES[usize::from(fleet.failure_tolerance)].1,
         },
         timeouts: PhaseTimeouts {
             drain_timeout: u64::MAX,
@@ -147,42 +164,46 @@
     };
     orders
         .apply(WorkOrderChange::AddOrder(order))
-        .expect("sound");
+        .expect("a valid change");
     let mut clients = vec![1u64; count];
-    let mut dead: BTreeSet<usize> = BTreeSet::new();
-    let mut emptied = vec![0u32; count];
+    let mut failed: BTreeSet<usize> = BTreeSet::new();
+    let mut times_drained = vec![0u32; count];
     for event in &fleet.events {
         let number = *orders.orders().keys().next().unwrap_or(&0);
         match event {
-            Event::Clients(at, there) => clients[at % count] = *there,
-            Event::Dies(at) => drop(dead.insert(at % count)),
-            Event::Returns(at) => drop(dead.remove(&(at % count))),
-            Event::Pause(paused) => drop(orders.apply(WorkOrderChange::SetPaused(number, *paused))),
-            Event::Worked(at) => {
-                let places = orders.orders().get(&number).map(|(_, places)| places);
-                if let Some(place) = places.and_then(|places| places.get(&name(at % count))) {
+            Event::SetClients(index, client_count) => clients[index % count] = *client_count,
+            Event::FailMachine(index) => drop(failed.insert(index % count)),
+            Event::RecoverMachine(index) => drop(failed.remove(&(index % count))),
+            Event::SetPaused(paused) => {
+                drop(orders.apply(WorkOrderChange::SetPaused(number, *paused)))
+            }
+            Event::CompleteWork(index) => {
+                let machines = orders.orders().get(&number).map(|(_, machines)| machines);
+                if let Some(progress) =
+                    machines.and_then(|machines| machines.get(&machine_name(index % count)))
+                {
                     let step = WorkOrderChange::Step {
                         order: number,
-                        machine: name(at % count),
-                        version: place.version,
+                        machine: machine_name(index % count),
+                        version: progress.version,
                         step: Step::CompleteWork,
                         fence: None,
                     };
                     let _ = orders.apply(step);
                 }
             }
-            Event::Conduct => {
-                let places = orders.orders().values().flat_map(|(_, places)| places);
-                let reports = places.map(|(machine, place)| {
-                    let at: usize = machine[2..].parse().expect("named here");
+            Event::RunPlanner => {
+                let machines = orders.orders().values().flat_map(|(_, machines)| machines);
+                let reports = machines.map(|(machine, progress)| {
+                    let index: usize = machine[2..].parse().expect("a name made by machine_name");
                     let report = MachineReport {
-                        version: place.version,
-                        clients: clients[at],
+                        version: progress.version,
+                        clients: clients[index],
                         closed: matches!(
-                            place.phase,
+                            progress.phase,
                             Phase::Draining | Phase::Drained | Phase::Failed(_)
                         ),
-                        warm: !dead.contains(&at),
+                        warm: !failed.contains(&index),
                     };
                     (machine.clone(), report)
                 });
@@ -190,13 +211,13 @@
                     live: true,
                     reports: reports.collect(),
                 };
-                let facts = PlannerInput {
+                let input = PlannerInput {
                     members: [("p".to_string(), member)].into(),
-                    unavailable: dead.iter().map(|at| name(*at)).collect(),
+                    unavailable: failed.iter().map(|index| machine_name(*index)).collect(),
                     ..PlannerInput::default()
                 };
-                for (order, machine, version, step) in plan_steps(&orders, &facts).steps {
-                    let at: usize = machine[2..].parse().expect("named here");
+                for (order, machine, version, step) in plan_steps(&orders, &input).steps {
+                    let index: usize = machine[2..].parse().expect("a name made by machine_name");
                     let change = WorkOrderChange::Step {
                         order,
                         machine: machine.clone(),
@@ -210,18 +231,18 @@
                     let out = orders.machines_out();
                     let out: BTreeSet<usize> = out
                         .keys()
-                        .map(|name| name[2..].parse().expect("named"))
+                        .map(|name| name[2..].parse().expect("a name made by machine_name"))
                         .collect();
                     if step == Step::TakeOut
-                        && let Some(what) = breaks(fleet, at, &out, &dead)
+                        && let Some(violation) = violated_bound(fleet, index, &out, &failed)
                     {
-                        return Err(format!("{machine} goes: {what}"));
+                        return Err(format!("{machine} was taken out: {violation}"));
                     }
                     if step == Step::MarkDrained {
-                        emptied[at] += 1;
-                        if clients[at] > 0 || emptied[at] > 1 {
+                        times_drained[index] += 1;
+                        if clients[index] > 0 || times_drained[index] > 1 {
                             return Err(format!(
-                                "{machine} is told as empty: {clients:?} {emptied:?}"
+                                "{machine} was reported as drained: {clients:?} {times_drained:?}"
                             ));
                         }
                     }
@@ -242,23 +263,24 @@
 }
 
 #[test]
-fn what_is_planned_breaks_no_bound_whatever_happens() {
+fn planned_steps_never_violate_a_bound() {
     let checked = runner(4000).run(&fleet(), |fleet| {
-        play(&fleet, 0).map_err(TestCaseError::fail)
+        run_events(&fleet, 0).map_err(TestCaseError::fail)
     });
     assert!(checked.is_ok(), "{checked:?}");
 }
 
-/// A planner and a log that take one machine more than they should: found, and cut to a few machines and the two steps that matter.
+/// Guards against a check that finds nothing: with a planner and a replicated state that allow one machine too many, it
+/// finds the violation and shrinks it to a few machines and the two steps that matter.
 #[test]
-fn one_too_many_is_found_and_shrunk() {
+fn finds_and_shrinks_a_violation_when_one_machine_too_many_is_allowed() {
     let checked = runner(4000).run(&fleet(), |fleet| {
-        play(&fleet, 1).map_err(TestCaseError::fail)
+        run_events(&fleet, 1).map_err(TestCaseError::fail)
     });
-    let Err(TestError::Fail(why, fleet)) = checked else {
+    let Err(TestError::Fail(reason, fleet)) = checked else {
         panic!("not found: {checked:?}")
     };
-    assert!(why.message().contains("goes"), "{why}");
+    assert!(reason.message().contains("was taken out"), "{reason}");
     assert!(
         fleet.machines.len() <= 6 && fleet.events.len() <= 3,
         "{fleet:?}"
--- a/crates/workorders/tests/scenarios.rs
+++ b/crates/workorders/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Orders and the planner: each bound and each hard case by itself, and nights of faults over random fleets.
+//! Tests of work orders and the planner: each bound and each difficult case on its own, and simulations of random
+//! fleets with faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,9 +9,9 @@
 };
 use violetwind_workorders::*;
 
-/// What is left when nothing more can go: machines whose going the bounds never allow.
-fn left(night: &World) -> Vec<(Name, Phase)> {
-    night
+/// The machines that are in no terminal phase when the simulation has ended.
+fn unfinished_machines(world: &World) -> Vec<(Name, Phase)> {
+    world
         .machine_phases()
         .into_iter()
         .map(|(name, (_, phase))| (name, phase))
@@ -19,63 +20,68 @@
 }
 
 #[test]
-fn nights_of_work_keep_what_must_hold_and_come_to_their_end() {
-    let (mut done, mut stuck) = (0, 0);
+fn simulations_with_faults_violate_no_invariant_and_leave_only_machines_that_bounds_keep_in() {
+    let (mut done, mut kept_in) = (0, 0);
     for seed in 0..400 {
-        let mut night = World::new(seed, InjectedBug::Nothing);
-        night.run_with_faults();
-        assert_eq!(night.violation, None, "seed {seed}");
-        done += night.times_emptied.len();
-        for (name, phase) in left(&night) {
-            // Only what may never go is left, or what waits behind it.
+        let mut world = World::new(seed, InjectedBug::Nothing);
+        world.run_with_faults();
+        assert_eq!(world.violation, None, "seed {seed}");
+        done += world.times_emptied.len();
+        for (name, phase) in unfinished_machines(&world) {
+            // Only machines that the bounds never allow to be taken out are left, or machines of later orders.
             assert_eq!(phase, Phase::Waiting, "seed {seed}: {name}");
-            let number = night.orders.active_order().unwrap();
-            let of_first = night.orders.orders()[&number].1.contains_key(&name);
-            let may = night.orders.check_take_out(number, &name, &BTreeSet::new());
-            assert!(!of_first || may.is_err(), "seed {seed}: {name} could go");
-            stuck += 1;
+            let number = world.orders.active_order().unwrap();
+            let is_in_active_order = world.orders.orders()[&number].1.contains_key(&name);
+            let check = world.orders.check_take_out(number, &name, &BTreeSet::new());
+            assert!(
+                !is_in_active_order || check.is_err(),
+                "seed {seed}: {name} could be taken out"
+            );
+            kept_in += 1;
         }
     }
-    println!("{done} machines worked on, {stuck} that the bounds keep in");
+    println!("{done} machines worked on, {kept_in} that the bounds keep in");
     assert!(done > 1500, "{done}");
 }
 
 #[test]
 #[ignore = "minutes: run with --release"]
-fn twenty_thousand_nights() {
+fn simulations_with_faults_violate_no_invariant_for_20_000_seeds() {
     for seed in 0..20_000 {
-        let mut night = World::new(seed, InjectedBug::Nothing);
-        night.run_with_faults();
-        assert_eq!(night.violation, None, "seed {seed}");
+        let mut world = World::new(seed, InjectedBug::Nothing);
+        world.run_with_faults();
+        assert_eq!(world.violation, None, "seed {seed}");
     }
 }
 
 #[test]
-fn planted_errors_are_found() {
-    for (planted, what) in [
+fn detects_injected_bugs() {
+    for (injected_bug, invariant) in [
         (InjectedBug::Hasty, "Empty Means Empty"),
         (InjectedBug::OneTooMany, "Never Too Many Out"),
     ] {
         let found = (0..60).filter_map(|seed| {
-            let mut night = World::new(seed, planted);
-            night.run_with_faults();
-            night.violation
+            let mut world = World::new(seed, injected_bug);
+            world.run_with_faults();
+            world.violation
         });
         let found: Vec<String> = found.collect();
         assert!(
-            found.iter().any(|wrong| wrong.contains(what)),
-            "{planted:?}: {found:?}"
+            found.iter().any(|violation| violation.contains(invariant)),
+            "{injected_bug:?}: {found:?}"
         );
     }
 }
 
-/// Each bound refuses what would pass it, and says which.
+/// A step that would violate a bound is refused with the name of the bound, whichever member proposes it.
 #[test]
-fn the_log_refuses_what_breaks_a_bound_whoever_asks() {
-    let same = [("a", 0, 10, false); 4];
-    let out = |machines: &[(&str, usize, u64, bool)], bounds: Bounds| {
+fn refuses_steps_that_violate_a_bound() {
+    let equal_machines = [("a", 0, 10, false); 4];
+    let take_out_two = |machines: &[(&str, usize, u64, bool)], bounds: Bounds| {
         let mut orders = orders_with_machines(machines);
-        let names: Vec<String> = (0..machines.len()).map(|at| format!("m-{at}")).collect();
+        let names: Vec<String> = (0..machines.len())
+            .map(|index| format!("m-{index}"))
+            .collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         orders
             .apply(WorkOrderChange::AddOrder(build_order(&names, bounds)))
@@ -86,20 +92,20 @@
             apply_step(&mut orders, "m-1", Step::TakeOut, Some(1)),
         )
     };
-    let most = Bounds {
+    let one_out = Bounds {
         max_out: 1,
         ..PERMISSIVE_BOUNDS
     };
     assert_eq!(
-        out(&same, most).1,
+        take_out_two(&equal_machines, one_out).1,
         Err(Refusal::TooManyOut { out: 1, max: 1 })
     );
-    let zone = Bounds {
+    let one_out_per_zone = Bounds {
         max_out_per_zone: 1,
         ..PERMISSIVE_BOUNDS
     };
     assert!(matches!(
-        out(&same, zone).1,
+        take_out_two(&equal_machines, one_out_per_zone).1,
         Err(Refusal::TooManyOutInZone { .. })
     ));
     let floor = Bounds {
@@ -107,7 +113,7 @@
         ..PERMISSIVE_BOUNDS
     };
     assert_eq!(
-        out(&same, floor),
+        take_out_two(&equal_machines, floor),
         (
             Ok(()),
             Err(Refusal::BelowFloor {
@@ -116,12 +122,12 @@
             })
         )
     );
-    let spare = Bounds {
+    let floor_without_one_machine = Bounds {
         failure_tolerance: FailureTolerance::Machine,
         ..floor
     };
     assert_eq!(
-        out(&same, spare).0,
+        take_out_two(&equal_machines, floor_without_one_machine).0,
         Err(Refusal::BelowFloor {
             remaining: 20,
             required: 30
@@ -133,7 +139,7 @@
         ("b", 0, 10, false),
     ];
     assert_eq!(
-        out(&kinds, PERMISSIVE_BOUNDS),
+        take_out_two(&kinds, PERMISSIVE_BOUNDS),
         (Err(Refusal::OnlyOfKind("k-1".into())), Ok(()))
     );
     let voters = [
@@ -143,14 +149,15 @@
         ("a", 0, 9, false),
     ];
     assert_eq!(
-        out(&voters, PERMISSIVE_BOUNDS),
+        take_out_two(&voters, PERMISSIVE_BOUNDS),
         (Ok(()), Err(Refusal::VoterQuorum))
     );
 }
 
-/// A conductor that has been replaced, or acts twice, changes nothing; nor does staff's word out of turn.
+/// A coordinator that has been replaced, or that repeats a step, must not change anything; neither may an operator's
+/// step that does not fit the phase of the machine.
 #[test]
-fn a_late_step_is_refused_by_number_and_by_version() {
+fn refuses_late_steps_by_fencing_number_and_by_version() {
     let mut orders = orders_with_machines(&[("a", 0, 10, false); 3]);
     orders
         .apply(WorkOrderChange::AddOrder(build_order(
@@ -164,20 +171,20 @@
         Err(Refusal::Superseded)
     );
     let (number, version, _) = machine_status(&orders, "m-0");
-    let empty = WorkOrderChange::Step {
+    let mark_drained = WorkOrderChange::Step {
         order: number,
         machine: "m-0".into(),
         version,
         step: Step::MarkDrained,
         fence: Some(5),
     };
-    orders.apply(empty.clone()).unwrap();
-    assert_eq!(orders.apply(empty), Err(Refusal::Superseded));
+    orders.apply(mark_drained.clone()).unwrap();
+    assert_eq!(orders.apply(mark_drained), Err(Refusal::Superseded));
     assert_eq!(
         apply_step(&mut orders, "m-1", Step::CompleteWork, None),
         Err(Refusal::InvalidTransition)
     );
-    // What is out is listed whatever becomes of the order, until it is back.
+    // A machine that is out stays listed until it is back, even if its order is cancelled.
     orders.apply(WorkOrderChange::Cancel(number)).unwrap();
     assert_eq!(
         orders.machines_out().into_keys().collect::<Vec<_>>(),
@@ -187,12 +194,13 @@
     apply_step(&mut orders, "m-0", Step::Recall, Some(6)).unwrap();
     apply_step(&mut orders, "m-0", Step::CompleteReturn, Some(6)).unwrap();
     assert!(orders.machines_out().is_empty() && orders.orders().is_empty());
-    assert_eq!(orders.ended_orders()[0].2, 0, "none was worked on");
+    assert_eq!(orders.ended_orders()[0].2, 0, "no machine was worked on");
 }
 
-/// A proxy that is cut off may serve on: its machine is not told as empty, and staff read whom it waits for.
+/// A proxy that is cut off may continue to serve clients. The machine must not be reported as drained before that proxy
+/// confirms, and operators see the name of the proxy that it waits for.
 #[test]
-fn a_proxy_that_cannot_confirm_is_waited_for_by_name() {
+fn waits_for_a_disconnected_proxy_and_names_it() {
     let mut orders = orders_with_machines(&[("a", 0, 10, false); 3]);
     orders
         .apply(WorkOrderChange::AddOrder(build_order(
@@ -215,36 +223,36 @@
         live,
         reports: report(clients),
     };
-    let mut facts = PlannerInput::default();
-    facts.members.extend([
+    let mut input = PlannerInput::default();
+    input.members.extend([
         ("p-0".into(), member(true, 0)),
         ("p-1".into(), member(false, 0)),
     ]);
-    let next = plan_steps(&orders, &facts);
-    assert_eq!(next.steps, []);
+    let planned = plan_steps(&orders, &input);
+    assert_eq!(planned.steps, []);
     assert_eq!(
-        next.wait_reasons,
+        planned.wait_reasons,
         [("m-0".into(), "not confirmed yet by p-1".into())]
     );
-    facts.members.insert("p-1".into(), member(true, 3));
+    input.members.insert("p-1".into(), member(true, 3));
     assert_eq!(
-        plan_steps(&orders, &facts).wait_reasons[0].1,
+        plan_steps(&orders, &input).wait_reasons[0].1,
         "3 clients are still there, at p-1"
     );
-    facts.members.insert("p-1".into(), member(true, 0));
-    assert_eq!(plan_steps(&orders, &facts).steps[0].3, Step::MarkDrained);
-    // One that never empties is listed as failed after its span, and stays listed.
-    facts.members.insert("p-1".into(), member(true, 3));
-    facts.version_ages.insert(version, 100);
+    input.members.insert("p-1".into(), member(true, 0));
+    assert_eq!(plan_steps(&orders, &input).steps[0].3, Step::MarkDrained);
+    // A machine that is not drained within the drain timeout is marked as failed.
+    input.members.insert("p-1".into(), member(true, 3));
+    input.version_ages.insert(version, 100);
     assert_eq!(
-        plan_steps(&orders, &facts).steps[0].3,
+        plan_steps(&orders, &input).steps[0].3,
         Step::Fail(FailureReason::NeverEmpty)
     );
 }
 
-/// Two are on their way out when a third machine dies: one is called back, the fuller one.
+/// When a third machine fails while two are draining, one of the two is recalled: the one with more clients.
 #[test]
-fn what_leaves_is_called_back_when_a_machine_dies() {
+fn recalls_the_draining_machine_with_most_clients_when_another_fails() {
     let mut orders = orders_with_machines(&[("a", 0, 10, false); 4]);
     let bounds = Bounds {
         max_out: 2,
@@ -269,24 +277,25 @@
         (name.to_string(), report)
     };
     let reports = BTreeMap::from([report("m-0", 2), report("m-1", 7)]);
-    let mut facts = PlannerInput::default();
-    facts.members.insert(
+    let mut input = PlannerInput::default();
+    input.members.insert(
         "p-0".into(),
         Member {
             live: true,
             reports,
         },
     );
-    assert_eq!(plan_steps(&orders, &facts).steps, []);
-    facts.unavailable.insert("m-3".into());
-    let steps = plan_steps(&orders, &facts).steps;
+    assert_eq!(plan_steps(&orders, &input).steps, []);
+    input.unavailable.insert("m-3".into());
+    let steps = plan_steps(&orders, &input).steps;
     assert_eq!(steps.len(), 1, "{steps:?}");
     assert_eq!((steps[0].1.as_str(), steps[0].3), ("m-1", Step::Recall));
 }
 
-/// What a proxy goes by: the newest list, an operator's word before it, and the same after a restart from its file.
+/// A proxy applies only lists that are not older than its own, and an operator's override takes precedence over the
+/// list.
 #[test]
-fn a_belief_takes_the_newest_list_and_an_operators_word_is_stronger() {
+fn ignores_older_lists_and_overrides_take_precedence() {
     let mut orders = orders_with_machines(&[("a", 0, 10, false); 3]);
     orders
         .apply(WorkOrderChange::AddOrder(build_order(
@@ -294,83 +303,88 @@
             PERMISSIVE_BOUNDS,
         )))
         .unwrap();
-    let waiting = MachineAvailability::list_machines(&orders);
+    let waiting_list = MachineAvailability::list_machines(&orders);
     apply_step(&mut orders, "m-0", Step::TakeOut, Some(1)).unwrap();
-    let leaving = MachineAvailability::list_machines(&orders);
-    let mut belief = MachineAvailability::default();
+    let draining_list = MachineAvailability::list_machines(&orders);
+    let mut availability = MachineAvailability::default();
     assert_eq!(
-        belief.apply_list(7, leaving.clone()),
+        availability.apply_list(7, draining_list.clone()),
         [MachineAction::Close("m-0".into())]
     );
-    assert_eq!(belief.apply_list(6, waiting), [], "an older list");
-    assert_eq!(belief.apply_list(8, leaving), []);
+    assert_eq!(
+        availability.apply_list(6, waiting_list),
+        [],
+        "an older list"
+    );
+    assert_eq!(availability.apply_list(8, draining_list), []);
     let version = machine_status(&orders, "m-0").1;
-    let confirmed = belief.report("m-0", 0, true).unwrap();
+    let confirmed = availability.report("m-0", 0, true).unwrap();
     assert!(confirmed.version == version && confirmed.closed);
-    assert_eq!(belief.report("m-1", 0, true), None);
-    // Told as empty; then an operator opens it at this proxy: staff see it as failed, by name.
-    let mut facts = PlannerInput::default();
+    assert_eq!(availability.report("m-1", 0, true), None);
+    // The machine is reported as drained, and then an operator opens it at this proxy: it is marked as failed.
+    let mut input = PlannerInput::default();
     let member = |report| Member {
         live: true,
         reports: BTreeMap::from([("m-0".to_string(), report)]),
     };
-    facts.members.insert("p-0".into(), member(confirmed));
+    input.members.insert("p-0".into(), member(confirmed));
     apply_step(&mut orders, "m-0", Step::MarkDrained, Some(1)).unwrap();
     assert_eq!(
-        belief.apply_list(9, MachineAvailability::list_machines(&orders)),
+        availability.apply_list(9, MachineAvailability::list_machines(&orders)),
         []
     );
     assert_eq!(
-        belief.set_override("m-0", Some(true)),
+        availability.set_override("m-0", Some(true)),
         [MachineAction::Open("m-0".into())]
     );
-    facts
-        .members
-        .insert("p-0".into(), member(belief.report("m-0", 0, true).unwrap()));
+    input.members.insert(
+        "p-0".into(),
+        member(availability.report("m-0", 0, true).unwrap()),
+    );
     assert_eq!(
-        plan_steps(&orders, &facts).steps[0].3,
+        plan_steps(&orders, &input).steps[0].3,
         Step::Fail(FailureReason::Opened)
     );
     assert_eq!(
-        belief.set_override("m-0", None),
+        availability.set_override("m-0", None),
         [MachineAction::Close("m-0".into())]
     );
-    // A machine that is in no order any more is open, but for an operator's word.
+    // A machine that is no longer in an order is open, unless an operator's override closes it.
     assert_eq!(
-        belief.set_override("m-1", Some(false)),
+        availability.set_override("m-1", Some(false)),
         [MachineAction::Close("m-1".into())]
     );
     assert_eq!(
-        belief.apply_list(10, BTreeMap::new()),
+        availability.apply_list(10, BTreeMap::new()),
         [MachineAction::Open("m-0".into())]
     );
-    assert!(belief.is_closed("m-1"));
+    assert!(availability.is_closed("m-1"));
 }
 
 #[test]
-fn nothing_goes_out_before_its_time() {
+fn takes_no_machine_out_before_the_start_time() {
     let mut orders = orders_with_machines(&[("a", 0, 10, false); 3]);
-    let tonight = WorkOrder {
+    let delayed = WorkOrder {
         not_before: 1000,
         ..build_order(&["m-0"], PERMISSIVE_BOUNDS)
     };
-    orders.apply(WorkOrderChange::AddOrder(tonight)).unwrap();
-    let mut facts = PlannerInput {
+    orders.apply(WorkOrderChange::AddOrder(delayed)).unwrap();
+    let mut input = PlannerInput {
         unix_time_ms: 999,
         ..PlannerInput::default()
     };
-    let next = plan_steps(&orders, &facts);
+    let planned = plan_steps(&orders, &input);
     assert!(
-        next.steps.is_empty() && next.wait_reasons[0].1.contains("time"),
-        "{next:?}"
+        planned.steps.is_empty() && planned.wait_reasons[0].1.contains("time"),
+        "{planned:?}"
     );
-    facts.unix_time_ms = 1000;
-    assert_eq!(plan_steps(&orders, &facts).steps[0].3, Step::TakeOut);
+    input.unix_time_ms = 1000;
+    assert_eq!(plan_steps(&orders, &input).steps[0].3, Step::TakeOut);
 }
 
-/// The floor with a whole zone lost besides, and a cell of which nothing would stay in.
+/// The floor must remain even if a whole zone is lost in addition, and a server of each cell must stay in service.
 #[test]
-fn a_zone_may_be_lost_besides_and_some_of_each_cell_stays() {
+fn keeps_the_floor_under_the_loss_of_a_zone_and_a_server_of_each_cell() {
     let machines = [
         ("a", 0, 10, false),
         ("a", 0, 10, false),
@@ -387,7 +401,7 @@
     orders
         .apply(WorkOrderChange::AddOrder(build_order(&all, bounds)))
         .unwrap();
-    // Without m-2 zone a may be lost and ten are left, which is enough.
+    // With m-2 out, the loss of zone a leaves a capacity of 10, which is enough.
     assert_eq!(
         apply_step(&mut orders, "m-2", Step::TakeOut, Some(1)),
         Ok(())
@@ -423,17 +437,18 @@
     );
 }
 
-/// Where nobody has to say that it is done an empty machine comes back at once, and staff have no word in it.
+/// In an order that does not wait for operators, a drained machine returns at once, and an operator's report that the
+/// work is done is refused.
 #[test]
-fn an_order_without_a_wait_brings_machines_back_by_itself() {
+fn returns_drained_machines_at_once_when_the_order_does_not_wait() {
     let mut orders = orders_with_machines(&[("a", 0, 10, false); 3]);
-    let mut plain = build_order(&["m-0"], PERMISSIVE_BOUNDS);
-    plain.waits_for_done = false;
-    orders.apply(WorkOrderChange::AddOrder(plain)).unwrap();
+    let mut order = build_order(&["m-0"], PERMISSIVE_BOUNDS);
+    order.waits_for_done = false;
+    orders.apply(WorkOrderChange::AddOrder(order)).unwrap();
     apply_step(&mut orders, "m-0", Step::TakeOut, Some(1)).unwrap();
     apply_step(&mut orders, "m-0", Step::MarkDrained, Some(1)).unwrap();
-    let next = plan_steps(&orders, &PlannerInput::default());
-    assert_eq!(next.steps[0].3, Step::CompleteWork);
+    let planned = plan_steps(&orders, &PlannerInput::default());
+    assert_eq!(planned.steps[0].3, Step::CompleteWork);
     assert_eq!(
         apply_step(&mut orders, "m-0", Step::CompleteWork, None),
         Err(Refusal::InvalidTransition)
