--- a/crates/fleet/src/limits.rs
+++ b/crates/fleet/src/limits.rs
@@ -1,8 +1,8 @@
-//! Time-outs, sizes and counts of the fleet.
+//! Timeouts, sizes and counts of the fleet.
 
 use violetwind_consensus::Millis;
 
-/// Time-outs, in milliseconds, and limits of one member.
+/// Timeouts, in milliseconds, and limits of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// A session, and with it every duty and share that it holds, expires this long after its last renewal.
@@ -11,8 +11,8 @@
     pub lease_margin: Millis,
     /// The largest relative drift between the clocks of two machines, in thousandths.
     pub max_clock_drift_permille: u64,
-    /// The interval between renewals of a session, and the time-out of a request to the leader, after which it is sent
-    /// to another member.
+    /// The interval between renewals of a session. A request to the leader that is not answered within half of it is
+    /// sent to another member.
     pub renew_interval: Millis,
     /// The delay before a session is requested again that was refused, or whose name is not free yet.
     pub retry_delay: Millis,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Time-outs that contradict each other.
+/// Timeouts that contradict each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitsError {
     /// The lease is shorter than `min_lease`: no session would outlive a change of leader.
@@ -66,7 +66,7 @@
 }
 
 impl Limits {
-    /// Derives all time-outs from the two that operators set, in milliseconds.
+    /// Derives all timeouts from the two that operators set, in milliseconds.
     pub fn with_timeouts(lease_duration: Millis, election_timeout: Millis) -> Self {
         let consensus = violetwind_consensus::Limits {
             election_timeout,
@@ -103,12 +103,12 @@
             + 1
     }
 
-    /// Checks that the time-outs are consistent.
+    /// Checks that the timeouts are consistent.
     ///
     /// # Errors
     /// The lease can't outlive an election, or its margin is longer than half of it.
     pub fn validate(&self) -> Result<(), LimitsError> {
-        // Two randomized election time-outs, and a renewal before and after them.
+        // Two randomized election timeouts, and a renewal before and after them.
         let min_lease = 3 * self.consensus.election_timeout;
         if self.lease_duration < min_lease {
             return Err(LimitsError::LeaseTooShort { min_lease });
--- a/crates/workorders/src/orders.rs
+++ b/crates/workorders/src/orders.rs
@@ -403,25 +403,27 @@
         out.insert(name);
         let remaining_machines = || self.machines.iter().filter(|(name, _)| !out.contains(name));
         for server in &machine.servers {
-            let has_kind = |m: &Machine| {
-                m.servers
+            let has_kind = |candidate: &Machine| {
+                candidate
+                    .servers
                     .iter()
-                    .any(|s| s.kind == server.kind && s.room > 0)
+                    .any(|other| other.kind == server.kind && other.room > 0)
             };
             if !remaining_machines().any(|(_, machine)| has_kind(machine)) {
                 return Err(Refusal::OnlyOfKind(server.kind.clone()));
             }
             // The rule applies only to a cell with servers on other machines too: where this machine is the only one,
             // no other server recognizes its repeats at any time.
-            let has_cell = |m: &Machine| {
-                m.servers
+            let has_cell = |candidate: &Machine| {
+                candidate
+                    .servers
                     .iter()
-                    .any(|s| s.cell == server.cell && s.room > 0)
+                    .any(|other| other.cell == server.cell && other.room > 0)
             };
             let has_other_machines = self
                 .machines
                 .iter()
-                .any(|(other, m)| other != name && has_cell(m));
+                .any(|(other, candidate)| other != name && has_cell(candidate));
             if has_other_machines && !remaining_machines().any(|(_, machine)| has_cell(machine)) {
                 return Err(Refusal::OnlyOfCell(server.cell));
             }
