--- a/crates/conf/src/section.rs
+++ b/crates/conf/src/section.rs
@@ -10,7 +10,7 @@
 use crate::tree::{ConfigTree, Node, Value};
 
 /// How alike an unknown key must be to a known one to be taken for it.
-const ALIKE: f64 = 0.75;
+const MIN_HINT_SIMILARITY: f64 = 0.75;
 
 /// One thing that is wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -68,9 +68,9 @@
 #[derive(Debug)]
 pub struct Section<'a> {
     path: String,
-    place: Rc<str>,
+    location: Rc<str>,
     table: Option<&'a BTreeMap<String, Node>>,
-    asked: RefCell<Vec<String>>,
+    known_keys: RefCell<Vec<String>>,
     problems: Problems,
 }
 
@@ -83,9 +83,9 @@
         };
         Self {
             path: String::new(),
-            place: tree.root.location.clone(),
+            location: tree.root.location.clone(),
             table,
-            asked: RefCell::default(),
+            known_keys: RefCell::default(),
             problems: problems.clone(),
         }
     }
@@ -97,16 +97,16 @@
 
     /// Whether a key is given, so that its absence can mean something else than a default.
     pub fn has_key(&self, name: &str) -> bool {
-        self.asked.borrow_mut().push(name.to_string());
+        self.known_keys.borrow_mut().push(name.to_string());
         self.table.is_some_and(|table| table.contains_key(name))
     }
 
     /// Where it stands.
     pub fn location(&self) -> &str {
-        &self.place
+        &self.location
     }
 
-    fn key(&self, name: &str) -> String {
+    fn key_path(&self, name: &str) -> String {
         match self.path.as_str() {
             "" => name.to_string(),
             path => format!("{path}.{name}"),
@@ -114,7 +114,7 @@
     }
 
     fn node(&self, name: &str) -> Option<&'a Node> {
-        self.asked.borrow_mut().push(name.to_string());
+        self.known_keys.borrow_mut().push(name.to_string());
         self.table?.get(name)
     }
 
@@ -122,8 +122,10 @@
     pub fn report_problem(&self, name: &str, what: impl Into<String>) {
         let node = self.table.and_then(|table| table.get(name));
         self.problems.add(Problem {
-            location: node.map_or(&self.place, |node| &node.location).to_string(),
-            key: self.key(name),
+            location: node
+                .map_or(&self.location, |node| &node.location)
+                .to_string(),
+            key: self.key_path(name),
             message: what.into(),
             hint: None,
         });
@@ -140,13 +142,13 @@
         if value.is_none() {
             self.report_problem(
                 name,
-                format!("expected {expected}, found {}", shown(&node.value)),
+                format!("expected {expected}, found {}", describe_value(&node.value)),
             );
         }
         value
     }
 
-    fn within<T: PartialOrd + Copy>(
+    fn check_range<T: PartialOrd + Copy>(
         &self,
         name: &str,
         value: T,
@@ -178,7 +180,7 @@
 
     pub fn flag(&self, name: &str, default: bool) -> bool {
         let value = self.read(name, "true or false", |value| match value {
-            Value::Flag(flag) => Some(*flag),
+            Value::Bool(flag) => Some(*flag),
             _ => None,
         });
         value.unwrap_or(default)
@@ -189,7 +191,7 @@
             Value::Int(number) => u64::try_from(*number).ok(),
             _ => None,
         });
-        let sound = value.filter(|value| self.within(name, *value, &range, |n| n.to_string()));
+        let sound = value.filter(|value| self.check_range(name, *value, &range, |n| n.to_string()));
         sound.unwrap_or(default)
     }
 
@@ -199,7 +201,7 @@
             Value::Float(number) => Some(*number),
             _ => None,
         });
-        let sound = value.filter(|value| self.within(name, *value, &range, |n| n.to_string()));
+        let sound = value.filter(|value| self.check_range(name, *value, &range, |n| n.to_string()));
         sound.unwrap_or(default)
     }
 
@@ -214,11 +216,11 @@
             name,
             "a span such as \"300ms\" or \"4s\"",
             |value| match value {
-                Value::Text(text) => span(text),
+                Value::Text(text) => parse_duration(text),
                 _ => None,
             },
         );
-        let sound = value.filter(|value| self.within(name, *value, &range, format_duration));
+        let sound = value.filter(|value| self.check_range(name, *value, &range, format_duration));
         sound.unwrap_or(default)
     }
 
@@ -278,10 +280,10 @@
         });
         let node = self.table.and_then(|table| table.get(name));
         Section {
-            path: self.key(name),
-            place: node.map_or(&self.place, |node| &node.location).clone(),
+            path: self.key_path(name),
+            location: node.map_or(&self.location, |node| &node.location).clone(),
             table,
-            asked: RefCell::default(),
+            known_keys: RefCell::default(),
             problems: self.problems.clone(),
         }
     }
@@ -295,19 +297,19 @@
         });
         let mut sections = Vec::new();
         for (at, node) in list.into_iter().flatten().enumerate() {
-            let path = self.key(&format!("{name}.{at}"));
+            let path = self.key_path(&format!("{name}.{at}"));
             let Value::Table(table) = &node.value else {
                 self.report_problem(
                     name,
-                    format!("expected {expected}, found {}", shown(&node.value)),
+                    format!("expected {expected}, found {}", describe_value(&node.value)),
                 );
                 continue;
             };
             sections.push(Section {
                 path,
-                place: node.location.clone(),
+                location: node.location.clone(),
                 table: Some(table),
-                asked: RefCell::default(),
+                known_keys: RefCell::default(),
                 problems: self.problems.clone(),
             });
         }
@@ -316,7 +318,7 @@
 
     /// Tells of keys that nothing asked for. Call it last.
     pub fn report_unknown_keys(&self) {
-        let asked = self.asked.borrow();
+        let asked = self.known_keys.borrow();
         for (name, node) in self.table.into_iter().flatten() {
             if asked.contains(name) {
                 continue;
@@ -324,11 +326,11 @@
             let alike = |known: &&String| strsim::jaro_winkler(name, known);
             let nearest = asked
                 .iter()
-                .filter(|known| alike(known) >= ALIKE)
+                .filter(|known| alike(known) >= MIN_HINT_SIMILARITY)
                 .max_by(|one, two| alike(one).total_cmp(&alike(two)));
             self.problems.add(Problem {
                 location: node.location.to_string(),
-                key: self.key(name),
+                key: self.key_path(name),
                 message: "no such key".into(),
                 hint: nearest.map(|known| format!("did you mean `{known}`?")),
             });
@@ -336,19 +338,19 @@
     }
 }
 
-fn shown(value: &Value) -> String {
+fn describe_value(value: &Value) -> String {
     match value {
         Value::Text(text) => format!("\"{}\"", text.chars().take(40).collect::<String>()),
         Value::Int(number) => number.to_string(),
         Value::Float(number) => number.to_string(),
-        Value::Flag(flag) => flag.to_string(),
+        Value::Bool(flag) => flag.to_string(),
         Value::List(_) => "a list".into(),
         Value::Table(_) => "a section".into(),
         Value::Datetime => "a date".into(),
     }
 }
 
-fn span(text: &str) -> Option<Duration> {
+fn parse_duration(text: &str) -> Option<Duration> {
     let split = text.find(|c: char| c.is_ascii_alphabetic())?;
     let number: f64 = text[..split].trim().parse().ok()?;
     let unit = match &text[split..] {
--- a/crates/conf/src/tree.rs
+++ b/crates/conf/src/tree.rs
@@ -8,15 +8,15 @@
 use crate::section::Problem;
 
 /// The longest file, and the deepest nesting that a layer may add.
-const MOST_BYTES: usize = 1 << 20;
-const MOST_DEPTH: usize = 8;
+const MAX_FILE_BYTES: usize = 1 << 20;
+const MAX_PATH_DEPTH: usize = 8;
 
 #[derive(Clone, Debug)]
 pub(crate) enum Value {
     Text(String),
     Int(i64),
     Float(f64),
-    Flag(bool),
+    Bool(bool),
     List(Vec<Node>),
     Table(BTreeMap<String, Node>),
     /// A date, which no key takes.
@@ -50,23 +50,23 @@
     /// Reads a file's text; `name` is what errors call it.
     pub fn parse(name: &str, text: &str) -> Result<Self, Problem> {
         let problem = |at: Option<usize>, what: String| Problem {
-            location: place(name, text, at).to_string(),
+            location: format_location(name, text, at).to_string(),
             key: String::new(),
             message: what,
             hint: None,
         };
-        if text.len() > MOST_BYTES {
-            return Err(problem(None, format!("more than {MOST_BYTES} bytes")));
+        if text.len() > MAX_FILE_BYTES {
+            return Err(problem(None, format!("more than {MAX_FILE_BYTES} bytes")));
         }
         let document: Document<&str> = Document::parse(text).map_err(|error| {
             let at = error.span().map(|span| span.start);
             problem(at, error.message().trim().replace('\n', ", "))
         })?;
-        let table = table(name, text, document.as_table());
+        let table = read_table(name, text, document.as_table());
         Ok(Self {
             root: Node {
                 value: Value::Table(table),
-                location: place(name, text, None),
+                location: format_location(name, text, None),
             },
         })
     }
@@ -81,12 +81,12 @@
             message: what.to_string(),
             hint: None,
         };
-        if keys.len() > MOST_DEPTH || keys.iter().any(|key| key.is_empty()) {
+        if keys.len() > MAX_PATH_DEPTH || keys.iter().any(|key| key.is_empty()) {
             return Err(problem("no path of keys"));
         }
         let place: Rc<str> = place.into();
         let value = match text.parse::<Toml>() {
-            Ok(parsed) => from_value("", "", &parsed, &place),
+            Ok(parsed) => convert_value("", "", &parsed, &place),
             Err(_) => Value::Text(text.to_string()),
         };
         let mut node = &mut self.root;
@@ -134,7 +134,7 @@
     }
 }
 
-fn place(name: &str, text: &str, at: Option<usize>) -> Rc<str> {
+fn format_location(name: &str, text: &str, at: Option<usize>) -> Rc<str> {
     match at {
         Some(at) => {
             let before = &text.as_bytes()[..at.min(text.len())];
@@ -145,20 +145,20 @@
     }
 }
 
-fn table(name: &str, text: &str, table: &dyn TableLike) -> BTreeMap<String, Node> {
+fn read_table(name: &str, text: &str, table: &dyn TableLike) -> BTreeMap<String, Node> {
     let node = |item: &Item, key_at: Option<usize>| -> Option<Node> {
         let at = item.span().map(|span| span.start).or(key_at);
-        let here = place(name, text, at);
+        let here = format_location(name, text, at);
         let value = match item {
             Item::None => return None,
-            Item::Value(value) => from_value(name, text, value, &here),
-            Item::Table(inner) => Value::Table(self::table(name, text, inner)),
+            Item::Value(value) => convert_value(name, text, value, &here),
+            Item::Table(inner) => Value::Table(self::read_table(name, text, inner)),
             Item::ArrayOfTables(tables) => Value::List(
                 tables
                     .iter()
                     .map(|inner| Node {
-                        value: Value::Table(self::table(name, text, inner)),
-                        location: place(name, text, inner.span().map(|span| span.start)),
+                        value: Value::Table(self::read_table(name, text, inner)),
+                        location: format_location(name, text, inner.span().map(|span| span.start)),
                     })
                     .collect(),
             ),
@@ -175,12 +175,12 @@
     keys.filter_map(|(key, node)| Some((key, node?))).collect()
 }
 
-fn from_value(name: &str, text: &str, value: &Toml, place: &Rc<str>) -> Value {
+fn convert_value(name: &str, text: &str, value: &Toml, place: &Rc<str>) -> Value {
     match value {
         Toml::String(text) => Value::Text(text.value().clone()),
         Toml::Integer(number) => Value::Int(*number.value()),
         Toml::Float(number) => Value::Float(*number.value()),
-        Toml::Boolean(flag) => Value::Flag(*flag.value()),
+        Toml::Boolean(flag) => Value::Bool(*flag.value()),
         Toml::Datetime(_) => Value::Datetime,
         Toml::Array(items) => Value::List(
             items
@@ -188,23 +188,23 @@
                 .map(|item| {
                     let at = item.span().map(|span| span.start);
                     let here = match at {
-                        Some(_) if !text.is_empty() => self::place(name, text, at),
+                        Some(_) if !text.is_empty() => self::format_location(name, text, at),
                         _ => place.clone(),
                     };
                     Node {
-                        value: from_value(name, text, item, &here),
+                        value: convert_value(name, text, item, &here),
                         location: here,
                     }
                 })
                 .collect(),
         ),
-        Toml::InlineTable(inner) if !text.is_empty() => Value::Table(table(name, text, inner)),
+        Toml::InlineTable(inner) if !text.is_empty() => Value::Table(read_table(name, text, inner)),
         Toml::InlineTable(inner) => Value::Table(
             inner
                 .iter()
                 .map(|(key, item)| {
                     let node = Node {
-                        value: from_value(name, text, item, place),
+                        value: convert_value(name, text, item, place),
                         location: place.clone(),
                     };
                     (key.to_string(), node)
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,5 @@
-//! The engine: notices in, events to the module, orders out, and its timers.
+//! The engine: turns incoming events into balancer events, executes the balancer's actions as commands to connections,
+//! and runs its timers.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -33,54 +34,59 @@
 use crate::sources::SourceSet;
 use crate::start_times::{ListContext, StartTimes};
 
-/// The name under which the list of the last run is weighed.
+/// Name of the catalogue source that holds the server list of the last run.
 const LAST_RUN: &str = "last run";
 
+/// A client's connection or pending request.
 #[derive(Debug)]
-struct Conn {
-    orders: mpsc::Sender<ConnectionCommand>,
-    /// Where its attempt is out.
+struct ConnectionState {
+    commands: mpsc::Sender<ConnectionCommand>,
+    /// Server of the pending attempt.
     attempt_server: Option<ServerId>,
-    /// The server that it is up on.
+    /// Server of the established connection.
     connected_server: Option<ServerId>,
-    /// The address that it was last sent to.
-    at: Option<SocketAddr>,
+    /// Address of the last attempt.
+    address: Option<SocketAddr>,
 }
 
-impl Conn {
-    fn new(orders: mpsc::Sender<ConnectionCommand>) -> Self {
+impl ConnectionState {
+    fn new(commands: mpsc::Sender<ConnectionCommand>) -> Self {
         Self {
-            orders,
+            commands,
             attempt_server: None,
             connected_server: None,
-            at: None,
+            address: None,
         }
     }
 }
 
-/// Who asks servers for their load; the answers come back as notices.
+/// Sends probes to servers; the results return as [`EngineEvent::Probed`].
 pub trait ProbeSender {
-    /// Probes a server at an address. False if too many wait there.
+    /// Queues a probe of a server at an address. Returns false if too many probes are queued already.
     fn send_probe(&mut self, server: ServerId, at: SocketAddr) -> bool;
 }
 
-/// What an engine runs by.
+/// Configuration of an engine.
 #[derive(Debug)]
 pub struct EngineConfig {
     pub settings: Settings,
     pub seed: u64,
     pub names: NameTable,
     pub limits: Limits,
-    /// With these, lists come from sources that a catalogue weighs; without, as [`Notice::List`].
+    /// If present, a catalogue combines the lists of several sources; if absent, lists come as
+    /// [`EngineEvent::ServerList`].
     pub catalogue_limits: Option<violetwind_catalogue::Limits>,
     pub service_limits: violetwind_service::Limits,
-    /// The servers that operators keep out, and whether they have emptied this proxy.
+    /// Servers that operators have banned.
     pub bans: Bans,
+    /// Whether an operator's `LEAVE` is in force for this proxy.
     pub has_left: bool,
-    /// Which machine each server is on, for orders that take machines out.
+    /// Machine of each server, for work orders that take machines out of service.
     pub machines: MachineMap,
 }
 
+/// Owns the balancer and the state of all connections. Its methods neither wait nor do I/O, so it also runs in
+/// simulated time.
 pub struct Engine<P> {
     names: NameTable,
     limits: Limits,
@@ -89,104 +95,105 @@
     balancer: Balancer,
     actions: Vec<Action>,
     probes: P,
-    members: Option<SourceSet>,
-    /// Rows of the catalogue that the module has not been told yet; the last word on a server counts.
-    changed: BTreeMap<ServerId, ListedServer>,
-    connections: HashMap<RequestId, Conn>,
-    /// Where each server is reached, with the identity behind its number.
+    sources: Option<SourceSet>,
+    /// Rows of the catalogue that were not passed to the balancer yet; only the newest row of a server is kept.
+    pending_rows: BTreeMap<ServerId, ListedServer>,
+    connections: HashMap<RequestId, ConnectionState>,
+    /// Identity and address of each server, by its number.
     addresses: HashMap<ServerId, (String, SocketAddr)>,
     start_times: StartTimes,
-    /// The sources that have given a list; the empty name is that of lists without a catalogue.
-    have_listed: BTreeSet<Rc<str>>,
-    /// What was last told of each, before the operators' word goes over it.
+    /// Sources that have given a list; the empty name stands for lists without a catalogue.
+    sources_with_list: BTreeSet<Rc<str>>,
+    /// Latest row of each server, before bans and work orders are applied.
     last_rows: HashMap<ServerId, ServerRow>,
-    service: violetwind_service::Limits,
+    service_limits: violetwind_service::Limits,
     bans: Bans,
-    outs: MachinesOut,
-    cold_for: Seconds,
-    /// Since when operators empty the proxy, what it takes, and when that changes.
-    left_at: Option<Instant>,
-    taking: AdmissionMode,
-    next_stage: Option<Instant>,
-    ending: bool,
-    /// Nothing more is taken for good.
-    last: bool,
-    /// A successor serves.
-    succeeded: bool,
-    on_server: HashMap<ServerId, BTreeSet<RequestId>>,
-    draining: BTreeMap<ServerId, MoveSchedule>,
-    leaving: Option<MoveSchedule>,
-    /// Connections to addresses that their servers have left.
-    strays: Vec<MoveSchedule>,
+    machines_out: MachinesOut,
+    slow_start_window: Seconds,
+    /// When an operator started to drain this proxy.
+    drain_started_at: Option<Instant>,
+    admission: AdmissionMode,
+    /// When the drain changes the admission mode next.
+    next_admission_change: Option<Instant>,
+    is_shutting_down: bool,
+    /// Whether the shutdown has ended all admission for good.
+    is_closed: bool,
+    /// Whether a successor process serves.
+    has_successor: bool,
+    connections_by_server: HashMap<ServerId, BTreeSet<RequestId>>,
+    server_drains: BTreeMap<ServerId, MoveSchedule>,
+    proxy_drain: Option<MoveSchedule>,
+    /// Moves of connections to addresses that their servers no longer have.
+    old_address_moves: Vec<MoveSchedule>,
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
-    next_spread: Option<Instant>,
+    next_move_step: Option<Instant>,
 }
 
 impl<P: ProbeSender> Engine<P> {
-    pub fn new(setup: EngineConfig, clock: Clock, probes: P) -> Self {
+    pub fn new(config: EngineConfig, clock: Clock, probes: P) -> Self {
         Self {
-            outs: MachinesOut::new(setup.machines),
-            cold_for: setup.settings.slow_start_window,
-            balancer: Balancer::new(setup.settings, setup.seed),
-            names: setup.names,
-            limits: setup.limits,
+            machines_out: MachinesOut::new(config.machines),
+            slow_start_window: config.settings.slow_start_window,
+            balancer: Balancer::new(config.settings, config.seed),
+            names: config.names,
+            limits: config.limits,
             now: clock.start(),
             clock,
             actions: Vec::new(),
             probes,
-            members: setup.catalogue_limits.map(SourceSet::new),
-            changed: BTreeMap::new(),
+            sources: config.catalogue_limits.map(SourceSet::new),
+            pending_rows: BTreeMap::new(),
             connections: HashMap::new(),
             addresses: HashMap::new(),
             start_times: StartTimes::default(),
-            have_listed: BTreeSet::new(),
+            sources_with_list: BTreeSet::new(),
             last_rows: HashMap::new(),
-            service: setup.service_limits,
-            bans: setup
+            service_limits: config.service_limits,
+            bans: config
                 .bans
                 .with_times_clamped((clock.seconds_at(clock.start()) * 1e3) as Millis),
-            left_at: setup.has_left.then(|| clock.start()),
-            taking: AdmissionMode::All,
-            next_stage: None,
-            ending: false,
-            last: false,
-            succeeded: false,
-            on_server: HashMap::new(),
-            draining: BTreeMap::new(),
-            leaving: None,
-            strays: Vec::new(),
+            drain_started_at: config.has_left.then(|| clock.start()),
+            admission: AdmissionMode::All,
+            next_admission_change: None,
+            is_shutting_down: false,
+            is_closed: false,
+            has_successor: false,
+            connections_by_server: HashMap::new(),
+            server_drains: BTreeMap::new(),
+            proxy_drain: None,
+            old_address_moves: Vec::new(),
             timers: BinaryHeap::new(),
-            next_spread: None,
+            next_move_step: None,
         }
     }
 
-    /// Runs for as long as the proxy does. `known` is the list of the last run; `ready` is told once a
-    /// source has given a newer one.
+    /// Runs until the event channel is closed. `last_run_servers` is the server list of the last run; `ready` is set to
+    /// true once a source has given a newer list.
     pub async fn run(
         mut self,
-        mut inbox: mpsc::Receiver<EngineEvent>,
-        known: Vec<ListedServer>,
+        mut events: mpsc::Receiver<EngineEvent>,
+        last_run_servers: Vec<ListedServer>,
         ready: Rc<watch::Sender<bool>>,
     ) {
-        self.start(Instant::now(), known);
+        self.start(Instant::now(), last_run_servers);
         loop {
-            let due = self.next_wakeup();
+            let wakeup_at = self.next_wakeup();
             let wake = async {
-                match due {
+                match wakeup_at {
                     Some(at) => sleep_until(at).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                notice = inbox.recv() => match notice {
-                    Some(notice) => {
-                        let listed = match &notice {
+                event = events.recv() => match event {
+                    Some(event) => {
+                        let completes_list = match &event {
                             EngineEvent::ServerList(..) => true,
-                            EngineEvent::SourceUpdate(_, telling) => telling.completes_snapshot(),
+                            EngineEvent::SourceUpdate(_, update) => update.completes_snapshot(),
                             _ => false,
                         };
-                        self.handle_event(Instant::now(), notice);
-                        if listed {
+                        self.handle_event(Instant::now(), event);
+                        if completes_list {
                             ready.send_replace(true);
                         }
                     }
@@ -194,81 +201,91 @@
                 },
                 () = wake => self.handle_wakeup(Instant::now()),
             }
-            if !self.changed.is_empty() {
+            if !self.pending_rows.is_empty() {
                 yield_now().await;
             }
         }
     }
 
-    /// Comes to life with the list as it was last known.
-    pub fn start(&mut self, now: Instant, known: Vec<ListedServer>) {
+    /// Starts the balancer with the server list of the last run.
+    pub fn start(&mut self, now: Instant, last_run_servers: Vec<ListedServer>) {
         self.now = now;
-        self.handle(Event::Start);
-        if self.left_at.is_some() {
-            self.set_taking(AdmissionMode::Nothing);
+        self.dispatch_event(Event::Start);
+        if self.drain_started_at.is_some() {
+            self.set_admission(AdmissionMode::Nothing);
         }
-        if self.members.is_none() {
-            return self.take_list(ListKind::Restored, known);
+        if self.sources.is_none() {
+            return self.apply_list(ListKind::Restored, last_run_servers);
         }
-        // The last run is a source whose word stands until the others have spoken.
-        let last: Rc<str> = LAST_RUN.into();
-        self.handle_event(now, EngineEvent::Sources(vec![last.clone()]));
-        let rows = known.into_iter().filter_map(to_catalogue_row).collect();
+        // The last run is a source whose list stays in force until all other sources have given one.
+        let last_run_source: Rc<str> = LAST_RUN.into();
+        self.handle_event(now, EngineEvent::Sources(vec![last_run_source.clone()]));
+        let rows = last_run_servers
+            .into_iter()
+            .filter_map(to_catalogue_row)
+            .collect();
         self.handle_event(
             now,
-            EngineEvent::SourceUpdate(last, SourceUpdate::Snapshot(rows)),
+            EngineEvent::SourceUpdate(last_run_source, SourceUpdate::Snapshot(rows)),
         );
     }
 
-    /// When it wants to be woken.
+    /// Returns when [`Self::handle_wakeup`] has to be called next.
     pub fn next_wakeup(&self) -> Option<Instant> {
-        let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-        let look = self.members.as_ref().and_then(SourceSet::next_wakeup);
-        let look = look.map(|at| self.clock.instant_at(at));
-        let rest = (!self.changed.is_empty()).then_some(self.now);
-        let due = [timer, self.next_spread, self.next_stage, look, rest];
-        due.into_iter().flatten().min()
+        let timer_at = self.timers.peek().map(|Reverse((at, _))| *at);
+        let catalogue_at = self.sources.as_ref().and_then(SourceSet::next_wakeup);
+        let catalogue_at = catalogue_at.map(|at| self.clock.instant_at(at));
+        let pending_rows_at = (!self.pending_rows.is_empty()).then_some(self.now);
+        let candidates = [
+            timer_at,
+            self.next_move_step,
+            self.next_admission_change,
+            catalogue_at,
+            pending_rows_at,
+        ];
+        candidates.into_iter().flatten().min()
     }
 
+    /// Handles all timers and scheduled work that are due.
     pub fn handle_wakeup(&mut self, now: Instant) {
         self.now = now;
         while let Some(Reverse((at, token))) = self.timers.peek().copied()
             && at <= now
         {
             self.timers.pop();
-            self.handle(Event::Timer(token));
+            self.dispatch_event(Event::Timer(token));
         }
-        if self.next_stage.is_some_and(|at| at <= now) {
-            self.stage();
+        if self.next_admission_change.is_some_and(|at| at <= now) {
+            self.update_admission();
         }
-        if self.next_spread.is_some_and(|at| at <= now) {
-            self.spread_moves(now);
+        if self.next_move_step.is_some_and(|at| at <= now) {
+            self.issue_due_moves(now);
         }
-        self.take_changed();
-        let due = self.members.as_ref().and_then(SourceSet::next_wakeup);
-        if due.is_some_and(|at| self.clock.instant_at(at) <= now) {
-            self.weigh(|members, now| members.handle_wakeup(now));
+        self.apply_pending_rows();
+        let catalogue_due_at = self.sources.as_ref().and_then(SourceSet::next_wakeup);
+        if catalogue_due_at.is_some_and(|at| self.clock.instant_at(at) <= now) {
+            self.update_catalogue(|sources, now| sources.handle_wakeup(now));
         }
     }
 
-    /// Takes a list where no catalogue stands between.
-    fn take_list(&mut self, kind: ListKind, mut rows: Vec<ListedServer>) {
-        let reading = self.reading("");
+    /// Applies a list in a config without a catalogue.
+    fn apply_list(&mut self, kind: ListKind, mut rows: Vec<ListedServer>) {
+        let context = self.list_context("");
         for listed in &mut rows {
             let start = listed.row.started_at;
-            listed.row.started_at = self.start_times.resolve(&listed.uid, start, reading);
+            listed.row.started_at = self.start_times.resolve(&listed.uid, start, context);
         }
         if matches!(kind, ListKind::Replace | ListKind::Update) {
-            self.have_listed.insert("".into());
+            self.sources_with_list.insert("".into());
         }
-        self.list(kind, rows);
+        self.send_rows(kind, rows);
     }
 
-    /// Puts starts of servers by the monotonic clock in place of those in Unix time.
-    fn resolve_starts(&mut self, source: &Rc<str>, telling: &mut SourceUpdate) {
-        let reading = self.reading(source);
-        let completes = telling.completes_snapshot();
-        let rows = match telling {
+    /// Replaces the start times of servers in Unix time by those of the monotonic clock.
+    fn resolve_start_times(&mut self, source: &Rc<str>, update: &mut SourceUpdate) {
+        let context = self.list_context(source);
+        let completes = update.completes_snapshot();
+        let rows = match update {
             SourceUpdate::Snapshot(rows)
             | SourceUpdate::Delta(rows)
             | SourceUpdate::StaleSnapshot(rows) => rows,
@@ -279,98 +296,102 @@
             let Some(instance) = &mut row.instance else {
                 continue;
             };
-            let listed = instance.born.map(|ms| ms as Seconds / 1e3);
-            let start = self.start_times.resolve(&row.uid, listed, reading);
+            let listed_start = instance.born.map(|ms| ms as Seconds / 1e3);
+            let start = self.start_times.resolve(&row.uid, listed_start, context);
             instance.born = start.map(|at| (at * 1e3) as u64);
         }
         if completes && &**source != LAST_RUN {
-            self.have_listed.insert(source.clone());
+            self.sources_with_list.insert(source.clone());
         }
     }
 
-    fn reading(&self, source: &str) -> ListContext {
+    fn list_context(&self, source: &str) -> ListContext {
         ListContext {
             now: self.clock.seconds_at(self.now),
             unix_seconds: self.clock.unix_seconds(self.now),
-            has_earlier_list: self.have_listed.contains(source),
-            cold_for: self.cold_for,
+            has_earlier_list: self.sources_with_list.contains(source),
+            slow_start_window: self.slow_start_window,
         }
     }
 
-    /// Asks the catalogue, and takes what changes by it: who leaves at once, the rest in slices between
-    /// which connections are served.
-    fn weigh(&mut self, ask: impl FnOnce(&mut SourceSet, u64) -> Vec<ListedServer>) {
+    /// Runs an operation on the catalogue and applies the resulting changes. Servers that leave are passed to the
+    /// balancer immediately, all others in batches between which other events are handled.
+    fn update_catalogue(
+        &mut self,
+        operation: impl FnOnce(&mut SourceSet, u64) -> Vec<ListedServer>,
+    ) {
         let now = (self.clock.seconds_at(self.now) * 1e3) as u64;
-        let rows = match &mut self.members {
-            Some(members) => ask(members, now),
+        let rows = match &mut self.sources {
+            Some(sources) => operation(sources, now),
             None => return,
         };
-        let mut at_once = Vec::new();
+        let mut immediate_rows = Vec::new();
         for listed in rows {
             let server = listed.row.server;
             match listed.row.status {
                 Status::Draining | Status::Gone => {
-                    // A word that still waits is older.
-                    self.changed.remove(&server);
-                    at_once.push(listed);
+                    // A pending row of the server is older.
+                    self.pending_rows.remove(&server);
+                    immediate_rows.push(listed);
                 }
-                Status::Up | Status::Suspected => drop(self.changed.insert(server, listed)),
+                Status::Up | Status::Suspected => drop(self.pending_rows.insert(server, listed)),
             }
         }
-        if !at_once.is_empty() {
-            self.list(ListKind::Update, at_once);
+        if !immediate_rows.is_empty() {
+            self.send_rows(ListKind::Update, immediate_rows);
         }
-        self.take_changed();
+        self.apply_pending_rows();
     }
 
-    /// Takes a slice of what changed.
-    fn take_changed(&mut self) {
+    /// Passes the next batch of pending rows to the balancer.
+    fn apply_pending_rows(&mut self) {
         let mut rows = Vec::new();
         while rows.len() < self.limits.max_rows_per_step
-            && let Some((_, listed)) = self.changed.pop_first()
+            && let Some((_, listed)) = self.pending_rows.pop_first()
         {
             rows.push(listed);
         }
         if !rows.is_empty() {
-            self.list(ListKind::Update, rows);
+            self.send_rows(ListKind::Update, rows);
         }
     }
 
-    /// Lets the catalogue know whether a server answered.
-    fn heard_of(&mut self, server: ServerId, answered: bool) {
-        if self.members.is_none() {
+    /// Reports to the catalogue whether a server answered.
+    fn report_reachability(&mut self, server: ServerId, answered: bool) {
+        if self.sources.is_none() {
             return;
         }
         if let Some((uid, _)) = self.addresses.get(&server) {
             let uid = uid.clone();
-            self.weigh(|members, now| members.report_reachability(now, &uid, answered));
+            self.update_catalogue(|sources, now| sources.report_reachability(now, &uid, answered));
         }
     }
 
-    /// Takes one notice, and gives its orders before it returns.
-    pub fn handle_event(&mut self, now: Instant, notice: EngineEvent) {
+    /// Handles one event and sends the resulting commands before it returns.
+    pub fn handle_event(&mut self, now: Instant, event: EngineEvent) {
         self.now = now;
-        match notice {
-            EngineEvent::ServerList(kind, rows) => self.take_list(kind, rows),
+        match event {
+            EngineEvent::ServerList(kind, rows) => self.apply_list(kind, rows),
             EngineEvent::Sources(names) => {
-                self.weigh(|members, now| members.set_sources(now, &names))
+                self.update_catalogue(|sources, now| sources.set_sources(now, &names))
             }
-            EngineEvent::SourceUpdate(name, mut telling) => {
-                self.resolve_starts(&name, &mut telling);
-                self.weigh(|members, now| members.apply_update(now, &name, telling));
+            EngineEvent::SourceUpdate(name, mut update) => {
+                self.resolve_start_times(&name, &mut update);
+                self.update_catalogue(|sources, now| sources.apply_update(now, &name, update));
             }
             EngineEvent::ListUnavailable => {
-                self.handle(Event::Servers(ListKind::Unavailable, Vec::new()))
+                self.dispatch_event(Event::Servers(ListKind::Unavailable, Vec::new()))
             }
-            EngineEvent::Request(request, orders) => {
-                self.connections.insert(request.id, Conn::new(orders));
-                self.handle(Event::Request(request));
+            EngineEvent::Request(request, commands) => {
+                self.connections
+                    .insert(request.id, ConnectionState::new(commands));
+                self.dispatch_event(Event::Request(request));
             }
-            EngineEvent::Resume(id, uid, orders) => {
+            EngineEvent::Resume(id, uid, commands) => {
                 let server = server_id(&uid);
                 let address = self.addresses.get(&server);
-                let order = match address.filter(|_| !self.is_kept_out(&uid)) {
-                    _ if self.last => ConnectionCommand::Fail,
+                let command = match address.filter(|_| !self.is_kept_out(&uid)) {
+                    _ if self.is_closed => ConnectionCommand::Fail,
                     Some(&(_, endpoint)) => ConnectionCommand::Send {
                         server,
                         endpoint,
@@ -380,130 +401,142 @@
                     },
                     None => ConnectionCommand::NotYet,
                 };
-                let mut conn = Conn::new(orders);
-                if let ConnectionCommand::Send { endpoint, .. } = order {
-                    conn.at = Some(endpoint);
+                let mut connection = ConnectionState::new(commands);
+                if let ConnectionCommand::Send { endpoint, .. } = command {
+                    connection.address = Some(endpoint);
                 }
-                self.connections.insert(id, conn);
-                self.order(id, order);
-            }
-            EngineEvent::Allowances(parts, reply) => {
-                for (matter, part, until) in parts {
-                    let until = self.clock.seconds_at(until);
-                    self.handle(Event::Allowance(
-                        matter,
+                self.connections.insert(id, connection);
+                self.send_command(id, command);
+            }
+            EngineEvent::Allowances(allowances, reply) => {
+                for (quota, allowance, until) in allowances {
+                    let lease_end = self.clock.seconds_at(until);
+                    self.dispatch_event(Event::Allowance(
+                        quota,
                         Allowance {
-                            lease_end: until,
-                            ..part
+                            lease_end,
+                            ..allowance
                         },
                     ));
                 }
-                // Whoever asked and has gone needs no answer.
+                // The sender may have gone; it needs no reply then.
                 let _ = reply.send(self.balancer.quota_usage(self.clock.seconds_at(now)));
             }
             EngineEvent::Resumed(request, server) => {
-                self.up(request.id, server);
-                self.handle(Event::Open(request, server));
+                self.mark_connected(request.id, server);
+                self.dispatch_event(Event::Open(request, server));
             }
-            EngineEvent::Adopted(request, server, orders) => {
+            EngineEvent::Adopted(request, server, commands) => {
                 let id = request.id;
-                let mut conn = Conn::new(orders);
+                let mut connection = ConnectionState::new(commands);
                 let address = self.addresses.get(&server);
-                conn.at = address.map(|(_, endpoint)| *endpoint);
-                let known = address.is_some();
-                self.connections.insert(id, conn);
-                self.up(id, server);
-                self.handle(Event::Open(request, server));
-                if !known {
-                    // No list of this process has named its server.
-                    self.order(id, ConnectionCommand::Move);
+                connection.address = address.map(|(_, endpoint)| *endpoint);
+                let is_known = address.is_some();
+                self.connections.insert(id, connection);
+                self.mark_connected(id, server);
+                self.dispatch_event(Event::Open(request, server));
+                if !is_known {
+                    // No list in this process has named the server.
+                    self.send_command(id, ConnectionCommand::Move);
                 }
             }
-            EngineEvent::Written(id, server) => self.handle(Event::Written(id, server)),
+            EngineEvent::Written(id, server) => self.dispatch_event(Event::Written(id, server)),
             EngineEvent::ConnectionUp(id, server) => {
-                self.up(id, server);
-                self.handle(Event::Begun(id, server));
-                self.heard_of(server, true);
-            }
-            EngineEvent::AttemptEnded(ended) => {
-                if ended.is_final {
-                    self.forget(ended.id);
-                } else if let Some(conn) = self.connections.get_mut(&ended.id) {
-                    conn.attempt_server = None;
+                self.mark_connected(id, server);
+                self.dispatch_event(Event::Begun(id, server));
+                self.report_reachability(server, true);
+            }
+            EngineEvent::AttemptEnded(attempt_end) => {
+                if attempt_end.is_final {
+                    self.remove_connection(attempt_end.id);
+                } else if let Some(connection) = self.connections.get_mut(&attempt_end.id) {
+                    connection.attempt_server = None;
                 }
-                let unreached = ended.outcome == Outcome::ConnectFailed;
-                let server = ended.server;
-                self.handle(Event::Outcome(ended));
-                if unreached {
-                    self.heard_of(server, false);
+                let connect_failed = attempt_end.outcome == Outcome::ConnectFailed;
+                let server = attempt_end.server;
+                self.dispatch_event(Event::Outcome(attempt_end));
+                if connect_failed {
+                    self.report_reachability(server, false);
                 }
             }
             EngineEvent::ClientGone(id) => {
-                self.forget(id);
-                self.handle(Event::Gone(id));
+                self.remove_connection(id);
+                self.dispatch_event(Event::Gone(id));
             }
-            EngineEvent::ConnectionLoad(id, load) => self.handle(Event::LoadNote(id, load)),
+            EngineEvent::ConnectionLoad(id, load) => self.dispatch_event(Event::LoadNote(id, load)),
             EngineEvent::MessageDelay(server, delay) => {
-                self.handle(Event::DelayNote(server, delay))
+                self.dispatch_event(Event::DelayNote(server, delay))
             }
             EngineEvent::ServerUnresponsive(server) => {
-                // To the module a server that leaves lines unanswered is as one that leaves probes.
+                // The balancer treats unanswered lines like unanswered probes.
                 let outcome = Outcome::TimedOut;
-                self.handle(Event::Probed(server, outcome, Report::default()));
-                self.heard_of(server, false);
+                self.dispatch_event(Event::Probed(server, outcome, Report::default()));
+                self.report_reachability(server, false);
             }
             EngineEvent::Probed(server, outcome, report) => {
-                self.handle(Event::Probed(server, outcome, report));
+                self.dispatch_event(Event::Probed(server, outcome, report));
                 match outcome {
-                    Outcome::Ok | Outcome::Full | Outcome::Error => self.heard_of(server, true),
+                    Outcome::Ok | Outcome::Full | Outcome::Error => {
+                        self.report_reachability(server, true)
+                    }
                     Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
-                        self.heard_of(server, false);
+                        self.report_reachability(server, false);
                     }
-                    // It was never asked.
+                    // The probe never reached the server.
                     Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFailure => {}
                 }
             }
-            EngineEvent::Shutdown(within) => {
-                self.ending = true;
-                let connections = self.leave_within(within);
+            EngineEvent::Shutdown(move_window) => {
+                self.is_shutting_down = true;
+                let connections = self.schedule_all_moves(move_window);
                 info!(connections, "shutdown: clients are moved");
             }
             EngineEvent::FinishShutdown => {
-                self.next_stage = None;
-                self.set_taking(AdmissionMode::Nothing);
-                self.last = true;
-                let up: Vec<RequestId> = self.on_server.values().flatten().copied().collect();
-                for id in up {
-                    self.order(id, ConnectionCommand::Move);
+                self.next_admission_change = None;
+                self.set_admission(AdmissionMode::Nothing);
+                self.is_closed = true;
+                let connected: Vec<RequestId> = self
+                    .connections_by_server
+                    .values()
+                    .flatten()
+                    .copied()
+                    .collect();
+                for id in connected {
+                    self.send_command(id, ConnectionCommand::Move);
                 }
             }
-            EngineEvent::SuccessorChanged(Some(within)) => {
-                self.succeeded = true;
-                let connections = self.leave_within(within);
+            EngineEvent::SuccessorChanged(Some(move_window)) => {
+                self.has_successor = true;
+                let connections = self.schedule_all_moves(move_window);
                 info!(
                     connections,
                     "a successor serves: connections are handed over"
                 );
-                let up: Vec<RequestId> = self.on_server.values().flatten().copied().collect();
-                for id in up {
-                    self.order(id, ConnectionCommand::HandOver);
+                let connected: Vec<RequestId> = self
+                    .connections_by_server
+                    .values()
+                    .flatten()
+                    .copied()
+                    .collect();
+                for id in connected {
+                    self.send_command(id, ConnectionCommand::HandOver);
                 }
             }
             EngineEvent::SuccessorChanged(None) => {
-                self.succeeded = false;
-                if !self.ending && self.left_at.is_none() {
-                    self.leaving = None;
+                self.has_successor = false;
+                if !self.is_shutting_down && self.drain_started_at.is_none() {
+                    self.proxy_drain = None;
                 }
             }
             EngineEvent::Settings(settings, names) => {
                 self.names = names;
-                self.cold_for = settings.slow_start_window;
-                self.handle(Event::Settings(settings));
-                self.tell_all_again();
+                self.slow_start_window = settings.slow_start_window;
+                self.dispatch_event(Event::Settings(settings));
+                self.resend_all_rows();
             }
-            // Nobody may wait for the answer any more.
-            EngineEvent::OperatorChange(change, binding, reply) => {
-                drop(reply.send(self.change(change, binding)));
+            // The receiver of the reply may have gone.
+            EngineEvent::OperatorChange(change, unlisted, reply) => {
+                drop(reply.send(self.apply_operator_change(change, unlisted)));
             }
             EngineEvent::MachinesOut(machines, reply) => {
                 self.set_machines_out(machines);
@@ -514,60 +547,65 @@
         }
     }
 
-    /// Carries out an operator's word: once this returns, it is in force.
-    fn change(&mut self, change: OperatorChange, binding: UnlistedServers) -> OperatorReply {
+    /// Applies an operator's change, which is in force once this returns.
+    fn apply_operator_change(
+        &mut self,
+        change: OperatorChange,
+        unlisted: UnlistedServers,
+    ) -> OperatorReply {
         let now = (self.clock.seconds_at(self.now) * 1e3) as Millis;
-        let kept = match &change {
-            OperatorChange::Leave | OperatorChange::Join if self.ending => {
+        let outcome = match &change {
+            OperatorChange::Leave | OperatorChange::Join if self.is_shutting_down => {
                 return OperatorReply::Ending;
             }
-            OperatorChange::Leave => self.leave(),
-            OperatorChange::Join => self.join(),
+            OperatorChange::Leave => self.start_proxy_drain(),
+            OperatorChange::Join => self.cancel_proxy_drain(),
             OperatorChange::Offline(uid) | OperatorChange::Online(uid)
-                if binding == UnlistedServers::Reject && !self.named(uid) =>
+                if unlisted == UnlistedServers::Reject && !self.is_known_server(uid) =>
             {
                 return OperatorReply::Unknown;
             }
             OperatorChange::Offline(uid) => {
-                self.outs.set_override(uid, false);
-                self.bans.ban(uid, now, &self.service)
+                self.machines_out.set_override(uid, false);
+                self.bans.ban(uid, now, &self.service_limits)
             }
             OperatorChange::Online(uid) => {
-                let opened = self.outs.set_override(uid, true);
-                self.outs.record_transition(uid, now, &self.service);
-                match self.bans.unban(uid, now, &self.service) {
-                    ChangeOutcome::Same if opened => ChangeOutcome::Changed,
-                    kept => kept,
+                let override_changed = self.machines_out.set_override(uid, true);
+                self.machines_out
+                    .record_transition(uid, now, &self.service_limits);
+                match self.bans.unban(uid, now, &self.service_limits) {
+                    ChangeOutcome::Same if override_changed => ChangeOutcome::Changed,
+                    outcome => outcome,
                 }
             }
         };
         if let (
             ChangeOutcome::Changed,
             OperatorChange::Offline(uid) | OperatorChange::Online(uid),
-        ) = (kept, &change)
+        ) = (outcome, &change)
         {
             self.resend_row(uid);
         }
         info!(
             ?change,
-            ?kept,
+            kept = ?outcome,
             out = self.bans.count(),
-            "an operator's word"
+            "operator change handled"
         );
-        match kept {
+        match outcome {
             ChangeOutcome::Changed => OperatorReply::Changed(self.bans.clone()),
             ChangeOutcome::Same => OperatorReply::Same(self.bans.clone()),
             ChangeOutcome::Full => OperatorReply::Full,
         }
     }
 
-    /// Whether any list has named a server, or it is out.
-    fn named(&self, uid: &str) -> bool {
+    /// Whether any list has named a server, or it is banned.
+    fn is_known_server(&self, uid: &str) -> bool {
         let address = self.addresses.get(&server_id(uid));
         self.bans.is_banned(uid) || address.is_some_and(|(known, _)| known == uid)
     }
 
-    /// Tells the module of a server anew, as the operators' word on it has changed.
+    /// Passes a server's row to the balancer again after its ban, override or work order has changed.
     fn resend_row(&mut self, uid: &str) {
         let server = server_id(uid);
         if let Some(row) = self.last_rows.get(&server).cloned() {
@@ -576,140 +614,163 @@
                 endpoint: None,
                 row,
             };
-            self.list(ListKind::Update, vec![listed]);
+            self.send_rows(ListKind::Update, vec![listed]);
         }
-        let up = |status| matches!(status, Status::Up | Status::Suspected);
-        let told = self.last_rows.iter().filter(|(_, row)| up(row.status));
-        let uids = told.filter_map(|(server, _)| self.addresses.get(server));
-        let mut used = uids.filter(|(uid, _)| !self.is_kept_out(uid));
-        if self.is_kept_out(uid) && used.next().is_none() {
-            warn!(uid, "the last server has been put out: nothing is served");
+        let is_up = |status| matches!(status, Status::Up | Status::Suspected);
+        let up_rows = self.last_rows.iter().filter(|(_, row)| is_up(row.status));
+        let uids = up_rows.filter_map(|(server, _)| self.addresses.get(server));
+        let mut servers_in_use = uids.filter(|(uid, _)| !self.is_kept_out(uid));
+        if self.is_kept_out(uid) && servers_in_use.next().is_none() {
+            warn!(
+                uid,
+                "the last server was taken out of use: no request can be served"
+            );
         }
     }
 
-    /// Tells the module of all servers anew: words of the list may have got a number.
-    fn tell_all_again(&mut self) {
-        let told = self.last_rows.iter().filter_map(|(server, row)| {
+    /// Passes the rows of all servers to the balancer again, because new settings may have given numbers to names in
+    /// the list.
+    fn resend_all_rows(&mut self) {
+        let listed = self.last_rows.iter().filter_map(|(server, row)| {
             Some(ListedServer {
                 uid: self.addresses.get(server)?.0.clone(),
                 endpoint: None,
                 row: row.clone(),
             })
         });
-        let rows = told.collect();
-        self.list(ListKind::Update, rows);
+        let rows = listed.collect();
+        self.send_rows(ListKind::Update, rows);
     }
 
-    /// Puts the operators' word over what a list says.
+    /// Applies bans and work orders to a listed row: the status and the start time.
     fn apply_overrides(&self, uid: &str, row: &mut ServerRow) {
         if self.is_kept_out(uid) && matches!(row.status, Status::Up | Status::Suspected) {
             row.status = Status::Draining;
         }
-        let listed = row.started_at.map(|born| (born * 1e3) as Millis);
-        let born = self.outs.started_at(uid, self.bans.started_at(uid, listed));
-        if born != listed {
-            row.started_at = born.map(|ms| ms as f64 / 1e3);
+        let listed_start = row
+            .started_at
+            .map(|started_at| (started_at * 1e3) as Millis);
+        let started_at = self
+            .machines_out
+            .started_at(uid, self.bans.started_at(uid, listed_start));
+        if started_at != listed_start {
+            row.started_at = started_at.map(|ms| ms as f64 / 1e3);
         }
     }
 
-    fn leave(&mut self) -> ChangeOutcome {
-        if self.left_at.is_some() {
+    /// Drains the proxy after an operator's `LEAVE`.
+    fn start_proxy_drain(&mut self) -> ChangeOutcome {
+        if self.drain_started_at.is_some() {
             return ChangeOutcome::Same;
         }
-        self.left_at = Some(self.now);
-        let connections =
-            self.leave_within(self.service.drain_move_start..self.service.drain_move_end);
-        info!(connections, "left: clients are moved");
-        self.stage();
+        self.drain_started_at = Some(self.now);
+        let connections = self.schedule_all_moves(
+            self.service_limits.drain_move_start..self.service_limits.drain_move_end,
+        );
+        info!(connections, "proxy drain started: clients are moved");
+        self.update_admission();
         ChangeOutcome::Changed
     }
 
-    fn join(&mut self) -> ChangeOutcome {
-        if self.left_at.take().is_none() {
+    /// Ends the drain after an operator's `JOIN`; connections that were not moved yet stay.
+    fn cancel_proxy_drain(&mut self) -> ChangeOutcome {
+        if self.drain_started_at.take().is_none() {
             return ChangeOutcome::Same;
         }
-        (self.leaving, self.next_stage) = (None, None);
-        self.set_taking(AdmissionMode::All);
+        (self.proxy_drain, self.next_admission_change) = (None, None);
+        self.set_admission(AdmissionMode::All);
         ChangeOutcome::Changed
     }
 
-    /// What a proxy that is emptied takes now.
-    fn stage(&mut self) {
-        let Some(at) = self.left_at.filter(|_| !self.last) else {
+    /// Sets the admission mode for the current stage of the proxy's drain.
+    fn update_admission(&mut self) {
+        let Some(started_at) = self.drain_started_at.filter(|_| !self.is_closed) else {
             return;
         };
-        let (now_taken, next) = admission_during_drain(self.now - at, &self.service);
-        self.next_stage = next.map(|after| at + after);
-        self.set_taking(now_taken);
+        let (mode, next) = admission_during_drain(self.now - started_at, &self.service_limits);
+        self.next_admission_change = next.map(|after| started_at + after);
+        self.set_admission(mode);
     }
 
-    fn set_taking(&mut self, taking: AdmissionMode) {
-        if std::mem::replace(&mut self.taking, taking) != taking {
-            info!(?taking, "what is taken");
-            self.handle(Event::Taking(taking));
+    fn set_admission(&mut self, mode: AdmissionMode) {
+        if std::mem::replace(&mut self.admission, mode) != mode {
+            info!(taking = ?mode, "admission mode changed");
+            self.dispatch_event(Event::Taking(mode));
         }
     }
 
-    /// Moves all clients within a time from now; those of an earlier word go no later than it said.
-    fn leave_within(&mut self, within: Range<Duration>) -> usize {
-        let left: Vec<RequestId> = self.on_server.values().flatten().copied().collect();
-        let count = left.len();
-        let (from, until) = (self.now + within.start, self.now + within.end);
+    /// Schedules the moves of all clients within a time range from now and returns their number. An earlier schedule
+    /// with an earlier end stays in force.
+    fn schedule_all_moves(&mut self, window: Range<Duration>) -> usize {
+        let ids: Vec<RequestId> = self
+            .connections_by_server
+            .values()
+            .flatten()
+            .copied()
+            .collect();
+        let count = ids.len();
+        let (start, end) = (self.now + window.start, self.now + window.end);
         if self
-            .leaving
+            .proxy_drain
             .as_ref()
-            .is_none_or(|earlier| earlier.until > until)
+            .is_none_or(|earlier| earlier.end > end)
         {
-            self.leaving = Some(MoveSchedule::new(left, from, until));
+            self.proxy_drain = Some(MoveSchedule::new(ids, start, end));
         }
-        self.next_spread = Some(self.now);
+        self.next_move_step = Some(self.now);
         count
     }
 
-    fn up(&mut self, id: RequestId, server: ServerId) {
-        if self.succeeded {
-            self.order(id, ConnectionCommand::HandOver);
+    /// Records an established connection, and hands it over or schedules its move if the proxy or the server drains.
+    fn mark_connected(&mut self, id: RequestId, server: ServerId) {
+        if self.has_successor {
+            self.send_command(id, ConnectionCommand::HandOver);
         }
-        if let Some(conn) = self.connections.get_mut(&id) {
-            conn.attempt_server = None;
-            conn.connected_server = Some(server);
-            self.on_server.entry(server).or_default().insert(id);
-            if let Some(leaving) = &mut self.leaving {
-                leaving.pending.push(id);
-                self.next_spread = Some(self.now);
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.attempt_server = None;
+            connection.connected_server = Some(server);
+            self.connections_by_server
+                .entry(server)
+                .or_default()
+                .insert(id);
+            if let Some(schedule) = &mut self.proxy_drain {
+                schedule.pending.push(id);
+                self.next_move_step = Some(self.now);
             }
-            if let Some(draining) = self.draining.get_mut(&server) {
-                draining.pending.push(id);
-                self.next_spread = Some(self.now);
+            if let Some(schedule) = self.server_drains.get_mut(&server) {
+                schedule.pending.push(id);
+                self.next_move_step = Some(self.now);
             }
         }
     }
 
-    fn forget(&mut self, id: RequestId) {
-        let on = self
+    /// Removes a connection and its entry at the server.
+    fn remove_connection(&mut self, id: RequestId) {
+        let connected_server = self
             .connections
             .remove(&id)
-            .and_then(|conn| conn.connected_server);
-        if let Some(server) = on
-            && let Some(ids) = self.on_server.get_mut(&server)
+            .and_then(|connection| connection.connected_server);
+        if let Some(server) = connected_server
+            && let Some(ids) = self.connections_by_server.get_mut(&server)
         {
             ids.remove(&id);
             if ids.is_empty() {
-                self.on_server.remove(&server);
+                self.connections_by_server.remove(&server);
             }
         }
     }
 
-    fn list(&mut self, kind: ListKind, rows: Vec<ListedServer>) {
+    /// Records rows of a list, applies bans and work orders to them and passes them to the balancer.
+    fn send_rows(&mut self, kind: ListKind, rows: Vec<ListedServer>) {
         let mut entries: Vec<Entry> = Vec::with_capacity(rows.len());
         for listed in rows {
             let server = listed.row.server;
-            // Two identities behind one number would share their books and their address.
-            let other = |(uid, _): &(String, SocketAddr)| *uid != listed.uid;
-            if self.addresses.get(&server).is_some_and(other) {
+            // Two identities with one number would share their statistics and their address.
+            let has_other_uid = |(uid, _): &(String, SocketAddr)| *uid != listed.uid;
+            if self.addresses.get(&server).is_some_and(has_other_uid) {
                 error!(
                     uid = listed.uid,
-                    "a server whose number is taken is passed over"
+                    "server ignored: its number belongs to another server"
                 );
                 continue;
             }
@@ -717,7 +778,7 @@
                 let address = (listed.uid.clone(), endpoint);
                 let old = self.addresses.insert(server, address);
                 if let Some((_, old)) = old.filter(|(_, old)| *old != endpoint) {
-                    self.left_behind(server, old);
+                    self.schedule_old_address_moves(server, old);
                 }
             }
             let mut row = listed.row.clone();
@@ -725,10 +786,10 @@
             self.record_if_out(&listed.uid);
             self.apply_overrides(&listed.uid, &mut row);
             entries.push(row.to_entry(&self.names));
-            self.note_status(server, row.status);
+            self.apply_status(server, row.status);
         }
         if kind != ListKind::Update {
-            // A server that a whole list leaves out is gone.
+            // A server that a complete list omits is gone.
             let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
             for (_, row) in self
                 .last_rows
@@ -737,124 +798,144 @@
             {
                 row.status = Status::Gone;
             }
-            let used: Vec<ServerId> = self.on_server.keys().copied().collect();
-            for server in used.into_iter().filter(|server| !listed.contains(server)) {
-                self.note_status(server, Status::Gone);
+            let servers_in_use: Vec<ServerId> =
+                self.connections_by_server.keys().copied().collect();
+            for server in servers_in_use
+                .into_iter()
+                .filter(|server| !listed.contains(server))
+            {
+                self.apply_status(server, Status::Gone);
             }
         }
-        self.handle(Event::Servers(kind, entries));
+        self.dispatch_event(Event::Servers(kind, entries));
     }
 
-    /// A server is told at a new address. Its clients at the old one stay while that answers, for as
-    /// long as an absence may last.
-    fn left_behind(&mut self, server: ServerId, old: SocketAddr) {
-        let Some(members) = &self.members else { return };
-        let stays = Duration::from_millis(members.absent_for());
-        let at_old = |id: &&RequestId| self.connections.get(id).is_some_and(|c| c.at == Some(old));
-        let on = self.on_server.get(&server).into_iter().flatten();
-        let left: Vec<RequestId> = on.filter(at_old).copied().collect();
-        if left.is_empty() {
+    /// Schedules the moves of a server's connections to its old address after the server was listed at a new one. They
+    /// stay for the catalogue's absence timeout, because the old address may still answer.
+    fn schedule_old_address_moves(&mut self, server: ServerId, old: SocketAddr) {
+        let Some(sources) = &self.sources else { return };
+        let wait = Duration::from_millis(sources.absence_timeout());
+        let is_at_old_address = |id: &&RequestId| {
+            self.connections
+                .get(id)
+                .is_some_and(|connection| connection.address == Some(old))
+        };
+        let ids_at_server = self
+            .connections_by_server
+            .get(&server)
+            .into_iter()
+            .flatten();
+        let ids: Vec<RequestId> = ids_at_server.filter(is_at_old_address).copied().collect();
+        if ids.is_empty() {
             return;
         }
         let uid = self.addresses.get(&server).map(|(uid, _)| uid);
-        info!(uid, %old, connections = left.len(), "a server has another address");
-        let from = self.now + stays;
-        let until = from + self.limits.drain_span;
-        self.strays.push(MoveSchedule::new(left, from, until));
-        self.next_spread = Some(self.now);
+        info!(uid, %old, connections = ids.len(), "address of a server changed");
+        let start = self.now + wait;
+        let end = start + self.limits.drain_span;
+        self.old_address_moves
+            .push(MoveSchedule::new(ids, start, end));
+        self.next_move_step = Some(self.now);
     }
 
-    /// Has the clients of a server that leaves moved, before it goes.
-    fn note_status(&mut self, server: ServerId, status: Status) {
+    /// Starts the drain of a server that leaves, so that its clients are moved before it is gone, or cancels the drain
+    /// of a server that is back.
+    fn apply_status(&mut self, server: ServerId, status: Status) {
         if matches!(status, Status::Up | Status::Suspected) {
-            self.draining.remove(&server);
+            self.server_drains.remove(&server);
             return;
         }
-        if !self.draining.contains_key(&server) {
-            let left = self.on_server.get(&server).into_iter().flatten();
-            let left: Vec<RequestId> = left.copied().collect();
-            self.recall(server);
+        if !self.server_drains.contains_key(&server) {
+            let ids = self
+                .connections_by_server
+                .get(&server)
+                .into_iter()
+                .flatten();
+            let ids: Vec<RequestId> = ids.copied().collect();
+            self.recall_attempts(server);
             let uid = self.addresses.get(&server).map(|(uid, _)| uid);
-            info!(uid, ?status, connections = left.len(), "a server leaves");
-            // A server that is gone already has no time to wait for.
+            info!(uid, ?status, connections = ids.len(), "a server leaves");
+            // The connections of a server that is gone already are moved without delay.
             let wait = match status {
                 Status::Gone => Duration::ZERO,
                 _ => self.limits.drain_wait,
             };
-            let from = self.now + wait;
-            let until = from + self.limits.drain_span;
-            self.draining
-                .insert(server, MoveSchedule::new(left, from, until));
-            self.next_spread = Some(self.now);
+            let start = self.now + wait;
+            let end = start + self.limits.drain_span;
+            self.server_drains
+                .insert(server, MoveSchedule::new(ids, start, end));
+            self.next_move_step = Some(self.now);
         } else if status == Status::Gone
-            && self.members.is_some()
-            && let Some(spread) = self.draining.get_mut(&server)
+            && self.sources.is_some()
+            && let Some(schedule) = self.server_drains.get_mut(&server)
         {
-            // It drained, and does not answer any more: no time is left to wait for.
-            spread.start_now(self.now, self.limits.drain_span);
+            // The draining server no longer answers: its connections are moved without further delay.
+            schedule.start_now(self.now, self.limits.drain_span);
         }
     }
 
-    /// Attempts that have not sent anything to a server that leaves go elsewhere.
-    fn recall(&mut self, server: ServerId) {
-        for conn in self
+    /// Recalls attempts that have not sent anything yet to a server that leaves, so that they go to another one.
+    fn recall_attempts(&mut self, server: ServerId) {
+        for connection in self
             .connections
             .values()
-            .filter(|conn| conn.attempt_server == Some(server))
+            .filter(|connection| connection.attempt_server == Some(server))
         {
-            // One that has just ended needs no word, and one that takes none has its deadline.
-            let _ = conn.orders.try_send(ConnectionCommand::Recall);
+            // A connection that has just ended needs no command, and one with a full channel is left to its deadline.
+            let _ = connection.commands.try_send(ConnectionCommand::Recall);
         }
     }
 
-    /// Moves of the clients of a server or a proxy that leaves: a few at each tick.
-    fn spread_moves(&mut self, now: Instant) {
-        let tick = self.limits.move_interval;
+    /// Sends the moves that are due of all schedules: a few at each interval.
+    fn issue_due_moves(&mut self, now: Instant) {
+        let interval = self.limits.move_interval;
         let mut due = Vec::new();
-        let spreads = self.draining.values_mut().chain(&mut self.leaving);
-        let spreads = spreads.chain(&mut self.strays);
-        let mut busy = false;
-        for spread in spreads {
-            busy |= !spread.pending.is_empty() || now < spread.until;
-            if now < spread.from {
+        let schedules = self.server_drains.values_mut().chain(&mut self.proxy_drain);
+        let schedules = schedules.chain(&mut self.old_address_moves);
+        let mut is_unfinished = false;
+        for schedule in schedules {
+            is_unfinished |= !schedule.pending.is_empty() || now < schedule.end;
+            if now < schedule.start {
                 continue;
             }
-            due.extend(spread.take_due(now));
+            due.extend(schedule.take_due(now));
         }
-        self.strays.retain(|spread| !spread.pending.is_empty());
-        self.forget_gone(now);
+        self.old_address_moves
+            .retain(|schedule| !schedule.pending.is_empty());
+        self.remove_gone_servers(now);
         for id in due {
-            self.order(id, ConnectionCommand::Move);
-        }
-        self.next_spread = busy.then(|| now + tick);
-    }
-
-    /// Where a catalogue remembers servers, those that are gone with all their clients are forgotten here.
-    fn forget_gone(&mut self, now: Instant) {
-        let Some(members) = &self.members else { return };
-        let (on_server, addresses) = (&self.on_server, &mut self.addresses);
-        let told = &mut self.last_rows;
-        self.draining.retain(|server, spread| {
-            let over = spread.pending.is_empty() && spread.until <= now;
-            let known = |(uid, _): &(String, SocketAddr)| members.is_known(uid);
-            let listed = addresses.get(server).is_some_and(known);
-            let stays = !over || listed || on_server.contains_key(server);
-            if !stays {
+            self.send_command(id, ConnectionCommand::Move);
+        }
+        self.next_move_step = is_unfinished.then(|| now + interval);
+    }
+
+    /// Removes servers that are no longer in the catalogue and have no connections left. Without a catalogue, all
+    /// servers are kept.
+    fn remove_gone_servers(&mut self, now: Instant) {
+        let Some(sources) = &self.sources else { return };
+        let (connections_by_server, addresses) = (&self.connections_by_server, &mut self.addresses);
+        let last_rows = &mut self.last_rows;
+        self.server_drains.retain(|server, schedule| {
+            let is_finished = schedule.pending.is_empty() && schedule.end <= now;
+            let is_in_catalogue = |(uid, _): &(String, SocketAddr)| sources.is_known(uid);
+            let is_listed = addresses.get(server).is_some_and(is_in_catalogue);
+            let is_kept = !is_finished || is_listed || connections_by_server.contains_key(server);
+            if !is_kept {
                 addresses.remove(server);
-                told.remove(server);
+                last_rows.remove(server);
             }
-            stays
+            is_kept
         });
     }
 
-    /// Hands an event to the module and carries out what it says.
-    fn handle(&mut self, event: Event) {
+    /// Passes an event to the balancer and executes the resulting actions.
+    fn dispatch_event(&mut self, event: Event) {
         trace!(?event);
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer
             .handle_event(self.clock.seconds_at(self.now), event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.execute_action(action);
         }
         self.actions = actions;
     }
@@ -865,15 +946,18 @@
         found.map(|(_, reason)| *reason)
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute_action(&mut self, action: Action) {
         trace!(?action);
         match action {
             Action::Send(id, server, timeout, begin_within) => {
                 let Some(&(_, endpoint)) = self.addresses.get(&server) else {
-                    return error!(server, "the module names a server without an address");
+                    return error!(
+                        server,
+                        "attempt dropped: the balancer chose a server without an address"
+                    );
                 };
                 let within = Duration::from_secs_f64(timeout.clamp(0.0, 3600.0));
-                let order = ConnectionCommand::Send {
+                let command = ConnectionCommand::Send {
                     server,
                     endpoint,
                     within,
@@ -881,8 +965,9 @@
                         .map(|left| self.now + Duration::from_secs_f64(left.clamp(0.0, 3600.0))),
                     report_write: self.balancer.awaits_write(id),
                 };
-                if let Some(conn) = self.connections.get_mut(&id) {
-                    (conn.attempt_server, conn.at) = (Some(server), Some(endpoint));
+                if let Some(connection) = self.connections.get_mut(&id) {
+                    (connection.attempt_server, connection.address) =
+                        (Some(server), Some(endpoint));
                 }
                 debug!(
                     request = id,
@@ -890,27 +975,27 @@
                     at_us = monotonic_us(),
                     "attempt decided"
                 );
-                self.order(id, order);
+                self.send_command(id, command);
             }
             Action::Refuse(id, wait) => {
                 debug!(request = id, reason = ?self.give_up_reason(id), "refused");
-                self.answer(id, ConnectionCommand::Refuse(wait));
+                self.send_final_command(id, ConnectionCommand::Refuse(wait));
             }
             Action::Fail(id) => {
                 debug!(request = id, reason = ?self.give_up_reason(id), "failed");
-                self.answer(id, ConnectionCommand::Fail);
+                self.send_final_command(id, ConnectionCommand::Fail);
             }
-            Action::Move(id) => self.order(id, ConnectionCommand::Move),
-            Action::Cancel(id, _) => self.order(id, ConnectionCommand::Cancel),
+            Action::Move(id) => self.send_command(id, ConnectionCommand::Move),
+            Action::Cancel(id, _) => self.send_command(id, ConnectionCommand::Cancel),
             Action::Probe(server) => {
                 let Some(&(_, endpoint)) = self.addresses.get(&server) else {
                     return;
                 };
                 if !self.probes.send_probe(server, endpoint) {
-                    debug!(server, "too many probes wait: one is left out");
+                    debug!(server, "probe skipped: too many probes are queued");
                 }
             }
-            // The watch runs from the start to the end, asked or not.
+            // The sources are watched all the time, with or without a subscription.
             Action::Subscribe => {}
             Action::Timer(after, token) => {
                 let after = Duration::from_secs_f64(after.clamp(0.0, 1e6));
@@ -919,26 +1004,28 @@
         }
     }
 
-    /// A final answer: the connection is told, and the engine is done with it.
-    fn answer(&mut self, id: RequestId, order: ConnectionCommand) {
-        self.order(id, order);
-        self.forget(id);
+    /// Sends a final answer to a connection and removes the connection.
+    fn send_final_command(&mut self, id: RequestId, command: ConnectionCommand) {
+        self.send_command(id, command);
+        self.remove_connection(id);
     }
 
-    fn order(&mut self, id: RequestId, order: ConnectionCommand) {
-        // One that has ended just now needs no orders.
-        if let Some(conn) = self.connections.get(&id)
-            && let Err(mpsc::error::TrySendError::Full(order)) = conn.orders.try_send(order)
+    fn send_command(&mut self, id: RequestId, command: ConnectionCommand) {
+        // A connection that has just ended needs no command.
+        if let Some(connection) = self.connections.get(&id)
+            && let Err(mpsc::error::TrySendError::Full(command)) =
+                connection.commands.try_send(command)
         {
-            error!(id, ?order, "a connection does not take its orders");
+            error!(id, order = ?command, "command channel of a connection is full: command dropped");
         }
     }
 }
 
-/// A row of a list as a source's word.
+/// Converts a row of a server list to a row of the catalogue. Returns `None` for a server without an address, unless it
+/// has left.
 pub fn to_catalogue_row(listed: ListedServer) -> Option<violetwind_catalogue::Row> {
     let row = listed.row;
-    let word = match row.status {
+    let status = match row.status {
         Status::Up => ReportedStatus::Ready,
         Status::Suspected => ReportedStatus::Failing,
         Status::Draining => ReportedStatus::Draining,
@@ -956,10 +1043,10 @@
             .map(|at| (at * 1e3) as u64),
         epoch: 0,
     });
-    // Only what has left needs no address.
-    (instance.is_some() || word == ReportedStatus::Left).then(|| violetwind_catalogue::Row {
+    // Only a server that has left needs no address.
+    (instance.is_some() || status == ReportedStatus::Left).then(|| violetwind_catalogue::Row {
         uid: listed.uid.into(),
-        status: word,
+        status,
         instance,
     })
 }
--- a/crates/engine/src/engine/machines.rs
+++ b/crates/engine/src/engine/machines.rs
@@ -1,4 +1,5 @@
-//! Machines that the fleet's orders take out: in force here once [`Engine::out`] returns.
+//! Machines that the fleet's work orders take out of service: in force in this proxy once
+//! [`Engine::set_machines_out`] returns.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,36 +11,40 @@
 use crate::messages::{MachinesSnapshot, ObservedMachine, ObservedServer};
 
 impl<P: ProbeSender> Engine<P> {
-    /// Whether an operator or an order keeps a server out.
+    /// Whether an operator's ban or a work order keeps a server out of use.
     pub(super) fn is_kept_out(&self, uid: &str) -> bool {
-        self.bans.is_banned(uid) || self.outs.is_out(uid)
+        self.bans.is_banned(uid) || self.machines_out.is_out(uid)
     }
 
     fn now_ms(&self) -> Millis {
         (self.clock.seconds_at(self.now) * 1e3) as Millis
     }
 
-    /// A server that a list names while its machine is out went out with it.
+    /// Records a server that a list names while its machine is out as taken out with the machine.
     pub(super) fn record_if_out(&mut self, uid: &str) {
-        if self.outs.is_out(uid) {
-            self.outs
-                .record_transition(uid, self.now_ms(), &self.service);
+        if self.machines_out.is_out(uid) {
+            self.machines_out
+                .record_transition(uid, self.now_ms(), &self.service_limits);
         }
     }
 
-    /// Nothing new goes to these machines from now on, and their clients are moved; others come back.
+    /// Replaces the set of machines that are out of service. Their servers get no new requests and their clients are
+    /// moved; machines that are no longer in the set return to use.
     pub(super) fn set_machines_out(&mut self, machines: BTreeMap<String, BTreeSet<String>>) {
         let uids: BTreeSet<String> = self
             .addresses
             .values()
             .map(|(uid, _)| uid.clone())
             .collect();
-        let was: BTreeSet<&String> = uids.iter().filter(|uid| self.outs.is_out(uid)).collect();
+        let previously_out: BTreeSet<&String> = uids
+            .iter()
+            .filter(|uid| self.machines_out.is_out(uid))
+            .collect();
         let names: Vec<String> = machines.keys().cloned().collect();
-        self.outs.replace_machines(machines);
+        self.machines_out.replace_machines(machines);
         let changed = uids
             .iter()
-            .filter(|uid| was.contains(uid) != self.outs.is_out(uid));
+            .filter(|uid| previously_out.contains(uid) != self.machines_out.is_out(uid));
         let changed: Vec<String> = changed.cloned().collect();
         if changed.is_empty() {
             return;
@@ -47,67 +52,68 @@
         info!(
             ?names,
             servers = changed.len(),
-            "machines that orders have out"
+            "machines taken out by work orders changed"
         );
         for uid in changed {
-            self.outs
-                .record_transition(&uid, self.now_ms(), &self.service);
+            self.machines_out
+                .record_transition(&uid, self.now_ms(), &self.service_limits);
             self.resend_row(&uid);
         }
     }
 
-    /// What is known here of each machine.
+    /// Returns the state of each machine as this proxy observes it.
     pub(super) fn snapshot_machines(&self) -> MachinesSnapshot {
-        let mut at: BTreeMap<ServerId, u64> = BTreeMap::new();
-        for conn in self.connections.values() {
-            let there: BTreeSet<ServerId> = [conn.attempt_server, conn.connected_server]
-                .into_iter()
-                .flatten()
-                .collect();
-            for server in there {
-                *at.entry(server).or_default() += 1;
+        let mut clients_by_server: BTreeMap<ServerId, u64> = BTreeMap::new();
+        for connection in self.connections.values() {
+            let servers: BTreeSet<ServerId> =
+                [connection.attempt_server, connection.connected_server]
+                    .into_iter()
+                    .flatten()
+                    .collect();
+            for server in servers {
+                *clients_by_server.entry(server).or_default() += 1;
             }
         }
-        let mut looked = MachinesSnapshot {
+        let mut snapshot = MachinesSnapshot {
             machines: BTreeMap::new(),
             connections: self.connections.len(),
-            admits_nothing: self.taking == AdmissionMode::Nothing,
+            admits_nothing: self.admission == AdmissionMode::Nothing,
         };
         let now = self.clock.seconds_at(self.now);
         for (server, (uid, _)) in &self.addresses {
-            let clients = at.get(server).copied().unwrap_or(0);
+            let clients = clients_by_server.get(server).copied().unwrap_or(0);
             let row = self.last_rows.get(server);
             let row = row.filter(|row| row.status != Status::Gone);
             if row.is_none() && clients == 0 {
                 continue;
             }
-            let name = self.outs.machine_of(uid).to_string();
-            let seen: &mut ObservedMachine = looked.machines.entry(name).or_default();
-            seen.clients += clients;
+            let name = self.machines_out.machine_of(uid).to_string();
+            let machine: &mut ObservedMachine = snapshot.machines.entry(name).or_default();
+            machine.clients += clients;
             let Some(row) = row else { continue };
-            let mut ruled = row.clone();
-            self.apply_overrides(uid, &mut ruled);
-            let up = matches!(row.status, Status::Up);
-            let warm = ruled
+            let mut overridden_row = row.clone();
+            self.apply_overrides(uid, &mut overridden_row);
+            let is_up = matches!(row.status, Status::Up);
+            let is_warm = overridden_row
                 .started_at
-                .is_none_or(|born| born + self.cold_for <= now);
-            seen.zone = seen.zone.take().or_else(|| row.zone.clone());
-            seen.servers.push(ObservedServer {
+                .is_none_or(|started_at| started_at + self.slow_start_window <= now);
+            machine.zone = machine.zone.take().or_else(|| row.zone.clone());
+            machine.servers.push(ObservedServer {
                 uid: uid.clone(),
                 kind: row.kind.clone(),
                 cell: row.cell,
                 rating: row.rating,
-                up,
-                warm: up && warm,
+                up: is_up,
+                warm: is_up && is_warm,
                 draining: row.status == Status::Draining,
                 banned: self.bans.is_banned(uid),
-                opened: self.outs.is_overridden(uid),
+                opened: self.machines_out.is_overridden(uid),
             });
         }
-        looked
+        snapshot
             .machines
             .values_mut()
-            .for_each(|seen| seen.servers.sort_by(|a, b| a.uid.cmp(&b.uid)));
-        looked
+            .for_each(|machine| machine.servers.sort_by(|a, b| a.uid.cmp(&b.uid)));
+        snapshot
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,8 +1,8 @@
-//! Sole owner of the balancer. Fronts (what clients and servers speak) and sources (what tells of
-//! servers) send it [`Notice`]s and get [`Order`]s; it depends on none of them and knows no protocol.
+//! Event loop that owns the balancer. Protocol front ends and service discovery sources send it [`EngineEvent`]s and
+//! receive [`ConnectionCommand`]s. The crate depends on none of them and contains no protocol code.
 //!
-//! It never waits for a connection and holds no lock: orders go out over bounded channels, and one that
-//! does not take its orders is told in the log and left to its own deadline.
+//! The engine never waits for a connection and holds no lock: commands are sent over bounded channels. If a
+//! connection's channel is full, the engine logs that and leaves the connection to its own deadline.
 
 mod clock;
 mod engine;
--- a/crates/engine/src/limits.rs
+++ b/crates/engine/src/limits.rs
@@ -1,18 +1,20 @@
-//! The engine's sizes and times; fronts have their own.
+//! Size and time limits of the engine; protocol front ends have their own.
 
 use std::time::Duration;
 
+/// Size and time limits of the engine.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Notices on the way to the engine: who sends one more waits.
+    /// Capacity of the engine's event queue; a sender waits while the queue is full.
     pub max_queued_events: usize,
-    /// Rows of a list of changes that the module is told in one step.
+    /// Maximum number of changed rows that are passed to the balancer in one step.
     pub max_rows_per_step: usize,
-    /// A connection that stood before the start is tried for so long.
+    /// Time limit for re-establishing a connection that existed before the engine started.
     pub resume_timeout: Duration,
-    /// A draining server's connections stay so long, then move over such a span.
+    /// Delay between the start of a server's drain and the first move of a connection.
     pub drain_wait: Duration,
+    /// Period after `drain_wait` over which the connections of a draining server are moved.
     pub drain_span: Duration,
-    /// How often moves that are spread out are given out.
+    /// Interval between two batches of scheduled moves.
     pub move_interval: Duration,
 }
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the engine hears and says, in words that are no protocol's.
+//! Events that the engine receives and commands that it sends, independent of any protocol.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,145 +16,170 @@
 use violetwind_common::{NameTable, ServerRow};
 use violetwind_service::{Bans, OperatorChange};
 
-/// One row of a list with what the module does not need.
+/// One row of a server list, with the fields that the balancer does not need.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
     pub uid: String,
-    /// Where this proxy reaches it; a row of a server that is gone may have none.
+    /// Address at which this proxy reaches the server; may be absent if the server is gone.
     pub endpoint: Option<SocketAddr>,
     pub row: ServerRow,
 }
 
-/// What fronts and sources tell the engine.
+/// Input of the engine, sent by protocol front ends, service discovery sources and management code.
 #[derive(Debug)]
 pub enum EngineEvent {
-    /// A list that is taken as it is told, where no catalogue stands between.
+    /// A server list that is passed to the balancer unchanged; used without a catalogue.
     ServerList(ListKind, Vec<ListedServer>),
+    /// No server list can be obtained at present; used without a catalogue.
     ListUnavailable,
-    /// The sources that count from now on, by name, those that go before others first.
+    /// Names of the configured sources, in descending order of precedence. Replaces the earlier set.
     Sources(Vec<Rc<str>>),
-    /// What one of them says.
+    /// An update from the source of this name.
     SourceUpdate(Rc<str>, SourceUpdate),
-    /// A client's request, with the way to its connection.
+    /// A client's request, with the command channel of its connection.
     Request(Request, mpsc::Sender<ConnectionCommand>),
-    /// One that stood at this server before the start, and the word that it is up there again.
+    /// A connection that was established at the server with this identity before the engine started asks to be
+    /// re-established there.
     Resume(RequestId, String, mpsc::Sender<ConnectionCommand>),
+    /// The connection of an earlier [`EngineEvent::Resume`] is established again.
     Resumed(Request, ServerId),
-    /// A connection that is up there, and was another process's until now.
+    /// An established connection that another process has handed over.
     Adopted(Request, ServerId, mpsc::Sender<ConnectionCommand>),
-    /// The line of an attempt was written: only said of one whose order wants it.
+    /// The request line of an attempt was written. Sent only if the command set `report_write`.
     Written(RequestId, ServerId),
+    /// The server has accepted the attempt; the connection is established.
     ConnectionUp(RequestId, ServerId),
+    /// An attempt or an established connection has ended.
     AttemptEnded(AttemptEnd),
+    /// The client has closed its connection.
     ClientGone(RequestId),
-    /// A connection's load now, in seconds of work a second.
+    /// Current load of a connection, in seconds of work per second.
     ConnectionLoad(RequestId, f64),
-    /// How long a message takes at a server now.
+    /// Current delay of a message at a server, in seconds.
     MessageDelay(ServerId, Seconds),
-    /// A server leaves clients' lines without an answer.
+    /// A server does not answer the lines of its clients.
     ServerUnresponsive(ServerId),
+    /// Result of a probe.
     Probed(ServerId, Outcome, Report),
-    /// The proxy ends: its clients are moved within this time from now.
+    /// The proxy shuts down: its clients are moved within this time range, counted from now.
     Shutdown(Range<Duration>),
-    /// It is about to end: nothing more is taken, and what still waits is answered.
+    /// The shutdown is about to complete: no request is admitted any more, and waiting requests get a final answer.
     FinishShutdown,
-    /// A successor serves from now on, and this proxy moves its clients likewise; or it has gone again.
+    /// `Some`: a successor process serves from now on, and the clients of this process are handed over or moved within
+    /// this time range, counted from now. `None`: the successor has gone.
     SuccessorChanged(Option<Range<Duration>>),
-    /// Other settings hold from now on.
+    /// Replaces the balancer's settings and the name table.
     Settings(Box<Settings>, NameTable),
-    /// An operator's word; the answer comes once it is in force. One that another process of this proxy has
-    /// taken is binding here whether or not a list has named the server.
+    /// An operator's change; the reply is sent once the change is in force. A change that another process of this proxy
+    /// has accepted is binding here even if no list has named the server; see [`UnlistedServers`].
     OperatorChange(
         OperatorChange,
         UnlistedServers,
         oneshot::Sender<OperatorReply>,
     ),
-    /// Parts of what several proxies share, each until a moment; answered with what is used of all of them.
+    /// Shares of quotas that several proxies share, each valid until an instant. The reply holds the usage of all
+    /// quotas.
     Allowances(
         Vec<(QuotaKind, Allowance, Instant)>,
         oneshot::Sender<Vec<QuotaUsage>>,
     ),
-    /// The machines that orders have out from now on, with the servers on them; answered once that is in force.
+    /// Machines that work orders take out of service from now on, each with its servers. Replaces the earlier set; the
+    /// reply is sent once it is in force.
     MachinesOut(BTreeMap<String, BTreeSet<String>>, oneshot::Sender<()>),
-    /// Answered with what is known here of machines.
+    /// Requests a snapshot of the machines known to this proxy.
     QueryMachines(oneshot::Sender<MachinesSnapshot>),
-    /// Answered as soon as the engine comes to it: how many servers it knows.
+    /// Health check: the reply is the number of known servers, and shows that the engine still handles events.
     Health(oneshot::Sender<usize>),
 }
 
-/// Machines as this proxy knows them.
+/// The machines known to this proxy, by name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MachinesSnapshot {
     pub machines: BTreeMap<String, ObservedMachine>,
-    /// Connections and requests of all clients, and whether no more are taken.
+    /// Number of connections and requests of all clients.
     pub connections: usize,
+    /// Whether the proxy admits no requests at present.
     pub admits_nothing: bool,
 }
 
+/// One machine as this proxy observes it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ObservedMachine {
     pub zone: Option<String>,
     pub servers: Vec<ObservedServer>,
-    /// Connections there, and attempts that are on their way.
+    /// Number of clients with a connection or a pending attempt at the machine's servers.
     pub clients: u64,
 }
 
+/// One server as this proxy observes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObservedServer {
     pub uid: String,
     pub kind: Option<String>,
     pub cell: u64,
     pub rating: Option<f64>,
-    /// Listed as up, whatever operators and orders say.
+    /// Whether the list reports the server as up, regardless of bans and work orders.
     pub up: bool,
+    /// Whether the server is up and past its slow start.
     pub warm: bool,
-    /// The sources have it leave, for good as far as they know.
+    /// Whether the sources report the server as draining, which they treat as permanent.
     pub draining: bool,
-    /// Kept out by an operator, or in use by an operator's word though an order has it out.
+    /// Whether an operator has banned the server.
     pub banned: bool,
+    /// Whether an operator has put the server back in use although a work order has its machine out.
     pub opened: bool,
 }
 
+/// How an operator's change to a server that no list has named is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnlistedServers {
+    /// The change is rejected with [`OperatorReply::Unknown`].
     Reject,
+    /// The change is applied.
     Accept,
 }
 
-/// What became of an operator's word.
+/// Result of an operator's change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorReply {
+    /// The change is in force; holds the bans after it.
     Changed(Bans),
-    /// It was so already.
+    /// The requested state was already in force; holds the bans.
     Same(Bans),
     /// No list has named this server.
     Unknown,
-    /// As many servers as there may be are out.
+    /// The limit of banned servers is reached.
     Full,
-    /// The proxy is told to end.
+    /// The proxy is shutting down and accepts no `LEAVE` or `JOIN`.
     Ending,
 }
 
-/// What the engine tells one connection.
+/// Command of the engine to one connection.
 #[derive(Clone, Debug)]
 pub enum ConnectionCommand {
+    /// Start an attempt at a server.
     Send {
         server: ServerId,
         endpoint: SocketAddr,
+        /// Timeout of the attempt.
         within: Duration,
-        /// The request's line may be written up to this moment, however long the dial takes.
+        /// Latest time at which the request line may be written, however long connecting takes.
         write_by: Option<Instant>,
-        /// The engine wants a [`Notice::Written`] right behind the writing of the line.
+        /// Whether the connection has to send [`EngineEvent::Written`] immediately after it has written the line.
         report_write: bool,
     },
-    /// The server of the attempt that is out drains: it gives up if nothing was sent yet.
+    /// The server of the pending attempt is draining: the attempt is abandoned if nothing was sent yet.
     Recall,
-    /// The server of a standing connection is not known yet.
+    /// The server of a connection that is to be resumed is not known yet.
     NotYet,
+    /// Final answer: the request is refused; the client may retry after this many seconds, if given.
     Refuse(Option<Seconds>),
+    /// Final answer: the request has failed.
     Fail,
+    /// The client of the established connection is asked to reconnect elsewhere.
     Move,
-    /// A successor serves: it gets the connection, if that is between lines.
+    /// A successor process serves: it takes over the connection if that is between two lines.
     HandOver,
+    /// Abandon the pending attempt.
     Cancel,
 }
--- a/crates/engine/src/move_schedule.rs
+++ b/crates/engine/src/move_schedule.rs
@@ -1,41 +1,42 @@
-//! Connections that are to be moved, spread evenly over a time.
+//! Schedule that spreads the moves of connections evenly over a period.
 
 use tokio::time::Instant;
 use violetwind_balancer::api::RequestId;
 
+/// Connections that are to be moved between two instants.
 #[derive(Debug)]
 pub(crate) struct MoveSchedule {
     pub pending: Vec<RequestId>,
-    /// How many there were at the most.
-    most: usize,
-    pub from: Instant,
-    pub until: Instant,
+    /// Largest number of connections that were pending at once.
+    max_pending: usize,
+    pub start: Instant,
+    pub end: Instant,
 }
 
 impl MoveSchedule {
-    pub fn new(pending: Vec<RequestId>, from: Instant, until: Instant) -> Self {
-        let most = pending.len();
+    pub fn new(pending: Vec<RequestId>, start: Instant, end: Instant) -> Self {
+        let max_pending = pending.len();
         Self {
             pending,
-            most,
-            from,
-            until,
+            max_pending,
+            start,
+            end,
         }
     }
 
-    /// Takes out those whose time has come: evenly over the span, and all at its end.
+    /// Removes and returns the connections that are due: evenly over the period, and all at its end.
     pub fn take_due(&mut self, now: Instant) -> impl Iterator<Item = RequestId> {
-        self.most = self.most.max(self.pending.len());
-        let span = (self.until - self.from).as_secs_f64();
-        let rest = (self.until - now).as_secs_f64() / span.max(f64::MIN_POSITIVE);
-        let stay = (self.most as f64 * rest) as usize;
-        self.pending.drain(stay.min(self.pending.len())..)
+        self.max_pending = self.max_pending.max(self.pending.len());
+        let span = (self.end - self.start).as_secs_f64();
+        let remaining_share = (self.end - now).as_secs_f64() / span.max(f64::MIN_POSITIVE);
+        let keep_count = (self.max_pending as f64 * remaining_share) as usize;
+        self.pending.drain(keep_count.min(self.pending.len())..)
     }
 
-    /// Begins at once and takes no longer than this.
+    /// If the schedule has not begun, starts it now and lets it end after `span`.
     pub fn start_now(&mut self, now: Instant, span: std::time::Duration) {
-        if self.from > now {
-            (self.from, self.until) = (now, now + span);
+        if self.start > now {
+            (self.start, self.end) = (now, now + span);
         }
     }
 }
--- a/crates/engine/src/sources.rs
+++ b/crates/engine/src/sources.rs
@@ -1,4 +1,4 @@
-//! The sources by name, the catalogue that weighs them, and what the log says of both.
+//! The configured sources, the catalogue that combines their lists, and the log messages about both.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,25 +12,27 @@
 
 use crate::messages::ListedServer;
 
-/// A source that is silent is told of after this, and again each time that has doubled.
-const SILENT_FROM: Millis = 10_000;
+/// Time after which an unavailable source is logged; it is logged again each time that time has doubled.
+const SILENCE_WARNING_AGE: Millis = 10_000;
 
-/// Servers that the log names for one telling.
-const NAMED: usize = 10;
+/// Maximum number of servers that are logged by name for one update.
+const MAX_LOGGED_SERVERS: usize = 10;
 
+/// The configured sources and the catalogue that combines their lists.
 #[derive(Debug)]
 pub(crate) struct SourceSet {
     catalogue: Catalogue,
-    sources: BTreeMap<Rc<str>, Named>,
+    sources: BTreeMap<Rc<str>, SourceEntry>,
     counts: Counts,
 }
 
+/// A source with the state of its log messages.
 #[derive(Debug)]
-struct Named {
+struct SourceEntry {
     id: SourceId,
-    /// The age of its list at which the log tells of its silence next.
-    next_note: Millis,
-    doubted: bool,
+    /// Duration of the source's unavailability at which it is logged next.
+    next_warning_age: Millis,
+    is_distrusted: bool,
 }
 
 impl SourceSet {
@@ -42,11 +44,12 @@
         }
     }
 
-    pub fn absent_for(&self) -> Millis {
+    /// Returns how long a server may be missing from the lists before it counts as gone, in milliseconds.
+    pub fn absence_timeout(&self) -> Millis {
         self.catalogue.limits().absence_timeout
     }
 
-    /// The sources that count from now on; words of others stand until these have spoken.
+    /// Replaces the set of sources. The lists of removed sources stay in force until all others have given one.
     pub fn set_sources(&mut self, now: Millis, names: &[Rc<str>]) -> Vec<ListedServer> {
         for name in names {
             if self.sources.contains_key(name) {
@@ -54,93 +57,98 @@
             }
             match self.catalogue.add_source(name) {
                 Some(id) => {
-                    let named = Named {
+                    let entry = SourceEntry {
                         id,
-                        next_note: SILENT_FROM,
-                        doubted: false,
+                        next_warning_age: SILENCE_WARNING_AGE,
+                        is_distrusted: false,
                     };
-                    self.sources.insert(name.clone(), named);
+                    self.sources.insert(name.clone(), entry);
                 }
-                None => warn!(%name, "too many sources: this one is not heard"),
+                None => warn!(%name, "too many sources: this source is ignored"),
             }
         }
-        let mut facts = Vec::new();
-        let old = self.sources.extract_if(.., |name, _| !names.contains(name));
-        for (name, named) in old.collect::<Vec<_>>() {
+        let mut changes = Vec::new();
+        let removed = self.sources.extract_if(.., |name, _| !names.contains(name));
+        for (name, entry) in removed.collect::<Vec<_>>() {
             info!(%name, "a source is let go once all others have spoken");
-            facts.extend(self.catalogue.retire_source(now, named.id));
+            changes.extend(self.catalogue.retire_source(now, entry.id));
         }
-        self.rows(facts)
+        self.to_listed_servers(changes)
     }
 
-    /// What a source says; one that is not among the sources is not heard.
+    /// Applies an update of a source; an update of a source that is not in the set is ignored.
     pub fn apply_update(
         &mut self,
         now: Millis,
         name: &str,
-        telling: SourceUpdate,
+        update: SourceUpdate,
     ) -> Vec<ListedServer> {
-        let Some(named) = self.sources.get(name) else {
+        let Some(entry) = self.sources.get(name) else {
             return Vec::new();
         };
-        let facts = self.catalogue.apply_update(now, named.id, telling);
-        self.notes(now);
-        self.rows(facts)
+        let changes = self.catalogue.apply_update(now, entry.id, update);
+        self.log_source_changes(now);
+        self.to_listed_servers(changes)
     }
 
+    /// Reports whether a server answered a probe, an attempt or a client.
     pub fn report_reachability(
         &mut self,
         now: Millis,
         uid: &str,
         answered: bool,
     ) -> Vec<ListedServer> {
-        let facts = self.catalogue.record_liveness(now, uid, answered);
-        self.rows(facts)
+        let changes = self.catalogue.record_liveness(now, uid, answered);
+        self.to_listed_servers(changes)
     }
 
+    /// Returns when [`Self::handle_wakeup`] has to be called next, in milliseconds of the monotonic clock.
     pub fn next_wakeup(&self) -> Option<Millis> {
         self.catalogue.next_tick()
     }
 
+    /// Applies the catalogue's timeouts that are due.
     pub fn handle_wakeup(&mut self, now: Millis) -> Vec<ListedServer> {
-        let facts = self.catalogue.tick(now);
-        self.notes(now);
-        self.rows(facts)
+        let changes = self.catalogue.tick(now);
+        self.log_source_changes(now);
+        self.to_listed_servers(changes)
     }
 
+    /// Whether the catalogue holds a server with this identity.
     pub fn is_known(&self, uid: &str) -> bool {
         self.catalogue.contains(uid)
     }
 
-    /// Tells the log of sources that are silent or doubted, and of what found no room.
-    fn notes(&mut self, now: Millis) {
+    /// Logs sources that became unavailable or distrusted or recovered, and servers that the full catalogue refused or
+    /// evicted.
+    fn log_source_changes(&mut self, now: Millis) {
         for source in self.catalogue.sources() {
-            let Some(named) = self.sources.get_mut(source.name) else {
+            let Some(entry) = self.sources.get_mut(source.name) else {
                 continue;
             };
-            let silent = source.unavailable_since.map(|at| now.saturating_sub(at));
-            match silent {
-                Some(silent) if silent >= named.next_note => {
-                    named.next_note = silent.saturating_mul(2);
+            let unavailable_for = source.unavailable_since.map(|at| now.saturating_sub(at));
+            match unavailable_for {
+                Some(unavailable_for) if unavailable_for >= entry.next_warning_age => {
+                    entry.next_warning_age = unavailable_for.saturating_mul(2);
                     let age = source
                         .last_answer_at
                         .map(|at| now.saturating_sub(at) / 1000);
                     warn!(
                         source = source.name,
-                        silent_s = silent / 1000,
+                        silent_s = unavailable_for / 1000,
                         age_s = age,
-                        "a source is silent: its last list stays in force"
+                        "a source does not answer: its last list stays in force"
                     );
                 }
-                None if named.next_note > SILENT_FROM => {
-                    named.next_note = SILENT_FROM;
+                None if entry.next_warning_age > SILENCE_WARNING_AGE => {
+                    entry.next_warning_age = SILENCE_WARNING_AGE;
                     info!(source = source.name, "a source answers again");
                 }
                 _ => {}
             }
-            let doubted = source.distrusted_since.is_some();
-            if std::mem::replace(&mut named.doubted, doubted) != doubted {
-                match doubted {
+            let is_distrusted = source.distrusted_since.is_some();
+            if std::mem::replace(&mut entry.is_distrusted, is_distrusted) != is_distrusted {
+                match is_distrusted {
                     true => warn!(
                         source = source.name,
                         listed = source.listed_servers,
@@ -161,31 +169,31 @@
         self.counts = counts;
     }
 
-    /// Facts as rows of a list of changes. The log names the first few that are no longer simply ready.
-    fn rows(&self, facts: Vec<StatusChange>) -> Vec<ListedServer> {
-        let doubtful = facts
+    /// Converts status changes to rows of a list of changes, and logs the first few servers that are not ready.
+    fn to_listed_servers(&self, changes: Vec<StatusChange>) -> Vec<ListedServer> {
+        let not_ready = changes
             .iter()
-            .filter(|fact| fact.status != EffectiveStatus::Ready);
-        for fact in doubtful.clone().take(NAMED) {
-            info!(uid = &*fact.uid, belief = ?fact.status, why = %fact.reason, "a server");
+            .filter(|change| change.status != EffectiveStatus::Ready);
+        for change in not_ready.clone().take(MAX_LOGGED_SERVERS) {
+            info!(uid = &*change.uid, belief = ?change.status, why = %change.reason, "status of a server changed");
         }
-        let more = doubtful.count().saturating_sub(NAMED);
-        if more > 0 {
-            info!(more, "further servers");
+        let unlogged = not_ready.count().saturating_sub(MAX_LOGGED_SERVERS);
+        if unlogged > 0 {
+            info!(more = unlogged, "further servers changed");
         }
-        facts.into_iter().map(row).collect()
+        changes.into_iter().map(to_listed_server).collect()
     }
 }
 
-fn row(fact: StatusChange) -> ListedServer {
-    let instance = fact.instance;
-    let server: ServerId = server_id(&fact.uid);
+fn to_listed_server(change: StatusChange) -> ListedServer {
+    let instance = change.instance;
+    let server: ServerId = server_id(&change.uid);
     ListedServer {
         endpoint: Some(instance.endpoint),
         row: ServerRow {
             server,
             cell: instance.cell,
-            status: match fact.status {
+            status: match change.status {
                 EffectiveStatus::Ready => Status::Up,
                 EffectiveStatus::Suspected => Status::Suspected,
                 EffectiveStatus::Draining => Status::Draining,
@@ -193,9 +201,9 @@
             },
             kind: instance.kind.map(String::from),
             zone: instance.zone.map(String::from),
-            started_at: fact.born.map(|ms| ms as Seconds / 1e3),
+            started_at: change.born.map(|ms| ms as Seconds / 1e3),
             rating: instance.weight,
         },
-        uid: fact.uid.into(),
+        uid: change.uid.into(),
     }
 }
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -1,86 +1,95 @@
-//! When servers started, by a clock that is never stepped.
+//! Start times of servers, converted to the monotonic clock, which is never stepped.
 //!
-//! Lists give the start of a server's process in Unix time. That can't be compared with this machine's wall clock: either
-//! may be stepped, by seconds or by an hour, and a server that seems old would get more than slow start allows. What is
-//! certain is what this process saw itself: a start that is new in a list, after an earlier list of the same source,
-//! came no earlier than that list, and counts as just now. Of a start in a source's first list nothing is known unless
-//! it lies so far back that no step explains it.
+//! Lists give the start of a server's process in Unix time. That can't be compared with this machine's wall clock:
+//! either clock may be stepped, by seconds or by an hour, and a server that seems old would get more load than slow
+//! start allows. Only the observations of this process are certain: a start time that is new in a list, after an earlier
+//! list of the same source, is no earlier than that list, and is treated as the current time. Nothing is known about a
+//! start time in a source's first list unless it lies so far in the past that no clock step explains it.
 
 use std::collections::HashMap;
 
 use tracing::info;
 use violetwind_balancer::api::Seconds;
 
-/// Two clocks may differ by this much: each of them may have been stepped by an hour.
-const MAX_DIFFERENCE: Seconds = 2.0 * 3600.0;
-/// Starts that are remembered; those seen longest ago are forgotten beyond.
-const MAX_REMEMBERED: usize = 1 << 16;
+/// Maximum difference between two wall clocks: each of them may have been stepped by an hour.
+const MAX_CLOCK_DIFFERENCE: Seconds = 2.0 * 3600.0;
+/// Maximum number of remembered start times; beyond it, those that were listed least recently are removed.
+const MAX_STARTS: usize = 1 << 16;
 
-/// A start as a list gives it, and when it was.
+/// A start time as listed, in Unix milliseconds, and as resolved to the monotonic clock.
 #[derive(Clone, Copy, Debug)]
-struct Start {
+struct StartRecord {
     listed_ms: u64,
-    at: Option<Seconds>,
-    seen: Seconds,
+    started_at: Option<Seconds>,
+    last_seen: Seconds,
 }
 
-/// The list that is being read.
+/// Context in which a list is read.
 #[derive(Clone, Copy, Debug)]
 pub struct ListContext {
-    /// Now by the monotonic clock, and by the wall clock.
+    /// Current time of the monotonic clock.
     pub now: Seconds,
+    /// Current Unix time of this machine's wall clock.
     pub unix_seconds: Seconds,
-    /// Whether its source has given a list before.
+    /// Whether the source has given a list before this one.
     pub has_earlier_list: bool,
-    /// How long a server is cold.
-    pub cold_for: Seconds,
+    /// Period after a server's start during which its load is limited by slow start.
+    pub slow_start_window: Seconds,
 }
 
-/// The starts of all servers that lists have named.
+/// Start times of all servers that lists have named, by server identity.
 #[derive(Debug, Default)]
 pub struct StartTimes {
-    known: HashMap<String, Start>,
+    starts: HashMap<String, StartRecord>,
 }
 
 impl StartTimes {
-    /// When the present process of a server started by the monotonic clock, given its start in Unix time as listed;
-    /// none for long ago.
+    /// Returns when the current process of a server started, in seconds of the monotonic clock. `listed` is the start
+    /// time in Unix seconds from the list. `None` means that the server started long ago or that no start is listed.
     pub fn resolve(
         &mut self,
         uid: &str,
-        listed: Option<Seconds>,
-        reading: ListContext,
+        listed_start: Option<Seconds>,
+        context: ListContext,
     ) -> Option<Seconds> {
-        let listed = listed.filter(|start| *start > 0.0)?;
-        let listed_ms = (listed * 1e3) as u64;
-        if let Some(start) = self.known.get_mut(uid)
-            && start.listed_ms == listed_ms
+        let listed_start = listed_start.filter(|start| *start > 0.0)?;
+        let listed_ms = (listed_start * 1e3) as u64;
+        if let Some(record) = self.starts.get_mut(uid)
+            && record.listed_ms == listed_ms
         {
-            start.seen = reading.now;
-            return start.at;
+            record.last_seen = context.now;
+            return record.started_at;
         }
-        let certainly_warm = listed + MAX_DIFFERENCE + reading.cold_for < reading.unix_seconds;
-        let start = Start {
+        let is_certainly_warm =
+            listed_start + MAX_CLOCK_DIFFERENCE + context.slow_start_window < context.unix_seconds;
+        let record = StartRecord {
             listed_ms,
-            at: (reading.has_earlier_list || !certainly_warm).then_some(reading.now),
-            seen: reading.now,
+            started_at: (context.has_earlier_list || !is_certainly_warm).then_some(context.now),
+            last_seen: context.now,
         };
-        self.known.insert(uid.to_string(), start);
+        self.starts.insert(uid.to_string(), record);
         self.forget_oldest();
-        start.at
+        record.started_at
     }
 
+    /// Removes the records that were listed least recently if there are more than [`MAX_STARTS`]; at least half are
+    /// kept.
     fn forget_oldest(&mut self) {
-        if self.known.len() <= MAX_REMEMBERED {
+        if self.starts.len() <= MAX_STARTS {
             return;
         }
-        let mut seen: Vec<Seconds> = self.known.values().map(|start| start.seen).collect();
-        seen.sort_by(Seconds::total_cmp);
-        let oldest_kept = seen[seen.len() / 2];
-        self.known.retain(|_, start| start.seen >= oldest_kept);
+        let mut last_seen_times: Vec<Seconds> = self
+            .starts
+            .values()
+            .map(|record| record.last_seen)
+            .collect();
+        last_seen_times.sort_by(Seconds::total_cmp);
+        let oldest_kept = last_seen_times[last_seen_times.len() / 2];
+        self.starts
+            .retain(|_, record| record.last_seen >= oldest_kept);
         info!(
-            kept = self.known.len(),
-            "starts of servers are forgotten at their limit"
+            kept = self.starts.len(),
+            "limit of remembered server start times reached: oldest removed"
         );
     }
 }
--- a/crates/engine/tests/start_times.rs
+++ b/crates/engine/tests/start_times.rs
@@ -12,7 +12,7 @@
         now,
         unix_seconds: UNIX + now + step,
         has_earlier_list: follows,
-        cold_for: 8.0,
+        slow_start_window: 8.0,
     }
 }
 
--- a/crates/service/src/bans.rs
+++ b/crates/service/src/bans.rs
@@ -10,15 +10,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bans {
     /// Out, by id, since when.
-    out: BTreeMap<String, Millis>,
+    banned: BTreeMap<String, Millis>,
     /// Back, by id: when they went out and when they were called back.
-    back: BTreeMap<String, Back>,
+    unbanned: BTreeMap<String, Unban>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Back {
-    out: Millis,
-    at: Millis,
+struct Unban {
+    banned_at: Millis,
+    unbanned_at: Millis,
 }
 
 /// What became of a call.
@@ -33,26 +33,27 @@
 
 impl Bans {
     pub fn is_banned(&self, uid: &str) -> bool {
-        self.out.contains_key(uid)
+        self.banned.contains_key(uid)
     }
 
     pub fn count(&self) -> usize {
-        self.out.len()
+        self.banned.len()
     }
 
     /// The servers that are out.
     pub fn banned_servers(&self) -> impl Iterator<Item = &str> {
-        self.out.keys().map(String::as_str)
+        self.banned.keys().map(String::as_str)
     }
 
     /// Takes over what an earlier process wrote down, which may have gone by another clock or before the machine was
     /// started anew: a time that is still to come counts as now.
     pub fn with_times_clamped(mut self, now: Millis) -> Self {
-        for out in self.out.values_mut() {
+        for out in self.banned.values_mut() {
             *out = (*out).min(now);
         }
-        for back in self.back.values_mut() {
-            (back.out, back.at) = (back.out.min(now), back.at.min(now));
+        for back in self.unbanned.values_mut() {
+            (back.banned_at, back.unbanned_at) =
+                (back.banned_at.min(now), back.unbanned_at.min(now));
         }
         self
     }
@@ -62,35 +63,44 @@
         if self.is_banned(uid) {
             return ChangeOutcome::Same;
         }
-        if self.out.len() >= limits.max_bans {
+        if self.banned.len() >= limits.max_bans {
             return ChangeOutcome::Full;
         }
-        self.back.remove(uid);
-        self.out.insert(uid.to_string(), now);
+        self.unbanned.remove(uid);
+        self.banned.insert(uid.to_string(), now);
         ChangeOutcome::Changed
     }
 
     /// Uses a server again.
     pub fn unban(&mut self, uid: &str, now: Millis, limits: &Limits) -> ChangeOutcome {
-        let Some(out) = self.out.remove(uid) else {
+        let Some(out) = self.banned.remove(uid) else {
             return ChangeOutcome::Same;
         };
-        if self.back.len() >= limits.max_bans {
+        if self.unbanned.len() >= limits.max_bans {
             // The one that was called back longest ago is warm before any other.
-            let oldest = self.back.iter().min_by_key(|(_, back)| back.at);
+            let oldest = self
+                .unbanned
+                .iter()
+                .min_by_key(|(_, back)| back.unbanned_at);
             if let Some(oldest) = oldest.map(|(uid, _)| uid.clone()) {
-                self.back.remove(&oldest);
+                self.unbanned.remove(&oldest);
             }
         }
-        self.back.insert(uid.to_string(), Back { out, at: now });
+        self.unbanned.insert(
+            uid.to_string(),
+            Unban {
+                banned_at: out,
+                unbanned_at: now,
+            },
+        );
         ChangeOutcome::Changed
     }
 
     /// When a server last started, given what the list says. It was restarted while it was out; until
     /// the list shows a start since then it may have been at the last moment, when it was called back.
     pub fn started_at(&self, uid: &str, listed: Option<Millis>) -> Option<Millis> {
-        match self.back.get(uid) {
-            Some(back) if listed.is_none_or(|at| at < back.out) => Some(back.at),
+        match self.unbanned.get(uid) {
+            Some(back) if listed.is_none_or(|at| at < back.banned_at) => Some(back.unbanned_at),
             _ => listed,
         }
     }
--- a/crates/service/src/command.rs
+++ b/crates/service/src/command.rs
@@ -141,7 +141,7 @@
 /// Reads calls in pieces of any size.
 #[derive(Debug, Default)]
 pub struct CommandDecoder {
-    held: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl CommandDecoder {
@@ -153,12 +153,12 @@
     ) -> Option<Result<OperatorCommand, CommandError>> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let piece = &bytes[..end.unwrap_or(bytes.len())];
-        if self.held.len() + piece.len() >= limits.max_command_bytes {
+        if self.buffer.len() + piece.len() >= limits.max_command_bytes {
             return Some(Err(CommandError::TooLong));
         }
-        self.held.extend_from_slice(piece);
+        self.buffer.extend_from_slice(piece);
         end.map(|_| {
-            let line = self.held.strip_suffix(b"\r").unwrap_or(&self.held);
+            let line = self.buffer.strip_suffix(b"\r").unwrap_or(&self.buffer);
             parse_command(line, limits)
         })
     }
@@ -175,7 +175,7 @@
         .parse(text)
         .map_err(|_| CommandError::Unknown)?;
     if let Some((&"FLEET", rest)) = words.split_first() {
-        return fleet(rest, limits).map(OperatorCommand::Fleet);
+        return parse_fleet_command(rest, limits).map(OperatorCommand::Fleet);
     }
     let (verb, id) = match words[..] {
         [] => return Err(CommandError::Unknown),
@@ -202,7 +202,7 @@
     }
 }
 
-fn fleet(words: &[&str], limits: &Limits) -> Result<FleetCommand, CommandError> {
+fn parse_fleet_command(words: &[&str], limits: &Limits) -> Result<FleetCommand, CommandError> {
     if words.iter().any(|word| word.len() > limits.max_id_bytes) {
         return Err(CommandError::IdTooLong);
     }
@@ -247,12 +247,12 @@
             budget: own(budget),
             token: own(token),
         },
-        ["WORK", ref rest @ ..] => FleetCommand::Work(work(rest, limits)?),
+        ["WORK", ref rest @ ..] => FleetCommand::Work(parse_work_command(rest, limits)?),
         _ => return Err(CommandError::InvalidFleetCommand),
     })
 }
 
-fn work(words: &[&str], limits: &Limits) -> Result<WorkCommand, CommandError> {
+fn parse_work_command(words: &[&str], limits: &Limits) -> Result<WorkCommand, CommandError> {
     let own = |word: &str| word.to_string();
     let order = |words: &[&str]| match words {
         [] => Ok(None),
@@ -265,7 +265,7 @@
     Ok(match *words {
         [] => WorkCommand::Show,
         ["PLAN", name, machines, ref bounds @ ..] => {
-            WorkCommand::Plan(plan(name, machines, bounds, limits)?)
+            WorkCommand::Plan(parse_work_order(name, machines, bounds, limits)?)
         }
         ["PAUSE", ref rest @ ..] => WorkCommand::Pause(order(rest)?),
         ["RESUME", ref rest @ ..] => WorkCommand::Resume(order(rest)?),
@@ -277,7 +277,7 @@
     })
 }
 
-fn plan(
+fn parse_work_order(
     name: &str,
     list: &str,
     bounds: &[&str],
--- a/crates/service/src/handover.rs
+++ b/crates/service/src/handover.rs
@@ -12,8 +12,8 @@
 const MAGIC: [u8; 4] = *b"VWHO";
 /// Another version's messages are not understood, and count as absent.
 const VERSION: u8 = 1;
-const HEAD: usize = 9;
-const TAIL: usize = 4;
+const HEADER_BYTES: usize = 9;
+const CHECKSUM_BYTES: usize = 4;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
@@ -109,14 +109,17 @@
     {
         return Err(FrameError::UnknownVersion(version));
     }
-    let Some(head) = bytes.get(..HEAD) else {
+    let Some(head) = bytes.get(..HEADER_BYTES) else {
         return Ok(None);
     };
     let length = u32::from_le_bytes([head[5], head[6], head[7], head[8]]) as usize;
     if length > limits.max_frame_bytes {
         return Err(FrameError::TooLong);
     }
-    let (body_end, end) = (HEAD + length, HEAD + length + TAIL);
+    let (body_end, end) = (
+        HEADER_BYTES + length,
+        HEADER_BYTES + length + CHECKSUM_BYTES,
+    );
     let Some(frame) = bytes.get(..end) else {
         return Ok(None);
     };
@@ -124,7 +127,7 @@
     if sum != frame[body_end..] {
         return Err(FrameError::ChecksumMismatch);
     }
-    match postcard::take_from_bytes(&frame[HEAD..body_end]) {
+    match postcard::take_from_bytes(&frame[HEADER_BYTES..body_end]) {
         Ok((body, [])) => Ok(Some((body, end))),
         _ => Err(FrameError::InvalidBody),
     }
@@ -141,20 +144,20 @@
 /// Reads messages in pieces of any size.
 #[derive(Debug, Default)]
 pub struct MessageDecoder {
-    held: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl MessageDecoder {
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// The next whole message.
     pub fn next(&mut self, limits: &Limits) -> Result<Option<Message>, FrameError> {
-        let Some((message, end)) = decode_frame(&self.held, limits)? else {
+        let Some((message, end)) = decode_frame(&self.buffer, limits)? else {
             return Ok(None);
         };
-        self.held.drain(..end);
+        self.buffer.drain(..end);
         Ok(Some(message))
     }
 }
--- a/crates/service/src/machines.rs
+++ b/crates/service/src/machines.rs
@@ -31,49 +31,50 @@
 /// The machines that orders have out, as this proxy goes by them.
 #[derive(Clone, Debug, Default)]
 pub struct MachinesOut {
-    machines: MachineMap,
+    machine_map: MachineMap,
     /// Out, by name, also of servers that no list has named yet.
-    closed: BTreeSet<String>,
+    machines_out: BTreeSet<String>,
     /// Servers on them as the log has them: another proxy's file may say otherwise.
-    on_them: BTreeSet<String>,
+    servers_out: BTreeSet<String>,
     /// In use by an operator's word, though their machine is out.
-    opened: BTreeSet<String>,
+    overridden: BTreeSet<String>,
     /// When they went out and came back.
-    times: Bans,
+    transitions: Bans,
 }
 
 impl MachinesOut {
-    pub fn new(machines: MachineMap) -> Self {
+    pub fn new(machine_map: MachineMap) -> Self {
         Self {
-            machines,
+            machine_map,
             ..Self::default()
         }
     }
 
     pub fn machine_of<'a>(&'a self, uid: &'a str) -> &'a str {
-        self.machines.machine_of(uid)
+        self.machine_map.machine_of(uid)
     }
 
     /// Whether an order has the server's machine out, whatever an operator says.
     pub fn is_out_by_order(&self, uid: &str) -> bool {
-        !self.closed.is_empty()
-            && (self.closed.contains(self.machines.machine_of(uid)) || self.on_them.contains(uid))
+        !self.machines_out.is_empty()
+            && (self.machines_out.contains(self.machine_map.machine_of(uid))
+                || self.servers_out.contains(uid))
     }
 
     pub fn is_out(&self, uid: &str) -> bool {
-        self.is_out_by_order(uid) && !self.opened.contains(uid)
+        self.is_out_by_order(uid) && !self.overridden.contains(uid)
     }
 
     pub fn is_overridden(&self, uid: &str) -> bool {
-        self.opened.contains(uid)
+        self.overridden.contains(uid)
     }
 
     /// Takes the machines that are out from now on, with the servers on them.
     pub fn replace_machines(&mut self, closed: BTreeMap<String, BTreeSet<String>>) {
-        self.on_them = closed.values().flatten().cloned().collect();
-        self.closed = closed.into_keys().collect();
-        let opened = std::mem::take(&mut self.opened);
-        self.opened = opened
+        self.servers_out = closed.values().flatten().cloned().collect();
+        self.machines_out = closed.into_keys().collect();
+        let opened = std::mem::take(&mut self.overridden);
+        self.overridden = opened
             .into_iter()
             .filter(|uid| self.is_out_by_order(uid))
             .collect();
@@ -82,8 +83,8 @@
     /// An operator wants a server used, or not any more. True if that changes what is out by an order.
     pub fn set_override(&mut self, uid: &str, open: bool) -> bool {
         match open {
-            true => self.is_out_by_order(uid) && self.opened.insert(uid.to_string()),
-            false => self.opened.remove(uid),
+            true => self.is_out_by_order(uid) && self.overridden.insert(uid.to_string()),
+            false => self.overridden.remove(uid),
         }
     }
 
@@ -94,15 +95,15 @@
             ..limits.clone()
         };
         let kept = match self.is_out(uid) {
-            true => self.times.ban(uid, now, &limits),
-            false => self.times.unban(uid, now, &limits),
+            true => self.transitions.ban(uid, now, &limits),
+            false => self.transitions.unban(uid, now, &limits),
         };
         // Beyond the limit it is out all the same; when it comes back its start is as listed.
-        debug_assert!(kept != ChangeOutcome::Full || self.times.count() >= limits.max_bans);
+        debug_assert!(kept != ChangeOutcome::Full || self.transitions.count() >= limits.max_bans);
     }
 
     /// When a server last started, given what the list says.
     pub fn started_at(&self, uid: &str, listed: Option<Millis>) -> Option<Millis> {
-        self.times.started_at(uid, listed)
+        self.transitions.started_at(uid, listed)
     }
 }
