--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! An engine with plain lists in simulated time; the test plays servers and clients.
-#![allow(dead_code)] // each test file uses its part
+//! An engine without a catalogue in simulated time; the test acts as the servers and the clients.
+#![allow(dead_code)] // each test file uses only some of the helpers
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,9 +17,9 @@
 
 pub const START_UNIX_SECONDS: Seconds = 1.7e9;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: effect,
+        idempotency,
         dedup_scope: DedupScope::All,
         dedup_window: 0.0,
         setup_target: 0.5,
@@ -64,7 +64,7 @@
     }
 }
 
-pub fn listed_server(uid: &str, status: Status, born: Option<Seconds>) -> ListedServer {
+pub fn listed_server(uid: &str, status: Status, started_at: Option<Seconds>) -> ListedServer {
     ListedServer {
         uid: uid.to_string(),
         endpoint: Some(([127, 0, 0, 1], 1000 + u16::from(uid.as_bytes()[0])).into()),
@@ -74,7 +74,7 @@
             status,
             kind: None,
             zone: None,
-            started_at: born,
+            started_at,
             rating: None,
         },
     }
@@ -84,11 +84,11 @@
     engine: Engine<NoProbes>,
     start: Instant,
     now: Instant,
-    next: RequestId,
-    orders: BTreeMap<RequestId, mpsc::Receiver<ConnectionCommand>>,
-    out: BTreeMap<RequestId, ServerId>,
-    last: BTreeMap<RequestId, ConnectionCommand>,
-    moved: BTreeSet<RequestId>,
+    next_request_id: RequestId,
+    command_receivers: BTreeMap<RequestId, mpsc::Receiver<ConnectionCommand>>,
+    attempts: BTreeMap<RequestId, ServerId>,
+    last_commands: BTreeMap<RequestId, ConnectionCommand>,
+    moved_requests: BTreeSet<RequestId>,
 }
 
 impl EngineHarness {
@@ -98,7 +98,7 @@
 
     pub fn with_seed(uids: &[&str], seed: u64) -> Self {
         let start = Instant::now();
-        let setup = EngineConfig {
+        let config = EngineConfig {
             settings: settings(),
             seed,
             names: NameTable::default(),
@@ -116,7 +116,11 @@
             has_left: false,
             machines: violetwind_service::MachineMap::default(),
         };
-        let mut engine = Engine::new(setup, Clock::simulated(start, START_UNIX_SECONDS), NoProbes);
+        let mut engine = Engine::new(
+            config,
+            Clock::simulated(start, START_UNIX_SECONDS),
+            NoProbes,
+        );
         let rows = uids
             .iter()
             .map(|uid| listed_server(uid, Status::Up, None))
@@ -126,11 +130,11 @@
             engine,
             start,
             now: start,
-            next: 0,
-            orders: BTreeMap::new(),
-            out: BTreeMap::new(),
-            last: BTreeMap::new(),
-            moved: BTreeSet::new(),
+            next_request_id: 0,
+            command_receivers: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            last_commands: BTreeMap::new(),
+            moved_requests: BTreeSet::new(),
         }
     }
 
@@ -142,25 +146,25 @@
         START_UNIX_SECONDS + (self.now - self.start).as_secs_f64()
     }
 
-    pub fn handle_event(&mut self, notice: EngineEvent) {
-        self.engine.handle_event(self.now, notice);
+    pub fn handle_event(&mut self, event: EngineEvent) {
+        self.engine.handle_event(self.now, event);
     }
 
     pub fn apply_change(&mut self, change: OperatorChange) -> OperatorReply {
-        let (reply, mut answer) = oneshot::channel();
+        let (reply, mut reply_receiver) = oneshot::channel();
         self.handle_event(EngineEvent::OperatorChange(
             change,
             UnlistedServers::Reject,
             reply,
         ));
-        answer.try_recv().expect("in force at once")
+        reply_receiver.try_recv().expect("in force at once")
     }
 
     pub fn send_list(&mut self, kind: ListKind, rows: Vec<ListedServer>) {
         self.handle_event(EngineEvent::ServerList(kind, rows));
     }
 
-    /// Time passes, and the engine is woken as often as it wants.
+    /// Advances the time and wakes the engine at each time it asks for.
     pub fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         while let Some(at) = self.engine.next_wakeup().filter(|at| *at <= until) {
@@ -170,27 +174,32 @@
         self.now = until;
     }
 
-    /// A connection that another process had.
+    /// Adds an established connection that another process has handed over.
     pub fn adopt_connection(&mut self, uid: &str) -> RequestId {
-        let (request, to) = self.new_request(0);
+        let (request, command_sender) = self.new_request(0);
         let id = request.id;
-        self.handle_event(EngineEvent::Adopted(request, server_id(uid), to));
+        self.handle_event(EngineEvent::Adopted(
+            request,
+            server_id(uid),
+            command_sender,
+        ));
         id
     }
 
     pub fn send_request(&mut self, class: usize) -> RequestId {
-        let (request, to) = self.new_request(class);
+        let (request, command_sender) = self.new_request(class);
         let id = request.id;
-        self.handle_event(EngineEvent::Request(request, to));
+        self.handle_event(EngineEvent::Request(request, command_sender));
         id
     }
 
     fn new_request(&mut self, class: usize) -> (Request, mpsc::Sender<ConnectionCommand>) {
-        self.next += 1;
-        let (to, orders) = mpsc::channel(8);
-        self.orders.insert(self.next, orders);
+        self.next_request_id += 1;
+        let (command_sender, commands) = mpsc::channel(8);
+        self.command_receivers
+            .insert(self.next_request_id, commands);
         let request = Request {
-            id: self.next,
+            id: self.next_request_id,
             class,
             tenant: None,
             group: None,
@@ -198,68 +207,69 @@
             client_timeout: 60.0,
             is_repeat: false,
         };
-        (request, to)
+        (request, command_sender)
     }
 
     pub fn request_default_class(&mut self) -> RequestId {
         let id = self.send_request(0);
-        self.hear(id);
+        self.receive_commands(id);
         id
     }
 
-    /// Where a new request is sent to, which is up there at once and ends; none if it is not sent.
+    /// Sends a request, establishes its connection and closes it. Returns the chosen server, or `None` if no attempt was
+    /// made.
     pub fn place_and_close(&mut self) -> Option<ServerId> {
         let id = self.request_default_class();
-        let server = self.out.get(&id).copied()?;
+        let server = self.attempts.get(&id).copied()?;
         self.mark_up(id);
         self.handle_event(EngineEvent::ClientGone(id));
         Some(server)
     }
 
-    /// The answer to a new request.
+    /// Sends a request and returns the last command for it.
     pub fn answer_to_new_request(&mut self) -> Option<ConnectionCommand> {
         let id = self.request_default_class();
-        self.last.remove(&id)
+        self.last_commands.remove(&id)
     }
 
-    fn hear(&mut self, id: RequestId) -> Vec<ConnectionCommand> {
-        let mut heard = Vec::new();
-        while let Ok(order) = self.orders.get_mut(&id).unwrap().try_recv() {
-            match &order {
-                ConnectionCommand::Send { server, .. } => drop(self.out.insert(id, *server)),
-                ConnectionCommand::Move => drop(self.moved.insert(id)),
+    fn receive_commands(&mut self, id: RequestId) -> Vec<ConnectionCommand> {
+        let mut received = Vec::new();
+        while let Ok(command) = self.command_receivers.get_mut(&id).unwrap().try_recv() {
+            match &command {
+                ConnectionCommand::Send { server, .. } => drop(self.attempts.insert(id, *server)),
+                ConnectionCommand::Move => drop(self.moved_requests.insert(id)),
                 _ => {}
             }
-            if !matches!(order, ConnectionCommand::Cancel) {
-                self.last.insert(id, order.clone());
+            if !matches!(command, ConnectionCommand::Cancel) {
+                self.last_commands.insert(id, command.clone());
             }
-            heard.push(order);
+            received.push(command);
         }
-        heard
+        received
     }
 
-    /// The next thing a connection is told, if there is any.
+    /// Returns the first command that a connection has not received yet; the others are received too.
     pub fn next_command(&mut self, id: RequestId) -> Option<ConnectionCommand> {
-        self.hear(id).into_iter().next()
+        self.receive_commands(id).into_iter().next()
     }
 
-    /// The last thing it was told.
+    /// Returns the last command that a connection received.
     pub fn last_command(&mut self, id: RequestId) -> Option<ConnectionCommand> {
-        self.hear(id);
-        self.last.get(&id).cloned()
+        self.receive_commands(id);
+        self.last_commands.get(&id).cloned()
     }
 
     pub fn is_moved(&mut self, id: RequestId) -> bool {
-        self.hear(id);
-        self.moved.contains(&id)
+        self.receive_commands(id);
+        self.moved_requests.contains(&id)
     }
 
-    /// Its attempt ends so, and the module goes on.
+    /// Reports a non-final end of the pending attempt, after which the balancer decides how to continue.
     pub fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
-        self.hear(id);
+        self.receive_commands(id);
         self.handle_event(EngineEvent::AttemptEnded(AttemptEnd {
             id,
-            server: self.out[&id],
+            server: self.attempts[&id],
             outcome,
             is_final: false,
             report: Report::default(),
@@ -267,7 +277,7 @@
     }
 
     pub fn mark_up(&mut self, id: RequestId) {
-        let server = self.out[&id];
+        let server = self.attempts[&id];
         self.handle_event(EngineEvent::ConnectionUp(id, server));
     }
 }
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -1,5 +1,5 @@
-//! The engine with a catalogue, played in simulated time: servers answer probes or don't, clients are
-//! counted by the orders that reach them.
+//! Tests of the engine with a catalogue in simulated time. The simulated servers answer probes or fail them; the
+//! simulated clients record the commands that reach them.
 
 mod common;
 
@@ -39,9 +39,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Asked(Rc<RefCell<Vec<ServerId>>>);
+struct ProbeLog(Rc<RefCell<Vec<ServerId>>>);
 
-impl ProbeSender for Asked {
+impl ProbeSender for ProbeLog {
     fn send_probe(&mut self, server: ServerId, _: SocketAddr) -> bool {
         self.0.borrow_mut().push(server);
         true
@@ -50,33 +50,33 @@
 
 #[derive(Debug, Default)]
 struct Client {
-    orders: Option<mpsc::Receiver<ConnectionCommand>>,
-    /// Where an attempt is out, and where it is up.
-    out: Option<ServerId>,
-    on: Option<ServerId>,
-    finals: usize,
+    commands: Option<mpsc::Receiver<ConnectionCommand>>,
+    /// Server of the pending attempt, and server of the established connection.
+    attempt_server: Option<ServerId>,
+    connected_server: Option<ServerId>,
+    final_answers: usize,
     moved_at: Option<Instant>,
-    recalled: bool,
+    is_recalled: bool,
 }
 
-/// An engine, the servers and the clients round it.
-struct World {
-    engine: Engine<Asked>,
-    asked: Asked,
+/// An engine with simulated servers and clients.
+struct Simulation {
+    engine: Engine<ProbeLog>,
+    probes: ProbeLog,
     now: Instant,
-    names: Vec<String>,
-    dead: BTreeSet<ServerId>,
-    /// Servers take attempts up at once; else the test does.
-    eager: bool,
+    server_uids: Vec<String>,
+    dead_servers: BTreeSet<ServerId>,
+    /// Whether live servers accept attempts at once; otherwise attempts stay pending.
+    accepts_attempts: bool,
     clients: BTreeMap<RequestId, Client>,
-    sent: Vec<(Instant, ServerId)>,
+    attempts: Vec<(Instant, ServerId)>,
 }
 
-impl World {
+impl Simulation {
     fn new(servers: usize, sources: &[&str]) -> Self {
         let start = Instant::now();
-        let asked = Asked::default();
-        let setup = EngineConfig {
+        let probes = ProbeLog::default();
+        let config = EngineConfig {
             settings: settings(),
             seed: 14,
             names: NameTable::default(),
@@ -95,43 +95,43 @@
             machines: violetwind_service::MachineMap::default(),
         };
         let clock = Clock::simulated(start, 1.7e9);
-        let mut world = Self {
-            engine: Engine::new(setup, clock, asked.clone()),
-            asked,
+        let mut sim = Self {
+            engine: Engine::new(config, clock, probes.clone()),
+            probes,
             now: start,
-            names: (0..servers).map(|n| format!("s-{n}")).collect(),
-            dead: BTreeSet::new(),
-            eager: true,
+            server_uids: (0..servers).map(|n| format!("s-{n}")).collect(),
+            dead_servers: BTreeSet::new(),
+            accepts_attempts: true,
             clients: BTreeMap::new(),
-            sent: Vec::new(),
+            attempts: Vec::new(),
         };
-        world.engine.start(start, Vec::new());
-        world.sources(sources);
+        sim.engine.start(start, Vec::new());
+        sim.set_sources(sources);
         for source in sources {
-            world.tell(source, world.list(|_| Some(ReportedStatus::Ready)));
+            sim.send_update(source, sim.snapshot(|_| Some(ReportedStatus::Ready)));
         }
-        world
+        sim
     }
 
-    fn sources(&mut self, names: &[&str]) {
+    fn set_sources(&mut self, names: &[&str]) {
         let names = names.iter().map(|name| (*name).into()).collect();
-        self.take(EngineEvent::Sources(names));
+        self.handle(EngineEvent::Sources(names));
     }
 
-    fn list(&self, word: impl Fn(usize) -> Option<ReportedStatus>) -> SourceUpdate {
-        let rows = self.names.iter().enumerate();
+    fn snapshot(&self, status_of: impl Fn(usize) -> Option<ReportedStatus>) -> SourceUpdate {
+        let rows = self.server_uids.iter().enumerate();
         SourceUpdate::Snapshot(
-            rows.filter_map(|(n, _)| Some(self.row(n, word(n)?)))
+            rows.filter_map(|(index, _)| Some(self.row(index, status_of(index)?)))
                 .collect(),
         )
     }
 
-    fn row(&self, n: usize, word: ReportedStatus) -> Row {
+    fn row(&self, index: usize, status: ReportedStatus) -> Row {
         Row {
-            uid: self.names[n].as_str().into(),
-            status: word,
+            uid: self.server_uids[index].as_str().into(),
+            status,
             instance: Some(Instance {
-                endpoint: ([127, 0, 0, 1], 1000 + n as u16).into(),
+                endpoint: ([127, 0, 0, 1], 1000 + index as u16).into(),
                 zone: None,
                 kind: None,
                 cell: 0,
@@ -142,85 +142,85 @@
         }
     }
 
-    fn id(&self, n: usize) -> ServerId {
-        server_id(&self.names[n])
+    fn server_id(&self, index: usize) -> ServerId {
+        server_id(&self.server_uids[index])
     }
 
-    fn tell(&mut self, source: &str, telling: SourceUpdate) {
-        self.take(EngineEvent::SourceUpdate(source.into(), telling));
+    fn send_update(&mut self, source: &str, update: SourceUpdate) {
+        self.handle(EngineEvent::SourceUpdate(source.into(), update));
     }
 
-    fn take(&mut self, notice: EngineEvent) {
-        self.engine.handle_event(self.now, notice);
-        self.settle();
+    fn handle(&mut self, event: EngineEvent) {
+        self.engine.handle_event(self.now, event);
+        self.deliver();
     }
 
-    /// Probes are answered, or fail, and orders reach their clients.
-    fn settle(&mut self) {
+    /// Answers or fails the queued probes and delivers commands to clients until neither is left.
+    fn deliver(&mut self) {
         loop {
-            let asked: Vec<ServerId> = self.asked.0.borrow_mut().drain(..).collect();
-            let mut busy = !asked.is_empty();
-            for server in asked {
-                let outcome = match self.dead.contains(&server) {
+            let probed: Vec<ServerId> = self.probes.0.borrow_mut().drain(..).collect();
+            let mut is_active = !probed.is_empty();
+            for server in probed {
+                let outcome = match self.dead_servers.contains(&server) {
                     true => Outcome::TimedOut,
                     false => Outcome::Ok,
                 };
-                let notice = EngineEvent::Probed(server, outcome, Report::default());
-                self.engine.handle_event(self.now, notice);
+                let event = EngineEvent::Probed(server, outcome, Report::default());
+                self.engine.handle_event(self.now, event);
             }
-            let mut notices = Vec::new();
+            let mut events = Vec::new();
             for (&id, client) in &mut self.clients {
-                let Some(orders) = &mut client.orders else {
+                let Some(commands) = &mut client.commands else {
                     continue;
                 };
-                while let Ok(order) = orders.try_recv() {
-                    busy = true;
-                    match order {
+                while let Ok(command) = commands.try_recv() {
+                    is_active = true;
+                    match command {
                         ConnectionCommand::Send { server, .. } => {
-                            self.sent.push((self.now, server));
-                            client.out = Some(server);
-                            if self.eager && !self.dead.contains(&server) {
-                                client.out = None;
-                                client.on = Some(server);
-                                notices.push(EngineEvent::ConnectionUp(id, server));
+                            self.attempts.push((self.now, server));
+                            client.attempt_server = Some(server);
+                            if self.accepts_attempts && !self.dead_servers.contains(&server) {
+                                client.attempt_server = None;
+                                client.connected_server = Some(server);
+                                events.push(EngineEvent::ConnectionUp(id, server));
                             }
                         }
                         ConnectionCommand::Refuse(_) | ConnectionCommand::Fail => {
-                            client.finals += 1
+                            client.final_answers += 1
                         }
                         ConnectionCommand::Move => {
                             client.moved_at.get_or_insert(self.now);
                         }
-                        ConnectionCommand::Recall => client.recalled = true,
+                        ConnectionCommand::Recall => client.is_recalled = true,
                         ConnectionCommand::NotYet
                         | ConnectionCommand::Cancel
                         | ConnectionCommand::HandOver => {}
                     }
                 }
             }
-            for notice in notices {
-                self.engine.handle_event(self.now, notice);
+            for event in events {
+                self.engine.handle_event(self.now, event);
             }
-            if !busy {
+            if !is_active {
                 return;
             }
         }
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some(at) = self.engine.next_wakeup().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.engine.handle_wakeup(self.now);
-            self.settle();
+            self.deliver();
         }
         self.now = until;
     }
 
-    fn open(&mut self, id: RequestId) {
-        let (to, orders) = mpsc::channel(8);
+    fn send_request(&mut self, id: RequestId) {
+        let (command_sender, commands) = mpsc::channel(8);
         let client = Client {
-            orders: Some(orders),
+            commands: Some(commands),
             ..Client::default()
         };
         self.clients.insert(id, client);
@@ -233,224 +233,252 @@
             client_timeout: 2.0,
             is_repeat: false,
         };
-        self.take(EngineEvent::Request(request, to));
+        self.handle(EngineEvent::Request(request, command_sender));
     }
 
-    fn open_many(&mut self, clients: u64) {
+    fn connect_clients(&mut self, clients: u64) {
         for id in 0..clients {
-            self.open(id);
-            self.pass(ms(10));
+            self.send_request(id);
+            self.advance(ms(10));
         }
-        let up = self.clients.values().filter(|client| client.on.is_some());
-        assert_eq!(up.count() as u64, clients);
+        let connected = self
+            .clients
+            .values()
+            .filter(|client| client.connected_server.is_some());
+        assert_eq!(connected.count() as u64, clients);
     }
 
-    fn moved(&self) -> usize {
-        let moved = self.clients.values().filter(|c| c.moved_at.is_some());
+    fn moved_clients(&self) -> usize {
+        let moved = self
+            .clients
+            .values()
+            .filter(|client| client.moved_at.is_some());
         moved.count()
     }
 
-    fn on(&self, n: usize) -> usize {
-        let id = self.id(n);
-        self.clients.values().filter(|c| c.on == Some(id)).count()
+    fn clients_on(&self, index: usize) -> usize {
+        let server = self.server_id(index);
+        self.clients
+            .values()
+            .filter(|client| client.connected_server == Some(server))
+            .count()
     }
 }
 
-/// The harm that the catalogue ends: 150 of 300 clients were moved for a list that left out half of
-/// the servers for two seconds.
+/// Without a catalogue, 150 of 300 clients were moved because a list omitted half of the servers for two seconds.
 #[test]
-fn a_list_without_half_of_the_servers_for_two_seconds_moves_nobody() {
-    let mut world = World::new(6, &["one"]);
-    world.open_many(300);
-    world.tell(
+fn list_without_half_of_the_servers_for_two_seconds_moves_no_clients() {
+    let mut sim = Simulation::new(6, &["one"]);
+    sim.connect_clients(300);
+    sim.send_update(
         "one",
-        world.list(|n| (n < 3).then_some(ReportedStatus::Ready)),
+        sim.snapshot(|n| (n < 3).then_some(ReportedStatus::Ready)),
     );
-    world.pass(ms(2000));
-    world.tell("one", world.list(|_| Some(ReportedStatus::Ready)));
-    world.pass(ms(60_000));
-    assert_eq!(world.moved(), 0);
+    sim.advance(ms(2000));
+    sim.send_update("one", sim.snapshot(|_| Some(ReportedStatus::Ready)));
+    sim.advance(ms(60_000));
+    assert_eq!(sim.moved_clients(), 0);
 }
 
 #[test]
-fn checks_of_half_that_fail_three_times_a_minute_move_nobody_and_new_clients_are_served() {
-    let mut world = World::new(6, &["one"]);
-    world.open_many(60);
+fn flapping_checks_of_half_of_the_servers_move_no_clients_and_new_clients_are_served() {
+    let mut sim = Simulation::new(6, &["one"]);
+    sim.connect_clients(60);
     for round in 0..9 {
-        let half = |n| {
+        let failing_half = |n| {
             Some(if n < 3 {
                 ReportedStatus::Failing
             } else {
                 ReportedStatus::Ready
             })
         };
-        world.tell("one", world.list(half));
-        world.pass(ms(2000));
-        world.tell("one", world.list(|_| Some(ReportedStatus::Ready)));
-        world.open(1000 + round);
-        world.pass(ms(18_000));
+        sim.send_update("one", sim.snapshot(failing_half));
+        sim.advance(ms(2000));
+        sim.send_update("one", sim.snapshot(|_| Some(ReportedStatus::Ready)));
+        sim.send_request(1000 + round);
+        sim.advance(ms(18_000));
     }
-    assert_eq!(world.moved(), 0);
-    assert!(world.clients.values().all(|c| c.on.is_some()));
+    assert_eq!(sim.moved_clients(), 0);
+    assert!(
+        sim.clients
+            .values()
+            .all(|client| client.connected_server.is_some())
+    );
 }
 
-/// The source is right this once: what does not answer is moved within 3 s, the others stay.
+/// One of the dropped servers is really dead: its clients are moved within 3 s, those of the others stay.
 #[test]
-fn of_a_doubted_half_the_clients_of_the_dead_are_moved_in_time() {
-    let mut world = World::new(6, &["one"]);
-    world.open_many(300);
-    let lost = world.now;
-    world.dead.insert(world.id(0));
-    world.tell(
+fn only_clients_of_dead_servers_are_moved_when_a_source_drops_half_of_the_servers() {
+    let mut sim = Simulation::new(6, &["one"]);
+    sim.connect_clients(300);
+    let dropped_at = sim.now;
+    sim.dead_servers.insert(sim.server_id(0));
+    sim.send_update(
         "one",
-        world.list(|n| (n > 2).then_some(ReportedStatus::Ready)),
+        sim.snapshot(|n| (n > 2).then_some(ReportedStatus::Ready)),
+    );
+    sim.advance(ms(3000));
+    assert_eq!(
+        sim.moved_clients(),
+        sim.clients_on(0),
+        "only clients of the dead server are moved"
     );
-    world.pass(ms(3000));
-    assert_eq!(world.moved(), world.on(0), "nobody but those of the dead");
-    let late = lost + ms(3000);
+    let deadline = dropped_at + ms(3000);
     assert!(
-        world
-            .clients
+        sim.clients
             .values()
-            .all(|c| c.moved_at.is_none_or(|at| at <= late))
+            .all(|client| client.moved_at.is_none_or(|at| at <= deadline))
     );
 }
 
 #[test]
-fn nothing_new_goes_to_a_suspect_while_others_have_room_and_to_suspects_alone_it_does() {
-    let mut world = World::new(4, &["one"]);
-    world.tell(
+fn suspected_server_gets_new_clients_only_when_no_other_server_is_up() {
+    let mut sim = Simulation::new(4, &["one"]);
+    sim.send_update(
         "one",
-        SourceUpdate::Delta(vec![world.row(0, ReportedStatus::Failing)]),
+        SourceUpdate::Delta(vec![sim.row(0, ReportedStatus::Failing)]),
     );
-    world.pass(ms(100));
-    world.open_many(40);
-    assert_eq!(world.on(0), 0);
-    // The others drain: the suspect is all there is.
+    sim.advance(ms(100));
+    sim.connect_clients(40);
+    assert_eq!(sim.clients_on(0), 0);
+    // The other servers drain: only the suspected one is left.
     let rows = (1..4)
-        .map(|n| world.row(n, ReportedStatus::Draining))
+        .map(|n| sim.row(n, ReportedStatus::Draining))
         .collect();
-    world.tell("one", SourceUpdate::Delta(rows));
-    world.pass(ms(5000));
-    world.open(100);
-    world.pass(ms(1000));
-    assert_eq!(world.clients[&100].on, Some(world.id(0)));
+    sim.send_update("one", SourceUpdate::Delta(rows));
+    sim.advance(ms(5000));
+    sim.send_request(100);
+    sim.advance(ms(1000));
+    assert_eq!(sim.clients[&100].connected_server, Some(sim.server_id(0)));
 }
 
-/// From the moment of the word on: nothing is sent, attempts on the way are called back before they
-/// send, clients are moved over 0.8 s from 0.7 s on, whatever another source says.
+/// From the report on, no attempt goes to the draining server, pending attempts are recalled before they send anything,
+/// and clients are moved over 0.8 s starting after 0.7 s, even if another source reports the server as ready.
 #[test]
-fn a_told_drain_binds_at_once_and_moves_its_clients_in_time() {
-    let mut world = World::new(3, &["one", "two"]);
-    world.open_many(30);
-    let drained = world.id(1);
-    world.eager = false;
+fn reported_drain_takes_effect_at_once_and_moves_clients_in_time() {
+    let mut sim = Simulation::new(3, &["one", "two"]);
+    sim.connect_clients(30);
+    let drained = sim.server_id(1);
+    sim.accepts_attempts = false;
     for id in 100..130 {
-        world.open(id);
+        sim.send_request(id);
     }
-    let out: Vec<RequestId> = world
+    let pending_attempts: Vec<RequestId> = sim
         .clients
         .iter()
-        .filter(|(_, c)| c.out == Some(drained))
+        .filter(|(_, client)| client.attempt_server == Some(drained))
         .map(|(id, _)| *id)
         .collect();
-    assert!(!out.is_empty());
-    let told = world.now;
-    world.tell(
+    assert!(!pending_attempts.is_empty());
+    let reported_at = sim.now;
+    sim.send_update(
         "two",
-        SourceUpdate::Delta(vec![world.row(1, ReportedStatus::Draining)]),
+        SourceUpdate::Delta(vec![sim.row(1, ReportedStatus::Draining)]),
     );
-    for (id, client) in &world.clients {
-        assert_eq!(client.recalled, out.contains(id), "{id}");
+    for (id, client) in &sim.clients {
+        assert_eq!(client.is_recalled, pending_attempts.contains(id), "{id}");
     }
     for round in 0..30 {
-        world.tell("one", world.list(|_| Some(ReportedStatus::Ready)));
-        world.open(200 + round);
-        world.pass(ms(100));
+        sim.send_update("one", sim.snapshot(|_| Some(ReportedStatus::Ready)));
+        sim.send_request(200 + round);
+        sim.advance(ms(100));
     }
     assert!(
-        world
-            .sent
+        sim.attempts
             .iter()
-            .all(|(at, to)| *at <= told || *to != drained)
+            .all(|(sent_at, server)| *sent_at <= reported_at || *server != drained)
     );
-    for client in world.clients.values().filter(|c| c.on == Some(drained)) {
-        let at = client.moved_at.expect("moved") - told;
-        assert!((ms(700)..=ms(1520)).contains(&at), "{at:?}");
+    for client in sim
+        .clients
+        .values()
+        .filter(|client| client.connected_server == Some(drained))
+    {
+        let moved_after = client.moved_at.expect("moved") - reported_at;
+        assert!(
+            (ms(700)..=ms(1520)).contains(&moved_after),
+            "{moved_after:?}"
+        );
     }
-    assert_eq!(world.moved(), world.on(1));
+    assert_eq!(sim.moved_clients(), sim.clients_on(1));
 }
 
 #[test]
-fn clients_at_the_old_address_of_a_server_stay_for_as_long_as_an_absence_may_last() {
-    let mut world = World::new(3, &["one"]);
-    world.open_many(30);
-    let old = world.on(2);
-    assert!(old > 0);
-    let mut row = world.row(2, ReportedStatus::Ready);
+fn clients_at_the_old_address_of_a_server_stay_for_the_absence_timeout() {
+    let mut sim = Simulation::new(3, &["one"]);
+    sim.connect_clients(30);
+    let clients_at_old_address = sim.clients_on(2);
+    assert!(clients_at_old_address > 0);
+    let mut row = sim.row(2, ReportedStatus::Ready);
     row.instance.as_mut().unwrap().endpoint.set_port(9999);
-    let gone = world.list(|n| (n != 2).then_some(ReportedStatus::Ready));
-    world.tell("one", gone);
-    world.pass(ms(200));
-    let told = world.now;
-    world.tell("one", SourceUpdate::Delta(vec![row]));
-    world.pass(ms(59_000));
-    assert_eq!(world.moved(), 0);
-    world.open(500);
-    world.pass(ms(3000));
-    assert_eq!(world.moved(), old);
-    assert!(
-        world
-            .clients
-            .values()
-            .all(|c| c.moved_at.is_none_or(|at| at >= told + ms(60_000)))
-    );
+    let list_without_server = sim.snapshot(|n| (n != 2).then_some(ReportedStatus::Ready));
+    sim.send_update("one", list_without_server);
+    sim.advance(ms(200));
+    let listed_at = sim.now;
+    sim.send_update("one", SourceUpdate::Delta(vec![row]));
+    sim.advance(ms(59_000));
+    assert_eq!(sim.moved_clients(), 0);
+    sim.send_request(500);
+    sim.advance(ms(3000));
+    assert_eq!(sim.moved_clients(), clients_at_old_address);
+    assert!(sim.clients.values().all(|client| {
+        client
+            .moved_at
+            .is_none_or(|at| at >= listed_at + ms(60_000))
+    }));
 }
 
 #[test]
-fn an_hour_of_silence_serves_on() {
-    let mut world = World::new(4, &["one"]);
-    world.open_many(20);
+fn requests_are_served_during_an_hour_without_an_answer_of_the_source() {
+    let mut sim = Simulation::new(4, &["one"]);
+    sim.connect_clients(20);
     for second in 0..3600 {
-        world.tell("one", SourceUpdate::Unavailable);
-        world.pass(ms(1000));
+        sim.send_update("one", SourceUpdate::Unavailable);
+        sim.advance(ms(1000));
         if second % 600 == 0 {
-            world.open(1000 + second);
+            sim.send_request(1000 + second);
         }
     }
-    assert_eq!(world.moved(), 0);
-    assert!(world.clients.values().all(|c| c.on.is_some()));
+    assert_eq!(sim.moved_clients(), 0);
+    assert!(
+        sim.clients
+            .values()
+            .all(|client| client.connected_server.is_some())
+    );
 }
 
 #[test]
-fn a_change_of_sources_under_load_moves_nobody() {
-    let mut world = World::new(6, &["registry"]);
-    world.open_many(60);
-    world.sources(&["consul"]);
-    world.pass(ms(500));
-    world.open(100);
-    world.pass(ms(500));
-    world.tell("consul", world.list(|_| Some(ReportedStatus::Ready)));
-    world.open(101);
-    world.pass(ms(120_000));
-    assert_eq!(world.moved(), 0);
-    assert!(world.clients.values().all(|c| c.on.is_some()));
+fn change_of_sources_under_load_moves_no_clients() {
+    let mut sim = Simulation::new(6, &["registry"]);
+    sim.connect_clients(60);
+    sim.set_sources(&["consul"]);
+    sim.advance(ms(500));
+    sim.send_request(100);
+    sim.advance(ms(500));
+    sim.send_update("consul", sim.snapshot(|_| Some(ReportedStatus::Ready)));
+    sim.send_request(101);
+    sim.advance(ms(120_000));
+    assert_eq!(sim.moved_clients(), 0);
+    assert!(
+        sim.clients
+            .values()
+            .all(|client| client.connected_server.is_some())
+    );
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Open,
-    Word(usize, u8, ReportedStatus),
-    Whole(usize, Vec<Option<ReportedStatus>>),
-    Lost(usize),
-    Dies(u8),
-    Lives(u8),
-    Ends(u8),
-    Leaves(u8),
-    Pass(u64),
+    StatusReport(usize, u8, ReportedStatus),
+    FullList(usize, Vec<Option<ReportedStatus>>),
+    SourceUnavailable(usize),
+    ServerDies(u8),
+    ServerRecovers(u8),
+    ConnectionEnds(u8),
+    ClientLeaves(u8),
+    Advance(u64),
 }
 
-fn word() -> impl Strategy<Value = ReportedStatus> {
+fn reported_status() -> impl Strategy<Value = ReportedStatus> {
     prop_oneof![
         4 => Just(ReportedStatus::Ready),
         2 => Just(ReportedStatus::Failing),
@@ -460,17 +488,17 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let whole = prop::collection::vec(prop::option::weighted(0.8, word()), 8);
+    let statuses = prop::collection::vec(prop::option::weighted(0.8, reported_status()), 8);
     prop_oneof![
         6 => Just(Step::Open),
-        4 => (0..2_usize, 0..8_u8, word()).prop_map(|(s, n, w)| Step::Word(s, n, w)),
-        1 => (0..2_usize, whole).prop_map(|(s, w)| Step::Whole(s, w)),
-        1 => (0..2_usize).prop_map(Step::Lost),
-        1 => (0..8_u8).prop_map(Step::Dies),
-        2 => (0..8_u8).prop_map(Step::Lives),
-        2 => any::<u8>().prop_map(Step::Ends),
-        1 => any::<u8>().prop_map(Step::Leaves),
-        4 => (0..5000_u64).prop_map(Step::Pass),
+        4 => (0..2_usize, 0..8_u8, reported_status()).prop_map(|(s, n, w)| Step::StatusReport(s, n, w)),
+        1 => (0..2_usize, statuses).prop_map(|(s, w)| Step::FullList(s, w)),
+        1 => (0..2_usize).prop_map(Step::SourceUnavailable),
+        1 => (0..8_u8).prop_map(Step::ServerDies),
+        2 => (0..8_u8).prop_map(Step::ServerRecovers),
+        2 => any::<u8>().prop_map(Step::ConnectionEnds),
+        1 => any::<u8>().prop_map(Step::ClientLeaves),
+        4 => (0..5000_u64).prop_map(Step::Advance),
     ]
 }
 
@@ -482,125 +510,135 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever sources say and servers do: one final answer at most, and one by the deadline; nothing is
-    /// sent to a server whose drain stands.
+    /// For any sequence of source reports and server failures, a request gets at most one final answer, and gets one by
+    /// its deadline; no attempt goes to a server while a source reports it as draining.
     #[test]
-    fn every_request_has_one_final_answer_and_no_drain_is_broken(
+    fn every_request_gets_one_final_answer_and_draining_servers_get_no_requests(
         steps in prop::collection::vec(step(), 1..100)
     ) {
-        let mut world = World::new(8, &["one", "two"]);
-        let names = ["one", "two"];
-        let mut drained: BTreeMap<usize, BTreeSet<usize>> = BTreeMap::new();
-        let mut opened: BTreeMap<RequestId, Instant> = BTreeMap::new();
-        for (at, step) in steps.iter().enumerate() {
-            let sent = world.sent.len();
-            let mut note = |source: usize, n: usize, word: ReportedStatus| {
-                let by = drained.entry(n).or_default();
-                match word {
-                    ReportedStatus::Draining => drop(by.insert(source)),
-                    ReportedStatus::Ready | ReportedStatus::Failing => drop(by.remove(&source)),
+        let mut sim = Simulation::new(8, &["one", "two"]);
+        let sources = ["one", "two"];
+        let mut drains_by_server: BTreeMap<usize, BTreeSet<usize>> = BTreeMap::new();
+        let mut requested_at: BTreeMap<RequestId, Instant> = BTreeMap::new();
+        for (request_id, step) in steps.iter().enumerate() {
+            let attempts_before = sim.attempts.len();
+            let mut record_status = |source: usize, n: usize, status: ReportedStatus| {
+                let drain_sources = drains_by_server.entry(n).or_default();
+                match status {
+                    ReportedStatus::Draining => drop(drain_sources.insert(source)),
+                    ReportedStatus::Ready | ReportedStatus::Failing => drop(drain_sources.remove(&source)),
                     ReportedStatus::Left => {}
                 }
             };
             match step {
                 Step::Open => {
-                    opened.insert(at as u64, world.now);
-                    world.open(at as u64);
+                    requested_at.insert(request_id as u64, sim.now);
+                    sim.send_request(request_id as u64);
                 }
-                Step::Word(s, n, w) => {
-                    note(*s, usize::from(*n), *w);
-                    let row = world.row(usize::from(*n), *w);
-                    world.tell(names[*s], SourceUpdate::Delta(vec![row]));
+                Step::StatusReport(source, server, status) => {
+                    record_status(*source, usize::from(*server), *status);
+                    let row = sim.row(usize::from(*server), *status);
+                    sim.send_update(sources[*source], SourceUpdate::Delta(vec![row]));
                 }
-                Step::Whole(s, words) => {
-                    for (n, word) in words.iter().enumerate() {
-                        if let Some(word) = word {
-                            note(*s, n, *word);
+                Step::FullList(source, statuses) => {
+                    for (n, status) in statuses.iter().enumerate() {
+                        if let Some(status) = status {
+                            record_status(*source, n, *status);
                         }
                     }
-                    world.tell(names[*s], world.list(|n| words[n]));
+                    sim.send_update(sources[*source], sim.snapshot(|n| statuses[n]));
                 }
-                Step::Lost(s) => world.tell(names[*s], SourceUpdate::Unavailable),
-                Step::Dies(n) => drop(world.dead.insert(world.id(usize::from(*n)))),
-                Step::Lives(n) => drop(world.dead.remove(&world.id(usize::from(*n)))),
-                Step::Ends(n) | Step::Leaves(n) => {
-                    let up = world.clients.iter().filter(|(_, c)| c.on.is_some());
-                    let up: Vec<(RequestId, ServerId)> = up.map(|(id, c)| (*id, c.on.unwrap())).collect();
-                    if let Some((id, server)) = up.get(usize::from(*n) % up.len().max(1)).copied() {
-                        world.clients.remove(&id);
-                        opened.remove(&id);
-                        let ended = AttemptEnd { id, server, outcome: Outcome::Ok, is_final: true, report: Report::default() };
-                        world.take(match step {
-                            Step::Ends(_) => EngineEvent::AttemptEnded(ended),
+                Step::SourceUnavailable(source) => sim.send_update(sources[*source], SourceUpdate::Unavailable),
+                Step::ServerDies(n) => drop(sim.dead_servers.insert(sim.server_id(usize::from(*n)))),
+                Step::ServerRecovers(n) => drop(sim.dead_servers.remove(&sim.server_id(usize::from(*n)))),
+                Step::ConnectionEnds(index) | Step::ClientLeaves(index) => {
+                    let connected = sim.clients.iter().filter(|(_, c)| c.connected_server.is_some());
+                    let connected: Vec<(RequestId, ServerId)> = connected.map(|(id, c)| (*id, c.connected_server.unwrap())).collect();
+                    if let Some((id, server)) = connected.get(usize::from(*index) % connected.len().max(1)).copied() {
+                        sim.clients.remove(&id);
+                        requested_at.remove(&id);
+                        let attempt_end = AttemptEnd { id, server, outcome: Outcome::Ok, is_final: true, report: Report::default() };
+                        sim.handle(match step {
+                            Step::ConnectionEnds(_) => EngineEvent::AttemptEnded(attempt_end),
                             _ => EngineEvent::ClientGone(id),
                         });
                     }
                 }
-                Step::Pass(span) => world.pass(ms(*span)),
+                Step::Advance(span) => sim.advance(ms(*span)),
             }
-            // A server out of reach does not take the attempt.
-            let out: Vec<(RequestId, ServerId)> =
-                world.clients.iter().filter_map(|(id, c)| Some((*id, c.out?))).collect();
-            for (id, server) in out {
-                world.clients.get_mut(&id).unwrap().out = None;
-                let ended = AttemptEnd { id, server, outcome: Outcome::ConnectFailed, is_final: false, report: Report::default() };
-                world.take(EngineEvent::AttemptEnded(ended));
+            // An attempt at an unreachable server fails to connect.
+            let failed_attempts: Vec<(RequestId, ServerId)> =
+                sim.clients.iter().filter_map(|(id, c)| Some((*id, c.attempt_server?))).collect();
+            for (id, server) in failed_attempts {
+                sim.clients.get_mut(&id).unwrap().attempt_server = None;
+                let attempt_end = AttemptEnd { id, server, outcome: Outcome::ConnectFailed, is_final: false, report: Report::default() };
+                sim.handle(EngineEvent::AttemptEnded(attempt_end));
             }
-            for (_, to) in &world.sent[sent..] {
-                let n = (0..8).find(|n| world.id(*n) == *to).unwrap();
-                let by = drained.get(&n).is_none_or(BTreeSet::is_empty);
-                prop_assert!(by, "s-{n} drains by {:?}: {step:?}", drained[&n]);
+            for (_, server) in &sim.attempts[attempts_before..] {
+                let n = (0..8).find(|n| sim.server_id(*n) == *server).unwrap();
+                let is_in_use = drains_by_server.get(&n).is_none_or(BTreeSet::is_empty);
+                prop_assert!(is_in_use, "s-{n} is drained by sources {:?}: {step:?}", drains_by_server[&n]);
             }
-            for (id, client) in &world.clients {
-                prop_assert!(client.finals + usize::from(client.on.is_some()) <= 1);
-                let late = world.now > opened[id] + ms(2100);
-                prop_assert!(!late || client.finals == 1 || client.on.is_some() || client.out.is_some(), "{id} has no answer");
+            for (id, client) in &sim.clients {
+                prop_assert!(client.final_answers + usize::from(client.connected_server.is_some()) <= 1);
+                let is_late = sim.now > requested_at[id] + ms(2100);
+                prop_assert!(!is_late || client.final_answers == 1 || client.connected_server.is_some() || client.attempt_server.is_some(), "request {id} has no final answer");
             }
         }
     }
 }
 
-/// A ban is above what the catalogue believes, and outlives a source that drops the server or is let go.
+/// A ban overrides the catalogue and stays in force when a source drops the server or is removed.
 #[test]
-fn a_ban_holds_over_sources_that_are_weighed() {
-    let mut world = World::new(3, &["consul", "registry"]);
-    let banned = server_id("s-0");
-    let say = |world: &mut World, change| {
-        let (reply, mut answer) = tokio::sync::oneshot::channel();
-        world.take(EngineEvent::OperatorChange(
+fn ban_stays_in_force_over_source_updates_and_a_change_of_sources() {
+    let mut sim = Simulation::new(3, &["consul", "registry"]);
+    let banned_server = server_id("s-0");
+    let apply_change = |sim: &mut Simulation, change| {
+        let (reply, mut reply_receiver) = tokio::sync::oneshot::channel();
+        sim.handle(EngineEvent::OperatorChange(
             change,
             UnlistedServers::Reject,
             reply,
         ));
-        answer.try_recv().expect("in force at once")
+        reply_receiver.try_recv().expect("in force at once")
     };
-    let unknown = OperatorChange::Offline("nobody".into());
-    assert_eq!(say(&mut world, unknown), OperatorReply::Unknown);
-    let out = OperatorChange::Offline("s-0".into());
-    assert!(matches!(say(&mut world, out), OperatorReply::Changed(_)));
-    let from = world.sent.len();
-    world.tell("consul", world.list(|_| Some(ReportedStatus::Ready)));
-    world.tell(
+    let ban_unknown = OperatorChange::Offline("nobody".into());
+    assert_eq!(apply_change(&mut sim, ban_unknown), OperatorReply::Unknown);
+    let ban = OperatorChange::Offline("s-0".into());
+    assert!(matches!(
+        apply_change(&mut sim, ban),
+        OperatorReply::Changed(_)
+    ));
+    let attempts_before = sim.attempts.len();
+    sim.send_update("consul", sim.snapshot(|_| Some(ReportedStatus::Ready)));
+    sim.send_update(
         "consul",
-        world.list(|n| (n > 0).then_some(ReportedStatus::Ready)),
+        sim.snapshot(|n| (n > 0).then_some(ReportedStatus::Ready)),
     );
-    world.sources(&["registry"]);
-    world.tell("registry", world.list(|_| Some(ReportedStatus::Ready)));
+    sim.set_sources(&["registry"]);
+    sim.send_update("registry", sim.snapshot(|_| Some(ReportedStatus::Ready)));
     for id in 1000..1030 {
-        world.open(id);
-        world.pass(ms(50));
+        sim.send_request(id);
+        sim.advance(ms(50));
     }
-    assert!(world.sent.len() >= from + 30);
+    assert!(sim.attempts.len() >= attempts_before + 30);
     assert!(
-        world.sent[from..]
+        sim.attempts[attempts_before..]
             .iter()
-            .all(|(_, server)| *server != banned)
+            .all(|(_, server)| *server != banned_server)
     );
-    let back = OperatorChange::Online("s-0".into());
-    assert!(matches!(say(&mut world, back), OperatorReply::Changed(_)));
+    let unban = OperatorChange::Online("s-0".into());
+    assert!(matches!(
+        apply_change(&mut sim, unban),
+        OperatorReply::Changed(_)
+    ));
     for id in 2000..2030 {
-        world.open(id);
-        world.pass(ms(50));
+        sim.send_request(id);
+        sim.advance(ms(50));
     }
-    assert!(world.sent.iter().any(|(_, server)| *server == banned));
+    assert!(
+        sim.attempts
+            .iter()
+            .any(|(_, server)| *server == banned_server)
+    );
 }
--- a/crates/engine/tests/service.rs
+++ b/crates/engine/tests/service.rs
@@ -1,5 +1,5 @@
-//! Operators' words in the engine, with the platform's discovery taken at its word: bans against lists,
-//! leaving and coming back, settings that change under way.
+//! Operators' changes in an engine without a catalogue: bans against lists, drain and re-join of the proxy, and
+//! settings that change at run time.
 
 mod common;
 
@@ -15,305 +15,323 @@
     Duration::from_millis(ms)
 }
 
-fn out(uid: &str) -> OperatorChange {
+fn ban(uid: &str) -> OperatorChange {
     OperatorChange::Offline(uid.into())
 }
 
-fn back(uid: &str) -> OperatorChange {
+fn unban(uid: &str) -> OperatorChange {
     OperatorChange::Online(uid.into())
 }
 
 #[test]
-fn a_banned_server_gets_nothing_whatever_lists_say() {
-    let mut world = EngineHarness::new(&["a", "b"]);
-    assert_eq!(world.apply_change(out("nobody")), OperatorReply::Unknown);
-    assert_eq!(world.apply_change(back("nobody")), OperatorReply::Unknown);
+fn banned_server_gets_no_requests_whatever_lists_report() {
+    let mut harness = EngineHarness::new(&["a", "b"]);
+    assert_eq!(harness.apply_change(ban("nobody")), OperatorReply::Unknown);
+    assert_eq!(
+        harness.apply_change(unban("nobody")),
+        OperatorReply::Unknown
+    );
     assert!(matches!(
-        world.apply_change(out("a")),
+        harness.apply_change(ban("a")),
         OperatorReply::Changed(_)
     ));
-    let b = world.server_id("b");
+    let b = harness.server_id("b");
     for kind in [ListKind::Update, ListKind::Replace] {
         for status in [Status::Up, Status::Draining, Status::Up] {
-            world.send_list(
+            harness.send_list(
                 kind,
                 vec![
                     listed_server("a", status, None),
                     listed_server("b", Status::Up, None),
                 ],
             );
-            assert!((0..20).all(|_| world.place_and_close() == Some(b)));
+            assert!((0..20).all(|_| harness.place_and_close() == Some(b)));
         }
     }
-    // Off the list and on it again, with a new start.
-    world.send_list(
+    // The server is dropped from the list and listed again with a new start time.
+    harness.send_list(
         ListKind::Replace,
         vec![listed_server("b", Status::Up, None)],
     );
-    world.send_list(
+    harness.send_list(
         ListKind::Update,
-        vec![listed_server("a", Status::Up, Some(world.unix_seconds()))],
+        vec![listed_server("a", Status::Up, Some(harness.unix_seconds()))],
     );
-    assert!((0..20).all(|_| world.place_and_close() == Some(b)));
-    // Out twice, back once.
+    assert!((0..20).all(|_| harness.place_and_close() == Some(b)));
+    // One unban undoes two bans.
     assert!(matches!(
-        world.apply_change(out("a")),
+        harness.apply_change(ban("a")),
         OperatorReply::Same(_)
     ));
     assert!(matches!(
-        world.apply_change(back("a")),
+        harness.apply_change(unban("a")),
         OperatorReply::Changed(_)
     ));
     assert!(matches!(
-        world.apply_change(back("a")),
+        harness.apply_change(unban("a")),
         OperatorReply::Same(_)
     ));
-    world.advance(ms(5000));
-    let a = world.server_id("a");
-    assert!((0..60).any(|_| world.place_and_close() == Some(a)));
+    harness.advance(ms(5000));
+    let a = harness.server_id("a");
+    assert!((0..60).any(|_| harness.place_and_close() == Some(a)));
 }
 
-/// A request on its way there when the word comes has not sent anything yet: it goes elsewhere.
+/// An attempt that is pending at the time of the ban has not sent anything yet, so it is recalled.
 #[test]
-fn what_is_on_its_way_to_a_banned_server_is_called_back_and_clients_there_are_moved() {
-    let mut world = EngineHarness::new(&["a"]);
-    let up = world.request_default_class();
-    world.mark_up(up);
-    let waits = world.request_default_class();
-    world.apply_change(out("a"));
+fn ban_recalls_pending_attempts_and_moves_connected_clients() {
+    let mut harness = EngineHarness::new(&["a"]);
+    let connected = harness.request_default_class();
+    harness.mark_up(connected);
+    let pending = harness.request_default_class();
+    harness.apply_change(ban("a"));
     assert!(matches!(
-        world.next_command(waits),
+        harness.next_command(pending),
         Some(ConnectionCommand::Recall)
     ));
-    assert!(world.next_command(up).is_none());
-    world.advance(ms(1600));
+    assert!(harness.next_command(connected).is_none());
+    harness.advance(ms(1600));
     assert!(matches!(
-        world.next_command(up),
+        harness.next_command(connected),
         Some(ConnectionCommand::Move)
     ));
-    // The last server is out: obeyed, and nobody is served.
-    assert_eq!(world.place_and_close(), None);
+    // The ban of the last server is obeyed, and no request is served.
+    assert_eq!(harness.place_and_close(), None);
 }
 
 #[test]
-fn a_server_that_the_list_has_dropped_can_be_called_back() {
-    let mut world = EngineHarness::new(&["a", "b"]);
-    world.apply_change(out("a"));
-    world.send_list(
+fn server_that_was_dropped_from_the_list_can_be_unbanned() {
+    let mut harness = EngineHarness::new(&["a", "b"]);
+    harness.apply_change(ban("a"));
+    harness.send_list(
         ListKind::Replace,
         vec![listed_server("b", Status::Up, None)],
     );
     assert!(matches!(
-        world.apply_change(back("a")),
+        harness.apply_change(unban("a")),
         OperatorReply::Changed(_)
     ));
-    // It is not on the list: the operators' word does not bring it there.
-    let b = world.server_id("b");
-    assert!((0..20).all(|_| world.place_and_close() == Some(b)));
+    // The unban does not put the server back on the list.
+    let b = harness.server_id("b");
+    assert!((0..20).all(|_| harness.place_and_close() == Some(b)));
 }
 
-/// It was restarted while it was out. All proxies give it their turns as to a cold server, though the
-/// list shows the old start, and it is in use within 5 s.
+/// A banned server may have been restarted, so an unban starts its slow start even if the list shows the old start
+/// time. It has to be in use within 5 s.
 #[test]
-fn a_server_comes_back_cold_and_is_in_use_within_5_s() {
+fn unbanned_server_starts_slowly_and_is_in_use_within_5_s() {
     for seed in 0..20 {
-        let mut world = EngineHarness::with_seed(&["a", "b"], seed);
-        world.apply_change(out("a"));
-        world.advance(ms(3000));
-        world.apply_change(back("a"));
-        let (a, mut at_once, mut first) = (world.server_id("a"), 0, None);
+        let mut harness = EngineHarness::with_seed(&["a", "b"], seed);
+        harness.apply_change(ban("a"));
+        harness.advance(ms(3000));
+        harness.apply_change(unban("a"));
+        let (a, mut early_requests, mut first_used_ms) = (harness.server_id("a"), 0, None);
         for step in 0..100 {
             let used = (0..3)
-                .filter(|_| world.place_and_close() == Some(a))
+                .filter(|_| harness.place_and_close() == Some(a))
                 .count();
-            at_once += if step < 10 { used } else { 0 };
-            if used > 0 && first.is_none() {
-                first = Some(step * 50);
+            early_requests += if step < 10 { used } else { 0 };
+            if used > 0 && first_used_ms.is_none() {
+                first_used_ms = Some(step * 50);
             }
-            world.advance(ms(50));
+            harness.advance(ms(50));
         }
-        // Warm, it would get about half of 30.
-        assert!(at_once <= 4, "seed {seed}: {at_once} in half a second");
-        assert!(first.is_some(), "seed {seed}: never used");
+        // A warm server would get about half of 30 requests.
+        assert!(
+            early_requests <= 4,
+            "seed {seed}: {early_requests} requests in the first half second"
+        );
+        assert!(
+            first_used_ms.is_some(),
+            "seed {seed}: server was never used"
+        );
     }
 }
 
 #[test]
-fn a_left_proxy_takes_what_still_comes_moves_all_and_then_turns_away() {
-    let mut world = EngineHarness::new(&["a"]);
-    let clients: Vec<RequestId> = (0..40).map(|_| world.request_default_class()).collect();
-    clients.iter().for_each(|id| world.mark_up(*id));
-    let waits = world.request_default_class();
+fn draining_proxy_admits_late_requests_moves_all_clients_and_then_refuses() {
+    let mut harness = EngineHarness::new(&["a"]);
+    let clients: Vec<RequestId> = (0..40).map(|_| harness.request_default_class()).collect();
+    clients.iter().for_each(|id| harness.mark_up(*id));
+    let pending = harness.request_default_class();
     assert!(matches!(
-        world.apply_change(OperatorChange::Leave),
+        harness.apply_change(OperatorChange::Leave),
         OperatorReply::Changed(_)
     ));
     assert!(matches!(
-        world.apply_change(OperatorChange::Leave),
+        harness.apply_change(OperatorChange::Leave),
         OperatorReply::Same(_)
     ));
-    // The front has not stopped yet.
-    let late = world.request_default_class();
+    // The front end has not stopped sending new clients yet.
+    let late = harness.request_default_class();
     assert!(matches!(
-        world.last_command(late),
+        harness.last_command(late),
         Some(ConnectionCommand::Send { .. })
     ));
-    world.advance(ms(350));
-    assert!(clients.iter().all(|id| world.next_command(*id).is_none()));
-    // Evenly: at half of the time about half have gone.
-    world.advance(ms(1350));
-    let moved = clients.iter().filter(|id| world.is_moved(**id)).count();
+    harness.advance(ms(350));
+    assert!(clients.iter().all(|id| harness.next_command(*id).is_none()));
+    // The moves are spread evenly: about half of the clients are moved at half of the time.
+    harness.advance(ms(1350));
+    let moved = clients.iter().filter(|id| harness.is_moved(**id)).count();
     assert!((15..=25).contains(&moved), "{moved}");
     assert!(matches!(
-        world.answer_to_new_request(),
+        harness.answer_to_new_request(),
         Some(ConnectionCommand::Refuse(_))
     ));
-    world.mark_up(late);
-    world.advance(ms(1400));
-    assert!(clients.iter().chain([&late]).all(|id| world.is_moved(*id)));
-    // One whose server has not answered by now is not held any longer.
+    harness.mark_up(late);
+    harness.advance(ms(1400));
     assert!(
-        world
-            .last_command(waits)
-            .is_some_and(|o| matches!(o, ConnectionCommand::Send { .. }))
+        clients
+            .iter()
+            .chain([&late])
+            .all(|id| harness.is_moved(*id))
     );
-    world.advance(ms(600));
+    // A request whose server has not answered by the end of the drain gets a final answer.
+    assert!(
+        harness
+            .last_command(pending)
+            .is_some_and(|command| matches!(command, ConnectionCommand::Send { .. }))
+    );
+    harness.advance(ms(600));
     assert!(matches!(
-        world.last_command(waits),
+        harness.last_command(pending),
         Some(ConnectionCommand::Refuse(_) | ConnectionCommand::Fail)
     ));
 }
 
 #[test]
-fn a_join_in_the_middle_stops_what_moving_is_left() {
-    let mut world = EngineHarness::new(&["a"]);
-    let clients: Vec<RequestId> = (0..40).map(|_| world.request_default_class()).collect();
-    clients.iter().for_each(|id| world.mark_up(*id));
+fn join_during_a_drain_cancels_the_remaining_moves() {
+    let mut harness = EngineHarness::new(&["a"]);
+    let clients: Vec<RequestId> = (0..40).map(|_| harness.request_default_class()).collect();
+    clients.iter().for_each(|id| harness.mark_up(*id));
     assert!(matches!(
-        world.apply_change(OperatorChange::Join),
+        harness.apply_change(OperatorChange::Join),
         OperatorReply::Same(_)
     ));
-    world.apply_change(OperatorChange::Leave);
-    world.advance(ms(1500));
+    harness.apply_change(OperatorChange::Leave);
+    harness.advance(ms(1500));
     assert!(matches!(
-        world.apply_change(OperatorChange::Join),
+        harness.apply_change(OperatorChange::Join),
         OperatorReply::Changed(_)
     ));
-    let moved = clients.iter().filter(|id| world.is_moved(**id)).count();
+    let moved = clients.iter().filter(|id| harness.is_moved(**id)).count();
     assert!((5..35).contains(&moved), "{moved}");
-    world.advance(ms(6000));
+    harness.advance(ms(6000));
     assert_eq!(
-        clients.iter().filter(|id| world.is_moved(**id)).count(),
+        clients.iter().filter(|id| harness.is_moved(**id)).count(),
         moved
     );
-    assert!(world.place_and_close().is_some());
+    assert!(harness.place_and_close().is_some());
 }
 
-/// A ban while the proxy is left must still call back what is on its way there.
+/// A ban during the drain of the proxy must still recall pending attempts.
 #[test]
-fn a_ban_holds_in_a_left_proxy_and_an_end_takes_no_words() {
-    let mut world = EngineHarness::new(&["a"]);
-    world.apply_change(OperatorChange::Leave);
-    let waits = world.request_default_class();
-    world.apply_change(out("a"));
+fn ban_applies_in_a_draining_proxy_and_join_is_rejected_during_shutdown() {
+    let mut harness = EngineHarness::new(&["a"]);
+    harness.apply_change(OperatorChange::Leave);
+    let pending = harness.request_default_class();
+    harness.apply_change(ban("a"));
     assert!(matches!(
-        world.next_command(waits),
+        harness.next_command(pending),
         Some(ConnectionCommand::Recall)
     ));
-    world.handle_event(EngineEvent::Shutdown(ms(1000)..ms(2000)));
+    harness.handle_event(EngineEvent::Shutdown(ms(1000)..ms(2000)));
     assert_eq!(
-        world.apply_change(OperatorChange::Join),
+        harness.apply_change(OperatorChange::Join),
         OperatorReply::Ending
     );
     assert!(matches!(
-        world.apply_change(back("a")),
+        harness.apply_change(unban("a")),
         OperatorReply::Changed(_)
     ));
 }
 
-/// A class that gets a stricter effect: what was taken as harmless to repeat still is, what comes under the
-/// new settings is not; classes and attempts change with the settings, and numbers never do.
+/// New settings add a class with stricter idempotency: a request that was admitted as safe to repeat stays so, a
+/// request of the strict class is not repeated. Classes and the number of attempts change with the settings; the numbers
+/// of the classes never do.
 #[test]
-fn connections_keep_the_class_they_were_taken_with() {
-    let mut world = EngineHarness::new(&["a", "b", "c"]);
-    let old = world.send_request(0);
-    world.next_command(old);
-    let mut new = common::settings();
-    new.classes = vec![
+fn connections_keep_the_class_they_were_admitted_with() {
+    let mut harness = EngineHarness::new(&["a", "b", "c"]);
+    let safe_request = harness.send_request(0);
+    harness.next_command(safe_request);
+    let mut new_settings = common::settings();
+    new_settings.classes = vec![
         common::class(Idempotency::Safe),
         common::class(Idempotency::Unsafe),
     ];
-    new.max_attempts = 2;
-    world.handle_event(EngineEvent::Settings(Box::new(new), NameTable::default()));
-    let strict = world.send_request(1);
-    world.next_command(strict);
-    // The server's answer is lost: the strict one may have run, and is not tried again.
-    for id in [old, strict] {
-        world.end_attempt(id, Outcome::Reset);
+    new_settings.max_attempts = 2;
+    harness.handle_event(EngineEvent::Settings(
+        Box::new(new_settings),
+        NameTable::default(),
+    ));
+    let unsafe_request = harness.send_request(1);
+    harness.next_command(unsafe_request);
+    // The server's answer is lost: the request of the strict class may have run and is not retried.
+    for id in [safe_request, unsafe_request] {
+        harness.end_attempt(id, Outcome::Reset);
     }
     assert!(matches!(
-        world.last_command(old),
+        harness.last_command(safe_request),
         Some(ConnectionCommand::Send { .. })
     ));
     assert!(matches!(
-        world.last_command(strict),
+        harness.last_command(unsafe_request),
         Some(ConnectionCommand::Fail)
     ));
-    // Two attempts are all there is now, also for what came before.
-    world.end_attempt(old, Outcome::Reset);
+    // The new limit of two attempts also applies to requests that were admitted before.
+    harness.end_attempt(safe_request, Outcome::Reset);
     assert!(matches!(
-        world.last_command(old),
+        harness.last_command(safe_request),
         Some(ConnectionCommand::Refuse(_))
     ));
 }
 
-/// With a successor all that is up is handed over, what comes up later too, and what is left is moved in
-/// time. Without it again, the rest stays.
+/// While a successor serves, all established connections are handed over, also those that are established later; the
+/// remaining ones are moved in time. After the successor has gone, new connections stay.
 #[test]
-fn connections_are_handed_to_a_successor_and_the_rest_is_moved() {
-    let mut world = EngineHarness::new(&["a"]);
-    let up = world.request_default_class();
-    world.mark_up(up);
-    let waits = world.request_default_class();
-    world.handle_event(EngineEvent::SuccessorChanged(Some(ms(600)..ms(2000))));
+fn connections_are_handed_over_to_a_successor_and_the_rest_is_moved() {
+    let mut harness = EngineHarness::new(&["a"]);
+    let connected = harness.request_default_class();
+    harness.mark_up(connected);
+    let pending = harness.request_default_class();
+    harness.handle_event(EngineEvent::SuccessorChanged(Some(ms(600)..ms(2000))));
     assert!(matches!(
-        world.next_command(up),
+        harness.next_command(connected),
         Some(ConnectionCommand::HandOver)
     ));
-    world.mark_up(waits);
+    harness.mark_up(pending);
     assert!(matches!(
-        world.next_command(waits),
+        harness.next_command(pending),
         Some(ConnectionCommand::HandOver)
     ));
-    world.advance(ms(500));
-    assert!(!world.is_moved(up) && !world.is_moved(waits));
-    world.advance(ms(1600));
-    assert!(world.is_moved(up) && world.is_moved(waits));
-    world.handle_event(EngineEvent::SuccessorChanged(None));
-    let again = world.request_default_class();
-    world.mark_up(again);
-    world.advance(ms(3000));
-    assert!(world.next_command(again).is_none());
+    harness.advance(ms(500));
+    assert!(!harness.is_moved(connected) && !harness.is_moved(pending));
+    harness.advance(ms(1600));
+    assert!(harness.is_moved(connected) && harness.is_moved(pending));
+    harness.handle_event(EngineEvent::SuccessorChanged(None));
+    let later = harness.request_default_class();
+    harness.mark_up(later);
+    harness.advance(ms(3000));
+    assert!(harness.next_command(later).is_none());
 }
 
-/// A connection that was another process's: it counts on its server, moves when that drains, and at once
-/// where no list has named the server.
+/// An adopted connection counts at its server and is moved when that drains; it is moved at once if no list has named
+/// the server.
 #[test]
-fn an_adopted_connection_is_in_the_books() {
-    let mut world = EngineHarness::new(&["a"]);
-    let (known, stray) = (
-        world.adopt_connection("a"),
-        world.adopt_connection("nobody"),
+fn adopted_connection_is_moved_when_its_server_drains_or_is_unknown() {
+    let mut harness = EngineHarness::new(&["a"]);
+    let (listed, unlisted) = (
+        harness.adopt_connection("a"),
+        harness.adopt_connection("nobody"),
     );
     assert!(matches!(
-        world.next_command(stray),
+        harness.next_command(unlisted),
         Some(ConnectionCommand::Move)
     ));
-    assert!(world.next_command(known).is_none());
-    world.send_list(
+    assert!(harness.next_command(listed).is_none());
+    harness.send_list(
         ListKind::Update,
         vec![listed_server("a", Status::Draining, None)],
     );
-    world.advance(ms(1600));
-    assert!(world.is_moved(known));
+    harness.advance(ms(1600));
+    assert!(harness.is_moved(listed));
 }
