--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,7 +1,7 @@
-//! Files that people write: TOML, with layers over it (environment, flags), read by sections that know
-//! their keys. Every error is told at once, each with its place and, for a key that is unknown, the
-//! likely one. `serde` stops at the first error and knows no place of a value that a later layer gave,
-//! so values are read from a tree that keeps both.
+//! Configuration files in TOML with layers over them (environment variables, flags), read section by section. All
+//! errors are reported at once, each with its location and, for an unknown key, the most similar known key. `serde`
+//! stops at the first error and does not know the location of a value from a later layer, so values are read from a
+//! tree that keeps values and locations.
 
 mod section;
 mod tree;
--- a/crates/conf/src/section.rs
+++ b/crates/conf/src/section.rs
@@ -1,4 +1,4 @@
-//! Sections that are read key by key; what was asked for is what is known.
+//! Sections that are read key by key. The keys that the program has read are the known ones; all others are reported.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,17 +9,17 @@
 
 use crate::tree::{ConfigTree, Node, Value};
 
-/// How alike an unknown key must be to a known one to be taken for it.
+/// Minimum Jaro-Winkler similarity of an unknown key to a known one for the known one to be suggested.
 const MIN_HINT_SIMILARITY: f64 = 0.75;
 
-/// One thing that is wrong with a file.
+/// One error in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// `FILE:LINE`, `environment NAME` or `--set KEY`.
     pub location: String,
     pub key: String,
     pub message: String,
-    /// What was probably meant.
+    /// Suggested correction.
     pub hint: Option<String>,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// All that is wrong, in the order of places.
+/// Collects the errors of a configuration; clones share one collection.
 #[derive(Clone, Debug, Default)]
 pub struct Problems(Rc<RefCell<Vec<Problem>>>);
 
@@ -50,21 +50,21 @@
         self.0.borrow_mut().extend(problems);
     }
 
-    /// The problems, those of one file by line.
+    /// Returns the problems sorted by location, those of one file by line.
     pub fn into_vec(self) -> Vec<Problem> {
         let mut problems = self.0.take();
-        let line = |problem: &Problem| -> (String, u64) {
+        let sort_key = |problem: &Problem| -> (String, u64) {
             match problem.location.rsplit_once(':') {
                 Some((name, line)) => (name.to_string(), line.parse().unwrap_or(0)),
                 None => (problem.location.clone(), 0),
             }
         };
-        problems.sort_by_cached_key(line);
+        problems.sort_by_cached_key(sort_key);
         problems
     }
 }
 
-/// A table of the file, or none where the file has none.
+/// A table of a configuration, which may be absent. Reading a key marks it as known.
 #[derive(Debug)]
 pub struct Section<'a> {
     path: String,
@@ -75,7 +75,7 @@
 }
 
 impl<'a> Section<'a> {
-    /// The whole file.
+    /// Returns the root section of a tree; `problems` collects the errors of all its sections.
     pub fn root(tree: &'a ConfigTree, problems: &Problems) -> Self {
         let table = match &tree.root.value {
             Value::Table(table) => Some(table),
@@ -90,22 +90,23 @@
         }
     }
 
-    /// Whether the file has it at all.
+    /// Whether the configuration contains this section.
     pub fn is_present(&self) -> bool {
         self.table.is_some()
     }
 
-    /// Whether a key is given, so that its absence can mean something else than a default.
+    /// Whether a key is set, for keys whose absence is different from a default value.
     pub fn has_key(&self, name: &str) -> bool {
         self.known_keys.borrow_mut().push(name.to_string());
         self.table.is_some_and(|table| table.contains_key(name))
     }
 
-    /// Where it stands.
+    /// Returns the location of the section: `FILE:LINE`, `environment NAME` or `--set KEY`.
     pub fn location(&self) -> &str {
         &self.location
     }
 
+    /// Returns the full path of a key of this section.
     fn key_path(&self, name: &str) -> String {
         match self.path.as_str() {
             "" => name.to_string(),
@@ -118,19 +119,20 @@
         self.table?.get(name)
     }
 
-    /// Tells what is wrong with a key; its own place counts, or that of the section.
-    pub fn report_problem(&self, name: &str, what: impl Into<String>) {
+    /// Adds a problem for a key, with the key's location or, if it is not set, that of the section.
+    pub fn report_problem(&self, name: &str, message: impl Into<String>) {
         let node = self.table.and_then(|table| table.get(name));
         self.problems.add(Problem {
             location: node
                 .map_or(&self.location, |node| &node.location)
                 .to_string(),
             key: self.key_path(name),
-            message: what.into(),
+            message: message.into(),
             hint: None,
         });
     }
 
+    /// Reads a key and converts its value; reports a problem if `read` returns `None`.
     fn read<T>(
         &self,
         name: &str,
@@ -148,6 +150,7 @@
         value
     }
 
+    /// Reports a problem if a value is outside a range. Returns whether it is within.
     fn check_range<T: PartialOrd + Copy>(
         &self,
         name: &str,
@@ -155,14 +158,18 @@
         range: &RangeInclusive<T>,
         show: impl Fn(T) -> String,
     ) -> bool {
-        let within = range.contains(&value);
-        if !within {
-            let (from, to) = (show(*range.start()), show(*range.end()));
-            self.report_problem(name, format!("{} is not from {from} to {to}", show(value)));
+        let is_within = range.contains(&value);
+        if !is_within {
+            let (start, end) = (show(*range.start()), show(*range.end()));
+            self.report_problem(
+                name,
+                format!("{} is not from {start} to {end}", show(value)),
+            );
         }
-        within
+        is_within
     }
 
+    /// Reads a string.
     pub fn text(&self, name: &str) -> Option<String> {
         self.read(name, "a text", |value| match value {
             Value::Text(text) => Some(text.clone()),
@@ -170,7 +177,7 @@
         })
     }
 
-    /// A text that must be there.
+    /// Reads a string that must be set.
     pub fn required_text(&self, name: &str) -> String {
         if self.table.is_some_and(|table| !table.contains_key(name)) {
             self.report_problem(name, "expected a text, found nothing");
@@ -178,6 +185,7 @@
         self.text(name).unwrap_or_default()
     }
 
+    /// Reads a boolean.
     pub fn flag(&self, name: &str, default: bool) -> bool {
         let value = self.read(name, "true or false", |value| match value {
             Value::Bool(flag) => Some(*flag),
@@ -186,26 +194,30 @@
         value.unwrap_or(default)
     }
 
+    /// Reads an integer within a range.
     pub fn int(&self, name: &str, range: RangeInclusive<u64>, default: u64) -> u64 {
         let value = self.read(name, "a whole number", |value| match value {
             Value::Int(number) => u64::try_from(*number).ok(),
             _ => None,
         });
-        let sound = value.filter(|value| self.check_range(name, *value, &range, |n| n.to_string()));
-        sound.unwrap_or(default)
+        let valid_value =
+            value.filter(|value| self.check_range(name, *value, &range, |n| n.to_string()));
+        valid_value.unwrap_or(default)
     }
 
+    /// Reads a number within a range.
     pub fn number(&self, name: &str, range: RangeInclusive<f64>, default: f64) -> f64 {
         let value = self.read(name, "a number", |value| match value {
             Value::Int(number) => Some(*number as f64),
             Value::Float(number) => Some(*number),
             _ => None,
         });
-        let sound = value.filter(|value| self.check_range(name, *value, &range, |n| n.to_string()));
-        sound.unwrap_or(default)
+        let valid_value =
+            value.filter(|value| self.check_range(name, *value, &range, |n| n.to_string()));
+        valid_value.unwrap_or(default)
     }
 
-    /// A span of time, such as `"300ms"`, `"4s"`, `"10m"` or `"1h"`.
+    /// Reads a duration within a range, such as `"300ms"`, `"4s"`, `"10m"` or `"1h"`.
     pub fn duration(
         &self,
         name: &str,
@@ -220,11 +232,12 @@
                 _ => None,
             },
         );
-        let sound = value.filter(|value| self.check_range(name, *value, &range, format_duration));
-        sound.unwrap_or(default)
+        let valid_value =
+            value.filter(|value| self.check_range(name, *value, &range, format_duration));
+        valid_value.unwrap_or(default)
     }
 
-    /// A value in a form that `parse` understands.
+    /// Reads a string and converts it with `parse`; `expected` describes valid values in the error message.
     pub fn parse_with<T>(
         &self,
         name: &str,
@@ -237,22 +250,25 @@
         })
     }
 
-    /// One of some words.
-    pub fn choice<T: Clone>(&self, name: &str, words: &[(&str, T)], default: T) -> T {
-        let names: Vec<String> = words
+    /// Reads one of several names and returns the value that belongs to it.
+    pub fn choice<T: Clone>(&self, name: &str, choices: &[(&str, T)], default: T) -> T {
+        let quoted_names: Vec<String> = choices
             .iter()
-            .map(|(word, _)| format!("\"{word}\""))
+            .map(|(choice_name, _)| format!("\"{choice_name}\""))
             .collect();
-        let expected = names.join(" or ");
+        let expected = quoted_names.join(" or ");
         let value = self.parse_with(name, &expected, |text| {
-            let (_, of) = words.iter().find(|(word, _)| *word == text)?;
-            Some(of.clone())
+            let (_, choice_value) = choices
+                .iter()
+                .find(|(choice_name, _)| *choice_name == text)?;
+            Some(choice_value.clone())
         });
         value.unwrap_or(default)
     }
 
+    /// Reads a list of strings.
     pub fn text_list(&self, name: &str) -> Vec<String> {
-        let texts = self.read(name, "a list of texts", |value| match value {
+        let values = self.read(name, "a list of texts", |value| match value {
             Value::List(items) => items
                 .iter()
                 .map(|item| match &item.value {
@@ -262,10 +278,10 @@
                 .collect(),
             _ => None,
         });
-        texts.unwrap_or_default()
+        values.unwrap_or_default()
     }
 
-    /// A table of names and texts, whatever the names.
+    /// Reads a table of strings with arbitrary keys.
     pub fn text_map(&self, name: &str) -> BTreeMap<String, String> {
         let section = self.section(name);
         let keys = section.table.into_iter().flat_map(|table| table.keys());
@@ -273,6 +289,7 @@
             .collect()
     }
 
+    /// Returns the section of this name, which may be absent.
     pub fn section(&self, name: &str) -> Section<'a> {
         let table = self.read(name, "a section", |value| match value {
             Value::Table(table) => Some(table),
@@ -288,7 +305,7 @@
         }
     }
 
-    /// The sections of a list, as `[[NAME]]` gives them.
+    /// Returns the sections of a list, as written with `[[NAME]]`.
     pub fn sections(&self, name: &str) -> Vec<Section<'a>> {
         let expected = format!("sections headed `[[{name}]]`");
         let list = self.read(name, &expected, |value| match value {
@@ -296,8 +313,8 @@
             _ => None,
         });
         let mut sections = Vec::new();
-        for (at, node) in list.into_iter().flatten().enumerate() {
-            let path = self.key_path(&format!("{name}.{at}"));
+        for (index, node) in list.into_iter().flatten().enumerate() {
+            let path = self.key_path(&format!("{name}.{index}"));
             let Value::Table(table) = &node.value else {
                 self.report_problem(
                     name,
@@ -316,28 +333,29 @@
         sections
     }
 
-    /// Tells of keys that nothing asked for. Call it last.
+    /// Reports all keys that were not read. Must be called after all keys were read.
     pub fn report_unknown_keys(&self) {
-        let asked = self.known_keys.borrow();
+        let known_keys = self.known_keys.borrow();
         for (name, node) in self.table.into_iter().flatten() {
-            if asked.contains(name) {
+            if known_keys.contains(name) {
                 continue;
             }
-            let alike = |known: &&String| strsim::jaro_winkler(name, known);
-            let nearest = asked
+            let similarity = |known_key: &&String| strsim::jaro_winkler(name, known_key);
+            let nearest = known_keys
                 .iter()
-                .filter(|known| alike(known) >= MIN_HINT_SIMILARITY)
-                .max_by(|one, two| alike(one).total_cmp(&alike(two)));
+                .filter(|known_key| similarity(known_key) >= MIN_HINT_SIMILARITY)
+                .max_by(|left, right| similarity(left).total_cmp(&similarity(right)));
             self.problems.add(Problem {
                 location: node.location.to_string(),
                 key: self.key_path(name),
                 message: "no such key".into(),
-                hint: nearest.map(|known| format!("did you mean `{known}`?")),
+                hint: nearest.map(|known_key| format!("did you mean `{known_key}`?")),
             });
         }
     }
 }
 
+/// Returns a value as shown in error messages; strings are cut to 40 characters.
 fn describe_value(value: &Value) -> String {
     match value {
         Value::Text(text) => format!("\"{}\"", text.chars().take(40).collect::<String>()),
@@ -350,10 +368,11 @@
     }
 }
 
+/// Parses a number with the unit `ms`, `s`, `m` or `h`.
 fn parse_duration(text: &str) -> Option<Duration> {
-    let split = text.find(|c: char| c.is_ascii_alphabetic())?;
-    let number: f64 = text[..split].trim().parse().ok()?;
-    let unit = match &text[split..] {
+    let unit_start = text.find(|c: char| c.is_ascii_alphabetic())?;
+    let number: f64 = text[..unit_start].trim().parse().ok()?;
+    let unit = match &text[unit_start..] {
         "ms" => 0.001,
         "s" => 1.0,
         "m" => 60.0,
@@ -363,11 +382,11 @@
     Duration::try_from_secs_f64(number * unit).ok()
 }
 
-/// A span as the file writes it, to the microsecond.
-pub fn format_duration(span: Duration) -> String {
-    match span.as_millis() {
-        _ if !span.as_micros().is_multiple_of(1000) || span.is_zero() => {
-            format!("{}ms", span.as_micros() as f64 / 1000.0)
+/// Formats a duration as in a configuration file, with microsecond precision.
+pub fn format_duration(duration: Duration) -> String {
+    match duration.as_millis() {
+        _ if !duration.as_micros().is_multiple_of(1000) || duration.is_zero() => {
+            format!("{}ms", duration.as_micros() as f64 / 1000.0)
         }
         ms if ms % 1000 != 0 => format!("{ms}ms"),
         ms if ms % 60_000 != 0 => format!("{}s", ms / 1000),
--- a/crates/conf/src/tree.rs
+++ b/crates/conf/src/tree.rs
@@ -1,4 +1,4 @@
-//! Values with where they come from.
+//! Tree of configuration values with their locations.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -7,10 +7,12 @@
 
 use crate::section::Problem;
 
-/// The longest file, and the deepest nesting that a layer may add.
+/// Maximum length of a file.
 const MAX_FILE_BYTES: usize = 1 << 20;
+/// Maximum number of keys in the path of a value that a layer sets.
 const MAX_PATH_DEPTH: usize = 8;
 
+/// A configuration value.
 #[derive(Clone, Debug)]
 pub(crate) enum Value {
     Text(String),
@@ -19,10 +21,11 @@
     Bool(bool),
     List(Vec<Node>),
     Table(BTreeMap<String, Node>),
-    /// A date, which no key takes.
+    /// A date, which no key accepts.
     Datetime,
 }
 
+/// A value and its location.
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     pub value: Value,
@@ -30,14 +33,14 @@
     pub location: Rc<str>,
 }
 
-/// A file and the layers over it.
+/// The values of a configuration file and of the layers over it.
 #[derive(Clone, Debug)]
 pub struct ConfigTree {
     pub(crate) root: Node,
 }
 
 impl ConfigTree {
-    /// No file: all values are the defaults.
+    /// Creates a tree without a file, for which all values are the defaults.
     pub fn empty() -> Self {
         Self {
             root: Node {
@@ -47,20 +50,20 @@
         }
     }
 
-    /// Reads a file's text; `name` is what errors call it.
+    /// Parses the text of a file. Errors use `name` as the name of the file.
     pub fn parse(name: &str, text: &str) -> Result<Self, Problem> {
-        let problem = |at: Option<usize>, what: String| Problem {
-            location: format_location(name, text, at).to_string(),
+        let problem = |offset: Option<usize>, message: String| Problem {
+            location: format_location(name, text, offset).to_string(),
             key: String::new(),
-            message: what,
+            message,
             hint: None,
         };
         if text.len() > MAX_FILE_BYTES {
             return Err(problem(None, format!("more than {MAX_FILE_BYTES} bytes")));
         }
         let document: Document<&str> = Document::parse(text).map_err(|error| {
-            let at = error.span().map(|span| span.start);
-            problem(at, error.message().trim().replace('\n', ", "))
+            let offset = error.span().map(|span| span.start);
+            problem(offset, error.message().trim().replace('\n', ", "))
         })?;
         let table = read_table(name, text, document.as_table());
         Ok(Self {
@@ -71,22 +74,22 @@
         })
     }
 
-    /// Puts a value over what the file says, at a path such as `log.format` or `source.0.address`. The
-    /// text is read as a TOML value if it is one, else taken as it is.
-    pub fn set_value(&mut self, path: &str, text: &str, place: &str) -> Result<(), Problem> {
+    /// Overrides the value at a path such as `log.format` or `source.0.address`. The text is parsed as a TOML value if
+    /// possible, and used as a string otherwise.
+    pub fn set_value(&mut self, path: &str, text: &str, location: &str) -> Result<(), Problem> {
         let keys: Vec<&str> = path.split('.').collect();
-        let problem = |what: &str| Problem {
-            location: place.to_string(),
+        let problem = |message: &str| Problem {
+            location: location.to_string(),
             key: path.to_string(),
-            message: what.to_string(),
+            message: message.to_string(),
             hint: None,
         };
         if keys.len() > MAX_PATH_DEPTH || keys.iter().any(|key| key.is_empty()) {
             return Err(problem("no path of keys"));
         }
-        let place: Rc<str> = place.into();
+        let location: Rc<str> = location.into();
         let value = match text.parse::<Toml>() {
-            Ok(parsed) => convert_value("", "", &parsed, &place),
+            Ok(parsed) => convert_value("", "", &parsed, &location),
             Err(_) => Value::Text(text.to_string()),
         };
         let mut node = &mut self.root;
@@ -94,11 +97,11 @@
             node = match &mut node.value {
                 Value::Table(table) => table.entry(key.to_string()).or_insert_with(|| Node {
                     value: Value::Table(BTreeMap::new()),
-                    location: place.clone(),
+                    location: location.clone(),
                 }),
                 Value::List(list) => {
-                    let at: Option<usize> = key.parse().ok();
-                    match at.and_then(|at| list.get_mut(at)) {
+                    let index: Option<usize> = key.parse().ok();
+                    match index.and_then(|index| list.get_mut(index)) {
                         Some(node) => node,
                         None => return Err(problem("no such place in the list")),
                     }
@@ -106,38 +109,37 @@
                 _ => return Err(problem("a key within what is no section")),
             };
         }
-        *node = Node {
-            value,
-            location: place,
-        };
+        *node = Node { value, location };
         Ok(())
     }
 
-    /// Layers variables of the environment over the file: `PREFIX` and then the path, in capitals, with
-    /// two underscores between keys, as in `VIOLETWIND__LOG__FORMAT`.
+    /// Overrides values with environment variables. Their names are `prefix` and the path in capitals, with two
+    /// underscores between keys, as in `VIOLETWIND__LOG__FORMAT`. Returns a problem for each variable that can't be
+    /// applied.
     pub fn set_from_env(
         &mut self,
         prefix: &str,
         variables: impl Iterator<Item = (String, String)>,
     ) -> Vec<Problem> {
-        let mut found: Vec<(String, String)> = variables
+        let mut overrides: Vec<(String, String)> = variables
             .filter(|(name, _)| name.starts_with(prefix))
             .collect();
-        found.sort();
+        overrides.sort();
         let mut problems = Vec::new();
-        for (name, value) in found {
+        for (name, value) in overrides {
             let path = name[prefix.len()..].to_ascii_lowercase().replace("__", ".");
-            let place = format!("environment {name}");
-            problems.extend(self.set_value(&path, &value, &place).err());
+            let location = format!("environment {name}");
+            problems.extend(self.set_value(&path, &value, &location).err());
         }
         problems
     }
 }
 
-fn format_location(name: &str, text: &str, at: Option<usize>) -> Rc<str> {
-    match at {
-        Some(at) => {
-            let before = &text.as_bytes()[..at.min(text.len())];
+/// Returns `NAME:LINE` for an offset in a file's text, or the name alone without an offset.
+fn format_location(name: &str, text: &str, offset: Option<usize>) -> Rc<str> {
+    match offset {
+        Some(offset) => {
+            let before = &text.as_bytes()[..offset.min(text.len())];
             let line = 1 + before.iter().filter(|byte| **byte == b'\n').count();
             format!("{name}:{line}").into()
         }
@@ -147,11 +149,11 @@
 
 fn read_table(name: &str, text: &str, table: &dyn TableLike) -> BTreeMap<String, Node> {
     let node = |item: &Item, key_at: Option<usize>| -> Option<Node> {
-        let at = item.span().map(|span| span.start).or(key_at);
-        let here = format_location(name, text, at);
+        let offset = item.span().map(|span| span.start).or(key_at);
+        let location = format_location(name, text, offset);
         let value = match item {
             Item::None => return None,
-            Item::Value(value) => convert_value(name, text, value, &here),
+            Item::Value(value) => convert_value(name, text, value, &location),
             Item::Table(inner) => Value::Table(self::read_table(name, text, inner)),
             Item::ArrayOfTables(tables) => Value::List(
                 tables
@@ -163,10 +165,7 @@
                     .collect(),
             ),
         };
-        Some(Node {
-            value,
-            location: here,
-        })
+        Some(Node { value, location })
     };
     let keys = table.iter().map(|(key, item)| {
         let key_at = table.key(key).and_then(|key| key.span());
@@ -175,7 +174,7 @@
     keys.filter_map(|(key, node)| Some((key, node?))).collect()
 }
 
-fn convert_value(name: &str, text: &str, value: &Toml, place: &Rc<str>) -> Value {
+fn convert_value(name: &str, text: &str, value: &Toml, location: &Rc<str>) -> Value {
     match value {
         Toml::String(text) => Value::Text(text.value().clone()),
         Toml::Integer(number) => Value::Int(*number.value()),
@@ -186,14 +185,14 @@
             items
                 .iter()
                 .map(|item| {
-                    let at = item.span().map(|span| span.start);
-                    let here = match at {
-                        Some(_) if !text.is_empty() => self::format_location(name, text, at),
-                        _ => place.clone(),
+                    let offset = item.span().map(|span| span.start);
+                    let item_location = match offset {
+                        Some(_) if !text.is_empty() => self::format_location(name, text, offset),
+                        _ => location.clone(),
                     };
                     Node {
-                        value: convert_value(name, text, item, &here),
-                        location: here,
+                        value: convert_value(name, text, item, &item_location),
+                        location: item_location,
                     }
                 })
                 .collect(),
@@ -204,8 +203,8 @@
                 .iter()
                 .map(|(key, item)| {
                     let node = Node {
-                        value: convert_value(name, text, item, place),
-                        location: place.clone(),
+                        value: convert_value(name, text, item, location),
+                        location: location.clone(),
                     };
                     (key.to_string(), node)
                 })
--- a/crates/conf/tests/reading.rs
+++ b/crates/conf/tests/reading.rs
@@ -1,4 +1,4 @@
-//! All errors at once, each with its place and a suggestion.
+//! All errors are reported at once, each with its location and a suggestion.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 names = ["two"]
 "#;
 
-fn read(tree: &ConfigTree) -> Vec<String> {
+fn read_problems(tree: &ConfigTree) -> Vec<String> {
     let problems = Problems::default();
     let root = Section::root(tree, &problems);
     let log = root.section("log");
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn every_error_is_told_at_once_with_its_line_and_a_suggestion() {
+fn all_errors_are_reported_at_once_with_line_and_suggestion() {
     let tree = ConfigTree::parse("a.toml", FILE).unwrap();
     let expected = [
         "a.toml:3: `log.formt`: no such key (did you mean `format`?)",
@@ -58,11 +58,11 @@
         "a.toml:15: `source.1.name`: expected a text, found nothing",
         "a.toml:16: `source.1.names`: no such key (did you mean `name`?)",
     ];
-    assert_eq!(read(&tree), expected);
+    assert_eq!(read_problems(&tree), expected);
 }
 
 #[test]
-fn layers_go_over_the_file_and_errors_name_them() {
+fn layers_override_the_file_and_errors_name_the_layer() {
     let mut tree = ConfigTree::parse("a.toml", FILE).unwrap();
     let variables = [
         ("VW__LOG__LEVEL", "warn"),
@@ -74,12 +74,12 @@
     ];
     let variables = variables.map(|(name, value)| (name.to_string(), value.to_string()));
     let problems = tree.set_from_env("VW__", variables.into_iter());
-    let told: Vec<String> = problems.iter().map(Problem::to_string).collect();
+    let messages: Vec<String> = problems.iter().map(Problem::to_string).collect();
     let expected = [
         "environment VW__LOG__LEVEL__DEEP: `log.level.deep`: a key within what is no section",
         "environment VW__SOURCE__7__NAME: `source.7.name`: no such place in the list",
     ];
-    assert_eq!(told, expected);
+    assert_eq!(messages, expected);
     tree.set_value("limits.connect", "500ms", "--set limits.connect")
         .unwrap();
     tree.set_value("limits.share", "true", "--set limits.share")
@@ -90,11 +90,11 @@
         "a.toml:16: `source.1.names`: no such key (did you mean `name`?)",
         "environment VW__LIMITS__ROWS: `limits.rows`: 99 is not from 1 to 10",
     ];
-    assert_eq!(read(&tree), expected);
+    assert_eq!(read_problems(&tree), expected);
 }
 
 #[test]
-fn what_is_no_toml_is_told_by_its_line() {
+fn invalid_toml_is_reported_with_its_line() {
     let problem = ConfigTree::parse("a.toml", "[log]\nlevel = \n").unwrap_err();
     assert_eq!(problem.location, "a.toml:2");
     assert!(ConfigTree::parse("a.toml", &"#".repeat(2 << 20)).is_err());
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -63,7 +63,7 @@
 /// Sends probes to servers; the results return as [`EngineEvent::Probed`].
 pub trait ProbeSender {
     /// Queues a probe of a server at an address. Returns false if too many probes are queued already.
-    fn send_probe(&mut self, server: ServerId, at: SocketAddr) -> bool;
+    fn send_probe(&mut self, server: ServerId, address: SocketAddr) -> bool;
 }
 
 /// Configuration of an engine.
@@ -85,8 +85,8 @@
     pub machines: MachineMap,
 }
 
-/// Owns the balancer and the state of all connections. Its methods neither wait nor do I/O, so it also runs in
-/// simulated time.
+/// Owns the balancer and the state of all connections. Except for [`Self::run`], its methods neither wait nor do I/O,
+/// so it can also be driven in simulated time.
 pub struct Engine<P> {
     names: NameTable,
     limits: Limits,
@@ -130,6 +130,7 @@
 }
 
 impl<P: ProbeSender> Engine<P> {
+    /// Creates an engine, which is then started by [`Self::run`] or [`Self::start`].
     pub fn new(config: EngineConfig, clock: Clock, probes: P) -> Self {
         Self {
             machines_out: MachinesOut::new(config.machines),
@@ -268,7 +269,7 @@
         }
     }
 
-    /// Applies a list in a config without a catalogue.
+    /// Applies a server list that does not come from a catalogue.
     fn apply_list(&mut self, kind: ListKind, mut rows: Vec<ListedServer>) {
         let context = self.list_context("");
         for listed in &mut rows {
@@ -305,6 +306,7 @@
         }
     }
 
+    /// Returns the context for reading a list of a source.
     fn list_context(&self, source: &str) -> ListContext {
         ListContext {
             now: self.clock.seconds_at(self.now),
@@ -482,7 +484,7 @@
                     Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
                         self.report_reachability(server, false);
                     }
-                    // The probe never reached the server.
+                    // No probe was sent to the server.
                     Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFailure => {}
                 }
             }
@@ -692,6 +694,7 @@
         self.set_admission(mode);
     }
 
+    /// Changes the admission mode and notifies the balancer.
     fn set_admission(&mut self, mode: AdmissionMode) {
         if std::mem::replace(&mut self.admission, mode) != mode {
             info!(taking = ?mode, "admission mode changed");
@@ -721,7 +724,8 @@
         count
     }
 
-    /// Records an established connection, and hands it over or schedules its move if the proxy or the server drains.
+    /// Records an established connection. Hands it over if a successor serves, and schedules its move if the proxy or
+    /// the server drains.
     fn mark_connected(&mut self, id: RequestId, server: ServerId) {
         if self.has_successor {
             self.send_command(id, ConnectionCommand::HandOver);
@@ -886,7 +890,7 @@
         }
     }
 
-    /// Sends the moves that are due of all schedules: a few at each interval.
+    /// Sends the moves of all schedules that are due, a few at each interval.
     fn issue_due_moves(&mut self, now: Instant) {
         let interval = self.limits.move_interval;
         let mut due = Vec::new();
@@ -940,6 +944,7 @@
         self.actions = actions;
     }
 
+    /// Returns why the balancer gave up a request, for the log.
     fn give_up_reason(&self, id: RequestId) -> Option<GiveUpReason> {
         let given_up = self.balancer.given_up_requests();
         let found = given_up.iter().find(|(of, _)| *of == id);
@@ -1010,6 +1015,7 @@
         self.remove_connection(id);
     }
 
+    /// Sends a command to a connection. If the connection's channel is full, the command is dropped and logged.
     fn send_command(&mut self, id: RequestId, command: ConnectionCommand) {
         // A connection that has just ended needs no command.
         if let Some(connection) = self.connections.get(&id)
--- a/crates/engine/src/sources.rs
+++ b/crates/engine/src/sources.rs
@@ -185,6 +185,7 @@
     }
 }
 
+/// Converts a status change of the catalogue to a row for the balancer.
 fn to_listed_server(change: StatusChange) -> ListedServer {
     let instance = change.instance;
     let server: ServerId = server_id(&change.uid);
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -2,9 +2,9 @@
 //!
 //! Lists give the start of a server's process in Unix time. That can't be compared with this machine's wall clock:
 //! either clock may be stepped, by seconds or by an hour, and a server that seems old would get more load than slow
-//! start allows. Only the observations of this process are certain: a start time that is new in a list, after an earlier
-//! list of the same source, is no earlier than that list, and is treated as the current time. Nothing is known about a
-//! start time in a source's first list unless it lies so far in the past that no clock step explains it.
+//! start allows. Only the observations of this process are certain: a start time that is new in a list, after an
+//! earlier list of the same source, is no earlier than that list, and is treated as the current time. Nothing is known
+//! about a start time in a source's first list unless it lies so far in the past that no clock step explains it.
 
 use std::collections::HashMap;
 
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -216,8 +216,8 @@
         id
     }
 
-    /// Sends a request, establishes its connection and closes it. Returns the chosen server, or `None` if no attempt was
-    /// made.
+    /// Sends a request, establishes its connection and closes it. Returns the chosen server, or `None` if no attempt
+    /// was made.
     pub fn place_and_close(&mut self) -> Option<ServerId> {
         let id = self.request_default_class();
         let server = self.attempts.get(&id).copied()?;
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -51,8 +51,9 @@
 #[derive(Debug, Default)]
 struct Client {
     commands: Option<mpsc::Receiver<ConnectionCommand>>,
-    /// Server of the pending attempt, and server of the established connection.
+    /// Server of the pending attempt.
     attempt_server: Option<ServerId>,
+    /// Server of the established connection.
     connected_server: Option<ServerId>,
     final_answers: usize,
     moved_at: Option<Instant>,
@@ -553,11 +554,13 @@
                 Step::ServerRecovers(n) => drop(sim.dead_servers.remove(&sim.server_id(usize::from(*n)))),
                 Step::ConnectionEnds(index) | Step::ClientLeaves(index) => {
                     let connected = sim.clients.iter().filter(|(_, c)| c.connected_server.is_some());
-                    let connected: Vec<(RequestId, ServerId)> = connected.map(|(id, c)| (*id, c.connected_server.unwrap())).collect();
+                    let connected: Vec<(RequestId, ServerId)> =
+                        connected.map(|(id, c)| (*id, c.connected_server.unwrap())).collect();
                     if let Some((id, server)) = connected.get(usize::from(*index) % connected.len().max(1)).copied() {
                         sim.clients.remove(&id);
                         requested_at.remove(&id);
-                        let attempt_end = AttemptEnd { id, server, outcome: Outcome::Ok, is_final: true, report: Report::default() };
+                        let attempt_end =
+                            AttemptEnd { id, server, outcome: Outcome::Ok, is_final: true, report: Report::default() };
                         sim.handle(match step {
                             Step::ConnectionEnds(_) => EngineEvent::AttemptEnded(attempt_end),
                             _ => EngineEvent::ClientGone(id),
@@ -571,7 +574,8 @@
                 sim.clients.iter().filter_map(|(id, c)| Some((*id, c.attempt_server?))).collect();
             for (id, server) in failed_attempts {
                 sim.clients.get_mut(&id).unwrap().attempt_server = None;
-                let attempt_end = AttemptEnd { id, server, outcome: Outcome::ConnectFailed, is_final: false, report: Report::default() };
+                let attempt_end =
+                    AttemptEnd { id, server, outcome: Outcome::ConnectFailed, is_final: false, report: Report::default() };
                 sim.handle(EngineEvent::AttemptEnded(attempt_end));
             }
             for (_, server) in &sim.attempts[attempts_before..] {
@@ -582,7 +586,13 @@
             for (id, client) in &sim.clients {
                 prop_assert!(client.final_answers + usize::from(client.connected_server.is_some()) <= 1);
                 let is_late = sim.now > requested_at[id] + ms(2100);
-                prop_assert!(!is_late || client.final_answers == 1 || client.connected_server.is_some() || client.attempt_server.is_some(), "request {id} has no final answer");
+                prop_assert!(
+                    !is_late
+                        || client.final_answers == 1
+                        || client.connected_server.is_some()
+                        || client.attempt_server.is_some(),
+                    "request {id} has no final answer"
+                );
             }
         }
     }
--- a/crates/engine/tests/service.rs
+++ b/crates/engine/tests/service.rs
@@ -246,8 +246,8 @@
 }
 
 /// New settings add a class with stricter idempotency: a request that was admitted as safe to repeat stays so, a
-/// request of the strict class is not repeated. Classes and the number of attempts change with the settings; the numbers
-/// of the classes never do.
+/// request of the strict class is not repeated. Classes and the number of attempts change with the settings; the
+/// numbers of the classes never do.
 #[test]
 fn connections_keep_the_class_they_were_admitted_with() {
     let mut harness = EngineHarness::new(&["a", "b", "c"]);
--- a/crates/service/src/bans.rs
+++ b/crates/service/src/bans.rs
@@ -1,5 +1,5 @@
-//! The servers that operators keep out. Their word is stronger than any source's: it outlives lists that
-//! call the server ready, leave it out or list it again, another discovery, and an upgrade.
+//! Servers that operators ban. A ban overrides all sources: it stays in force when lists report the server as ready,
+//! omit it or list it again, when the discovery service is replaced, and across an upgrade of the proxy.
 
 use std::collections::BTreeMap;
 
@@ -7,27 +7,29 @@
 
 use crate::{Limits, Millis};
 
+/// The banned servers and the servers that were unbanned.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bans {
-    /// Out, by id, since when.
+    /// Time of the ban of each banned server, by id.
     banned: BTreeMap<String, Millis>,
-    /// Back, by id: when they went out and when they were called back.
+    /// Times of the last ban and unban of each unbanned server, by id.
     unbanned: BTreeMap<String, Unban>,
 }
 
+/// Times of a ban that was lifted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Unban {
     banned_at: Millis,
     unbanned_at: Millis,
 }
 
-/// What became of a call.
+/// Result of a change of the bans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeOutcome {
     Changed,
-    /// It was so already.
+    /// The requested state was already in force.
     Same,
-    /// As many as there may be are out.
+    /// The limit of banned servers is reached.
     Full,
 }
 
@@ -36,29 +38,30 @@
         self.banned.contains_key(uid)
     }
 
+    /// Returns the number of banned servers.
     pub fn count(&self) -> usize {
         self.banned.len()
     }
 
-    /// The servers that are out.
+    /// Returns the ids of the banned servers.
     pub fn banned_servers(&self) -> impl Iterator<Item = &str> {
         self.banned.keys().map(String::as_str)
     }
 
-    /// Takes over what an earlier process wrote down, which may have gone by another clock or before the machine was
-    /// started anew: a time that is still to come counts as now.
+    /// Adopts the bans of an earlier process, whose times may come from another clock or from before a reboot of the
+    /// machine: times in the future are set to `now`.
     pub fn with_times_clamped(mut self, now: Millis) -> Self {
-        for out in self.banned.values_mut() {
-            *out = (*out).min(now);
+        for banned_at in self.banned.values_mut() {
+            *banned_at = (*banned_at).min(now);
         }
-        for back in self.unbanned.values_mut() {
-            (back.banned_at, back.unbanned_at) =
-                (back.banned_at.min(now), back.unbanned_at.min(now));
+        for unban in self.unbanned.values_mut() {
+            (unban.banned_at, unban.unbanned_at) =
+                (unban.banned_at.min(now), unban.unbanned_at.min(now));
         }
         self
     }
 
-    /// Keeps a server out until it is called back, however often this is said.
+    /// Bans a server until it is unbanned; repeated bans have no further effect.
     pub fn ban(&mut self, uid: &str, now: Millis, limits: &Limits) -> ChangeOutcome {
         if self.is_banned(uid) {
             return ChangeOutcome::Same;
@@ -71,37 +74,40 @@
         ChangeOutcome::Changed
     }
 
-    /// Uses a server again.
+    /// Lifts the ban of a server, however often it was banned.
     pub fn unban(&mut self, uid: &str, now: Millis, limits: &Limits) -> ChangeOutcome {
-        let Some(out) = self.banned.remove(uid) else {
+        let Some(banned_at) = self.banned.remove(uid) else {
             return ChangeOutcome::Same;
         };
         if self.unbanned.len() >= limits.max_bans {
-            // The one that was called back longest ago is warm before any other.
+            // The server that was unbanned first is also the first to complete its slow start, so its entry can go.
             let oldest = self
                 .unbanned
                 .iter()
-                .min_by_key(|(_, back)| back.unbanned_at);
-            if let Some(oldest) = oldest.map(|(uid, _)| uid.clone()) {
-                self.unbanned.remove(&oldest);
+                .min_by_key(|(_, entry)| entry.unbanned_at);
+            if let Some(oldest_uid) = oldest.map(|(uid, _)| uid.clone()) {
+                self.unbanned.remove(&oldest_uid);
             }
         }
         self.unbanned.insert(
             uid.to_string(),
             Unban {
-                banned_at: out,
+                banned_at,
                 unbanned_at: now,
             },
         );
         ChangeOutcome::Changed
     }
 
-    /// When a server last started, given what the list says. It was restarted while it was out; until
-    /// the list shows a start since then it may have been at the last moment, when it was called back.
-    pub fn started_at(&self, uid: &str, listed: Option<Millis>) -> Option<Millis> {
+    /// Returns when a server last started, given the listed start time. The server may have been restarted while it was
+    /// banned. Until the list shows a start time after the ban, the restart is assumed to be as late as possible, at
+    /// the time of the unban.
+    pub fn started_at(&self, uid: &str, listed_start: Option<Millis>) -> Option<Millis> {
         match self.unbanned.get(uid) {
-            Some(back) if listed.is_none_or(|at| at < back.banned_at) => Some(back.unbanned_at),
-            _ => listed,
+            Some(unban) if listed_start.is_none_or(|start| start < unban.banned_at) => {
+                Some(unban.unbanned_at)
+            }
+            _ => listed_start,
         }
     }
 }
--- a/crates/service/src/drain.rs
+++ b/crates/service/src/drain.rs
@@ -1,5 +1,5 @@
-//! How a proxy is emptied: its clients are moved, what still comes is taken until the front has stopped,
-//! then turned away, and at last what waits gets its answer.
+//! Stages of a proxy's drain: its clients are moved; new requests are admitted until the front end has stopped sending
+//! them and are refused after that; finally all waiting requests get an answer.
 
 use std::time::Duration;
 
@@ -7,14 +7,15 @@
 
 use crate::Limits;
 
-/// What is taken so long after the word to leave, and when that changes.
+/// Returns the admission mode at a time since the start of the drain, and the time since the start at which it changes
+/// next, if it does.
 pub fn admission_during_drain(
-    since: Duration,
+    elapsed: Duration,
     limits: &Limits,
 ) -> (AdmissionMode, Option<Duration>) {
-    if since < limits.drain_refuse_new_after {
+    if elapsed < limits.drain_refuse_new_after {
         (AdmissionMode::All, Some(limits.drain_refuse_new_after))
-    } else if since < limits.drain_refuse_all_after {
+    } else if elapsed < limits.drain_refuse_all_after {
         (
             AdmissionMode::NothingNew,
             Some(limits.drain_refuse_all_after),
--- a/crates/service/src/handover.rs
+++ b/crates/service/src/handover.rs
@@ -1,6 +1,6 @@
-//! What a proxy and its successor say to each other, one frame a message: [`MAGIC`], the version, the
-//! length of the body, the body (postcard), and a CRC-32 of all before it. What can't be read is an error,
-//! and whoever reads it goes on as if nobody were there.
+//! Messages between a proxy and its successor. Each message is one frame: the magic bytes `VWHO`, the version, the
+//! length of the body, the body (postcard), and a CRC-32 of all preceding bytes. A frame that can't be decoded is an
+//! error, and its receiver continues as if the peer were absent.
 
 use std::fmt;
 
@@ -10,56 +10,66 @@
 use crate::{Bans, Limits, OperatorChange};
 
 const MAGIC: [u8; 4] = *b"VWHO";
-/// Another version's messages are not understood, and count as absent.
+/// Frame version. Messages of another version are not understood, and their sender counts as absent.
 const VERSION: u8 = 1;
+/// Length of the magic, the version and the body length.
 const HEADER_BYTES: usize = 9;
 const CHECKSUM_BYTES: usize = 4;
 
+/// A message of the handover. The numbers identify a change or an offered connection, so that answers can be matched.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The successor is there; first of all.
+    /// First message of the successor: it has started.
     Hello,
-    /// What holds here; the clients' listener comes with it.
+    /// Answer of the old process to [`Message::Hello`]: its state. The clients' listener is sent along.
     State(HandoverState),
-    /// The successor accepts clients from now on; the old process stops, and says so.
+    /// The successor accepts clients from now on; the old process has to stop accepting them.
     Serving,
+    /// The old process has stopped accepting clients.
     Stopped,
-    /// So many descriptors are in use here.
+    /// Number of descriptors in use in the old process.
     DescriptorsInUse(u32),
-    /// An operator's word that binds both, and the answer that it is in force.
+    /// An operator's change that applies to both processes.
     Change(u32, OperatorChange),
+    /// The change with this number is in force in the other process.
     ChangeApplied(u32),
-    /// A connection that is up; its two sockets come with it. It is the successor's with the last word.
+    /// The old process offers an established connection; its two sockets are sent along.
     ConnectionOffer(u32, Connection),
+    /// The successor can take over the connection.
     ConnectionAccepted(u32),
+    /// The successor can't take over the connection; the old process keeps it.
     ConnectionDeclined(u32),
+    /// The connection belongs to the successor from this message on. Until then either process may end, and the other
+    /// one has the connection.
     ConnectionTransferred(u32),
 }
 
-/// A connection between two lines, with nothing of it held in the process that offers it.
+/// An established connection between two lines; the process that offers it has no buffered data of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Connection {
-    /// The client's first line, without its end.
+    /// The client's first line, without its line end.
     pub first_line: Vec<u8>,
     /// The number of its server.
     pub server: u32,
-    /// The figure of its last `LOAD` line.
+    /// Value of the connection's last `LOAD` line.
     pub load: Option<f64>,
-    /// For how long a line of the client waits for the server to say anything.
+    /// How long a line of the client has been waiting for any data from the server, in milliseconds.
     pub unanswered_ms: Option<u32>,
 }
 
+/// State of the old process that its successor adopts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HandoverState {
     pub bans: Bans,
-    /// The proxy is left.
+    /// Whether an operator's `LEAVE` is in force.
     pub has_left: bool,
-    /// Where discovery is, if a reload has moved it.
+    /// Address of the discovery service, if a reload has changed it.
     pub discovery_address: Option<String>,
-    /// Descriptors in use.
+    /// Number of descriptors in use in the old process.
     pub descriptors_in_use: u32,
 }
 
+/// Why a frame can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
     InvalidFrame,
@@ -72,16 +82,16 @@
 impl fmt::Display for FrameError {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::InvalidFrame => out.write_str("no message"),
-            Self::UnknownVersion(version) => write!(out, "version {version} is not known here"),
-            Self::TooLong => out.write_str("too long"),
-            Self::ChecksumMismatch => out.write_str("the checksum is wrong"),
-            Self::InvalidBody => out.write_str("the body makes no sense"),
+            Self::InvalidFrame => out.write_str("invalid frame"),
+            Self::UnknownVersion(version) => write!(out, "unknown frame version {version}"),
+            Self::TooLong => out.write_str("frame too long"),
+            Self::ChecksumMismatch => out.write_str("frame checksum mismatch"),
+            Self::InvalidBody => out.write_str("invalid frame body"),
         }
     }
 }
 
-/// A frame with this body; none if it would be too long.
+/// Encodes a body as a frame. Returns `None` if the body is longer than the limit.
 pub fn encode_frame(body: &impl Serialize, limits: &Limits) -> Option<Vec<u8>> {
     let body = postcard::to_stdvec(body).ok()?;
     if body.len() > limits.max_frame_bytes {
@@ -95,13 +105,14 @@
     Some(frame)
 }
 
-/// The body of the first frame of what came and the frame's length, once it is whole.
+/// Decodes the first frame of `bytes`. Returns its body and the length of the frame, or `None` while the frame is
+/// incomplete.
 pub fn decode_frame<T: DeserializeOwned>(
     bytes: &[u8],
     limits: &Limits,
 ) -> Result<Option<(T, usize)>, FrameError> {
-    let begun = bytes.len().min(MAGIC.len());
-    if bytes[..begun] != MAGIC[..begun] {
+    let magic_bytes = bytes.len().min(MAGIC.len());
+    if bytes[..magic_bytes] != MAGIC[..magic_bytes] {
         return Err(FrameError::InvalidFrame);
     }
     if let Some(&version) = bytes.get(MAGIC.len())
@@ -109,55 +120,56 @@
     {
         return Err(FrameError::UnknownVersion(version));
     }
-    let Some(head) = bytes.get(..HEADER_BYTES) else {
+    let Some(header) = bytes.get(..HEADER_BYTES) else {
         return Ok(None);
     };
-    let length = u32::from_le_bytes([head[5], head[6], head[7], head[8]]) as usize;
+    let length = u32::from_le_bytes([header[5], header[6], header[7], header[8]]) as usize;
     if length > limits.max_frame_bytes {
         return Err(FrameError::TooLong);
     }
-    let (body_end, end) = (
+    let (body_end, frame_end) = (
         HEADER_BYTES + length,
         HEADER_BYTES + length + CHECKSUM_BYTES,
     );
-    let Some(frame) = bytes.get(..end) else {
+    let Some(frame) = bytes.get(..frame_end) else {
         return Ok(None);
     };
-    let sum = crc32fast::hash(&frame[..body_end]).to_le_bytes();
-    if sum != frame[body_end..] {
+    let checksum = crc32fast::hash(&frame[..body_end]).to_le_bytes();
+    if checksum != frame[body_end..] {
         return Err(FrameError::ChecksumMismatch);
     }
     match postcard::take_from_bytes(&frame[HEADER_BYTES..body_end]) {
-        Ok((body, [])) => Ok(Some((body, end))),
+        Ok((body, [])) => Ok(Some((body, frame_end))),
         _ => Err(FrameError::InvalidBody),
     }
 }
 
-/// The bans as they stand in a file, if that holds one whole frame and nothing else.
+/// Decodes the content of a file of bans, which has to be exactly one complete frame.
 pub fn decode_bans(bytes: &[u8], limits: &Limits) -> Result<Bans, FrameError> {
     match decode_frame(bytes, limits)? {
-        Some((bans, end)) if end == bytes.len() => Ok(bans),
+        Some((bans, frame_end)) if frame_end == bytes.len() => Ok(bans),
         _ => Err(FrameError::InvalidFrame),
     }
 }
 
-/// Reads messages in pieces of any size.
+/// Decodes messages from a stream of bytes that arrives in pieces of any size.
 #[derive(Debug, Default)]
 pub struct MessageDecoder {
     buffer: Vec<u8>,
 }
 
 impl MessageDecoder {
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message.
+    /// Removes and returns the next message, or `None` while it is incomplete.
     pub fn next(&mut self, limits: &Limits) -> Result<Option<Message>, FrameError> {
-        let Some((message, end)) = decode_frame(&self.buffer, limits)? else {
+        let Some((message, frame_end)) = decode_frame(&self.buffer, limits)? else {
             return Ok(None);
         };
-        self.buffer.drain(..end);
+        self.buffer.drain(..frame_end);
         Ok(Some(message))
     }
 }
--- a/crates/service/src/lib.rs
+++ b/crates/service/src/lib.rs
@@ -1,6 +1,6 @@
-//! What settles the day-to-day service of a proxy, without I/O, clock or chance: the operators' calls
-//! ([`call`]), the servers they keep out ([`bans`]), machines that orders have out ([`machines`]), how a proxy is emptied ([`leaving`]), and what a proxy
-//! and its successor say to each other ([`handover`]).
+//! Rules of a proxy's day-to-day operation, without I/O, clock or randomness: operators' commands ([`command`]),
+//! servers that operators ban ([`bans`]), machines that work orders take out of service ([`machines`]), the drain of a
+//! proxy ([`drain`]), and the messages between a proxy and its successor ([`handover`]).
 
 pub mod bans;
 pub mod command;
@@ -15,5 +15,5 @@
 pub use limits::Limits;
 pub use machines::{MachineMap, MachinesOut};
 
-/// Milliseconds of a clock that is never stepped and is the same for all processes of a machine.
+/// Time in milliseconds of a clock that is never stepped and is the same for all processes of a machine.
 pub type Millis = u64;
--- a/crates/service/src/limits.rs
+++ b/crates/service/src/limits.rs
@@ -1,24 +1,30 @@
+//! Size and time limits of this crate.
+
 use std::time::Duration;
 
-/// The sizes and times of this crate.
+/// Size and time limits of operators' commands, bans, the drain of a proxy and the handover.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// The longest call with its end, and the longest id of a server.
+    /// Maximum length of a command line, including its line end.
     pub max_command_bytes: usize,
+    /// Maximum length of a server's id, and of each word of a `FLEET` command.
     pub max_id_bytes: usize,
-    /// Machines that one call may name.
+    /// Maximum number of machines in one command.
     pub max_machines_per_command: usize,
-    /// Servers that may be out at once, and as many that are remembered as back.
+    /// Maximum number of servers that are banned at once; also the maximum number of remembered unbans.
     pub max_bans: usize,
-    /// Servers on machines that orders have out whose times are remembered, and as many that have come back.
+    /// Maximum number of servers on machines taken out by work orders whose times are remembered; also the maximum
+    /// number of remembered servers that returned.
     pub max_servers_out: usize,
-    /// The longest message between a proxy and its successor, and the longest file of bans.
+    /// Maximum body length of a message between a proxy and its successor, and of the file of bans.
     pub max_frame_bytes: usize,
-    /// After `LEAVE`: the front has stopped sending new clients; standing ones are moved from here to there.
+    /// Time after `LEAVE` at which the moves of clients start; the front end has stopped sending new clients by then.
     pub drain_move_start: Duration,
+    /// Time after `LEAVE` at which the moves of clients end.
     pub drain_move_end: Duration,
-    /// From here on new requests are turned away, and from there on those that still wait.
+    /// Time after `LEAVE` from which new requests are refused.
     pub drain_refuse_new_after: Duration,
+    /// Time after `LEAVE` from which requests that still wait are refused too.
     pub drain_refuse_all_after: Duration,
 }
 
@@ -32,7 +38,8 @@
             max_bans: 1024,
             max_servers_out: 16_384,
             max_frame_bytes: 2 << 20,
-            // The front asks ten times a second and stops 0.2 s after a no; at 4 s nothing may be held.
+            // The front end checks health ten times a second and stops sending clients 0.2 s after a negative answer;
+            // at 4 s no client may be left.
             drain_move_start: ms(400),
             drain_move_end: ms(3000),
             drain_refuse_new_after: ms(700),
--- a/crates/service/src/machines.rs
+++ b/crates/service/src/machines.rs
@@ -1,48 +1,49 @@
-//! Machines and the servers on them, and those that the fleet's orders for work keep out of this proxy. An operator's
-//! word given here is stronger.
+//! Machines, the servers on them, and the machines that the fleet's work orders take out of service at this proxy. An
+//! operator's change at this proxy overrides the work orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Bans, ChangeOutcome, Limits, Millis};
 
-/// Which machine a server runs on, by the operator's file.
+/// Mapping of servers to machines, as configured in the operator's file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MachineMap {
-    /// The machine's name is the server's up to the first of these.
+    /// Delimiter that ends the machine's name within the id of a server.
     pub name_delimiter: Option<String>,
-    /// Servers whose machine the file names.
+    /// Machines of servers that the file lists individually.
     pub by_server: BTreeMap<String, String>,
 }
 
 impl MachineMap {
-    /// Without a rule each server is a machine of its own.
+    /// Returns the name of a server's machine. A server without a matching rule is a machine of its own.
     pub fn machine_of<'a>(&'a self, uid: &'a str) -> &'a str {
         if let Some(machine) = self.by_server.get(uid) {
             return machine;
         }
-        let until = self
+        let prefix_length = self
             .name_delimiter
             .as_deref()
-            .and_then(|until| uid.find(until));
-        until.map_or(uid, |at| &uid[..at])
+            .and_then(|delimiter| uid.find(delimiter));
+        prefix_length.map_or(uid, |length| &uid[..length])
     }
 }
 
-/// The machines that orders have out, as this proxy goes by them.
+/// The machines that work orders take out of service, as applied by this proxy.
 #[derive(Clone, Debug, Default)]
 pub struct MachinesOut {
     machine_map: MachineMap,
-    /// Out, by name, also of servers that no list has named yet.
+    /// Names of the machines that are out. Servers on them that no list has named yet are out too.
     machines_out: BTreeSet<String>,
-    /// Servers on them as the log has them: another proxy's file may say otherwise.
+    /// Servers on these machines according to the fleet's log; the file of another proxy may map them differently.
     servers_out: BTreeSet<String>,
-    /// In use by an operator's word, though their machine is out.
+    /// Servers that an operator has put back in use although their machine is out.
     overridden: BTreeSet<String>,
-    /// When they went out and came back.
+    /// Times at which servers went out of service and returned.
     transitions: Bans,
 }
 
 impl MachinesOut {
+    /// Creates the state with no machine out.
     pub fn new(machine_map: MachineMap) -> Self {
         Self {
             machine_map,
@@ -50,60 +51,68 @@
         }
     }
 
+    /// Returns the name of a server's machine; see [`MachineMap::machine_of`].
     pub fn machine_of<'a>(&'a self, uid: &'a str) -> &'a str {
         self.machine_map.machine_of(uid)
     }
 
-    /// Whether an order has the server's machine out, whatever an operator says.
+    /// Whether a work order takes the server's machine out of service, regardless of operators' overrides.
     pub fn is_out_by_order(&self, uid: &str) -> bool {
         !self.machines_out.is_empty()
             && (self.machines_out.contains(self.machine_map.machine_of(uid))
                 || self.servers_out.contains(uid))
     }
 
+    /// Whether a work order keeps the server out of use and no operator overrides that.
     pub fn is_out(&self, uid: &str) -> bool {
         self.is_out_by_order(uid) && !self.overridden.contains(uid)
     }
 
+    /// Whether an operator has put the server back in use although its machine is out.
     pub fn is_overridden(&self, uid: &str) -> bool {
         self.overridden.contains(uid)
     }
 
-    /// Takes the machines that are out from now on, with the servers on them.
-    pub fn replace_machines(&mut self, closed: BTreeMap<String, BTreeSet<String>>) {
-        self.servers_out = closed.values().flatten().cloned().collect();
-        self.machines_out = closed.into_keys().collect();
-        let opened = std::mem::take(&mut self.overridden);
-        self.overridden = opened
+    /// Replaces the set of machines that are out of service, each with its servers. Overrides of servers that are no
+    /// longer out are removed.
+    pub fn replace_machines(&mut self, machines: BTreeMap<String, BTreeSet<String>>) {
+        self.servers_out = machines.values().flatten().cloned().collect();
+        self.machines_out = machines.into_keys().collect();
+        let overridden = std::mem::take(&mut self.overridden);
+        self.overridden = overridden
             .into_iter()
             .filter(|uid| self.is_out_by_order(uid))
             .collect();
     }
 
-    /// An operator wants a server used, or not any more. True if that changes what is out by an order.
-    pub fn set_override(&mut self, uid: &str, open: bool) -> bool {
-        match open {
+    /// Sets or removes an operator's override that keeps a server in use although its machine is out. Returns whether
+    /// that changed the override.
+    pub fn set_override(&mut self, uid: &str, is_in_use: bool) -> bool {
+        match is_in_use {
             true => self.is_out_by_order(uid) && self.overridden.insert(uid.to_string()),
             false => self.overridden.remove(uid),
         }
     }
 
-    /// Notes when a server went out or came back: with its machine it may have been started anew.
+    /// Records when a server went out of service or returned, because it may have been restarted together with its
+    /// machine.
     pub fn record_transition(&mut self, uid: &str, now: Millis, limits: &Limits) {
         let limits = Limits {
             max_bans: limits.max_servers_out,
             ..limits.clone()
         };
-        let kept = match self.is_out(uid) {
+        let outcome = match self.is_out(uid) {
             true => self.transitions.ban(uid, now, &limits),
             false => self.transitions.unban(uid, now, &limits),
         };
-        // Beyond the limit it is out all the same; when it comes back its start is as listed.
-        debug_assert!(kept != ChangeOutcome::Full || self.transitions.count() >= limits.max_bans);
+        // Beyond the limit the server is still out; when it returns, its listed start time is used.
+        debug_assert!(
+            outcome != ChangeOutcome::Full || self.transitions.count() >= limits.max_bans
+        );
     }
 
-    /// When a server last started, given what the list says.
-    pub fn started_at(&self, uid: &str, listed: Option<Millis>) -> Option<Millis> {
-        self.transitions.started_at(uid, listed)
+    /// Returns when a server last started, given the listed start time.
+    pub fn started_at(&self, uid: &str, listed_start: Option<Millis>) -> Option<Millis> {
+        self.transitions.started_at(uid, listed_start)
     }
 }
--- a/crates/service/tests/service.rs
+++ b/crates/service/tests/service.rs
@@ -1,5 +1,5 @@
-//! Calls, bans and messages as tables of events, and properties: any split into pieces reads the same,
-//! any cut or flipped byte is an error.
+//! Tests of commands, bans, machines and handover messages. Property tests check that input split into pieces of any
+//! size decodes alike, and that truncated or altered frames never decode to a message.
 
 use std::time::Duration;
 
@@ -17,24 +17,27 @@
 }
 
 #[test]
-fn calls_are_read_and_the_rest_is_told_by_its_fault() {
-    let call = |line: &str| parse_command(line.as_bytes(), &limits());
+fn valid_commands_are_parsed_and_invalid_ones_return_their_error() {
+    let parse = |line: &str| parse_command(line.as_bytes(), &limits());
     let change = |change| Ok(OperatorCommand::Change(change));
-    assert_eq!(call("HEALTH"), Ok(OperatorCommand::Health));
-    assert_eq!(call("LEAVE"), change(OperatorChange::Leave));
-    assert_eq!(call("JOIN"), change(OperatorChange::Join));
+    assert_eq!(parse("HEALTH"), Ok(OperatorCommand::Health));
+    assert_eq!(parse("LEAVE"), change(OperatorChange::Leave));
+    assert_eq!(parse("JOIN"), change(OperatorChange::Join));
     assert_eq!(
-        call("OFFLINE s-1"),
+        parse("OFFLINE s-1"),
         change(OperatorChange::Offline("s-1".into()))
     );
-    assert_eq!(call("ONLINE ü"), change(OperatorChange::Online("ü".into())));
-    // As a person types.
     assert_eq!(
-        call(" ONLINE  s-1 "),
+        parse("ONLINE ü"),
+        change(OperatorChange::Online("ü".into()))
+    );
+    // Extra spaces, as an operator may type them.
+    assert_eq!(
+        parse(" ONLINE  s-1 "),
         change(OperatorChange::Online("s-1".into()))
     );
-    let long = format!("OFFLINE {}", "x".repeat(600));
-    for (line, fault) in [
+    let long_id_line = format!("OFFLINE {}", "x".repeat(600));
+    for (line, error) in [
         ("", CommandError::Unknown),
         ("health", CommandError::Unknown),
         ("STOP", CommandError::Unknown),
@@ -44,9 +47,9 @@
         ("OFFLINE s-1 s-2 s-3", CommandError::TooManyWords),
         ("LEAVE now", CommandError::TooManyWords),
         ("HEALTH\0", CommandError::NotText),
-        (long.as_str(), CommandError::IdTooLong),
+        (long_id_line.as_str(), CommandError::IdTooLong),
     ] {
-        assert_eq!(call(line), Err(fault), "{line:?}");
+        assert_eq!(parse(line), Err(error), "{line:?}");
     }
     assert_eq!(
         parse_command(b"OFFLINE \xff", &limits()),
@@ -55,22 +58,22 @@
 }
 
 #[test]
-fn a_line_without_end_is_given_up_at_its_limit() {
-    let mut calls = CommandDecoder::default();
-    let mut fed = 0;
-    let end = loop {
-        fed += 100;
-        if let Some(end) = calls.feed(&[b'x'; 100], &limits()) {
-            break end;
+fn line_without_end_is_rejected_at_the_length_limit() {
+    let mut decoder = CommandDecoder::default();
+    let mut fed_bytes = 0;
+    let result = loop {
+        fed_bytes += 100;
+        if let Some(result) = decoder.feed(&[b'x'; 100], &limits()) {
+            break result;
         }
     };
-    assert_eq!(end, Err(CommandError::TooLong));
-    assert!(fed <= limits().max_command_bytes + 100);
+    assert_eq!(result, Err(CommandError::TooLong));
+    assert!(fed_bytes <= limits().max_command_bytes + 100);
 }
 
-/// Called out twice and back once it is in use; and it was restarted while it was out.
+/// One unban undoes two bans, and the server is assumed to have been restarted while it was banned.
 #[test]
-fn one_call_back_undoes_any_number_of_calls_out() {
+fn one_unban_undoes_any_number_of_bans() {
     let (mut bans, limits) = (Bans::default(), limits());
     assert_eq!(bans.ban("a", 1000, &limits), ChangeOutcome::Changed);
     assert_eq!(bans.ban("a", 2000, &limits), ChangeOutcome::Same);
@@ -78,10 +81,10 @@
     assert_eq!(bans.unban("a", 5000, &limits), ChangeOutcome::Changed);
     assert!(!bans.is_banned("a"));
     assert_eq!(bans.unban("a", 6000, &limits), ChangeOutcome::Same);
-    // The list shows no start since it went out: it may have been at the last moment.
+    // The list shows no start time after the ban: the restart is assumed at the time of the unban.
     assert_eq!(bans.started_at("a", None), Some(5000));
     assert_eq!(bans.started_at("a", Some(500)), Some(5000));
-    // It shows one: that holds.
+    // The list shows a start time after the ban: that one is used.
     assert_eq!(bans.started_at("a", Some(1500)), Some(1500));
     assert_eq!(bans.started_at("b", Some(7)), Some(7));
     assert_eq!(bans.ban("a", 9000, &limits), ChangeOutcome::Changed);
@@ -89,7 +92,7 @@
 }
 
 #[test]
-fn what_is_out_and_what_is_back_are_bounded() {
+fn numbers_of_bans_and_of_remembered_unbans_are_bounded() {
     let limits = Limits {
         max_bans: 2,
         ..limits()
@@ -103,35 +106,35 @@
         bans.ban(uid, 1, &limits);
         bans.unban(uid, 10 + at as u64, &limits);
     }
-    // The one that was called back first is forgotten.
+    // The entry of the server that was unbanned first is removed.
     assert_eq!(bans.started_at("a", None), None);
     assert_eq!(bans.started_at("c", None), Some(12));
 }
 
-/// The front stops 0.2 s after it hears no; nothing may be held at 4 s.
+/// The front end stops sending clients 0.2 s after a negative health answer; no client may be left at 4 s.
 #[test]
-fn a_leave_takes_then_turns_away_then_ends() {
+fn drain_admits_all_then_refuses_new_then_refuses_all() {
     let at = |ms| admission_during_drain(Duration::from_millis(ms), &limits());
     assert_eq!(at(0).0, AdmissionMode::All);
     assert_eq!(at(300).0, AdmissionMode::All);
-    let (mut since, mut seen) = (Duration::ZERO, vec![]);
+    let (mut elapsed, mut modes) = (Duration::ZERO, vec![]);
     loop {
-        let (taken, next) = admission_during_drain(since, &limits());
-        seen.push(taken);
+        let (mode, next) = admission_during_drain(elapsed, &limits());
+        modes.push(mode);
         match next {
-            Some(next) => since = next,
+            Some(next) => elapsed = next,
             None => break,
         }
     }
     assert_eq!(
-        seen,
+        modes,
         [
             AdmissionMode::All,
             AdmissionMode::NothingNew,
             AdmissionMode::Nothing
         ]
     );
-    assert!(since < Duration::from_millis(4000) && limits().drain_move_end < since);
+    assert!(elapsed < Duration::from_millis(4000) && limits().drain_move_end < elapsed);
 }
 
 fn state() -> HandoverState {
@@ -176,7 +179,7 @@
 }
 
 #[test]
-fn a_file_of_bans_reads_back_and_a_bad_one_is_an_error() {
+fn file_of_bans_round_trips_and_an_invalid_one_is_an_error() {
     let bans = state().bans;
     let bytes = handover::encode_frame(&bans, &limits()).unwrap();
     assert_eq!(handover::decode_bans(&bytes, &limits()), Ok(bans));
@@ -191,28 +194,28 @@
 }
 
 #[test]
-fn another_version_and_a_huge_length_are_told_before_they_are_read() {
+fn unknown_version_and_excessive_length_are_rejected_before_the_body_arrives() {
     let mut bytes = frame(&Message::Hello);
     bytes[4] = 2;
-    let mut messages = MessageDecoder::default();
-    messages.feed(&bytes[..5]);
+    let mut decoder = MessageDecoder::default();
+    decoder.feed(&bytes[..5]);
     assert_eq!(
-        messages.next(&limits()),
+        decoder.next(&limits()),
         Err(handover::FrameError::UnknownVersion(2))
     );
-    let mut messages = MessageDecoder::default();
-    messages.feed(b"VWHO\x01\xff\xff\xff\xff");
-    assert_eq!(messages.next(&limits()), Err(handover::FrameError::TooLong));
-    let mut huge = Limits {
+    let mut decoder = MessageDecoder::default();
+    decoder.feed(b"VWHO\x01\xff\xff\xff\xff");
+    assert_eq!(decoder.next(&limits()), Err(handover::FrameError::TooLong));
+    let mut frame_limits = Limits {
         max_frame_bytes: 3,
         ..limits()
     };
     assert_eq!(
-        handover::encode_frame(&Message::State(state()), &huge),
+        handover::encode_frame(&Message::State(state()), &frame_limits),
         None
     );
-    huge.max_frame_bytes = 1 << 20;
-    assert!(handover::encode_frame(&Message::State(state()), &huge).is_some());
+    frame_limits.max_frame_bytes = 1 << 20;
+    assert!(handover::encode_frame(&Message::State(state()), &frame_limits).is_some());
 }
 
 fn config() -> ProptestConfig {
@@ -224,14 +227,14 @@
     }
 }
 
-/// Cuts bytes into pieces of these lengths, in turn.
+/// Cuts bytes into pieces of these lengths, which are used in turn.
 fn pieces<'a>(bytes: &'a [u8], lengths: &'a [usize]) -> impl Iterator<Item = &'a [u8]> {
-    let (mut at, mut turn) = (0, 0);
+    let (mut position, mut turn) = (0, 0);
     std::iter::from_fn(move || {
-        let from = at;
-        at = (at + lengths[turn % lengths.len()]).min(bytes.len());
+        let from = position;
+        position = (position + lengths[turn % lengths.len()]).min(bytes.len());
         turn += 1;
-        (from < bytes.len()).then(|| &bytes[from..at])
+        (from < bytes.len()).then(|| &bytes[from..position])
     })
 }
 
@@ -239,59 +242,63 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_split_of_a_call_reads_the_same(
+    fn any_split_of_a_command_decodes_alike(
         line in prop::collection::vec(any::<u8>(), 0..40),
         verb in prop::sample::select(vec!["", "HEALTH", "OFFLINE ", "ONLINE s-1", "LEAVE ", "JOIN"]),
         crlf: bool,
         lengths in prop::collection::vec(1_usize..9, 1..6),
     ) {
         let line: Vec<u8> = line.into_iter().filter(|byte| *byte != b'\n').collect();
-        let end: &[u8] = if crlf { b"\r\n" } else { b"\n" };
-        let bytes = [verb.as_bytes(), &line, end, b"more"].concat();
-        let whole = CommandDecoder::default().feed(&bytes, &limits());
-        let mut calls = CommandDecoder::default();
-        let split = pieces(&bytes, &lengths).find_map(|piece| calls.feed(piece, &limits()));
-        prop_assert!(whole.is_some());
-        prop_assert_eq!(whole, split);
+        let line_end: &[u8] = if crlf { b"\r\n" } else { b"\n" };
+        let bytes = [verb.as_bytes(), &line, line_end, b"more"].concat();
+        let result_of_whole = CommandDecoder::default().feed(&bytes, &limits());
+        let mut decoder = CommandDecoder::default();
+        let result_of_pieces = pieces(&bytes, &lengths).find_map(|piece| decoder.feed(piece, &limits()));
+        prop_assert!(result_of_whole.is_some());
+        prop_assert_eq!(result_of_whole, result_of_pieces);
     }
 
     #[test]
-    fn any_split_of_messages_reads_the_same(lengths in prop::collection::vec(1_usize..40, 1..6)) {
+    fn any_split_of_messages_decodes_alike(lengths in prop::collection::vec(1_usize..40, 1..6)) {
         let bytes: Vec<u8> = messages().iter().flat_map(frame).collect();
-        let (mut reader, mut got) = (MessageDecoder::default(), vec![]);
+        let (mut decoder, mut decoded) = (MessageDecoder::default(), vec![]);
         for piece in pieces(&bytes, &lengths) {
-            reader.feed(piece);
-            while let Some(message) = reader.next(&limits()).unwrap() {
-                got.push(message);
+            decoder.feed(piece);
+            while let Some(message) = decoder.next(&limits()).unwrap() {
+                decoded.push(message);
             }
         }
-        prop_assert_eq!(got, messages());
+        prop_assert_eq!(decoded, messages());
     }
 
-    /// Nobody acts on half a message or an altered one.
+    /// An incomplete or altered message is never delivered.
     #[test]
-    fn any_cut_waits_and_any_flipped_bit_is_no_message(which in 0_usize..11, at: prop::sample::Index, bit in 0_u32..8) {
+    fn truncated_frame_waits_and_frame_with_a_flipped_bit_is_no_message(
+        which in 0_usize..11,
+        at: prop::sample::Index,
+        bit in 0_u32..8,
+    ) {
         let whole = frame(&messages()[which]);
         let at = at.index(whole.len());
-        let mut reader = MessageDecoder::default();
-        reader.feed(&whole[..at]);
-        prop_assert_eq!(reader.next(&limits()), Ok(None));
+        let mut decoder = MessageDecoder::default();
+        decoder.feed(&whole[..at]);
+        prop_assert_eq!(decoder.next(&limits()), Ok(None));
         let mut flipped = whole;
         flipped[at] ^= 1_u8 << bit;
-        let mut reader = MessageDecoder::default();
-        reader.feed(&flipped);
-        // A length that has grown leaves it waiting for more; else it is an error.
-        prop_assert!(!matches!(reader.next(&limits()), Ok(Some(_))));
+        let mut decoder = MessageDecoder::default();
+        decoder.feed(&flipped);
+        // With an increased length the decoder waits for more bytes; any other change is an error.
+        prop_assert!(!matches!(decoder.next(&limits()), Ok(Some(_))));
     }
 }
 
-/// Orders for work as staff word them: defaults, ranges, bounds, and a plain word where it makes no sense.
+/// Work commands: defaults, ranges of machines, bounds, and an error for each kind of invalid command.
 #[test]
-fn calls_about_work_are_read_whole_or_refused_with_a_word() {
+fn work_commands_are_parsed_completely_or_rejected_with_their_error() {
     use violetwind_service::command::{CommandError, FleetCommand, WorkCommand, parse_command};
     let limits = Limits::default();
-    let read = |line: &str| parse_command(line.as_bytes(), &limits);
-    let work = |line: &str| match read(line) {
+    let parse = |line: &str| parse_command(line.as_bytes(), &limits);
+    let work = |line: &str| match parse(line) {
         Ok(OperatorCommand::Fleet(FleetCommand::Work(work))) => work,
         other => panic!("{line}: {other:?}"),
     };
@@ -299,30 +306,30 @@
     assert_eq!(work("FLEET WORK PAUSE"), WorkCommand::Pause(None));
     assert_eq!(work("FLEET WORK RESUME 7"), WorkCommand::Resume(Some(7)));
     assert_eq!(work("FLEET WORK DONE m-1"), WorkCommand::Done("m-1".into()));
-    let WorkCommand::Plan(plan) =
+    let WorkCommand::Plan(order) =
         work("FLEET WORK PLAN kernel m-08..m-11,x most=2 spare=zone wait=0 back=9")
     else {
-        panic!("a plan")
+        panic!("expected a PLAN command")
     };
-    let names: Vec<&str> = plan.machines.iter().map(String::as_str).collect();
+    let names: Vec<&str> = order.machines.iter().map(String::as_str).collect();
     assert_eq!(names, ["m-08", "m-09", "m-10", "m-11", "x"]);
     assert_eq!(
         (
-            plan.max_out,
-            plan.max_out_per_zone,
-            plan.min_capacity_permille
+            order.max_out,
+            order.max_out_per_zone,
+            order.min_capacity_permille
         ),
         (2, 1, 800)
     );
     assert_eq!(
         (
-            plan.failure_tolerance.as_str(),
-            plan.waits_for_done,
-            plan.return_timeout_ms
+            order.failure_tolerance.as_str(),
+            order.waits_for_done,
+            order.return_timeout_ms
         ),
         ("zone", false, 9)
     );
-    for (line, fault) in [
+    for (line, error) in [
         ("FLEET WORK PLAN kernel", CommandError::InvalidWorkCommand),
         ("FLEET WORK PAUSE x", CommandError::InvalidWorkCommand),
         ("FLEET WORK PAUSE 1 2", CommandError::TooManyWords),
@@ -346,59 +353,62 @@
         ("FLEET WORK PLAN k m spare=all", CommandError::InvalidBound),
         ("FLEET WORK PLAN k m width=1", CommandError::InvalidBound),
     ] {
-        assert_eq!(read(line), Err(fault), "{line}");
+        assert_eq!(parse(line), Err(error), "{line}");
     }
 }
 
-/// Machines by the operator's file, and servers that are out by an order whatever lists say later.
+/// Servers are out of service by their machine according to the operator's file or by the fleet's log, also if a list
+/// names them only later.
 #[test]
-fn outs_go_by_machines_also_for_servers_that_no_list_has_named_yet() {
+fn servers_of_machines_that_are_out_are_out_even_if_no_list_has_named_them() {
     use std::collections::BTreeSet;
     use violetwind_service::{MachineMap, MachinesOut};
     let machines = MachineMap {
         name_delimiter: Some("/".into()),
         by_server: [("odd".to_string(), "m-2".to_string())].into(),
     };
-    let mut outs = MachinesOut::new(machines);
-    assert!(!outs.is_out("m-2/a"));
-    let on = BTreeSet::from(["elsewhere/x".to_string()]);
-    outs.replace_machines([("m-2".to_string(), on)].into());
+    let mut machines_out = MachinesOut::new(machines);
+    assert!(!machines_out.is_out("m-2/a"));
+    let servers_in_log = BTreeSet::from(["elsewhere/x".to_string()]);
+    machines_out.replace_machines([("m-2".to_string(), servers_in_log)].into());
     assert!(
         ["m-2/a", "odd", "elsewhere/x"]
             .iter()
-            .all(|uid| outs.is_out(uid))
+            .all(|uid| machines_out.is_out(uid))
     );
-    assert!(!outs.is_out("m-20/a") && !outs.is_out("m-3/odd"));
-    // An operator's word is stronger, until the machine is back.
+    assert!(!machines_out.is_out("m-20/a") && !machines_out.is_out("m-3/odd"));
+    // An operator's override takes precedence until the machine returns.
     let limits = Limits::default();
-    outs.record_transition("odd", 1000, &limits);
+    machines_out.record_transition("odd", 1000, &limits);
     assert!(
-        outs.set_override("odd", true) && !outs.set_override("odd", true) && !outs.is_out("odd")
+        machines_out.set_override("odd", true)
+            && !machines_out.set_override("odd", true)
+            && !machines_out.is_out("odd")
     );
-    assert!(!outs.set_override("m-3/odd", true));
-    assert!(outs.set_override("odd", false) && outs.is_out("odd"));
-    outs.set_override("odd", true);
-    outs.replace_machines([].into());
-    assert!(!outs.is_out("odd") && !outs.is_overridden("odd"));
-    // Started anew while it was out, as far as is known: cold from when it came back.
-    outs.record_transition("odd", 5000, &limits);
-    assert_eq!(outs.started_at("odd", Some(10)), Some(5000));
-    assert_eq!(outs.started_at("odd", Some(2000)), Some(2000));
+    assert!(!machines_out.set_override("m-3/odd", true));
+    assert!(machines_out.set_override("odd", false) && machines_out.is_out("odd"));
+    machines_out.set_override("odd", true);
+    machines_out.replace_machines([].into());
+    assert!(!machines_out.is_out("odd") && !machines_out.is_overridden("odd"));
+    // The server may have been restarted while it was out: its start is assumed at its return.
+    machines_out.record_transition("odd", 5000, &limits);
+    assert_eq!(machines_out.started_at("odd", Some(10)), Some(5000));
+    assert_eq!(machines_out.started_at("odd", Some(2000)), Some(2000));
 }
 
-/// Times of an earlier process that went by another clock, or before the machine was started anew.
+/// The times of an earlier process may come from another clock or from before a reboot of the machine.
 #[test]
-fn times_that_are_still_to_come_count_as_now() {
+fn times_in_the_future_are_set_to_now() {
     let limits = Limits::default();
     let mut bans = Bans::default();
-    let unix = 1_700_000_000_000;
-    bans.ban("s-1", unix, &limits);
-    bans.ban("s-2", unix, &limits);
-    bans.unban("s-2", unix + 5, &limits);
+    let unix_ms = 1_700_000_000_000;
+    bans.ban("s-1", unix_ms, &limits);
+    bans.ban("s-2", unix_ms, &limits);
+    bans.unban("s-2", unix_ms + 5, &limits);
     let mut bans = bans.with_times_clamped(1000);
     assert!(bans.is_banned("s-1") && !bans.is_banned("s-2"));
     assert_eq!(bans.started_at("s-2", Some(500)), Some(1000));
-    // A start that is seen from here on is a newer one.
+    // A listed start after that is a newer one.
     assert_eq!(bans.started_at("s-2", Some(1500)), Some(1500));
     bans.unban("s-1", 2000, &limits);
     assert_eq!(bans.started_at("s-1", Some(900)), Some(2000));
