--- a/crates/conf/src/tree.rs
+++ b/crates/conf/src/tree.rs
@@ -147,9 +147,10 @@
     }
 }
 
+/// Converts a parsed TOML table, with the locations of its values.
 fn read_table(name: &str, text: &str, table: &dyn TableLike) -> BTreeMap<String, Node> {
-    let node = |item: &Item, key_at: Option<usize>| -> Option<Node> {
-        let offset = item.span().map(|span| span.start).or(key_at);
+    let node = |item: &Item, key_offset: Option<usize>| -> Option<Node> {
+        let offset = item.span().map(|span| span.start).or(key_offset);
         let location = format_location(name, text, offset);
         let value = match item {
             Item::None => return None,
@@ -168,12 +169,13 @@
         Some(Node { value, location })
     };
     let keys = table.iter().map(|(key, item)| {
-        let key_at = table.key(key).and_then(|key| key.span());
-        (key.to_string(), node(item, key_at.map(|span| span.start)))
+        let key_offset = table.key(key).and_then(|key| key.span());
+        (key.to_string(), node(item, key_offset.map(|span| span.start)))
     });
     keys.filter_map(|(key, node)| Some((key, node?))).collect()
 }
 
+/// Converts a parsed TOML value. Values within it have `location` unless their own offset in the file is known.
 fn convert_value(name: &str, text: &str, value: &Toml, location: &Rc<str>) -> Value {
     match value {
         Toml::String(text) => Value::Text(text.value().clone()),
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -281,6 +281,7 @@
     assert_eq!(sim.moved_clients(), 0);
 }
 
+/// The health checks of half of the servers fail for 2 s three times a minute.
 #[test]
 fn flapping_checks_of_half_of_the_servers_move_no_clients_and_new_clients_are_served() {
     let mut sim = Simulation::new(6, &["one"]);
@@ -468,7 +469,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Open,
+    SendRequest,
     StatusReport(usize, u8, ReportedStatus),
     FullList(usize, Vec<Option<ReportedStatus>>),
     SourceUnavailable(usize),
@@ -491,7 +492,7 @@
 fn step() -> impl Strategy<Value = Step> {
     let statuses = prop::collection::vec(prop::option::weighted(0.8, reported_status()), 8);
     prop_oneof![
-        6 => Just(Step::Open),
+        6 => Just(Step::SendRequest),
         4 => (0..2_usize, 0..8_u8, reported_status()).prop_map(|(s, n, w)| Step::StatusReport(s, n, w)),
         1 => (0..2_usize, statuses).prop_map(|(s, w)| Step::FullList(s, w)),
         1 => (0..2_usize).prop_map(Step::SourceUnavailable),
@@ -523,8 +524,8 @@
         let mut requested_at: BTreeMap<RequestId, Instant> = BTreeMap::new();
         for (request_id, step) in steps.iter().enumerate() {
             let attempts_before = sim.attempts.len();
-            let mut record_status = |source: usize, n: usize, status: ReportedStatus| {
-                let drain_sources = drains_by_server.entry(n).or_default();
+            let mut record_status = |source: usize, server: usize, status: ReportedStatus| {
+                let drain_sources = drains_by_server.entry(server).or_default();
                 match status {
                     ReportedStatus::Draining => drop(drain_sources.insert(source)),
                     ReportedStatus::Ready | ReportedStatus::Failing => drop(drain_sources.remove(&source)),
@@ -532,7 +533,7 @@
                 }
             };
             match step {
-                Step::Open => {
+                Step::SendRequest => {
                     requested_at.insert(request_id as u64, sim.now);
                     sim.send_request(request_id as u64);
                 }
@@ -542,9 +543,9 @@
                     sim.send_update(sources[*source], SourceUpdate::Delta(vec![row]));
                 }
                 Step::FullList(source, statuses) => {
-                    for (n, status) in statuses.iter().enumerate() {
+                    for (server, status) in statuses.iter().enumerate() {
                         if let Some(status) = status {
-                            record_status(*source, n, *status);
+                            record_status(*source, server, *status);
                         }
                     }
                     sim.send_update(sources[*source], sim.snapshot(|n| statuses[n]));
@@ -579,9 +580,9 @@
                 sim.handle(EngineEvent::AttemptEnded(attempt_end));
             }
             for (_, server) in &sim.attempts[attempts_before..] {
-                let n = (0..8).find(|n| sim.server_id(*n) == *server).unwrap();
-                let is_in_use = drains_by_server.get(&n).is_none_or(BTreeSet::is_empty);
-                prop_assert!(is_in_use, "s-{n} is drained by sources {:?}: {step:?}", drains_by_server[&n]);
+                let index = (0..8).find(|n| sim.server_id(*n) == *server).unwrap();
+                let is_in_use = drains_by_server.get(&index).is_none_or(BTreeSet::is_empty);
+                prop_assert!(is_in_use, "s-{index} is drained by sources {:?}: {step:?}", drains_by_server[&index]);
             }
             for (id, client) in &sim.clients {
                 prop_assert!(client.final_answers + usize::from(client.connected_server.is_some()) <= 1);
--- a/crates/service/src/handover.rs
+++ b/crates/service/src/handover.rs
@@ -9,6 +9,7 @@
 
 use crate::{Bans, Limits, OperatorChange};
 
+/// Magic bytes at the start of each frame.
 const MAGIC: [u8; 4] = *b"VWHO";
 /// Frame version. Messages of another version are not understood, and their sender counts as absent.
 const VERSION: u8 = 1;
@@ -49,7 +50,7 @@
 pub struct Connection {
     /// The client's first line, without its line end.
     pub first_line: Vec<u8>,
-    /// The number of its server.
+    /// Number of the connected server.
     pub server: u32,
     /// Value of the connection's last `LOAD` line.
     pub load: Option<f64>,
