--- a/crates/conf/src/tree.rs
+++ b/crates/conf/src/tree.rs
@@ -170,7 +170,10 @@
     };
     let keys = table.iter().map(|(key, item)| {
         let key_offset = table.key(key).and_then(|key| key.span());
-        (key.to_string(), node(item, key_offset.map(|span| span.start)))
+        (
+            key.to_string(),
+            node(item, key_offset.map(|span| span.start)),
+        )
     });
     keys.filter_map(|(key, node)| Some((key, node?))).collect()
 }
