--- a/crates/proxy/src/handover/connections.rs
+++ b/crates/proxy/src/handover/connections.rs
@@ -1,6 +1,6 @@
-//! Connections that go from one process to its successor while they are up. A relay that is between lines,
-//! with nothing held, stops, and offers both sockets; the successor checks the client's first line as if it
-//! had come to it, and relays on. Neither side of the connection notices.
+//! Transfer of established connections to the successor process during an upgrade. A relay stops at a line
+//! boundary, with no buffered bytes, and offers both sockets. The successor validates the client's first line
+//! as for a new connection and continues the relay. The transfer is invisible to the client and the server.
 
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
@@ -22,54 +22,60 @@
 use crate::request_tracker::RequestTracker;
 use crate::ring_buffer::RingBuffer;
 
-/// A connection that a relay gives up, if the successor takes it.
+/// An established connection that a relay offers to the successor process.
 pub struct ConnectionOffer {
     pub connection: Connection,
-    /// The client's socket and the server's.
+    /// The client's socket, then the server's.
     pub fds: [OwnedFd; 2],
     pub reply: OfferReply,
 }
 
-/// The way back to the relay, which goes on when it is dropped.
+/// Reports to the relay that the successor has accepted its connection. When this is dropped unused, the relay
+/// keeps the connection and continues.
 pub struct OfferReply(pub oneshot::Sender<()>);
 
 impl OfferReply {
+    /// Reports that the connection now belongs to the successor.
     pub fn confirm(self) {
-        // A relay waits for as long as this side of the way is there.
+        // The relay waits until this sender is used or dropped, so the receiver still exists.
         let _ = self.0.send(());
     }
 }
 
-/// A connection that has come, and is not this process's yet.
+/// A validated connection received from the predecessor, which still owns it until the transfer is confirmed.
 pub struct AdoptedConnection {
     connection: Connection,
     client: TcpStream,
     server: TcpStream,
     request: Request,
-    hold: (DescriptorPermit, OpenIdGuard),
+    guards: (DescriptorPermit, OpenIdGuard),
 }
 
 impl AdoptedConnection {
-    /// Checks what came. What stands in the way leaves the connection where it was.
+    /// Validates a received connection and reserves its resources. On an error the connection stays with the
+    /// predecessor.
     pub fn from_offer(
         connection: Connection,
         fds: Option<[OwnedFd; 2]>,
         shared: &SharedState,
     ) -> Result<Self, String> {
-        let [client, server] = fds.ok_or("its sockets did not come")?;
+        let [client, server] = fds.ok_or("its sockets were not received")?;
         let stream = |fd| {
             let stream = std::net::TcpStream::from(fd);
             stream.set_nonblocking(true)?;
             TcpStream::from_std(stream)
         };
-        let text = |error: std::io::Error| error.to_string();
-        let (client, server) = (stream(client).map_err(text)?, stream(server).map_err(text)?);
+        let to_text = |error: std::io::Error| error.to_string();
+        let (client, server) = (
+            stream(client).map_err(to_text)?,
+            stream(server).map_err(to_text)?,
+        );
         let Some(FirstLine::Open(open)) = line_protocol::parse_first_line(&connection.first_line)
         else {
-            return Err("its first line is none".into());
+            return Err("its first line is not an OPEN request".into());
         };
         let (request, id) = admission::validate_request(&open, shared)?;
-        // The other process frees as many.
+        // The predecessor releases the same number of descriptors.
         let permit = shared
             .request_descriptors
             .acquire_transferred(2)
@@ -78,12 +84,12 @@
             client,
             server,
             request,
-            hold: (permit, id),
+            guards: (permit, id),
             connection,
         })
     }
 
-    /// Relays on from here.
+    /// Starts a task that continues the relay in this process.
     pub fn start_relay(self, shared: &Rc<SharedState>) {
         let shared = shared.clone();
         tokio::task::spawn_local(async move {
@@ -92,19 +98,19 @@
                 client,
                 server,
                 request,
-                hold,
+                guards,
             } = self;
             let limits = &shared.limits;
-            let (to, orders) = mpsc::channel(limits.order_queue_capacity);
-            let booking = RequestTracker::new(&request, Instant::now(), &shared);
-            booking.mark_up();
+            let (order_sender, orders) = mpsc::channel(limits.order_queue_capacity);
+            let tracker = RequestTracker::new(&request, Instant::now(), &shared);
+            tracker.mark_up();
             debug!(server = connection.server, "a connection was taken over");
-            let on = connection.server;
-            booking
-                .notify_engine(EngineEvent::Adopted(request, on, to))
+            let server_number = connection.server;
+            tracker
+                .notify_engine(EngineEvent::Adopted(request, server_number, order_sender))
                 .await;
             if let Some(load) = connection.load {
-                booking.report_load(on, load).await;
+                tracker.report_load(server_number, load).await;
             }
             let client = ClientConnection {
                 stream: client,
@@ -116,22 +122,32 @@
                 stream: server,
                 ring: RingBuffer::new(limits.ring_buffer_bytes),
             };
-            let waits = connection
+            let unanswered_for = connection
                 .unanswered_ms
                 .map(|ms| std::time::Duration::from_millis(ms.into()));
-            let heard = RelayState {
+            let relay_state = RelayState {
                 load: connection.load,
-                waiting_since: waits.and_then(|waits| Instant::now().checked_sub(waits)),
+                waiting_since: unanswered_for
+                    .and_then(|elapsed| Instant::now().checked_sub(elapsed)),
             };
-            // It was read when the connection came.
+            // `from_offer` has already parsed this line, so it always parses here.
             let Some(FirstLine::Open(open)) =
                 line_protocol::parse_first_line(&connection.first_line)
             else {
                 return;
             };
-            let heard = (&open, heard);
-            relay::run_relay(client, server, on, orders, booking, heard, &shared).await;
-            drop(hold);
+            let open_and_state = (&open, relay_state);
+            relay::run_relay(
+                client,
+                server,
+                server_number,
+                orders,
+                tracker,
+                open_and_state,
+                &shared,
+            )
+            .await;
+            drop(guards);
         });
     }
 }
--- a/crates/proxy/src/handover/link.rs
+++ b/crates/proxy/src/handover/link.rs
@@ -1,4 +1,4 @@
-//! The Unix socket between a process and its successor: messages, and the descriptors that come with them.
+//! Message stream over the Unix socket between a process and its successor, with passed file descriptors.
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, IoSliceMut};
@@ -18,17 +18,19 @@
 
 use crate::limits::Limits;
 
-/// Descriptors that come with one message at most.
-const FDS: usize = 2;
+/// Maximum number of descriptors sent with one message.
+const MAX_FDS_PER_MESSAGE: usize = 2;
 
+/// One end of the connection between a process and its successor.
 pub struct Link {
     stream: UnixStream,
     messages: MessageDecoder,
-    /// Those whose messages have not been read yet.
+    /// Received descriptors that `take_fds` has not returned yet.
     fds: VecDeque<OwnedFd>,
 }
 
 impl Link {
+    /// Wraps a connected socket.
     pub fn new(stream: UnixStream) -> Self {
         Self {
             stream,
@@ -37,11 +39,13 @@
         }
     }
 
+    /// Sends a message without descriptors.
     pub async fn send(&mut self, message: &Message, limits: &Limits) -> io::Result<()> {
         self.send_with_fds(message, &[], limits).await
     }
 
-    /// Writes a message; descriptors come with its first byte.
+    /// Sends a message, with the descriptors attached to its first byte. Fails when the message exceeds the frame
+    /// limit, or when the peer does not read it within `stop_ack_timeout`.
     pub async fn send_with_fds(
         &mut self,
         message: &Message,
@@ -54,13 +58,14 @@
             if !fds.is_empty() {
                 let stream = &self.stream;
                 let first = stream.async_io(Interest::WRITABLE, || {
-                    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(FDS))];
-                    let mut with = SendAncillaryBuffer::new(&mut space);
-                    if !with.push(SendAncillaryMessage::ScmRights(fds)) {
+                    let mut space = [MaybeUninit::uninit();
+                        rustix::cmsg_space!(ScmRights(MAX_FDS_PER_MESSAGE))];
+                    let mut ancillary = SendAncillaryBuffer::new(&mut space);
+                    if !ancillary.push(SendAncillaryMessage::ScmRights(fds)) {
                         return Err(io::ErrorKind::InvalidInput.into());
                     }
                     let parts = [IoSlice::new(&bytes)];
-                    let send = || sendmsg(stream, &parts, &mut with, SendFlags::NOSIGNAL);
+                    let send = || sendmsg(stream, &parts, &mut ancillary, SendFlags::NOSIGNAL);
                     Ok(retry_on_intr(send)?)
                 });
                 sent = first.await?;
@@ -68,11 +73,11 @@
             write_all(&self.stream, &bytes[sent..]).await
         };
         let written = timeout(limits.stop_ack_timeout, write).await;
-        written.map_err(|_| io::Error::other("it takes nothing"))?
+        written.map_err(|_| io::Error::other("the peer does not read the message in time"))?
     }
 
-    /// The next message; an error at the end, or at what can't be read. It may be given up at any await
-    /// and asked for again.
+    /// Receives the next message. Fails at the end of the stream, on an invalid message, or when the peer has
+    /// passed too many descriptors. Cancel-safe: it may be dropped at any await and called again.
     pub async fn recv(&mut self, limits: &Limits) -> io::Result<Message> {
         loop {
             let next = self.messages.next(&limits.service);
@@ -80,35 +85,36 @@
                 return Ok(message);
             }
             let stream = &self.stream;
-            let mut piece = [0; 4096];
+            let mut buffer = [0; 4096];
             let read = stream.async_io(Interest::READABLE, || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(FDS))];
-                let mut with = RecvAncillaryBuffer::new(&mut space);
-                let mut parts = [IoSliceMut::new(&mut piece)];
-                let got = retry_on_intr(|| {
-                    recvmsg(stream, &mut parts, &mut with, RecvFlags::CMSG_CLOEXEC)
+                let mut space =
+                    [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_FDS_PER_MESSAGE))];
+                let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+                let mut parts = [IoSliceMut::new(&mut buffer)];
+                let received = retry_on_intr(|| {
+                    recvmsg(stream, &mut parts, &mut ancillary, RecvFlags::CMSG_CLOEXEC)
                 })?;
                 let mut fds = Vec::new();
-                for message in with.drain() {
-                    if let RecvAncillaryMessage::ScmRights(more) = message {
-                        fds.extend(more);
+                for message in ancillary.drain() {
+                    if let RecvAncillaryMessage::ScmRights(received_fds) = message {
+                        fds.extend(received_fds);
                     }
                 }
-                Ok((got.bytes, fds))
+                Ok((received.bytes, fds))
             });
-            let (got, fds) = read.await?;
-            if got == 0 {
+            let (received, fds) = read.await?;
+            if received == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            self.messages.feed(&piece[..got]);
+            self.messages.feed(&buffer[..received]);
             self.fds.extend(fds);
-            if self.fds.len() > FDS * limits.max_concurrent_transfers {
-                return Err(io::Error::other("too many descriptors"));
+            if self.fds.len() > MAX_FDS_PER_MESSAGE * limits.max_concurrent_transfers {
+                return Err(io::Error::other("too many descriptors received"));
             }
         }
     }
 
-    /// The descriptors of the message that was read last.
+    /// Returns the `N` descriptors that came with the last received message, or `None` when fewer have arrived.
     pub fn take_fds<const N: usize>(&mut self) -> Option<[OwnedFd; N]> {
         if self.fds.len() < N {
             return None;
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -1,10 +1,11 @@
-//! Upgrades: a second process of this program takes over from the first: the clients' listener, so that
-//! there is one queue and no connection in it is ever refused or reset, and then the connections that are
-//! up, one by one, so that nobody is moved. What they say to each other is `violetwind_service`'s; here is
-//! the Unix socket in the directory that both have.
+//! Upgrades without downtime: a new process of this program takes over from the running one. The clients'
+//! listener is passed first, so that there is a single accept queue and no connection in it is refused or
+//! reset. The established connections follow one at a time, so that no client has to be moved to another
+//! server. The messages are defined in `violetwind_service`; this module owns the Unix socket in the directory
+//! that both processes share.
 //!
-//! Without such a directory, with Unix sockets refused, or with nobody there, a process listens by itself
-//! and shares the address where another holds it (SO_REUSEPORT).
+//! Without such a directory, without permission to use Unix sockets, or without a running process, a process
+//! opens its own listener, and shares the address with any other process that uses it (SO_REUSEPORT).
 
 mod connections;
 mod link;
@@ -32,11 +33,12 @@
 use crate::limits::{Limits, ShutdownSchedule};
 use crate::operator_service::{self, ForwardedChange, ProcessState};
 
-fn socket(dir: &Path) -> PathBuf {
+fn socket_path(dir: &Path) -> PathBuf {
     dir.join("violetwind.sock")
 }
 
-/// Listens for clients; `shared` where a successor that nobody hands the listener to may do so too.
+/// Opens the listener for clients. With `shared`, a successor that is not passed this listener may bind the same
+/// address (SO_REUSEPORT).
 pub fn listen(at: SocketAddr, shared: bool, limits: &Limits) -> io::Result<TcpListener> {
     let socket = match at {
         SocketAddr::V4(_) => TcpSocket::new_v4(),
@@ -50,30 +52,31 @@
     socket.listen(limits.backlog)
 }
 
-/// What was there before this process.
+/// State that this process takes over from an earlier one.
 #[derive(Default)]
 pub struct InheritedState {
     pub bans: Bans,
     pub has_left: bool,
-    /// Where discovery was moved to.
+    /// The discovery address that a reload set in the earlier process.
     pub discovery_address: Option<SocketAddr>,
     pub listener: Option<TcpListener>,
     pub predecessor: Option<Predecessor>,
 }
 
 impl InheritedState {
-    /// A process that serves, or else what one has left in the directory that both have.
+    /// Takes over from the running process, if there is one; otherwise loads the bans that an earlier process
+    /// left in the shared directory.
     pub async fn find(dir: Option<&Path>, listen: SocketAddr, limits: &Limits) -> Self {
         let Some(dir) = dir else {
             return Self::default();
         };
         match find(dir, listen, limits).await {
-            Some((elder, state, listener)) => Self {
+            Some((predecessor, state, listener)) => Self {
                 bans: state.bans,
                 has_left: state.has_left,
                 discovery_address: state.discovery_address.and_then(|at| at.parse().ok()),
                 listener: Some(listener),
-                predecessor: Some(elder),
+                predecessor: Some(predecessor),
             },
             None => Self {
                 bans: operator_service::load_bans(dir, &limits.service),
@@ -83,24 +86,24 @@
     }
 }
 
-/// The process before this one, which serves still.
+/// The running process that this one succeeds.
 pub struct Predecessor {
     link: Link,
-    holds: u32,
+    descriptors_in_use: u32,
 }
 
-/// Looks for a process that serves under this directory at this address. Whatever is not as it should be
-/// counts as nobody there.
+/// Connects to the running process that uses this directory and serves this address, and receives its state
+/// and listener. Returns `None` on any failure, as if no process were running.
 async fn find(
     dir: &Path,
     listen: SocketAddr,
     limits: &Limits,
 ) -> Option<(Predecessor, HandoverState, TcpListener)> {
-    let path = socket(dir);
-    let greet = async {
+    let path = socket_path(dir);
+    let handshake = async {
         let stream = loop {
             match UnixStream::connect(&path).await {
-                // Whether somebody is there is not known yet.
+                // Without resources the connect attempt does not show whether a process is listening.
                 Err(error) if is_resource_exhaustion(&error) => {
                     sleep(limits.dial_retry_interval).await
                 }
@@ -110,19 +113,29 @@
         let mut link = Link::new(stream);
         link.send(&Message::Hello, limits).await?;
         let Message::State(state) = link.recv(limits).await? else {
-            return Err(io::Error::other("no state came"));
+            return Err(io::Error::other("the first message is not a state"));
         };
-        let [listener] = (link.take_fds()).ok_or_else(|| io::Error::other("no listener came"))?;
+        let [listener] =
+            (link.take_fds()).ok_or_else(|| io::Error::other("no listener received"))?;
         let listener = std::net::TcpListener::from(listener);
         if listener.local_addr()? != listen {
-            return Err(io::Error::other("it serves another address"));
+            return Err(io::Error::other(
+                "the running process serves another address",
+            ));
         }
         listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(listener)?;
-        let holds = state.descriptors_in_use;
-        Ok((Predecessor { link, holds }, state, listener))
+        let descriptors_in_use = state.descriptors_in_use;
+        Ok((
+            Predecessor {
+                link,
+                descriptors_in_use,
+            },
+            state,
+            listener,
+        ))
     };
-    let error = match timeout(limits.handover_timeout, greet).await {
+    let error = match timeout(limits.handover_timeout, handshake).await {
         Ok(Ok(found)) => return Some(found),
         Ok(Err(error)) if error.kind() == io::ErrorKind::NotFound => return None,
         Ok(Err(error)) => error.to_string(),
@@ -132,51 +145,55 @@
     None
 }
 
-/// What both sides of an upgrade go by.
+/// State that both sides of an upgrade use.
 pub struct HandoverContext {
     pub shared: Rc<SharedState>,
-    /// Whether clients are accepted here.
+    /// Whether this process accepts clients.
     pub accepting: watch::Sender<bool>,
 }
 
 impl Predecessor {
-    /// Hears the earlier process from now on, and operators' words that come to it. The returned call has it
-    /// stop accepting: clients wait in the queue until this process does, so that takes no longer than a
-    /// moment, answered or not.
-    pub fn start_session(self, side: Rc<HandoverContext>) -> impl AsyncFnOnce() {
-        let limits = side.shared.limits.clone();
-        let requests = side.shared.request_descriptors.clone();
-        requests.set_lent(self.holds as usize);
-        let (serve, serves) = oneshot::channel();
-        let (stop, stopped) = oneshot::channel();
+    /// Starts the task that handles messages of the predecessor, including the operators' changes it receives.
+    /// The returned function makes the predecessor stop accepting. Until this process accepts, clients wait in
+    /// the accept queue, so the function returns after `stop_ack_timeout` at the latest, even without a reply.
+    pub fn start_session(self, context: Rc<HandoverContext>) -> impl AsyncFnOnce() {
+        let limits = context.shared.limits.clone();
+        let requests = context.shared.request_descriptors.clone();
+        requests.set_lent(self.descriptors_in_use as usize);
+        let (serving_sender, serving_receiver) = oneshot::channel();
+        let (stopped_sender, stopped_receiver) = oneshot::channel();
         tokio::task::spawn_local(async move {
             let role = Role::Successor {
-                serves: Some(serves),
-                stopped: Some(stop),
+                serving: Some(serving_receiver),
+                stopped: Some(stopped_sender),
             };
-            let ended = Talk::new(self.link, &side, role).run().await;
+            let ended = HandoverSession::new(self.link, &context, role).run().await;
             requests.set_lent(0);
-            side.shared.service.set_predecessor_present(false);
+            context.shared.service.set_predecessor_present(false);
             info!(?ended, "the earlier process has gone");
         });
         async move || {
-            // A process that has gone needs no word, and gives no answer.
-            let _ = serve.send(());
-            match timeout(limits.stop_ack_timeout, stopped).await {
+            // If the predecessor has exited, there is nothing to stop and no reply will come.
+            let _ = serving_sender.send(());
+            match timeout(limits.stop_ack_timeout, stopped_receiver).await {
                 Ok(Ok(())) => info!("the earlier process has handed over"),
-                _ => warn!("the earlier process does not say that it has stopped"),
+                _ => warn!("the earlier process has not confirmed that it stopped accepting"),
             }
         }
     }
 }
 
-/// Waits for successors, one at a time, for as long as the process runs.
-pub async fn serve_successors(dir: PathBuf, listener: Rc<TcpListener>, side: Rc<HandoverContext>) {
-    let (limits, service) = (&side.shared.limits, &side.shared.service);
-    let path = socket(&dir);
+/// Accepts successors, one at a time, while the process runs.
+pub async fn serve_successors(
+    dir: PathBuf,
+    listener: Rc<TcpListener>,
+    context: Rc<HandoverContext>,
+) {
+    let (limits, service) = (&context.shared.limits, &context.shared.service);
+    let path = socket_path(&dir);
     loop {
-        let offers = match bind(&dir) {
-            Ok(offers) => offers,
+        let socket_listener = match bind_socket(&dir) {
+            Ok(socket_listener) => socket_listener,
             Err(error) if is_resource_exhaustion(&error) => {
                 sleep(limits.handover_timeout).await;
                 continue;
@@ -186,23 +203,23 @@
             }
         };
         info!(path = %path.display(), "successors are awaited");
-        // A successor that has served has put its own socket in this one's place.
+        // A successor that has started serving has replaced this socket with its own, so it has to be bound again.
         while service.process_state() != ProcessState::Superseded {
-            let stream = match offers.accept().await {
+            let stream = match socket_listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    warn!(%error, "accept of a successor");
+                    warn!(%error, "accepting a successor failed");
                     tokio::time::sleep(limits.handover_timeout).await;
                     continue;
                 }
             };
-            let ended = hand_over(Link::new(stream), &listener, &side).await;
-            info!(?ended, "a successor has gone");
+            let ended = hand_over(Link::new(stream), &listener, &context).await;
+            info!(?ended, "the session with a successor has ended");
         }
         warn!("the successor has gone: clients are served here again");
         service.set_process_state(ProcessState::Serving);
-        side.accepting.send_replace(true);
-        let _ = side
+        context.accepting.send_replace(true);
+        let _ = context
             .shared
             .engine
             .send(EngineEvent::SuccessorChanged(None))
@@ -210,219 +227,245 @@
     }
 }
 
-/// What an earlier process left there is replaced in one step.
-fn bind(dir: &Path) -> io::Result<UnixListener> {
-    let own = dir.join(format!("violetwind.sock.{}", std::process::id()));
-    let _ = std::fs::remove_file(&own);
-    let bound = UnixListener::bind(&own)?;
-    if let Err(error) = std::fs::rename(&own, socket(dir)) {
-        let _ = std::fs::remove_file(&own);
+/// Binds the Unix socket. A socket left by an earlier process is replaced atomically, by a rename.
+fn bind_socket(dir: &Path) -> io::Result<UnixListener> {
+    let temporary_path = dir.join(format!("violetwind.sock.{}", std::process::id()));
+    let _ = std::fs::remove_file(&temporary_path);
+    let listener = UnixListener::bind(&temporary_path)?;
+    if let Err(error) = std::fs::rename(&temporary_path, socket_path(dir)) {
+        let _ = std::fs::remove_file(&temporary_path);
         return Err(error);
     }
-    Ok(bound)
+    Ok(listener)
 }
 
+/// Runs the session with one successor: checks its hello, sends the state and the listener, then handles messages.
 async fn hand_over(
     mut link: Link,
     listener: &TcpListener,
-    side: &HandoverContext,
+    context: &HandoverContext,
 ) -> io::Result<()> {
-    let (limits, service) = (&side.shared.limits, &side.shared.service);
-    let late = |_| io::Error::other("it does not say what it wants");
+    let (limits, service) = (&context.shared.limits, &context.shared.service);
+    let to_hello_timeout = |_| io::Error::other("the successor sent no message in time");
     let hello = timeout(limits.handover_timeout, link.recv(limits)).await;
-    if hello.map_err(late)?? != Message::Hello {
-        return Err(io::Error::other("it says no hello"));
+    if hello.map_err(to_hello_timeout)?? != Message::Hello {
+        return Err(io::Error::other(
+            "the first message of the successor is not a hello",
+        ));
     }
     info!("a successor starts");
-    let role = Role::Elder {
+    let role = Role::Predecessor {
         serve_by: Some(Instant::now() + limits.successor_ready_timeout),
     };
-    // From here on it hears of changes: none falls between them and the state.
-    let mut talk = Talk::new(link, side, role);
+    // The session forwards changes from here on, before the state is read: a change is either in the state or
+    // forwarded, never lost between the two.
+    let mut session = HandoverSession::new(link, context, role);
     let state = HandoverState {
         bans: service.bans(),
         has_left: service.has_left(),
         discovery_address: service.discovery_override().map(|at| at.to_string()),
-        descriptors_in_use: side.holds(),
+        descriptors_in_use: context.descriptors_in_use(),
     };
     let message = Message::State(state);
-    talk.link
+    session
+        .link
         .send_with_fds(&message, &[listener.as_fd()], limits)
         .await?;
-    talk.run().await
+    session.run().await
 }
 
 impl HandoverContext {
-    /// Descriptors in use here, what is set aside included.
-    fn holds(&self) -> u32 {
+    /// Returns the number of descriptors in use by this process, including its reserves.
+    fn descriptors_in_use(&self) -> u32 {
         let limits = &self.shared.limits;
-        let aside = limits.descriptor_reserve + limits.probe_descriptors;
-        (self.shared.request_descriptors.in_use() + self.shared.pending_slots.in_use() + aside)
+        let reserved = limits.descriptor_reserve + limits.probe_descriptors;
+        (self.shared.request_descriptors.in_use() + self.shared.pending_slots.in_use() + reserved)
             as u32
     }
 
-    /// A successor serves from now on.
-    async fn succeeded(&self) {
+    /// Stops accepting clients and starts moving connections, as a successor now serves.
+    async fn yield_to_successor(&self) {
         let service = &self.shared.service;
         self.accepting.send_replace(false);
         if service.process_state() != ProcessState::ShuttingDown {
             service.set_process_state(ProcessState::Superseded);
         }
-        let term = ShutdownSchedule::new(self.shared.config.get().longest_deadline);
-        let moves = EngineEvent::SuccessorChanged(Some(term.superseded_move_window));
-        let _ = self.shared.engine.send(moves).await;
+        let schedule = ShutdownSchedule::new(self.shared.config.get().longest_deadline);
+        let event = EngineEvent::SuccessorChanged(Some(schedule.superseded_move_window));
+        let _ = self.shared.engine.send(event).await;
     }
 }
 
-/// Which of the two this process is, and what it waits for.
+/// Role of this process in the upgrade, with the events it still waits for.
 enum Role {
-    /// The successor has to serve by then, or all stays as it was.
-    Elder { serve_by: Option<Instant> },
+    /// The session ends, and this process serves on, unless the successor serves by `serve_by`.
+    Predecessor { serve_by: Option<Instant> },
     Successor {
-        serves: Option<oneshot::Receiver<()>>,
+        /// Resolves when this process serves clients.
+        serving: Option<oneshot::Receiver<()>>,
+        /// Notified when the predecessor has stopped accepting.
         stopped: Option<oneshot::Sender<()>>,
     },
 }
 
-/// All that goes both ways until either side ends.
-struct Talk<'a> {
+/// Exchange of messages between the two processes of an upgrade, until either ends.
+struct HandoverSession<'a> {
     link: Link,
-    side: &'a HandoverContext,
+    context: &'a HandoverContext,
     role: Role,
-    /// Operators' words that this process was told, by the number of this way among others'.
+    /// Number of this session among the forward targets of the operators' service.
     id: u64,
+    /// Operators' changes to forward to the other process.
     changes: mpsc::Receiver<ForwardedChange>,
-    waiting: BTreeMap<u32, oneshot::Sender<()>>,
-    /// Connections that relays here give up, those that are on their way, and those that have come.
-    given: mpsc::Receiver<ConnectionOffer>,
-    offered: BTreeMap<u32, OfferReply>,
+    /// Forwarded changes that the other process has not confirmed yet, by message number.
+    pending_changes: BTreeMap<u32, oneshot::Sender<()>>,
+    /// Connections that relays of this process offer.
+    offers: mpsc::Receiver<ConnectionOffer>,
+    /// Offers sent to the successor and not answered yet, by message number.
+    pending_offers: BTreeMap<u32, OfferReply>,
+    /// Connections accepted from the predecessor and not transferred yet, by message number.
     adopted: BTreeMap<u32, AdoptedConnection>,
-    number: u32,
-    told: Option<u32>,
-    /// Connections that were taken over since the log told of them.
-    taken: usize,
+    /// Number of the last change or offer sent.
+    message_number: u32,
+    /// Number of descriptors in use that was last reported to the successor.
+    reported_descriptors: Option<u32>,
+    /// Connections transferred to this process since the last log line about them.
+    adopted_since_log: usize,
 }
 
-impl Drop for Talk<'_> {
+impl Drop for HandoverSession<'_> {
     fn drop(&mut self) {
-        self.side.shared.service.remove_forward_target(self.id);
-        self.side.shared.service.set_successor_sender(None);
+        self.context.shared.service.remove_forward_target(self.id);
+        self.context.shared.service.set_successor_sender(None);
     }
 }
 
-impl<'a> Talk<'a> {
-    fn new(link: Link, side: &'a HandoverContext, role: Role) -> Self {
-        let limits = &side.shared.limits;
-        let (to, changes) = mpsc::channel(limits.forward_queue_capacity);
-        let (heir, given) = mpsc::channel(limits.max_concurrent_transfers);
-        if matches!(role, Role::Elder { .. }) {
-            side.shared.service.set_successor_sender(Some(heir));
+impl<'a> HandoverSession<'a> {
+    fn new(link: Link, context: &'a HandoverContext, role: Role) -> Self {
+        let limits = &context.shared.limits;
+        let (change_sender, changes) = mpsc::channel(limits.forward_queue_capacity);
+        let (offer_sender, offers) = mpsc::channel(limits.max_concurrent_transfers);
+        if matches!(role, Role::Predecessor { .. }) {
+            context
+                .shared
+                .service
+                .set_successor_sender(Some(offer_sender));
         }
         Self {
             link,
-            side,
+            context,
             role,
-            id: side.shared.service.add_forward_target(to),
+            id: context.shared.service.add_forward_target(change_sender),
             changes,
-            waiting: BTreeMap::new(),
-            given,
-            offered: BTreeMap::new(),
+            pending_changes: BTreeMap::new(),
+            offers,
+            pending_offers: BTreeMap::new(),
             adopted: BTreeMap::new(),
-            number: 0,
-            told: None,
-            taken: 0,
+            message_number: 0,
+            reported_descriptors: None,
+            adopted_since_log: 0,
         }
     }
 
     async fn run(mut self) -> io::Result<()> {
-        let limits = &self.side.shared.limits;
+        let limits = &self.context.shared.limits;
         loop {
-            self.tell_holds().await?;
+            self.report_descriptors_in_use().await?;
             let tick = Instant::now() + limits.descriptor_report_interval;
-            let serves = async {
+            let starts_serving = async {
                 match &mut self.role {
                     Role::Successor {
-                        serves: Some(serves),
+                        serving: Some(serving),
                         ..
-                    } => serves.await.is_ok(),
+                    } => serving.await.is_ok(),
                     _ => std::future::pending().await,
                 }
             };
-            let room = self.offered.len() < limits.max_concurrent_transfers;
+            let has_capacity = self.pending_offers.len() < limits.max_concurrent_transfers;
             tokio::select! {
-                message = self.link.recv(limits) => self.hear(message?).await?,
-                Some((change, done)) = self.changes.recv() => {
-                    self.number += 1;
-                    self.waiting.insert(self.number, done);
-                    self.link.send(&Message::Change(self.number, change), limits).await?;
+                message = self.link.recv(limits) => self.handle_message(message?).await?,
+                Some((change, applied)) = self.changes.recv() => {
+                    self.message_number += 1;
+                    self.pending_changes.insert(self.message_number, applied);
+                    self.link.send(&Message::Change(self.message_number, change), limits).await?;
                 }
-                Some(given) = self.given.recv(), if room => {
-                    self.number += 1;
-                    let message = Message::ConnectionOffer(self.number, given.connection);
-                    let fds = [given.fds[0].as_fd(), given.fds[1].as_fd()];
+                Some(offer) = self.offers.recv(), if has_capacity => {
+                    self.message_number += 1;
+                    let message = Message::ConnectionOffer(self.message_number, offer.connection);
+                    let fds = [offer.fds[0].as_fd(), offer.fds[1].as_fd()];
                     self.link.send_with_fds(&message, &fds, limits).await?;
-                    self.offered.insert(self.number, given.reply);
+                    self.pending_offers.insert(self.message_number, offer.reply);
                 }
-                serves = serves => {
-                    if let Role::Successor { serves, .. } = &mut self.role {
-                        *serves = None;
+                is_serving = starts_serving => {
+                    if let Role::Successor { serving, .. } = &mut self.role {
+                        *serving = None;
                     }
-                    if serves {
+                    if is_serving {
                         self.link.send(&Message::Serving, limits).await?;
                     }
                 }
-                () = sleep_until(tick) => match std::mem::take(&mut self.taken) {
+                () = sleep_until(tick) => match std::mem::take(&mut self.adopted_since_log) {
                     0 => {}
                     count => info!(count, "connections were taken over"),
                 }
             }
-            self.waiting.retain(|_, done| !done.is_closed());
-            if let Role::Elder { serve_by: Some(by) } = self.role
-                && by <= Instant::now()
+            self.pending_changes
+                .retain(|_, applied| !applied.is_closed());
+            if let Role::Predecessor {
+                serve_by: Some(deadline),
+            } = self.role
+                && deadline <= Instant::now()
             {
-                return Err(io::Error::other("it never serves"));
+                return Err(io::Error::other(
+                    "the successor did not start serving in time",
+                ));
             }
         }
     }
 
-    /// Lets the successor know of descriptors in use here, when their number has changed.
-    async fn tell_holds(&mut self) -> io::Result<()> {
+    /// Reports the number of descriptors in use to the successor when it has changed.
+    async fn report_descriptors_in_use(&mut self) -> io::Result<()> {
         if matches!(self.role, Role::Successor { .. }) {
             return Ok(());
         }
-        let holds = self.side.holds();
-        if self.told.replace(holds) != Some(holds) {
-            let limits = &self.side.shared.limits;
+        let descriptors_in_use = self.context.descriptors_in_use();
+        if self.reported_descriptors.replace(descriptors_in_use) != Some(descriptors_in_use) {
+            let limits = &self.context.shared.limits;
             self.link
-                .send(&Message::DescriptorsInUse(holds), limits)
+                .send(&Message::DescriptorsInUse(descriptors_in_use), limits)
                 .await?;
         }
         Ok(())
     }
 
-    async fn hear(&mut self, message: Message) -> io::Result<()> {
-        let shared = &self.side.shared;
+    async fn handle_message(&mut self, message: Message) -> io::Result<()> {
+        let shared = &self.context.shared;
         let limits = &shared.limits;
         match message {
             Message::Change(number, change) => {
                 if let Err(error) = shared.service.apply_external(self.id, change).await {
-                    warn!(error, "a word that the other process was told");
+                    warn!(
+                        error,
+                        "a change received by the other process can't be applied here"
+                    );
                 }
                 self.link
                     .send(&Message::ChangeApplied(number), limits)
                     .await?;
             }
             Message::ChangeApplied(number) => {
-                if let Some(done) = self.waiting.remove(&number) {
-                    // Who asked may have stopped waiting.
-                    let _ = done.send(());
+                if let Some(applied) = self.pending_changes.remove(&number) {
+                    // The task that forwarded the change may have stopped waiting.
+                    let _ = applied.send(());
                 }
             }
-            Message::DescriptorsInUse(holds) => shared.request_descriptors.set_lent(holds as usize),
+            Message::DescriptorsInUse(descriptors_in_use) => shared
+                .request_descriptors
+                .set_lent(descriptors_in_use as usize),
             Message::Serving => {
-                if let Role::Elder { serve_by } = &mut self.role {
+                if let Role::Predecessor { serve_by } = &mut self.role {
                     *serve_by = None;
-                    self.side.succeeded().await;
+                    self.context.yield_to_successor().await;
                     self.link.send(&Message::Stopped, limits).await?;
                 }
             }
@@ -430,7 +473,7 @@
                 if let Role::Successor { stopped, .. } = &mut self.role
                     && let Some(stopped) = stopped.take()
                 {
-                    // Who waited may have gone on without.
+                    // The startup code may have continued after its timeout.
                     let _ = stopped.send(());
                 }
             }
@@ -448,24 +491,27 @@
                 };
                 self.link.send(&answer, limits).await?;
             }
-            // Only with this word it is the successor's: until then each side may go, and the other has it.
+            // The transfer message passes ownership to the successor. Until it is sent, either process may exit
+            // and the other still has the connection.
             Message::ConnectionAccepted(number) => {
-                if let Some(offered) = self.offered.remove(&number) {
+                if let Some(offer) = self.pending_offers.remove(&number) {
                     self.link
                         .send(&Message::ConnectionTransferred(number), limits)
                         .await?;
-                    offered.confirm();
+                    offer.confirm();
                 }
             }
-            Message::ConnectionDeclined(number) => drop(self.offered.remove(&number)),
+            Message::ConnectionDeclined(number) => drop(self.pending_offers.remove(&number)),
             Message::ConnectionTransferred(number) => {
                 if let Some(adopted) = self.adopted.remove(&number) {
                     adopted.start_relay(shared);
-                    self.taken += 1;
+                    self.adopted_since_log += 1;
                 }
             }
             Message::Hello | Message::State(_) => {
-                return Err(io::Error::other("a message out of turn"));
+                return Err(io::Error::other(
+                    "a message that is not expected at this point",
+                ));
             }
         }
         Ok(())
