--- a/crates/proxy/src/management.rs
+++ b/crates/proxy/src/management.rs
@@ -1,5 +1,5 @@
-//! The operators' address: one line to a connection, one line back. What a call means is
-//! `violetwind_service`'s to read and `service`'s to carry out; here are the sockets.
+//! Listener for operators' calls: each connection carries one command line and one answer line. This module
+//! handles the sockets; `violetwind_service` parses the commands and `operator_service` executes them.
 
 use std::rc::Rc;
 
@@ -17,32 +17,32 @@
 use crate::pending_slots::{PendingSlot, PendingSlots};
 use crate::ring_buffer::RingBuffer;
 
-/// Accepts for good. Callers have places of their own: with none left the one that came longest ago and
-/// has not said its line yet goes, so that those who say nothing keep nobody waiting.
+/// Accepts operators' connections while the process runs. They have slots of their own. With no slot free, the oldest
+/// connection that has not sent its whole line is closed, so that silent connections don't block others.
 pub async fn accept_callers(
     listener: TcpListener,
     limits: Rc<Limits>,
     service: Rc<OperatorService>,
 ) {
-    let places = PendingSlots::new(&limits, limits.max_callers);
-    let repeats = Rc::new(LogThrottle::new(limits.max_log_lines, limits.log_window));
+    let slots = PendingSlots::new(&limits, limits.max_callers);
+    let log_throttle = Rc::new(LogThrottle::new(limits.max_log_lines, limits.log_window));
     loop {
-        let place = places.acquire().await;
+        let slot = slots.acquire().await;
         match listener.accept().await {
             Ok((stream, _)) => {
-                place.allow_eviction();
-                let call = answer(
+                slot.allow_eviction();
+                let call = handle_connection(
                     stream,
-                    place,
+                    slot,
                     limits.clone(),
                     service.clone(),
-                    repeats.clone(),
+                    log_throttle.clone(),
                 );
                 tokio::task::spawn_local(call);
             }
             Err(error) => {
-                if let Some(left_out) = repeats.try_acquire() {
-                    info!(%error, left_out, "accept of an operator's call");
+                if let Some(left_out) = log_throttle.try_acquire() {
+                    info!(%error, left_out, "accepting an operator's connection failed");
                 }
                 sleep(limits.accept_retry_delay).await;
             }
@@ -50,32 +50,32 @@
     }
 }
 
-async fn answer(
+async fn handle_connection(
     stream: TcpStream,
-    place: PendingSlot,
+    slot: PendingSlot,
     limits: Rc<Limits>,
     service: Rc<OperatorService>,
-    repeats: Rc<LogThrottle>,
+    log_throttle: Rc<LogThrottle>,
 ) {
-    let told_to_go = place.eviction_signal();
+    let eviction = slot.eviction_signal();
     let call = tokio::select! {
         biased;
-        call = timeout(limits.call_read_timeout, read(&stream, &limits)) => call,
-        () = told_to_go.notified() => return,
+        call = timeout(limits.call_read_timeout, read_command(&stream, &limits)) => call,
+        () = eviction.notified() => return,
     };
     let call = match call {
         Ok(Some(call)) => call,
-        // Half a call does nothing.
+        // An incomplete command is not executed.
         Ok(None) => return,
         Err(_) => Err("no whole line came in time".to_string()),
     };
-    // From here on it has its answer, whoever else comes.
-    place.forbid_eviction();
+    // From here on the call gets its answer, even when other connections need a slot.
+    slot.forbid_eviction();
     let line = match call {
         Ok(call) => service.handle_call(call).await,
         Err(fault) => {
-            if let Some(left_out) = repeats.try_acquire() {
-                info!(%fault, left_out, "an operator's call that makes no sense");
+            if let Some(left_out) = log_throttle.try_acquire() {
+                info!(%fault, left_out, "an operator's call is invalid");
             }
             format!("400 {fault}")
         }
@@ -84,23 +84,26 @@
         stream,
         ring: RingBuffer::new(limits.ring_buffer_bytes),
         arrived: Instant::now(),
-        pending_slot: Some(place),
+        pending_slot: Some(slot),
     };
     client.answer_and_close(&line, &limits).await;
 }
 
-/// A caller's line; none if it left before its end.
-async fn read(stream: &TcpStream, limits: &Limits) -> Option<Result<OperatorCommand, String>> {
-    let mut calls = CommandDecoder::default();
-    let mut piece = [0; 256];
+/// Reads and parses a command line. Returns `None` if the connection ends before the end of the line.
+async fn read_command(
+    stream: &TcpStream,
+    limits: &Limits,
+) -> Option<Result<OperatorCommand, String>> {
+    let mut decoder = CommandDecoder::default();
+    let mut buffer = [0; 256];
     loop {
         stream.readable().await.ok()?;
-        let got = match try_read(stream, &mut piece) {
+        let received = match try_read(stream, &mut buffer) {
             Ok(Some(0)) | Err(_) => return None,
-            Ok(Some(got)) => got,
+            Ok(Some(received)) => received,
             Ok(None) => continue,
         };
-        if let Some(call) = calls.feed(&piece[..got], &limits.service) {
+        if let Some(call) = decoder.feed(&buffer[..received], &limits.service) {
             return Some(call.map_err(|fault: CommandError| fault.to_string()));
         }
     }
--- a/crates/proxy/src/operator_service.rs
+++ b/crates/proxy/src/operator_service.rs
@@ -1,5 +1,5 @@
-//! Carries out what operators call for: in the engine, on disk, and at the other process of an upgrade. An
-//! answer begins with 200 only once all of them have it.
+//! Executes operators' commands. A change is applied in the engine, saved to disk and forwarded to the other
+//! process of an upgrade; its answer begins with 200 only after all of these have completed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,175 +21,194 @@
 use crate::handover::ConnectionOffer;
 use crate::limits::Limits;
 
-/// Where this process stands.
+/// Lifecycle state of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
     Starting,
     Serving,
-    /// A successor serves in its place.
+    /// A successor process serves the clients now.
     Superseded,
     ShuttingDown,
 }
 
-/// What is asked of the other process of an upgrade, with the way back for its answer.
+/// A change forwarded to the other process of an upgrade, with the sender that confirms it.
 pub type ForwardedChange = (OperatorChange, oneshot::Sender<()>);
 
+/// Executes operators' commands and holds the process state that they read or change.
 pub struct OperatorService {
     limits: Rc<Limits>,
     engine: mpsc::Sender<EngineEvent>,
-    /// The directory that outlives this process in an upgrade.
-    dir: Option<PathBuf>,
-    /// Whether the list is known.
+    /// The directory shared with earlier and later processes, where the bans are saved.
+    shared_dir: Option<PathBuf>,
+    /// Whether a list of servers is known.
     ready: watch::Receiver<bool>,
-    left: Cell<bool>,
-    stand: Cell<ProcessState>,
-    /// The bans as the engine last told them.
+    /// Whether operators have made the proxy leave.
+    has_left: Cell<bool>,
+    process_state: Cell<ProcessState>,
+    /// The bans last reported by the engine.
     bans: RefCell<Bans>,
-    /// Where a reload has moved discovery to.
-    discovery: Cell<Option<SocketAddr>>,
-    /// The ways to the other processes of an upgrade, by number: one, or two for a moment.
-    others: RefCell<BTreeMap<u64, mpsc::Sender<ForwardedChange>>>,
-    next_other: Cell<u64>,
-    /// The way for connections to a successor that serves.
-    heir: RefCell<Option<mpsc::Sender<ConnectionOffer>>>,
+    /// The discovery address set by a reload.
+    discovery_override: Cell<Option<SocketAddr>>,
+    /// Senders of changes to the other processes of an upgrade, by number: usually one, briefly two.
+    forward_targets: RefCell<BTreeMap<u64, mpsc::Sender<ForwardedChange>>>,
+    next_target_id: Cell<u64>,
+    /// Sender of connection offers to a successor.
+    successor_sender: RefCell<Option<mpsc::Sender<ConnectionOffer>>>,
     fleet: Option<FleetHandle>,
-    /// Whether it takes part in work on machines.
-    works: bool,
-    /// Nobody is let in any more, and the process is about to end.
-    closed: Cell<bool>,
-    /// The process before this one of an upgrade has not gone yet.
-    elder: Cell<bool>,
-    /// A task writes the bans down again, as that failed.
-    keeps_again: Cell<bool>,
+    /// Whether this process takes part in maintenance work on machines.
+    does_maintenance: bool,
+    /// No more clients are admitted: the process is about to end.
+    admission_closed: Cell<bool>,
+    /// The predecessor process of an upgrade is still running.
+    has_predecessor: Cell<bool>,
+    /// A task is retrying to save the bans after a failure.
+    bans_retry_running: Cell<bool>,
 }
 
 impl OperatorService {
+    /// Creates the service in the `Starting` state. The first tuple is inherited from an earlier process: its bans,
+    /// whether it had left, and its discovery address if a reload has set one. The second tuple is the fleet and
+    /// whether this process takes part in maintenance work.
     pub fn new(
         limits: &Rc<Limits>,
         engine: mpsc::Sender<EngineEvent>,
         ready: watch::Receiver<bool>,
-        dir: Option<PathBuf>,
-        (bans, left, discovery): (Bans, bool, Option<SocketAddr>),
-        (fleet, works): (Option<FleetHandle>, bool),
+        shared_dir: Option<PathBuf>,
+        (bans, has_left, discovery_override): (Bans, bool, Option<SocketAddr>),
+        (fleet, does_maintenance): (Option<FleetHandle>, bool),
     ) -> Rc<Self> {
         Rc::new(Self {
             limits: limits.clone(),
             engine,
-            dir,
+            shared_dir,
             ready,
-            left: Cell::new(left),
-            stand: Cell::new(ProcessState::Starting),
+            has_left: Cell::new(has_left),
+            process_state: Cell::new(ProcessState::Starting),
             bans: RefCell::new(bans),
-            discovery: Cell::new(discovery),
-            others: RefCell::default(),
-            next_other: Cell::default(),
-            heir: RefCell::default(),
+            discovery_override: Cell::new(discovery_override),
+            forward_targets: RefCell::default(),
+            next_target_id: Cell::default(),
+            successor_sender: RefCell::default(),
             fleet,
-            works,
-            closed: Cell::new(false),
-            elder: Cell::new(false),
-            keeps_again: Cell::new(false),
+            does_maintenance,
+            admission_closed: Cell::new(false),
+            has_predecessor: Cell::new(false),
+            bans_retry_running: Cell::new(false),
         })
     }
 
-    /// Whether operators have emptied the proxy: the front must not send it clients.
+    /// Whether operators have made the proxy leave: the front end must not send it clients.
     pub fn has_left(&self) -> bool {
-        self.left.get()
+        self.has_left.get()
     }
 
+    /// Returns the lifecycle state of this process.
     pub fn process_state(&self) -> ProcessState {
-        self.stand.get()
+        self.process_state.get()
     }
 
-    /// One process of an upgrade takes part in the fleet: the one that serves.
-    pub fn set_process_state(&self, stand: ProcessState) {
-        self.stand.set(stand);
+    /// Sets the lifecycle state. Only the serving process of an upgrade takes part in the fleet, so the fleet member
+    /// is activated or deactivated accordingly.
+    pub fn set_process_state(&self, process_state: ProcessState) {
+        self.process_state.set(process_state);
         if let Some(fleet) = &self.fleet {
-            match stand {
+            match process_state {
                 ProcessState::Starting => {}
                 ProcessState::Serving => fleet.activate(),
                 ProcessState::Superseded => fleet.deactivate(false),
-                ProcessState::ShuttingDown => fleet.deactivate(self.works),
+                ProcessState::ShuttingDown => fleet.deactivate(self.does_maintenance),
             }
         }
     }
 
+    /// Whether this process takes part in maintenance work on machines.
     pub fn does_maintenance(&self) -> bool {
-        self.works
+        self.does_maintenance
     }
 
+    /// Whether no more clients are admitted because the process is about to end.
     pub fn is_admission_closed(&self) -> bool {
-        self.closed.get()
+        self.admission_closed.get()
     }
 
+    /// Stops admitting clients, for the rest of the process.
     pub fn close_admission(&self) {
-        self.closed.set(true);
+        self.admission_closed.set(true);
     }
 
-    pub fn set_predecessor_present(&self, is_there: bool) {
-        self.elder.set(is_there);
+    /// Records whether the predecessor process of an upgrade is still running.
+    pub fn set_predecessor_present(&self, is_running: bool) {
+        self.has_predecessor.set(is_running);
     }
 
+    /// Whether the predecessor process of an upgrade is still running.
     pub fn has_predecessor(&self) -> bool {
-        self.elder.get()
+        self.has_predecessor.get()
     }
 
-    /// Whether duties are still to be handed on.
+    /// Whether duties still have to be handed over to other members.
     pub fn has_pending_handoffs(&self) -> bool {
         self.fleet.as_ref().is_some_and(FleetHandle::is_active)
     }
 
+    /// Returns the bans last reported by the engine.
     pub fn bans(&self) -> Bans {
         self.bans.borrow().clone()
     }
 
+    /// Returns the discovery address set by a reload, if any.
     pub fn discovery_override(&self) -> Option<SocketAddr> {
-        self.discovery.get()
+        self.discovery_override.get()
     }
 
+    /// Records the discovery address set by a reload.
     pub fn set_discovery_override(&self, at: SocketAddr) {
-        self.discovery.set(Some(at));
+        self.discovery_override.set(Some(at));
     }
 
+    /// Returns the sender of connection offers to a successor, if there is one.
     pub fn successor_sender(&self) -> Option<mpsc::Sender<ConnectionOffer>> {
-        self.heir.borrow().clone()
+        self.successor_sender.borrow().clone()
     }
 
-    pub fn set_successor_sender(&self, heir: Option<mpsc::Sender<ConnectionOffer>>) {
-        self.heir.replace(heir);
+    /// Sets or removes the sender of connection offers to a successor.
+    pub fn set_successor_sender(&self, successor_sender: Option<mpsc::Sender<ConnectionOffer>>) {
+        self.successor_sender.replace(successor_sender);
     }
 
-    /// Operators' words go this way too from now on.
-    pub fn add_forward_target(&self, to: mpsc::Sender<ForwardedChange>) -> u64 {
-        let id = self.next_other.replace(self.next_other.get() + 1);
-        self.others.borrow_mut().insert(id, to);
+    /// Adds a process that operators' changes are forwarded to. Returns its number.
+    pub fn add_forward_target(&self, change_sender: mpsc::Sender<ForwardedChange>) -> u64 {
+        let id = self.next_target_id.replace(self.next_target_id.get() + 1);
+        self.forward_targets.borrow_mut().insert(id, change_sender);
         id
     }
 
+    /// Stops forwarding changes to the process with this number.
     pub fn remove_forward_target(&self, id: u64) {
-        self.others.borrow_mut().remove(&id);
+        self.forward_targets.borrow_mut().remove(&id);
     }
 
-    /// The answer to a call, in time.
+    /// Executes a command and returns its answer line, at the latest after `call_answer_timeout`. The command itself
+    /// continues after the timeout.
     pub async fn handle_call(self: &Rc<Self>, call: OperatorCommand) -> String {
         let service = self.clone();
-        // A caller that is given up must not leave half of it done.
+        // A separate task: when this call times out or is dropped, the command must not stop halfway.
         let task = tokio::task::spawn_local(async move {
             match call {
-                OperatorCommand::Health => service.health().await,
-                OperatorCommand::Change(change) => service.change(change).await,
-                OperatorCommand::Fleet(call) => service.fleet(call).await,
+                OperatorCommand::Health => service.check_health().await,
+                OperatorCommand::Change(change) => service.apply_everywhere(change).await,
+                OperatorCommand::Fleet(call) => service.call_fleet(call).await,
             }
         });
         match timeout(self.limits.call_answer_timeout, task).await {
-            Ok(Ok(Ok(word))) => format!("200 {word}"),
-            Ok(Ok(Err(word))) => format!("400 {word}"),
+            Ok(Ok(Ok(reply))) => format!("200 {reply}"),
+            Ok(Ok(Err(refusal))) => format!("400 {refusal}"),
             Ok(Err(error)) => format!("400 {error}"),
             Err(_) => "400 not in force yet: call again".to_string(),
         }
     }
 
-    async fn fleet(&self, call: command::FleetCommand) -> Result<String, String> {
+    async fn call_fleet(&self, call: command::FleetCommand) -> Result<String, String> {
         let Some(fleet) = &self.fleet else {
             return Err(command::CommandError::Unknown.to_string());
         };
@@ -219,23 +238,23 @@
             command::FleetCommand::AcquireUnit {
                 budget,
                 token,
-                lease_ms: within_ms,
+                lease_ms: requested_ms,
             } => {
-                let ms = |span: std::time::Duration| span.as_millis() as u64;
-                let most = ms(self.limits.max_unit_lease);
+                let ms = |duration: std::time::Duration| duration.as_millis() as u64;
+                let max_lease_ms = ms(self.limits.max_unit_lease);
                 fleet::OperatorCall::AcquireUnit {
                     budget,
                     token,
-                    hold_timeout: within_ms
+                    hold_timeout: requested_ms
                         .unwrap_or(ms(self.limits.default_unit_lease))
-                        .min(most),
+                        .min(max_lease_ms),
                     max_wait: ms(self.limits.unit_acquire_timeout),
                 }
             }
             command::FleetCommand::ReleaseUnit { budget, token } => {
                 fleet::OperatorCall::ReleaseUnit { budget, token }
             }
-            command::FleetCommand::Work(work) => staff_call(work),
+            command::FleetCommand::Work(work) => work_call(work),
         };
         match fleet.call(call).await? {
             fleet::OperatorAnswer::FleetView(view) => {
@@ -247,17 +266,17 @@
             fleet::OperatorAnswer::Done => Ok("done".into()),
             fleet::OperatorAnswer::Held {
                 fence,
-                remaining: left,
-            } => Ok(serde_json::json!({"fence": fence, "left_ms": left}).to_string()),
+                remaining: remaining_ms,
+            } => Ok(serde_json::json!({"fence": fence, "left_ms": remaining_ms}).to_string()),
             fleet::OperatorAnswer::UnitAcquired => Ok("taken".into()),
-            fleet::OperatorAnswer::NoUnit { retry_after: again } => {
-                Err(format!("none left, again in {again} ms"))
-            }
+            fleet::OperatorAnswer::NoUnit {
+                retry_after: retry_ms,
+            } => Err(format!("none left, again in {retry_ms} ms")),
             fleet::OperatorAnswer::NotHeld(why) | fleet::OperatorAnswer::Refused(why) => Err(why),
         }
     }
 
-    async fn health(&self) -> Result<String, String> {
+    async fn check_health(&self) -> Result<String, String> {
         match self.process_state() {
             ProcessState::Starting => return Err("starting".into()),
             ProcessState::Superseded => return Err("a successor serves".into()),
@@ -268,89 +287,89 @@
             ProcessState::Serving => {}
         }
         let (reply, answer) = oneshot::channel();
-        let gone = |_| "the engine has ended".to_string();
-        let told = self.engine.send(EngineEvent::Health(reply)).await;
-        told.map_err(|_| "the engine has ended".to_string())?;
-        let servers = answer.await.map_err(gone)?;
-        let left = if self.has_left() { ", left" } else { "" };
-        Ok(format!("serving, {servers} servers known{left}"))
+        let to_engine_ended = |_| "the engine has ended".to_string();
+        let sent = self.engine.send(EngineEvent::Health(reply)).await;
+        sent.map_err(|_| "the engine has ended".to_string())?;
+        let servers = answer.await.map_err(to_engine_ended)?;
+        let left_suffix = if self.has_left() { ", left" } else { "" };
+        Ok(format!("serving, {servers} servers known{left_suffix}"))
     }
 
-    /// Has a change in force everywhere. The word of this process counts: another may have no list yet.
-    async fn change(self: &Rc<Self>, change: OperatorChange) -> Result<String, String> {
-        let word = self.apply(change.clone(), UnlistedServers::Reject).await?;
+    /// Applies a change in all processes. Returns the reply of this process, since another may have no list yet.
+    async fn apply_everywhere(self: &Rc<Self>, change: OperatorChange) -> Result<String, String> {
+        let reply = self.apply(change.clone(), UnlistedServers::Reject).await?;
         self.forward(None, change).await;
-        Ok(word)
+        Ok(reply)
     }
 
-    /// The same for a word that came from another process.
+    /// Applies a change received from the other process with number `from`, and forwards it to all others.
     pub async fn apply_external(
         self: &Rc<Self>,
         from: u64,
         change: OperatorChange,
     ) -> Result<String, String> {
-        let word = self.apply(change.clone(), UnlistedServers::Accept).await;
+        let reply = self.apply(change.clone(), UnlistedServers::Accept).await;
         self.forward(Some(from), change).await;
-        word
+        reply
     }
 
     async fn forward(&self, from: Option<u64>, change: OperatorChange) {
-        let others: Vec<_> = {
-            let others = self.others.borrow();
-            let others = others.iter().filter(|(id, _)| Some(**id) != from);
-            others.map(|(_, to)| to.clone()).collect()
+        let targets: Vec<_> = {
+            let targets = self.forward_targets.borrow();
+            let targets = targets.iter().filter(|(id, _)| Some(**id) != from);
+            targets.map(|(_, sender)| sender.clone()).collect()
         };
-        for other in others {
-            let (done, is_done) = oneshot::channel();
-            // One that has gone in between needs no word any more.
-            if other.send((change.clone(), done)).await.is_ok() && is_done.await.is_err() {
-                info!("another process went before it was told");
+        for target in targets {
+            let (confirm, confirmed) = oneshot::channel();
+            // A process that has exited in the meantime no longer needs the change.
+            if target.send((change.clone(), confirm)).await.is_ok() && confirmed.await.is_err() {
+                info!("another process exited before it confirmed a change");
             }
         }
     }
 
-    /// Has a change in force here and on disk.
+    /// Applies a change in the engine of this process and saves the bans to disk.
     async fn apply(
         self: &Rc<Self>,
         change: OperatorChange,
-        binding: UnlistedServers,
+        unlisted_servers: UnlistedServers,
     ) -> Result<String, String> {
         let (reply, answer) = oneshot::channel();
-        let gone = || "the engine has ended".to_string();
-        let notice = EngineEvent::OperatorChange(change.clone(), binding, reply);
-        self.engine.send(notice).await.map_err(|_| gone())?;
-        let (bans, same) = match answer.await.map_err(|_| gone())? {
+        let engine_ended = || "the engine has ended".to_string();
+        let event = EngineEvent::OperatorChange(change.clone(), unlisted_servers, reply);
+        self.engine.send(event).await.map_err(|_| engine_ended())?;
+        let (bans, already_suffix) = match answer.await.map_err(|_| engine_ended())? {
             OperatorReply::Changed(bans) => (bans, ""),
             OperatorReply::Same(bans) => (bans, " already"),
             OperatorReply::Unknown => return Err("no list has named this server".into()),
             OperatorReply::Full => return Err("too many servers are out".into()),
             OperatorReply::Ending => return Err("the proxy is told to end".into()),
         };
-        let word = match &change {
-            OperatorChange::Offline(uid) => format!("{uid} is out{same}"),
-            OperatorChange::Online(uid) => format!("{uid} is in use{same}"),
-            OperatorChange::Leave => format!("left{same}"),
-            OperatorChange::Join => format!("back at work{same}"),
+        let message = match &change {
+            OperatorChange::Offline(uid) => format!("{uid} is out{already_suffix}"),
+            OperatorChange::Online(uid) => format!("{uid} is in use{already_suffix}"),
+            OperatorChange::Leave => format!("left{already_suffix}"),
+            OperatorChange::Join => format!("back at work{already_suffix}"),
         };
         match change {
             OperatorChange::Leave | OperatorChange::Join => {
-                self.left.set(change == OperatorChange::Leave)
+                self.has_left.set(change == OperatorChange::Leave)
             }
             OperatorChange::Offline(_) | OperatorChange::Online(_) => {
                 self.bans.replace(bans.clone());
-                if let Err(error) = self.keep(&bans) {
-                    warn!(error, "the servers that are out can't be kept");
-                    self.keep_again();
-                    return Err(format!("{word}, but not kept for an upgrade: {error}"));
+                if let Err(error) = self.save_bans(&bans) {
+                    warn!(error, "the list of banned servers can't be saved");
+                    self.retry_saving_bans();
+                    return Err(format!("{message}, but not kept for an upgrade: {error}"));
                 }
             }
         }
-        Ok(word)
+        Ok(message)
     }
 
-    /// Writes the bans down once the disk takes them.
-    fn keep_again(self: &Rc<Self>) {
-        if self.keeps_again.replace(true) {
+    /// Starts a task that retries to save the bans until it succeeds, unless one is already running.
+    fn retry_saving_bans(self: &Rc<Self>) {
+        if self.bans_retry_running.replace(true) {
             return;
         }
         let service = self.clone();
@@ -358,31 +377,32 @@
             loop {
                 sleep(service.limits.bans_retry_interval).await;
                 let bans = service.bans();
-                if service.keep(&bans).is_ok() {
+                if service.save_bans(&bans).is_ok() {
                     break;
                 }
             }
-            service.keeps_again.set(false);
-            info!("the servers that are out are kept again");
+            service.bans_retry_running.set(false);
+            info!("the list of banned servers has been saved");
         });
     }
 
-    /// Writes the bans where a successor finds them, in one step.
-    fn keep(&self, bans: &Bans) -> Result<(), String> {
-        let Some(dir) = &self.dir else {
+    /// Saves the bans in the shared directory for a successor. The file is replaced atomically.
+    fn save_bans(&self, bans: &Bans) -> Result<(), String> {
+        let Some(dir) = &self.shared_dir else {
             return Ok(());
         };
         let bytes = handover::encode_frame(bans, &self.limits.service).ok_or("too many")?;
-        let new = dir.join(format!("violetwind.bans.{}", std::process::id()));
-        let written = fs::write(&new, bytes).and_then(|()| fs::rename(&new, bans_file(dir)));
+        let new_path = dir.join(format!("violetwind.bans.{}", std::process::id()));
+        let written =
+            fs::write(&new_path, bytes).and_then(|()| fs::rename(&new_path, bans_path(dir)));
         written.map_err(|error| format!("{}: {error}", dir.display()))
     }
 }
 
-/// Staff's word on orders, for the fleet.
-fn staff_call(work: command::WorkCommand) -> fleet::OperatorCall {
+/// Converts an operator's work command into a call to the fleet.
+fn work_call(work: command::WorkCommand) -> fleet::OperatorCall {
     use violetwind_workorders::{Bounds, FailureTolerance, PhaseTimeouts, WorkOrder};
-    let staff = match work {
+    let action = match work {
         command::WorkCommand::Show => return fleet::OperatorCall::WorkView,
         command::WorkCommand::Plan(plan) => WorkAction::Plan(WorkOrder {
             name: plan.name,
@@ -394,7 +414,7 @@
                 failure_tolerance: FailureTolerance::NAMES
                     .iter()
                     .find(|(name, _)| *name == plan.failure_tolerance)
-                    .map_or(FailureTolerance::Nothing, |(_, spare)| *spare),
+                    .map_or(FailureTolerance::Nothing, |(_, tolerance)| *tolerance),
             },
             timeouts: PhaseTimeouts {
                 drain_timeout: plan.drain_timeout_ms,
@@ -413,32 +433,32 @@
         command::WorkCommand::Failed(machine) => WorkAction::MarkFailed(machine),
         command::WorkCommand::Recall(machine) => WorkAction::Recall(machine),
     };
-    fleet::OperatorCall::WorkAction(staff)
+    fleet::OperatorCall::WorkAction(action)
 }
 
-fn bans_file(dir: &Path) -> PathBuf {
+fn bans_path(dir: &Path) -> PathBuf {
     dir.join("violetwind.bans")
 }
 
-/// The bans that an earlier process left. What can't be read counts as none.
+/// Loads the bans saved by an earlier process. An unreadable file counts as no bans.
 pub fn load_bans(dir: &Path, limits: &violetwind_service::Limits) -> Bans {
-    let path = bans_file(dir);
-    let whole = fs::metadata(&path)
+    let path = bans_path(dir);
+    let is_acceptable = fs::metadata(&path)
         .map(|file| file.is_file() && file.len() <= limits.max_frame_bytes as u64 + 64);
-    let bans = match whole {
+    let bans = match is_acceptable {
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Bans::default(),
         Ok(true) => fs::read(&path)
             .map_err(|error| error.to_string())
             .and_then(|bytes| {
                 handover::decode_bans(&bytes, limits).map_err(|fault| fault.to_string())
             }),
-        Ok(false) => Err("no ordinary file of its size".into()),
+        Ok(false) => Err("not a regular file, or larger than the limit".into()),
         Err(error) => Err(error.to_string()),
     };
     match bans {
         Ok(bans) => {
             if bans.count() > 0 {
-                info!(out = ?bans.banned_servers().collect::<Vec<_>>(), "operators keep servers out");
+                info!(out = ?bans.banned_servers().collect::<Vec<_>>(), "servers are banned by operators");
             }
             bans
         }
