--- a/crates/proxy/src/catalogue_command.rs
+++ b/crates/proxy/src/catalogue_command.rs
@@ -1,4 +1,4 @@
-//! `violetwind catalogue`: each source is asked once, and the catalogue says what it believes of that.
+//! The command `violetwind catalogue`: queries each source once and prints the resulting state of the catalogue.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -13,24 +13,25 @@
 use crate::limits::{LimitInputs, Limits};
 use crate::operator_config::{ConfigLayers, OperatorConfig, SourceKind};
 
-/// What came of asking one source.
-struct Asked {
+/// Result of querying one source, or one data center of a Consul source.
+struct SourceResult {
     name: String,
     id: Option<SourceId>,
     outcome: Result<SourceUpdate, String>,
+    /// The first problem among rows that were skipped.
     fault: Option<String>,
 }
 
-/// Exit 0 where every source answered, else 1.
+/// Queries all sources and prints the catalogue. The exit code is 0 if every source answered, else 1.
 pub fn run_catalogue(layers: &ConfigLayers, as_json: bool) -> ExitCode {
-    let operator = match layers.load() {
-        Ok(operator) => operator,
+    let config = match layers.load() {
+        Ok(config) => config,
         Err(problems) => {
             problems.iter().for_each(|problem| eprintln!("{problem}"));
             return ExitCode::FAILURE;
         }
     };
-    if operator.sources.is_empty() {
+    if config.sources.is_empty() {
         eprintln!("the file has no [[source]]");
         return ExitCode::FAILURE;
     }
@@ -44,32 +45,32 @@
             return ExitCode::FAILURE;
         }
     };
-    let asked = tokio::task::LocalSet::new().block_on(&runtime, ask_all(&operator));
-    let (catalogue, asked) = weigh(&operator, asked);
-    let all = asked.iter().all(|asked| asked.outcome.is_ok());
+    let results = tokio::task::LocalSet::new().block_on(&runtime, query_sources(&config));
+    let (catalogue, results) = build_catalogue(&config, results);
+    let all_answered = results.iter().all(|result| result.outcome.is_ok());
     match as_json {
-        true => println!("{:#}", as_value(&catalogue, &asked)),
-        false => print(&catalogue, &asked),
+        true => println!("{:#}", to_json(&catalogue, &results)),
+        false => print_tables(&catalogue, &results),
     }
-    match all {
+    match all_answered {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
 }
 
-async fn ask_all(operator: &OperatorConfig) -> Vec<Asked> {
+async fn query_sources(config: &OperatorConfig) -> Vec<SourceResult> {
     let mut limits = Limits::new(LimitInputs::default());
-    operator.apply_limits(&mut limits);
+    config.apply_limits(&mut limits);
     let limits = Rc::new(limits);
-    let mut all = Vec::new();
-    for source in &operator.sources {
+    let mut results = Vec::new();
+    for source in &config.sources {
         match &source.kind {
             SourceKind::Registry { address, zones } => {
-                let outcome = match address.or_else(platform) {
+                let outcome = match address.or_else(platform_discovery_address) {
                     Some(at) => discovery::fetch_list(at, limits.clone(), zones.clone()).await,
                     None => Err("no address: neither in the file nor in NODE_DISCOVERY".into()),
                 };
-                all.push(Asked {
+                results.push(SourceResult {
                     name: source.name.clone(),
                     id: None,
                     outcome,
@@ -77,16 +78,21 @@
                 });
             }
             SourceKind::Consul(settings) => {
-                let each = settings.datacenters.iter().map(|dc| Some(dc.as_str()));
-                let agents_own = settings.datacenters.is_empty().then_some(None);
-                for dc in each.chain(agents_own) {
-                    let answer = violetwind_consul::fetch_once(settings, dc).await;
+                let datacenters = settings
+                    .datacenters
+                    .iter()
+                    .map(|datacenter| Some(datacenter.as_str()));
+                let default_datacenter = settings.datacenters.is_empty().then_some(None);
+                for datacenter in datacenters.chain(default_datacenter) {
+                    let answer = violetwind_consul::fetch_once(settings, datacenter).await;
                     let (outcome, fault) = match answer {
-                        Ok((telling, fault)) => (Ok(telling), fault),
+                        Ok((update, fault)) => (Ok(update), fault),
                         Err(error) => (Err(error), None),
                     };
-                    all.push(Asked {
-                        name: dc.map_or(source.name.clone(), |dc| format!("{}/{dc}", source.name)),
+                    results.push(SourceResult {
+                        name: datacenter.map_or(source.name.clone(), |datacenter| {
+                            format!("{}/{datacenter}", source.name)
+                        }),
                         id: None,
                         outcome,
                         fault,
@@ -95,45 +101,52 @@
             }
         }
     }
-    all
+    results
 }
 
-/// Where the platform says that discovery is.
-fn platform() -> Option<SocketAddr> {
-    let variable = std::env::var("NODE_DISCOVERY").ok();
-    let variable = variable.and_then(|text| text.parse().ok());
-    variable.or_else(|| Config::from_env().ok().map(|config| config.discovery))
+/// Returns the address of the platform's discovery, from NODE_DISCOVERY or the platform's configuration.
+fn platform_discovery_address() -> Option<SocketAddr> {
+    let from_environment = std::env::var("NODE_DISCOVERY").ok();
+    let from_environment = from_environment.and_then(|text| text.parse().ok());
+    from_environment.or_else(|| Config::from_env().ok().map(|config| config.discovery))
 }
 
-fn weigh(operator: &OperatorConfig, mut asked: Vec<Asked>) -> (Catalogue, Vec<Asked>) {
-    let mut catalogue = Catalogue::new(operator.catalogue_limits.clone());
+/// Applies the results to a new catalogue, in the order of the sources.
+fn build_catalogue(
+    config: &OperatorConfig,
+    mut results: Vec<SourceResult>,
+) -> (Catalogue, Vec<SourceResult>) {
+    let mut catalogue = Catalogue::new(config.catalogue_limits.clone());
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    let now = now.map_or(0, |since| since.as_millis() as u64);
-    for asked in &mut asked {
-        asked.id = catalogue.add_source(&asked.name);
+    let now = now.map_or(0, |elapsed| elapsed.as_millis() as u64);
+    for result in &mut results {
+        result.id = catalogue.add_source(&result.name);
     }
-    for asked in &asked {
-        let telling = asked.outcome.clone().unwrap_or(SourceUpdate::Unavailable);
-        if let Some(id) = asked.id {
-            catalogue.apply_update(now, id, telling);
+    for result in &results {
+        let update = result.outcome.clone().unwrap_or(SourceUpdate::Unavailable);
+        if let Some(id) = result.id {
+            catalogue.apply_update(now, id, update);
         }
     }
-    (catalogue, asked)
+    (catalogue, results)
 }
 
-fn said(asked: &[Asked], seen: &ServerView<'_>) -> Vec<(String, String)> {
-    let name = |id| asked.iter().find(|asked| asked.id == Some(id));
-    seen.reports
+/// Returns the name of each source that reports the server, with the reported status.
+fn reports_of(results: &[SourceResult], server: &ServerView<'_>) -> Vec<(String, String)> {
+    let result_of = |id| results.iter().find(|result| result.id == Some(id));
+    server
+        .reports
         .iter()
-        .filter_map(|said| {
-            let word = format!("{:?}", said.status).to_lowercase();
-            Some((name(said.source)?.name.clone(), word))
+        .filter_map(|report| {
+            let status = format!("{:?}", report.status).to_lowercase();
+            Some((result_of(report.source)?.name.clone(), status))
         })
         .collect()
 }
 
-fn state(asked: &Asked) -> String {
-    match &asked.outcome {
+/// Describes the result of querying a source.
+fn describe_outcome(result: &SourceResult) -> String {
+    match &result.outcome {
         Ok(SourceUpdate::Snapshot(rows)) => format!("{} servers", rows.len()),
         Ok(SourceUpdate::StaleSnapshot(rows)) => {
             format!("{} servers, but stale: only drains count", rows.len())
@@ -143,10 +156,10 @@
     }
 }
 
-fn print(catalogue: &Catalogue, asked: &[Asked]) {
-    for asked in asked {
-        println!("source {}: {}", asked.name, state(asked));
-        if let Some(fault) = &asked.fault {
+fn print_tables(catalogue: &Catalogue, results: &[SourceResult]) {
+    for result in results {
+        println!("source {}: {}", result.name, describe_outcome(result));
+        if let Some(fault) = &result.fault {
             println!("  rows that make no sense, the first: {fault}");
         }
     }
@@ -154,39 +167,42 @@
         "{:<28} {:<22} {:<10} {:<40} said",
         "server", "address", "believed", "why"
     );
-    for seen in catalogue.servers() {
-        let words = said(asked, &seen);
-        let words: Vec<String> = words.iter().map(|(s, w)| format!("{s}: {w}")).collect();
+    for server in catalogue.servers() {
+        let reports = reports_of(results, &server);
+        let reports: Vec<String> = reports
+            .iter()
+            .map(|(source, status)| format!("{source}: {status}"))
+            .collect();
         println!(
             "{:<28} {:<22} {:<10} {:<40} {}",
-            seen.uid,
-            seen.instance.endpoint.to_string(),
-            format!("{:?}", seen.status).to_lowercase(),
-            seen.reason.to_string(),
-            words.join(", ")
+            server.uid,
+            server.instance.endpoint.to_string(),
+            format!("{:?}", server.status).to_lowercase(),
+            server.reason.to_string(),
+            reports.join(", ")
         );
     }
 }
 
-fn as_value(catalogue: &Catalogue, asked: &[Asked]) -> Value {
-    let sources: Vec<Value> = asked
+fn to_json(catalogue: &Catalogue, results: &[SourceResult]) -> Value {
+    let sources: Vec<Value> = results
         .iter()
-        .map(|asked| {
-            json!({"name": asked.name, "answered": asked.outcome.is_ok(), "state": state(asked),
-                   "fault": asked.fault})
+        .map(|result| {
+            json!({"name": result.name, "answered": result.outcome.is_ok(),
+                   "state": describe_outcome(result), "fault": result.fault})
         })
         .collect();
     let servers: Vec<Value> = catalogue
         .servers()
-        .map(|seen| {
-            let words: serde_json::Map<String, Value> = said(asked, &seen)
+        .map(|server| {
+            let reports: serde_json::Map<String, Value> = reports_of(results, &server)
                 .into_iter()
-                .map(|(source, word)| (source, word.into()))
+                .map(|(source, status)| (source, status.into()))
                 .collect();
-            json!({"server": seen.uid, "address": seen.instance.endpoint.to_string(),
-                   "zone": seen.instance.zone, "kind": seen.instance.kind,
-                   "believed": format!("{:?}", seen.status).to_lowercase(),
-                   "why": seen.reason.to_string(), "said": words})
+            json!({"server": server.uid, "address": server.instance.endpoint.to_string(),
+                   "zone": server.instance.zone, "kind": server.instance.kind,
+                   "believed": format!("{:?}", server.status).to_lowercase(),
+                   "why": server.reason.to_string(), "said": reports})
         })
         .collect();
     json!({"sources": sources, "servers": servers})
--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the `violetwind` program.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,8 +12,8 @@
 
 /// A balancer for long-lived connections.
 ///
-/// Without a command it runs. The platform's configuration is the file that NODE_CONFIG names; the
-/// operator's file is optional and switches on what the platform does not know of.
+/// Without a command it serves. The platform's configuration is the file named by NODE_CONFIG. The operator's file
+/// is optional and enables features that the platform's configuration does not cover.
 #[derive(Debug, Parser)]
 #[command(
     name = "violetwind",
@@ -36,72 +36,73 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve (the default). SIGHUP rereads both files, SIGTERM moves all clients and ends.
-    Run(Run),
-    /// Check an operator's file: exit 0, or 1 with every error, its line and a suggestion.
+    /// Serve (the default). SIGHUP rereads both files; SIGTERM moves all clients away and ends the process.
+    Run(RunArgs),
+    /// Check an operator's file: exit code 0, or 1 with every error, its line and a suggestion.
     Check {
         file: PathBuf,
         #[command(flatten)]
-        set: Set,
+        overrides: ConfigOverrides,
     },
-    /// Ask each source of an operator's file once: what it says, what is believed, and why.
+    /// Query each source of an operator's file once, and show what it reports, the resulting state of each server, and the reason.
     Catalogue {
         file: PathBuf,
         #[command(flatten)]
-        set: Set,
-        /// One JSON object instead of tables.
+        overrides: ConfigOverrides,
+        /// Print one JSON object instead of tables.
         #[arg(long)]
         json: bool,
     },
-    /// Ask a proxy about its fleet, or have it change something there.
+    /// Show or change the state of a fleet through one of its proxies.
     #[command(subcommand)]
     Fleet(FleetCommand),
-    /// Have machines taken out for work, in an order that the proxies of the fleet settle.
+    /// Take machines out of service for maintenance work, in an order decided by the proxies of the fleet.
     #[command(subcommand)]
     Work(WorkCommand),
     /// Run a command only while a proxy holds a duty.
     ///
-    /// The command gets the holding's fencing number as VIOLETWIND_FENCE, which whoever takes its work has to
-    /// check. It gets SIGTERM when the duty is lost, and SIGKILL before the lease ends. Exit codes: the
-    /// command's own; 75 the duty is not held there; 76 lost while it ran; 69 no proxy answers; 71 the
-    /// command can't be started.
+    /// The command receives the fencing number of the hold in VIOLETWIND_FENCE; every system that accepts the
+    /// command's work has to check this number. The command receives SIGTERM when the duty is lost, and SIGKILL
+    /// before the lease ends. Exit codes: the command's own; 75 the duty is not held at the proxy; 76 the duty was
+    /// lost while the command ran; 69 no proxy answers; 71 the command can't be started.
     Hold(HoldArgs),
-    /// Print completions for a shell.
+    /// Print the completion script for a shell.
     Completions { shell: Shell },
 }
 
+/// Subcommands of `violetwind fleet`.
 #[derive(Debug, Subcommand)]
 pub enum FleetCommand {
-    /// Who leads, who is a member, and who holds which duty with which number.
+    /// Show the leader, the members, the duties with holder and fencing number, and the budgets.
     Status {
         #[command(flatten)]
         proxy: ProxyAddress,
-        /// The proxy's own line instead of a table.
+        /// Print the proxy's JSON answer instead of tables.
         #[arg(long)]
         json: bool,
     },
-    /// Let a member in that has a new directory, or that was put out.
+    /// Admit a member that has a new directory, or that was put out.
     LetIn {
         node: String,
         #[command(flatten)]
         proxy: ProxyAddress,
     },
-    /// Have a member hold nothing and vote no more until it is let in.
+    /// Exclude a member: it holds nothing and does not vote until it is let in again.
     PutOut {
         node: String,
         #[command(flatten)]
         proxy: ProxyAddress,
     },
-    /// Say that a member's machine is gone for good, and what it held of budgets with it.
+    /// Declare that a member's machine is permanently lost, so that the member's shares of budgets are freed.
     Gone {
         node: String,
         #[command(flatten)]
         proxy: ProxyAddress,
     },
-    /// Have the holder of a duty hand it on.
+    /// Hand a duty over from its holder to another member.
     HandOn {
         duty: String,
-        /// To whom; without it to whoever holds the fewest.
+        /// The member that receives the duty; by default the member with the fewest duties.
         #[arg(long, value_name = "NODE")]
         to: Option<String>,
         #[command(flatten)]
@@ -109,39 +110,43 @@
     },
 }
 
+/// Subcommands of `violetwind work`.
 #[derive(Debug, Subcommand)]
 pub enum WorkCommand {
-    /// Order work on machines: they go out, are worked on, and come back, as the bounds allow.
+    /// Plan work on machines: they leave service, are worked on and return, within the given bounds.
     Plan(PlanArgs),
-    /// The orders, each machine's place, and what it waits for.
+    /// Show the orders, the phase of each machine, and the condition it waits for.
     Show {
         #[command(flatten)]
         proxy: ProxyAddress,
-        /// The proxy's own line instead of a table.
+        /// Print the proxy's JSON answer instead of tables.
         #[arg(long)]
         json: bool,
     },
-    /// Nothing more goes out, of one order or of all; what is out goes on.
+    /// Take no more machines out, for one order or all; machines already out continue.
     Pause(OrderArgs),
+    /// Continue a paused order, or all.
     Resume(OrderArgs),
-    /// Nothing more goes out, and what is out comes back; machines worked on stay done.
+    /// Take no more machines out and return those that are out; finished machines stay done.
     Cancel(OrderArgs),
-    /// The work on an empty machine is done, or a failed one is sound: it comes back.
+    /// Report that the work on an empty machine is done, or that a failed machine is repaired: it returns.
     Done(MachineArgs),
-    /// The work on a machine has failed: it stays out until `done` or `recall`.
+    /// Report that the work on a machine has failed: it stays out until `done` or `recall`.
     Failed(MachineArgs),
-    /// A failed machine comes back as it is.
+    /// Return a failed machine to service in its present state.
     Recall(MachineArgs),
 }
 
+/// Arguments of a command for one work order or all.
 #[derive(Debug, Args)]
 pub struct OrderArgs {
-    /// The order's number; without it all orders.
+    /// The number of the order; by default all orders.
     pub order: Option<u64>,
     #[command(flatten)]
     pub proxy: ProxyAddress,
 }
 
+/// Arguments of a command for one machine.
 #[derive(Debug, Args)]
 pub struct MachineArgs {
     pub machine: String,
@@ -149,60 +154,63 @@
     pub proxy: ProxyAddress,
 }
 
+/// Arguments of `violetwind work plan`.
 #[derive(Debug, Args)]
 pub struct PlanArgs {
-    /// What staff call the work, one word.
+    /// Name of the work order, one word.
     pub name: String,
-    /// Names with commas between them, or ranges such as m-1..m-12.
+    /// Names of machines, separated by commas, or ranges such as m-1..m-12.
     #[arg(long)]
     pub machines: String,
     #[command(flatten)]
     pub proxy: ProxyAddress,
-    /// Machines out at once.
+    /// Maximum number of machines out at the same time.
     #[arg(long, default_value_t = 1)]
     pub most: u32,
-    /// Machines out at once in one zone.
+    /// Maximum number of machines out at the same time in one zone.
     #[arg(long, default_value_t = 1)]
     pub zone_most: u32,
-    /// The part of all machines' room that stays in.
+    /// Minimum share of the capacity of all machines that stays in service.
     #[arg(long, default_value_t = 0.8)]
     pub floor: f64,
-    /// What may be lost besides, with the floor still held.
+    /// Additional failure that must still leave the floor in service.
     #[arg(long, default_value = "nothing", value_parser = ["nothing", "machine", "zone"])]
     pub spare: String,
-    /// What happens to a machine: `out,wait,back`, or `out,back` where nobody has to say that it is done.
+    /// Steps for each machine: `out,wait,back`, or `out,back` where no confirmation of the work is needed.
     #[arg(long, default_value = "out,wait,back", value_parser = ["out,wait,back", "out,back"])]
     pub steps: String,
-    /// Nothing goes out before, in seconds since 1970.
+    /// Earliest time at which machines leave service, in seconds since 1970.
     #[arg(long, value_name = "UNIX", default_value_t = 0.0)]
     pub not_before: f64,
-    /// Until a machine that leaves has to be empty.
+    /// Time within which a leaving machine has to be empty.
     #[arg(long, value_name = "SECONDS", default_value_t = 900.0)]
     pub leave: f64,
-    /// Until staff have to say that an empty one is done.
+    /// Time within which the work on an empty machine has to be reported as done.
     #[arg(long, value_name = "SECONDS", default_value_t = 43_200.0)]
     pub work: f64,
-    /// Until one that returns has to be up and warm.
+    /// Time within which a returning machine has to be up and warm.
     #[arg(long, value_name = "SECONDS", default_value_t = 1800.0)]
     pub back: f64,
 }
 
+/// The proxy that a command is sent to.
 #[derive(Debug, Args)]
 pub struct ProxyAddress {
-    /// The address for operators of a proxy.
+    /// The operators' address of the proxy.
     #[arg(long = "at", value_name = "ADDR", env = "VIOLETWIND_AT")]
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
+/// Arguments of `violetwind hold`.
 #[derive(Debug, Args)]
 pub struct HoldArgs {
     pub duty: String,
     #[command(flatten)]
     pub proxy: ProxyAddress,
-    /// Wait until the duty is held there instead of ending with 75.
+    /// Wait until the proxy holds the duty instead of ending with 75.
     #[arg(long)]
     pub wait: bool,
-    /// Between SIGTERM and SIGKILL at most; less if the lease ends before.
+    /// Maximum time between SIGTERM and SIGKILL; less if the lease ends earlier.
     #[arg(long, value_name = "SECONDS", default_value_t = 1.0)]
     pub grace: f64,
     /// The command and its arguments.
@@ -211,29 +219,31 @@
 }
 
 #[derive(Debug, Default, Args)]
-struct Run {
+struct RunArgs {
     /// The operator's file.
     #[arg(long, env = "VIOLETWIND_CONFIG", value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(flatten)]
-    set: Set,
+    overrides: ConfigOverrides,
 }
 
 #[derive(Debug, Default, Args)]
-struct Set {
-    /// Put a value over the file and the environment, such as log.format=json or source.0.wait=30s.
+struct ConfigOverrides {
+    /// Override a value of the file and the environment, such as log.format=json or source.0.wait=30s.
     #[arg(long = "set", value_name = "KEY=VALUE")]
-    set: Vec<String>,
+    assignments: Vec<String>,
 }
 
-/// What the command line asks for.
+/// How the program continues after the command line is processed.
 pub enum CliOutcome {
+    /// Serve with this configuration.
     Run(ConfigLayers),
+    /// End with this exit code.
     Exit(ExitCode),
 }
 
 impl Cli {
-    /// Does what is done at once; a run is left to the caller.
+    /// Executes the command, except for `run`, which is returned to the caller.
     pub fn execute(self) -> CliOutcome {
         match self.command {
             None => {
@@ -246,27 +256,31 @@
             }
             Some(Command::Run(run)) => CliOutcome::Run(ConfigLayers {
                 file: run.config,
-                overrides: run.set.set,
+                overrides: run.overrides.assignments,
                 use_environment: true,
             }),
-            Some(Command::Check { file, set }) => {
+            Some(Command::Check { file, overrides }) => {
                 let layers = ConfigLayers {
                     file: Some(file.clone()),
-                    overrides: set.set,
+                    overrides: overrides.assignments,
                     use_environment: false,
                 };
                 CliOutcome::Exit(match layers.load() {
-                    Ok(operator) => sound(&file, &operator),
+                    Ok(config) => report_valid_config(&file, &config),
                     Err(problems) => {
                         problems.iter().for_each(|problem| println!("{problem}"));
                         ExitCode::FAILURE
                     }
                 })
             }
-            Some(Command::Catalogue { file, set, json }) => {
+            Some(Command::Catalogue {
+                file,
+                overrides,
+                json,
+            }) => {
                 let layers = ConfigLayers {
                     file: Some(file),
-                    overrides: set.set,
+                    overrides: overrides.assignments,
                     use_environment: true,
                 };
                 CliOutcome::Exit(catalogue_command::run_catalogue(&layers, json))
@@ -283,16 +297,16 @@
     }
 }
 
-/// The last word of a check, and what needs this proxy's own name.
-fn sound(file: &Path, operator: &OperatorConfig) -> ExitCode {
+/// Prints the result of a check without errors. With NODE_NAME set, also checks the place of this proxy in the fleet.
+fn report_valid_config(file: &Path, config: &OperatorConfig) -> ExitCode {
     let name = file.display();
-    if let Some(fleet) = &operator.fleet {
+    if let Some(fleet) = &config.fleet {
         let node = std::env::var("NODE_NAME")
             .ok()
             .filter(|node| !node.is_empty());
         match node.as_deref().map(|node| fleet.check_node(node)) {
-            Some(Err(what)) => {
-                println!("{name}: {what}");
+            Some(Err(problem)) => {
+                println!("{name}: {problem}");
                 return ExitCode::FAILURE;
             }
             Some(Ok(())) => {}
@@ -311,6 +325,6 @@
             fleet.duties.len()
         );
     }
-    println!("{name}: sound, {} sources", operator.sources.len());
+    println!("{name}: sound, {} sources", config.sources.len());
     ExitCode::SUCCESS
 }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Asks discovery for the list of servers and watches it for changes.
+//! Client of the discovery service: fetches the list of servers and watches it for changes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,31 +24,32 @@
 use violetwind_engine::{EngineEvent, ListedServer, to_catalogue_row};
 use violetwind_net::{SharedTcpStream, connect};
 
-/// How the engine is told.
+/// How updates of the list are delivered to the engine.
 #[derive(Clone, Debug)]
 pub enum ListDelivery {
-    /// Lists are taken as they come.
+    /// The engine applies each update to its list directly.
     Direct,
-    /// The catalogue weighs them under this name; zones by the names of the operator's file.
+    /// The catalogue receives the updates under this source name. Zones are translated with the names of the
+    /// operator's file.
     Catalogue(Rc<str>, Rc<BTreeMap<String, String>>),
 }
 
 impl ListDelivery {
-    fn list(&self, whole: bool, rows: Vec<ListedServer>) -> EngineEvent {
+    fn list_event(&self, is_snapshot: bool, rows: Vec<ListedServer>) -> EngineEvent {
         let (name, zones) = match self {
-            Self::Direct if whole => return EngineEvent::ServerList(ListKind::Replace, rows),
+            Self::Direct if is_snapshot => return EngineEvent::ServerList(ListKind::Replace, rows),
             Self::Direct => return EngineEvent::ServerList(ListKind::Update, rows),
             Self::Catalogue(name, zones) => (name.clone(), zones),
         };
-        let zoned = rows.into_iter().map(|mut listed| {
+        let rows_with_zones = rows.into_iter().map(|mut listed| {
             let zone = listed.row.zone.as_ref().and_then(|zone| zones.get(zone));
             listed.row.zone = zone.cloned().or(listed.row.zone);
             listed
         });
-        let rows = zoned.filter_map(to_catalogue_row).collect();
+        let rows = rows_with_zones.filter_map(to_catalogue_row).collect();
         EngineEvent::SourceUpdate(
             name,
-            if whole {
+            if is_snapshot {
                 SourceUpdate::Snapshot(rows)
             } else {
                 SourceUpdate::Delta(rows)
@@ -56,7 +57,7 @@
         )
     }
 
-    fn lost(&self) -> EngineEvent {
+    fn unavailable_event(&self) -> EngineEvent {
         match self {
             Self::Direct => EngineEvent::ListUnavailable,
             Self::Catalogue(name, _) => {
@@ -65,8 +66,8 @@
         }
     }
 
-    /// An answer without news, where that is worth a word.
-    fn same(&self) -> Option<EngineEvent> {
+    /// Returns the event for an answer without changes. Only the catalogue needs one, to know that the source answers.
+    fn unchanged_event(&self) -> Option<EngineEvent> {
         match self {
             Self::Direct => None,
             Self::Catalogue(name, _) => Some(EngineEvent::SourceUpdate(
@@ -77,60 +78,62 @@
     }
 }
 
+/// A list of servers, or of changes, as received from discovery.
 #[derive(Debug, Default)]
 pub struct DiscoveryList {
     pub version: u64,
+    /// Whether the rows are the whole list. Otherwise they are changes since an earlier version.
     pub is_snapshot: bool,
     pub rows: Vec<ListedServer>,
 }
 
-/// Reads a list in discovery's form. A row that makes no sense is passed over with a log line.
+/// Parses a list in discovery's JSON format. An invalid row is skipped and logged.
 pub fn parse_list(json: &Value, limits: &Limits) -> Result<DiscoveryList, String> {
     let rows = json["targets"].as_array().ok_or("expected `targets`")?;
     if rows.len() > limits.max_list_rows {
-        return Err(format!("{} targets are too many", rows.len()));
+        return Err(format!("{} targets exceed the limit", rows.len()));
     }
     let mut list = DiscoveryList {
         version: json["rev"].as_u64().ok_or("expected the number `rev`")?,
         is_snapshot: json["all"].as_bool().unwrap_or(false),
         rows: Vec::with_capacity(rows.len()),
     };
-    let mut passed_over = 0;
+    let mut skipped = 0;
     for row in rows {
-        match read_row(row) {
+        match parse_row(row) {
             Ok(row) => list.rows.push(row),
-            // A list that is spoilt as a whole must not fill the log.
-            Err(error) if passed_over < limits.max_log_lines => {
-                passed_over += 1;
-                warn!(%error, "a target is passed over");
+            // A list in which all rows are invalid must not flood the log.
+            Err(error) if skipped < limits.max_log_lines => {
+                skipped += 1;
+                warn!(%error, "skipping an invalid target");
             }
-            Err(_) => passed_over += 1,
+            Err(_) => skipped += 1,
         }
     }
-    if passed_over > limits.max_log_lines {
+    if skipped > limits.max_log_lines {
         warn!(
-            passed_over,
-            "targets are passed over, of which the first are told"
+            passed_over = skipped,
+            "skipped invalid targets; only the first ones were logged"
         );
     }
     Ok(list)
 }
 
-fn read_row(json: &Value) -> Result<ListedServer, String> {
+fn parse_row(json: &Value) -> Result<ListedServer, String> {
     let text = |key: &str| json[key].as_str().filter(|text| !text.is_empty());
     let uid = text("uid").ok_or("no `uid`")?;
     let status = match text("state") {
         Some("ready") => Status::Up,
         Some("draining") => Status::Draining,
         Some("gone") => Status::Gone,
-        other => return Err(format!("{uid}: state {other:?}")),
+        other => return Err(format!("{uid}: unknown state {other:?}")),
     };
-    // An address only: no name is ever looked up.
+    // Only IP addresses are accepted: host names are never resolved.
     let endpoint = text("endpoint").and_then(|text| text.parse().ok());
     if status != Status::Gone && endpoint.is_none() {
-        return Err(format!("{uid}: endpoint {}", json["endpoint"]));
+        return Err(format!("{uid}: invalid endpoint {}", json["endpoint"]));
     }
-    let born = json["boot_ms"].as_f64().filter(|ms| *ms > 0.0);
+    let boot_ms = json["boot_ms"].as_f64().filter(|ms| *ms > 0.0);
     Ok(ListedServer {
         uid: uid.to_string(),
         endpoint,
@@ -140,20 +143,20 @@
             status,
             kind: text("model").map(str::to_string),
             zone: text("az").map(str::to_string),
-            started_at: born.map(|ms| ms / 1e3),
+            started_at: boot_ms.map(|ms| ms / 1e3),
             rating: json["capacity_hint"].as_f64(),
         },
     })
 }
 
-/// One connection to discovery, kept from call to call.
-struct Client {
+/// HTTP client of discovery that keeps its connection between calls.
+struct DiscoveryClient {
     address: SocketAddr,
     limits: Rc<Limits>,
     connection: Option<Connection>,
 }
 
-/// Ends its connection when it is dropped, whatever call is under way.
+/// An HTTP connection. Dropping it closes the connection and aborts any call in progress.
 struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     task: AbortHandle,
@@ -165,12 +168,12 @@
     }
 }
 
-impl Client {
-    /// One call within such a time. A failed one leaves no connection behind.
-    async fn get(&mut self, path: &str, within: Duration) -> Result<DiscoveryList, QueryFailure> {
-        let answer = timeout(within, self.call(path)).await;
-        let late = || Err(QueryFailure::Other("no answer in time".into()));
-        let answer = answer.unwrap_or_else(|_| late());
+impl DiscoveryClient {
+    /// Makes one call with a timeout. After a failure the connection is closed.
+    async fn get(&mut self, path: &str, max_time: Duration) -> Result<DiscoveryList, QueryFailure> {
+        let answer = timeout(max_time, self.call(path)).await;
+        let timed_out = || Err(QueryFailure::Other("no answer in time".into()));
+        let answer = answer.unwrap_or_else(|_| timed_out());
         if answer.is_err() {
             self.connection = None;
         }
@@ -178,20 +181,20 @@
     }
 
     async fn call(&mut self, path: &str) -> Result<DiscoveryList, QueryFailure> {
-        let text = |error: hyper::Error| QueryFailure::Other(error.to_string());
-        let closed = |connection: &Connection| connection.sender.is_closed();
-        if self.connection.as_ref().is_none_or(closed) {
+        let to_failure = |error: hyper::Error| QueryFailure::Other(error.to_string());
+        let is_closed = |connection: &Connection| connection.sender.is_closed();
+        if self.connection.as_ref().is_none_or(is_closed) {
             self.connection = None;
-            // A connection that never comes up must not cost the time of a whole watch.
+            // Connecting has its own, shorter timeout: an unreachable address must not take the time of a whole watch.
             let connect = connect(self.address);
             let connect = timeout(self.limits.discovery_connect_timeout, connect).await;
             let stream = connect
-                .map_err(|_| QueryFailure::Other("never comes up".into()))?
+                .map_err(|_| QueryFailure::Other("connection not established in time".into()))?
                 .map_err(|error| QueryFailure::Other(error.into_inner().to_string()))?;
             let _ = stream.set_nodelay(true);
             let io = TokioIo::new(SharedTcpStream::new(stream));
-            let (sender, connection) = http1::handshake(io).await.map_err(text)?;
-            // Each call hears of an error itself.
+            let (sender, connection) = http1::handshake(io).await.map_err(to_failure)?;
+            // Errors of the connection are also returned by the calls on it, so they are ignored here.
             let task = tokio::task::spawn_local(async move {
                 let _ = connection.await;
             });
@@ -200,16 +203,16 @@
                 task: task.abort_handle(),
             });
         }
-        let lost = || QueryFailure::Other("not connected".into());
-        let sender = &mut self.connection.as_mut().ok_or_else(lost)?.sender;
-        sender.ready().await.map_err(text)?;
+        let not_connected = || QueryFailure::Other("not connected".into());
+        let sender = &mut self.connection.as_mut().ok_or_else(not_connected)?.sender;
+        sender.ready().await.map_err(to_failure)?;
         let request = Request::get(path)
             .header(hyper::header::HOST, self.address.to_string())
             .body(Empty::new())
             .map_err(|error| QueryFailure::Other(error.to_string()))?;
-        let response = sender.send_request(request).await.map_err(text)?;
+        let response = sender.send_request(request).await.map_err(to_failure)?;
         let status = response.status();
-        // What is at fault is the call itself, not its moment.
+        // These statuses mean that the call itself is invalid, so repeating it later would not help.
         if status.is_client_error() && !matches!(status.as_u16(), 408 | 425 | 429) {
             return Err(QueryFailure::VersionExpired(format!("status {status}")));
         }
@@ -226,71 +229,71 @@
     }
 }
 
-/// The whole list, asked for once, as a source's word.
+/// Fetches the whole list once, as an update for the catalogue.
 pub async fn fetch_list(
     address: SocketAddr,
     limits: Rc<Limits>,
     zones: Rc<BTreeMap<String, String>>,
 ) -> Result<SourceUpdate, String> {
-    let within = limits.snapshot_timeout;
-    let mut client = Client {
+    let max_time = limits.snapshot_timeout;
+    let mut client = DiscoveryClient {
         address,
         limits,
         connection: None,
     };
-    let list = client.get("/registry/instances", within).await;
+    let list = client.get("/registry/instances", max_time).await;
     let list = list.map_err(QueryFailure::into_message)?;
-    match ListDelivery::Catalogue("".into(), zones).list(true, list.rows) {
-        EngineEvent::SourceUpdate(_, telling) => Ok(telling),
+    match ListDelivery::Catalogue("".into(), zones).list_event(true, list.rows) {
+        EngineEvent::SourceUpdate(_, update) => Ok(update),
         other => Err(format!("{other:?}")),
     }
 }
 
-/// Watches the list for good, at the address that a reload names last. A new address starts anew:
-/// the old connection and its call end at once, and versions of the old list mean nothing there.
-/// `known` is the version of a list that the engine has from the last run.
+/// Watches the list until the engine ends, always at the address set by the last reload. A new address starts
+/// afresh: the old connection and its call are aborted, and versions of the old list are not valid there.
+/// `known_version` is the version of a list that the engine has from the last run.
 pub async fn watch(
     mut address: watch::Receiver<SocketAddr>,
     limits: Rc<Limits>,
-    tells: ListDelivery,
-    mut known: Option<u64>,
+    delivery: ListDelivery,
+    mut known_version: Option<u64>,
     engine: mpsc::Sender<EngineEvent>,
 ) {
     loop {
-        let at = *address.borrow_and_update();
+        let current = *address.borrow_and_update();
         tokio::select! {
-            () = follow(at, &limits, &tells, known.take(), &engine) => return,
+            () = watch_address(current, &limits, &delivery, known_version.take(), &engine) => return,
             changed = address.changed() => match changed {
-                Ok(()) => info!(from = %at, "discovery has moved: the whole list is asked there"),
+                Ok(()) => info!(from = %current, "discovery has a new address: fetching the whole list"),
                 Err(_) => return,
             },
         }
     }
 }
 
-/// Watches the list at one address. The next call goes out as soon as an answer is read; after a
-/// failure the last list stays and the next call waits, longer each time and by chance, so that
-/// proxies that lost discovery together don't come back together. With a list from the last run it asks
-/// only for what has changed since, at a moment of its own: proxies restarted together that all ask for
-/// whole lists at once are answered too late, ask again, and are never answered.
-async fn follow(
+/// Watches the list at one address. The next call is made as soon as an answer is read. After a failure the last
+/// list stays in force and the next call is delayed by a random, exponentially growing backoff, so that proxies that
+/// lost discovery together don't return together. With a list from the last run, only the changes since are
+/// requested, after a random initial delay: if proxies that restart together all request whole lists at once, the
+/// answers come too late, the calls are repeated, and none is ever answered.
+async fn watch_address(
     address: SocketAddr,
     limits: &Rc<Limits>,
-    tells: &ListDelivery,
-    known: Option<u64>,
+    delivery: &ListDelivery,
+    known_version: Option<u64>,
     engine: &mpsc::Sender<EngineEvent>,
 ) {
-    let mut client = Client {
+    let mut client = DiscoveryClient {
         address,
         limits: limits.clone(),
         connection: None,
     };
-    let mut asking = PollSchedule::new(limits, known);
-    sleep(asking.initial_delay(rand::random())).await;
+    let mut schedule = PollSchedule::new(limits, known_version);
+    sleep(schedule.initial_delay(rand::random())).await;
     let wait_ms = limits.watch_wait.as_millis();
     loop {
-        let asked = Instant::now();
-        let answer = match asking.next_query() {
+        let called_at = Instant::now();
+        let answer = match schedule.next_query() {
             DiscoveryQuery::Snapshot => {
                 client
                     .get("/registry/instances", limits.snapshot_timeout)
@@ -298,42 +301,44 @@
             }
             DiscoveryQuery::ChangesSince(version) => {
                 let path = format!("/registry/instances?after={version}&wait_ms={wait_ms}");
-                let within = limits.watch_wait + limits.watch_slack;
-                client.get(&path, within).await.map_err(|failure| {
-                    // Nothing came though all its time has passed.
-                    match asked.elapsed() >= within {
+                let max_time = limits.watch_wait + limits.watch_slack;
+                client.get(&path, max_time).await.map_err(|failure| {
+                    // No answer before the timeout of the whole watch.
+                    match called_at.elapsed() >= max_time {
                         true => QueryFailure::WatchTimeout(failure.into_message()),
                         false => failure,
                     }
                 })
             }
         };
-        let (notice, wait) = match answer {
+        let (event, wait) = match answer {
             Ok(list) => {
-                let (version, whole, rows) = (list.version, list.is_snapshot, list.rows.len());
-                let (verdict, wait) = asking.on_answer(version, whole, rows, asked.elapsed());
-                let notice = match verdict {
+                let (version, is_snapshot, rows) =
+                    (list.version, list.is_snapshot, list.rows.len());
+                let (verdict, wait) =
+                    schedule.on_answer(version, is_snapshot, rows, called_at.elapsed());
+                let event = match verdict {
                     Verdict::Apply => {
-                        info!(version, whole, rows, "list");
-                        Some(tells.list(whole, list.rows))
+                        info!(version, whole = is_snapshot, rows, "list");
+                        Some(delivery.list_event(is_snapshot, list.rows))
                     }
-                    Verdict::Unchanged => tells.same(),
+                    Verdict::Unchanged => delivery.unchanged_event(),
                     Verdict::OutOfOrder => {
-                        warn!(version, "changes out of order: the whole list is asked");
+                        warn!(version, "changes out of order: fetching the whole list");
                         None
                     }
                 };
-                (notice, wait)
+                (event, wait)
             }
             Err(failure) => {
-                let wait = asking.on_failure(&failure, rand::random());
+                let wait = schedule.on_failure(&failure, rand::random());
                 let error = failure.into_message();
                 warn!(%error, again_ms = wait.as_millis() as u64, "discovery");
-                (Some(tells.lost()), wait)
+                (Some(delivery.unavailable_event()), wait)
             }
         };
-        if let Some(notice) = notice
-            && engine.send(notice).await.is_err()
+        if let Some(event) = event
+            && engine.send(event).await.is_err()
         {
             return;
         }
--- a/crates/proxy/src/operator_client.rs
+++ b/crates/proxy/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! What staff do about the fleet from a shell, by calls at a proxy's address for operators.
+//! The commands `violetwind fleet`, `work` and `hold`: a client for the operators' address of a proxy.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,148 +12,159 @@
 
 use crate::cli::{FleetCommand, HoldArgs, PlanArgs, WorkCommand};
 
-/// An answer is due within 1 s; it holds a whole fleet at most.
-const PATIENCE: Duration = Duration::from_millis(1500);
-const ANSWER: u64 = 4 << 20;
-/// How long a member may take to get the log and a vote.
-const STEPS: Duration = Duration::from_secs(20);
-/// How often a held duty is asked about, and one that is waited for.
-const POLL: Duration = Duration::from_millis(50);
+/// Timeout of each step of a call. A proxy answers within 1 s.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum size of an answer: at most the state of a whole fleet.
+const MAX_ANSWER_BYTES: u64 = 4 << 20;
+/// Time allowed for a membership change: a new member first has to receive the log and then a vote.
+const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval between calls for a duty, while it is held or awaited, and between retries of a membership change.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-const NOT_HELD: u8 = 75;
-const LOST: u8 = 76;
-const NO_PROXY: u8 = 69;
-const NO_COMMAND: u8 = 71;
+/// Exit code: the duty is not held at the proxy.
+const EXIT_NOT_HELD: u8 = 75;
+/// Exit code: the duty was lost while the command ran.
+const EXIT_LOST: u8 = 76;
+/// Exit code: no proxy answers.
+const EXIT_NO_PROXY: u8 = 69;
+/// Exit code: the command can't be started.
+const EXIT_NO_COMMAND: u8 = 71;
 
-enum Said {
-    Yes(String),
-    No(String),
+/// Answer of a proxy, with the text after the status.
+enum Answer {
+    Accepted(String),
+    Refused(String),
 }
 
-fn call(at: SocketAddr, line: &str) -> Result<Said, String> {
-    let call = || -> std::io::Result<String> {
-        let mut stream = TcpStream::connect_timeout(&at, PATIENCE)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
-        stream.set_write_timeout(Some(PATIENCE))?;
+/// Sends one command line to a proxy. Fails when the proxy can't be reached or its answer is malformed.
+fn call(address: SocketAddr, line: &str) -> Result<Answer, String> {
+    let exchange = || -> std::io::Result<String> {
+        let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
+        stream.set_read_timeout(Some(CALL_TIMEOUT))?;
+        stream.set_write_timeout(Some(CALL_TIMEOUT))?;
         stream.write_all(format!("{line}\n").as_bytes())?;
         let mut answer = String::new();
-        BufReader::new(stream.take(ANSWER)).read_line(&mut answer)?;
+        BufReader::new(stream.take(MAX_ANSWER_BYTES)).read_line(&mut answer)?;
         Ok(answer)
     };
-    let answer = call().map_err(|error| format!("{at}: {error}"))?;
+    let answer = exchange().map_err(|error| format!("{address}: {error}"))?;
     let answer = answer.trim_end();
     match answer.split_at_checked(4) {
-        Some(("200 ", word)) => Ok(Said::Yes(word.to_string())),
-        Some(("400 ", why)) => Ok(Said::No(why.to_string())),
-        _ => Err(format!("{at}: \"{answer}\" is no answer")),
+        Some(("200 ", reply)) => Ok(Answer::Accepted(reply.to_string())),
+        Some(("400 ", reason)) => Ok(Answer::Refused(reason.to_string())),
+        _ => Err(format!("{address}: \"{answer}\" is no answer")),
     }
 }
 
-/// Carries out one of `violetwind fleet …`: 0 yes, 1 no, 69 nobody answers.
+/// Runs a `violetwind fleet` command. Exit codes: 0 success, 1 refused, 69 no proxy answers.
 pub fn run_fleet(command: FleetCommand) -> ExitCode {
-    let (at, line, table) = match command {
-        FleetCommand::Status { proxy: at, json } => (at, "FLEET".to_string(), !json),
-        FleetCommand::LetIn { node, proxy: at } => (at, format!("FLEET LET-IN {node}"), false),
-        FleetCommand::PutOut { node, proxy: at } => (at, format!("FLEET PUT-OUT {node}"), false),
-        FleetCommand::Gone { node, proxy: at } => (at, format!("FLEET GONE {node}"), false),
-        FleetCommand::HandOn {
-            duty,
-            to,
-            proxy: at,
-        } => {
-            let to = to.unwrap_or_default();
-            (at, format!("FLEET HAND-ON {duty} {to}"), false)
+    let (proxy, line, as_table) = match command {
+        FleetCommand::Status { proxy, json } => (proxy, "FLEET".to_string(), !json),
+        FleetCommand::LetIn { node, proxy } => (proxy, format!("FLEET LET-IN {node}"), false),
+        FleetCommand::PutOut { node, proxy } => (proxy, format!("FLEET PUT-OUT {node}"), false),
+        FleetCommand::Gone { node, proxy } => (proxy, format!("FLEET GONE {node}"), false),
+        FleetCommand::HandOn { duty, to, proxy } => {
+            let target = to.unwrap_or_default();
+            (proxy, format!("FLEET HAND-ON {duty} {target}"), false)
         }
     };
-    // A member is let in or put out in steps; whoever calls waits for the last.
-    let until = Instant::now() + STEPS;
-    let said = loop {
-        match call(at.at, &line) {
-            Ok(Said::No(why)) if why.starts_with("not done yet") && Instant::now() < until => {
-                sleep(POLL);
+    // Membership changes take several steps. The proxy answers "not done yet" until the last one.
+    let deadline = Instant::now() + MEMBERSHIP_CHANGE_TIMEOUT;
+    let result = loop {
+        match call(proxy.address, &line) {
+            Ok(Answer::Refused(reason))
+                if reason.starts_with("not done yet") && Instant::now() < deadline =>
+            {
+                sleep(POLL_INTERVAL);
             }
-            said => break said,
+            result => break result,
         }
     };
-    match said {
-        Ok(Said::Yes(word)) if table => match serde_json::from_str(&word) {
+    match result {
+        Ok(Answer::Accepted(reply)) if as_table => match serde_json::from_str(&reply) {
             Ok(view) => {
-                print!("{}", shown(&view));
+                print!("{}", format_fleet(&view));
                 ExitCode::SUCCESS
             }
             Err(error) => {
-                eprintln!("violetwind: {}: {error}", at.at);
+                eprintln!("violetwind: {}: {error}", proxy.address);
                 ExitCode::FAILURE
             }
         },
-        Ok(Said::Yes(word)) => {
-            println!("{word}");
+        Ok(Answer::Accepted(reply)) => {
+            println!("{reply}");
             ExitCode::SUCCESS
         }
-        Ok(Said::No(why)) => {
-            eprintln!("violetwind: {why}");
+        Ok(Answer::Refused(reason)) => {
+            eprintln!("violetwind: {reason}");
             ExitCode::FAILURE
         }
         Err(error) => {
             eprintln!("violetwind: {error}");
-            ExitCode::from(NO_PROXY)
+            ExitCode::from(EXIT_NO_PROXY)
         }
     }
 }
 
-/// Carries out one of `violetwind work …`, with the same codes.
+/// Runs a `violetwind work` command, with the same exit codes as `run_fleet`.
 pub fn run_work(command: WorkCommand) -> ExitCode {
-    let order = |order: Option<u64>| order.map_or(String::new(), |order| order.to_string());
-    let (at, line, show) = match command {
-        WorkCommand::Plan(plan) => (plan.proxy.at, plan_line(&plan), None),
-        WorkCommand::Show { proxy: at, json } => (at.at, "FLEET WORK".into(), Some(json)),
-        WorkCommand::Pause(of) => (
-            of.proxy.at,
-            format!("FLEET WORK PAUSE {}", order(of.order)),
+    let format_order =
+        |order: Option<u64>| order.map_or(String::new(), |number| number.to_string());
+    let (address, line, as_json) = match command {
+        WorkCommand::Plan(plan) => (plan.proxy.address, plan_line(&plan), None),
+        WorkCommand::Show { proxy, json } => (proxy.address, "FLEET WORK".into(), Some(json)),
+        WorkCommand::Pause(args) => (
+            args.proxy.address,
+            format!("FLEET WORK PAUSE {}", format_order(args.order)),
             None,
         ),
-        WorkCommand::Resume(of) => (
-            of.proxy.at,
-            format!("FLEET WORK RESUME {}", order(of.order)),
+        WorkCommand::Resume(args) => (
+            args.proxy.address,
+            format!("FLEET WORK RESUME {}", format_order(args.order)),
             None,
         ),
-        WorkCommand::Cancel(of) => (
-            of.proxy.at,
-            format!("FLEET WORK CANCEL {}", order(of.order)),
+        WorkCommand::Cancel(args) => (
+            args.proxy.address,
+            format!("FLEET WORK CANCEL {}", format_order(args.order)),
             None,
         ),
-        WorkCommand::Done(of) => (of.proxy.at, format!("FLEET WORK DONE {}", of.machine), None),
-        WorkCommand::Failed(of) => (
-            of.proxy.at,
-            format!("FLEET WORK FAILED {}", of.machine),
+        WorkCommand::Done(args) => (
+            args.proxy.address,
+            format!("FLEET WORK DONE {}", args.machine),
             None,
         ),
-        WorkCommand::Recall(of) => (
-            of.proxy.at,
-            format!("FLEET WORK RECALL {}", of.machine),
+        WorkCommand::Failed(args) => (
+            args.proxy.address,
+            format!("FLEET WORK FAILED {}", args.machine),
+            None,
+        ),
+        WorkCommand::Recall(args) => (
+            args.proxy.address,
+            format!("FLEET WORK RECALL {}", args.machine),
             None,
         ),
     };
-    match call(at, &line) {
-        Ok(Said::Yes(word)) => {
-            let view = serde_json::from_str(&word).ok();
-            match view.filter(|_| show == Some(false)) {
-                Some(view) => print!("{}", work_shown(&view)),
-                None => println!("{word}"),
+    match call(address, &line) {
+        Ok(Answer::Accepted(reply)) => {
+            let view = serde_json::from_str(&reply).ok();
+            match view.filter(|_| as_json == Some(false)) {
+                Some(view) => print!("{}", format_work(&view)),
+                None => println!("{reply}"),
             }
             ExitCode::SUCCESS
         }
-        Ok(Said::No(why)) => {
-            eprintln!("violetwind: {why}");
+        Ok(Answer::Refused(reason)) => {
+            eprintln!("violetwind: {reason}");
             ExitCode::FAILURE
         }
         Err(error) => {
             eprintln!("violetwind: {error}");
-            ExitCode::from(NO_PROXY)
+            ExitCode::from(EXIT_NO_PROXY)
         }
     }
 }
 
+/// Formats the call for a new work order.
 fn plan_line(plan: &PlanArgs) -> String {
     let ms = |seconds: f64| (seconds.max(0.0) * 1000.0) as u64;
     format!(
@@ -172,8 +183,9 @@
     )
 }
 
-fn work_shown(view: &Value) -> String {
-    let words = |list: &Value| {
+/// Formats the view of the work orders for the terminal.
+fn format_work(view: &Value) -> String {
+    let join_names = |list: &Value| {
         let names = list.as_array().into_iter().flatten();
         let names: Vec<&str> = names.filter_map(Value::as_str).collect();
         match names.is_empty() {
@@ -181,25 +193,26 @@
             false => names.join(", "),
         }
     };
-    let mut out = format!("out: {}\n", words(&view["out"]));
+    let mut output = format!("out: {}\n", join_names(&view["out"]));
     if view["settled"] != true {
-        let why = view["why"].as_str().unwrap_or("");
-        return out + &format!("as this proxy goes by it; the fleet has not answered: {why}\n");
+        let reason = view["why"].as_str().unwrap_or("");
+        return output
+            + &format!("as this proxy goes by it; the fleet has not answered: {reason}\n");
     }
     if view["shut"].as_array().is_some_and(|shut| !shut.is_empty()) {
-        out += &format!("closed by operators: {}\n", words(&view["shut"]));
+        output += &format!("closed by operators: {}\n", join_names(&view["shut"]));
     }
-    out += &format!(
+    output += &format!(
         "conducted by {}; {} have to confirm\n",
-        cell(&view["conductor"]),
-        words(&view["serving"])
+        format_cell(&view["conductor"]),
+        join_names(&view["serving"])
     );
     for order in view["orders"].as_array().into_iter().flatten() {
-        out += &format!(
+        output += &format!(
             "\norder {} {}: {}, {} out at most, {} in a zone, {} of the room stays in{}\n",
             order["number"],
-            cell(&order["name"]),
-            cell(&order["state"]),
+            format_cell(&order["name"]),
+            format_cell(&order["state"]),
             order["most"],
             order["zone_most"],
             order["floor"].as_f64().unwrap_or(0.0) / 1000.0,
@@ -215,21 +228,21 @@
             ("PLACE", "phase"),
             ("WAITS FOR", "why"),
         ];
-        out += &table(&order["machines"], &columns);
+        output += &format_table(&order["machines"], &columns);
     }
     for order in view["ended"].as_array().into_iter().flatten() {
-        out += &format!(
+        output += &format!(
             "order {} {}: ended, {} done, {} spared\n",
             order["number"],
-            cell(&order["name"]),
+            format_cell(&order["name"]),
             order["done"],
             order["spared"]
         );
     }
-    out
+    output
 }
 
-fn cell(value: &Value) -> String {
+fn format_cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_string(),
         Value::String(text) => text.clone(),
@@ -237,49 +250,55 @@
     }
 }
 
-/// Rows under heads, as wide as they need; nothing of an empty list.
-fn table(list: &Value, columns: &[(&str, &str)]) -> String {
-    let heads = columns.iter().map(|(head, _)| head.to_string());
-    let mut rows = vec![heads.collect::<Vec<_>>()];
+/// Formats a list as a table with aligned columns; an empty string for an empty list.
+fn format_table(list: &Value, columns: &[(&str, &str)]) -> String {
+    let headings = columns.iter().map(|(heading, _)| heading.to_string());
+    let mut rows = vec![headings.collect::<Vec<_>>()];
     let list = list.as_array().into_iter().flatten();
-    rows.extend(list.map(|row| columns.iter().map(|(_, key)| cell(&row[*key])).collect()));
+    rows.extend(list.map(|row| {
+        columns
+            .iter()
+            .map(|(_, key)| format_cell(&row[*key]))
+            .collect()
+    }));
     if rows.len() == 1 {
         return String::new();
     }
-    let width = |at: usize| rows.iter().map(|row| row[at].len()).max().unwrap_or(0);
+    let width = |column: usize| rows.iter().map(|row| row[column].len()).max().unwrap_or(0);
     let widths: Vec<usize> = (0..columns.len()).map(width).collect();
-    let mut out = String::new();
+    let mut output = String::new();
     for row in rows {
         let cells = row
             .iter()
             .zip(&widths)
             .map(|(cell, width)| format!("{cell:width$}"));
-        out += cells.collect::<Vec<_>>().join("  ").trim_end();
-        out.push('\n');
+        output += cells.collect::<Vec<_>>().join("  ").trim_end();
+        output.push('\n');
     }
-    out
+    output
 }
 
-fn shown(view: &Value) -> String {
-    let word = cell;
+/// Formats the view of the fleet for the terminal.
+fn format_fleet(view: &Value) -> String {
+    let format_leader = format_cell;
     let majority = if view["majority"] == true {
         ""
     } else {
         ", no majority"
     };
-    let mut out = format!(
+    let mut output = format!(
         "leader {}, term {}, commit {}{majority}\n",
-        word(&view["leader"]),
+        format_leader(&view["leader"]),
         view["term"],
         view["commit"]
     );
-    if let Some(why) = view["why"].as_str() {
-        out += &format!("{why}\n");
+    if let Some(reason) = view["why"].as_str() {
+        output += &format!("{reason}\n");
     }
-    let mut section = |list: &Value, columns: &[(&str, &str)]| {
-        let rows = table(list, columns);
+    let mut add_section = |list: &Value, columns: &[(&str, &str)]| {
+        let rows = format_table(list, columns);
         if !rows.is_empty() {
-            out += &format!("\n{rows}");
+            output += &format!("\n{rows}");
         }
     };
     let members = [
@@ -288,14 +307,14 @@
         ("STATE", "state"),
         ("SINCE MS", "since_ms"),
     ];
-    section(&view["members"], &members);
+    add_section(&view["members"], &members);
     let duties = [
         ("DUTY", "name"),
         ("HOLDER", "holder"),
         ("FENCE", "fence"),
         ("HERE", "mine"),
     ];
-    section(&view["duties"], &duties);
+    add_section(&view["duties"], &duties);
     let budgets = [
         ("BUDGET", "name"),
         ("WHOLE", "whole"),
@@ -306,86 +325,104 @@
         ("USED HERE", "used_here"),
         ("ALLOWED HERE", "allowed_here"),
     ];
-    section(&view["budgets"], &budgets);
-    out
+    add_section(&view["budgets"], &budgets);
+    output
 }
 
-/// A holding as it was last told: nobody else holds the duty until then.
+/// The lease of a held duty as last reported: no other program holds the duty before `expires_at`.
 #[derive(Clone, Copy)]
-struct Held {
+struct DutyLease {
     fence: u64,
-    until: Instant,
+    expires_at: Instant,
 }
 
-enum Asked {
-    Held(Held),
+/// Outcome of a call for a duty. `NotHeld` and `CallFailed` carry the reason.
+enum HoldAnswer {
+    Held(DutyLease),
     NotHeld(String),
-    Silent(String),
+    CallFailed(String),
 }
 
-fn ask(hold: &HoldArgs, token: &str) -> Asked {
-    // Counted from before it is asked.
-    let asked = Instant::now();
-    match call(hold.proxy.at, &format!("FLEET HOLD {} {token}", hold.duty)) {
-        Ok(Said::Yes(word)) => {
-            let told: Value = serde_json::from_str(&word).unwrap_or_default();
-            match (told["fence"].as_u64(), told["left_ms"].as_u64()) {
-                (Some(fence), Some(left)) => Asked::Held(Held {
+/// Claims or renews the hold of a duty under `token`.
+fn request_hold(args: &HoldArgs, token: &str) -> HoldAnswer {
+    // The remaining time counts from before the call, so that the lease is never taken to last too long.
+    let called_at = Instant::now();
+    match call(
+        args.proxy.address,
+        &format!("FLEET HOLD {} {token}", args.duty),
+    ) {
+        Ok(Answer::Accepted(reply)) => {
+            let lease: Value = serde_json::from_str(&reply).unwrap_or_default();
+            match (lease["fence"].as_u64(), lease["left_ms"].as_u64()) {
+                (Some(fence), Some(remaining_ms)) => HoldAnswer::Held(DutyLease {
                     fence,
-                    until: asked + Duration::from_millis(left),
+                    expires_at: called_at + Duration::from_millis(remaining_ms),
                 }),
-                _ => Asked::Silent(format!("\"{word}\" is no holding")),
+                _ => HoldAnswer::CallFailed(format!("\"{reply}\" is no holding")),
             }
         }
-        Ok(Said::No(why)) => Asked::NotHeld(why),
-        Err(error) => Asked::Silent(error),
+        Ok(Answer::Refused(reason)) => HoldAnswer::NotHeld(reason),
+        Err(error) => HoldAnswer::CallFailed(error),
     }
 }
 
 /// Runs a command while a duty is held at a proxy.
-pub fn run_hold(hold: &HoldArgs) -> ExitCode {
+pub fn run_hold(args: &HoldArgs) -> ExitCode {
     let token = format!("{:016x}", rand::random::<u64>());
-    let mut said = false;
-    let held = loop {
-        let (why, code) = match ask(hold, &token) {
-            Asked::Held(held) => break held,
-            Asked::NotHeld(why) => (why, NOT_HELD),
-            Asked::Silent(why) => (why, NO_PROXY),
+    let mut reported = false;
+    let lease = loop {
+        let (reason, code) = match request_hold(args, &token) {
+            HoldAnswer::Held(lease) => break lease,
+            HoldAnswer::NotHeld(reason) => (reason, EXIT_NOT_HELD),
+            HoldAnswer::CallFailed(reason) => (reason, EXIT_NO_PROXY),
         };
-        if !hold.wait {
-            eprintln!("violetwind: {}: {why}", hold.duty);
+        if !args.wait {
+            eprintln!("violetwind: {}: {reason}", args.duty);
             return ExitCode::from(code);
         }
-        if !std::mem::replace(&mut said, true) {
-            eprintln!("violetwind: {}: {why}; waiting", hold.duty);
+        if !std::mem::replace(&mut reported, true) {
+            eprintln!("violetwind: {}: {reason}; waiting", args.duty);
         }
-        sleep(POLL);
+        sleep(POLL_INTERVAL);
     };
-    let (program, arguments) = hold.command.split_first().expect("clap asks for one");
+    let (program, arguments) = args
+        .command
+        .split_first()
+        .expect("clap requires at least one argument");
     let child = Command::new(program)
         .args(arguments)
-        .env("VIOLETWIND_FENCE", held.fence.to_string())
-        .env("VIOLETWIND_DUTY", &hold.duty)
+        .env("VIOLETWIND_FENCE", lease.fence.to_string())
+        .env("VIOLETWIND_DUTY", &args.duty)
         .process_group(0)
         .spawn();
     let code = match child {
-        Ok(child) => watch(hold, &token, held, child),
+        Ok(child) => supervise_command(args, &token, lease, child),
         Err(error) => {
             eprintln!("violetwind: {program}: {error}");
-            ExitCode::from(NO_COMMAND)
+            ExitCode::from(EXIT_NO_COMMAND)
         }
     };
-    // A proxy that has gone needs no word.
-    let _ = call(hold.proxy.at, &format!("FLEET DONE {} {token}", hold.duty));
+    // If the proxy has exited, there is no hold left to release.
+    let _ = call(
+        args.proxy.address,
+        &format!("FLEET DONE {} {token}", args.duty),
+    );
     code
 }
 
-/// Goes with the command until it has ended, or the duty is lost.
-fn watch(hold: &HoldArgs, token: &str, mut held: Held, mut child: Child) -> ExitCode {
+/// Renews the hold until the command ends. When the duty is lost, or when a call fails and the lease ends within
+/// the grace period, sends SIGTERM to the command's process group. SIGKILL follows after the grace period or at the
+/// end of the lease, whichever comes first.
+fn supervise_command(
+    args: &HoldArgs,
+    token: &str,
+    mut lease: DutyLease,
+    mut child: Child,
+) -> ExitCode {
     let group = Pid::from_child(&child);
-    let grace = Duration::from_secs_f64(hold.grace.clamp(0.0, 3600.0));
-    let fence = held.fence;
-    let lost = loop {
+    let grace = Duration::from_secs_f64(args.grace.clamp(0.0, 3600.0));
+    let fence = lease.fence;
+    let reason = loop {
         match child.try_wait() {
             Ok(Some(status)) => {
                 let code = status.code().unwrap_or(128 + status.signal().unwrap_or(0));
@@ -394,29 +431,33 @@
             Ok(None) => {}
             Err(error) => break error.to_string(),
         }
-        match ask(hold, token) {
-            Asked::Held(now) if now.fence == fence => held.until = held.until.max(now.until),
-            Asked::Held(now) => break format!("held anew with {}", now.fence),
-            Asked::NotHeld(why) => break why,
-            Asked::Silent(why) if Instant::now() + grace >= held.until => break why,
-            Asked::Silent(_) => {}
+        match request_hold(args, token) {
+            HoldAnswer::Held(renewed) if renewed.fence == fence => {
+                lease.expires_at = lease.expires_at.max(renewed.expires_at)
+            }
+            HoldAnswer::Held(renewed) => break format!("held anew with {}", renewed.fence),
+            HoldAnswer::NotHeld(error) => break error,
+            HoldAnswer::CallFailed(error) if Instant::now() + grace >= lease.expires_at => {
+                break error;
+            }
+            HoldAnswer::CallFailed(_) => {}
         }
-        sleep(POLL);
+        sleep(POLL_INTERVAL);
     };
-    let until = held.until.min(Instant::now() + grace);
+    let kill_at = lease.expires_at.min(Instant::now() + grace);
     eprintln!(
-        "violetwind: {} is lost: {lost}; the command has {:?}",
-        hold.duty,
-        until.saturating_duration_since(Instant::now())
+        "violetwind: {} is lost: {reason}; the command has {:?}",
+        args.duty,
+        kill_at.saturating_duration_since(Instant::now())
     );
     let _ = kill_process_group(group, Signal::TERM);
-    while Instant::now() < until {
+    while Instant::now() < kill_at {
         if !matches!(child.try_wait(), Ok(None)) {
-            return ExitCode::from(LOST);
+            return ExitCode::from(EXIT_LOST);
         }
         sleep(Duration::from_millis(5));
     }
     let _ = kill_process_group(group, Signal::KILL);
     let _ = child.wait();
-    ExitCode::from(LOST)
+    ExitCode::from(EXIT_LOST)
 }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! SIGTERM and SIGINT: serve what still comes, move every client in time, answer all that is left, then end
-//! well.
+//! Graceful shutdown on SIGTERM or SIGINT: keep serving new clients for a while, move all connected clients within
+//! the move window, answer the remaining requests, then exit with success.
 
 use std::rc::Rc;
 
@@ -14,52 +14,56 @@
 use violetwind_balancer::api::Seconds;
 use violetwind_engine::EngineEvent;
 
-/// Returns when the process is to end. A signal that comes before the proxy serves is heard when it does.
+/// Waits for a termination signal and drains the proxy. Returns when the process should exit. A signal that arrives
+/// before the proxy serves is handled once it does.
 pub async fn drain_on_termination(
     signals: Signals,
     limits: Rc<Limits>,
-    (requests, first_lines, close): (DescriptorPool, PendingSlots, impl Fn()),
+    (requests, first_lines, close_listener): (DescriptorPool, PendingSlots, impl Fn()),
     engine: mpsc::Sender<EngineEvent>,
     longest_deadline: impl Fn() -> Seconds,
     service: &OperatorService,
 ) -> std::io::Result<()> {
     signals.recv().await;
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     info!("told to end");
-    let term = ShutdownSchedule::new(longest_deadline());
-    let succeeded = service.process_state() == ProcessState::Superseded;
+    let schedule = ShutdownSchedule::new(longest_deadline());
+    let is_superseded = service.process_state() == ProcessState::Superseded;
     service.set_process_state(ProcessState::ShuttingDown);
-    let moves = if succeeded {
-        term.superseded_move_window
+    let move_window = if is_superseded {
+        schedule.superseded_move_window
     } else {
-        term.move_window
+        schedule.move_window
     };
-    // Without an engine there is nobody to move.
-    let _ = engine.send(EngineEvent::Shutdown(moves)).await;
-    let (last, until) = (asked + term.admission_end, asked + term.exit_deadline);
-    sleep_until(asked + limits.min_shutdown_time.min(term.admission_end)).await;
-    // One is always held by the listener for the next client.
-    let clients = || requests.in_use() > 0 || first_lines.in_use() > 1;
-    // Where it takes part in work it hands on what is left once it serves nobody.
-    while Instant::now() < last
-        && (clients() || (!service.does_maintenance() && service.has_pending_handoffs()))
+    // If the engine has ended, there are no clients to move.
+    let _ = engine.send(EngineEvent::Shutdown(move_window)).await;
+    let (admission_end, exit_deadline) = (
+        requested_at + schedule.admission_end,
+        requested_at + schedule.exit_deadline,
+    );
+    sleep_until(requested_at + limits.min_shutdown_time.min(schedule.admission_end)).await;
+    // One slot is always held by the listener, for the next client.
+    let has_clients = || requests.in_use() > 0 || first_lines.in_use() > 1;
+    // With maintenance work, the remaining duties are handed over only after all clients are gone (see below).
+    while Instant::now() < admission_end
+        && (has_clients() || (!service.does_maintenance() && service.has_pending_handoffs()))
     {
         tokio::time::sleep(limits.engine.move_interval).await;
     }
-    // What waits for a server has no more time, and who rests or comes now has its answer too. It takes a look
-    // of everybody's task at its socket: at least one tick.
+    // Requests still waiting for a server have run out of time. Idle connections and those that arrive from now on
+    // get an answer too. Each connection's task has to check its socket once, which takes at least one tick.
     let _ = engine.send(EngineEvent::FinishShutdown).await;
     first_lines.close();
     tokio::time::sleep(limits.engine.move_interval).await;
-    while Instant::now() < until
-        && (clients() || (!service.does_maintenance() && service.has_pending_handoffs()))
+    while Instant::now() < exit_deadline
+        && (has_clients() || (!service.does_maintenance() && service.has_pending_handoffs()))
     {
         tokio::time::sleep(limits.engine.move_interval).await;
     }
-    if service.does_maintenance() && !clients() {
-        close();
+    if service.does_maintenance() && !has_clients() {
+        close_listener();
         service.close_admission();
-        while Instant::now() < until && service.has_pending_handoffs() {
+        while Instant::now() < exit_deadline && service.has_pending_handoffs() {
             tokio::time::sleep(limits.engine.move_interval).await;
         }
     }
--- a/crates/proxy/src/signals.rs
+++ b/crates/proxy/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals to this process.
+//! Receives the signals of this process.
 //!
-//! A handler sets a flag and writes a byte to a socket pair, which wakes the runtime. That byte may be lost where the
-//! write is interrupted, so the flag is looked at from time to time as well.
+//! A handler sets a flag and writes a byte to a socket pair, which wakes the runtime. The byte may be lost if the
+//! write is interrupted, so the flag is also checked periodically.
 
 use std::io;
 use std::sync::Arc;
@@ -13,54 +13,54 @@
 use tokio::time::sleep;
 use violetwind_net::try_read;
 
-/// How late a signal may be heard whose byte was lost.
+/// Interval of checking the flag: the maximum delay of a signal whose byte was lost.
 const FLAG_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Some signals, caught from the moment at which this is made.
+/// A set of signals, caught from the creation of this value on.
 #[derive(Debug)]
 pub struct Signals {
-    raised: Arc<AtomicBool>,
-    wake: UnixStream,
+    signal_raised: Arc<AtomicBool>,
+    wake_receiver: UnixStream,
 }
 
 impl Signals {
-    /// SIGTERM and SIGINT, which end the process.
+    /// Catches SIGTERM and SIGINT, which end the process.
     pub fn termination() -> io::Result<Self> {
         Self::new(&[SIGTERM, SIGINT])
     }
 
-    /// SIGHUP, which has the configuration read again.
+    /// Catches SIGHUP, which reloads the configuration.
     pub fn hangup() -> io::Result<Self> {
         Self::new(&[SIGHUP])
     }
 
     fn new(numbers: &[i32]) -> io::Result<Self> {
-        let raised = Arc::new(AtomicBool::new(false));
-        let (wake, waker) = std::os::unix::net::UnixStream::pair()?;
-        wake.set_nonblocking(true)?;
+        let signal_raised = Arc::new(AtomicBool::new(false));
+        let (wake_receiver, wake_sender) = std::os::unix::net::UnixStream::pair()?;
+        wake_receiver.set_nonblocking(true)?;
         for number in numbers {
-            // Handlers run in the order of their registration: the flag is set when the byte comes.
-            signal_hook::flag::register(*number, raised.clone())?;
-            signal_hook::low_level::pipe::register(*number, waker.try_clone()?)?;
+            // Handlers run in the order of registration, so the flag is already set when the byte arrives.
+            signal_hook::flag::register(*number, signal_raised.clone())?;
+            signal_hook::low_level::pipe::register(*number, wake_sender.try_clone()?)?;
         }
         Ok(Self {
-            raised,
-            wake: UnixStream::from_std(wake)?,
+            signal_raised,
+            wake_receiver: UnixStream::from_std(wake_receiver)?,
         })
     }
 
-    /// Returns at the next signal. Several that came since the last call count as one.
+    /// Waits for the next signal. Several signals since the last call count as one.
     pub async fn recv(&self) {
-        while !self.raised.swap(false, Ordering::SeqCst) {
+        while !self.signal_raised.swap(false, Ordering::SeqCst) {
             tokio::select! {
-                _ = self.wake.readable() => self.drain(),
+                _ = self.wake_receiver.readable() => self.discard_wake_bytes(),
                 () = sleep(FLAG_INTERVAL) => {}
             }
         }
     }
 
-    fn drain(&self) {
-        // The flag alone tells: what becomes of the bytes does not matter.
-        while let Ok(Some(1..)) = try_read(&self.wake, &mut [0; 64]) {}
+    fn discard_wake_bytes(&self) {
+        // Only the flag is significant; the contents of the bytes and read errors are ignored.
+        while let Ok(Some(1..)) = try_read(&self.wake_receiver, &mut [0; 64]) {}
     }
 }
--- a/crates/proxy/src/sources.rs
+++ b/crates/proxy/src/sources.rs
@@ -1,4 +1,4 @@
-//! The tasks that ask sources of servers, and which of them run after a reload.
+//! Starts and stops the tasks that watch the sources of servers, at startup and after reloads.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,45 +12,46 @@
 use crate::limits::Limits;
 use crate::operator_config::{Source, SourceKind};
 
-/// One watch that runs: a source, or a data centre of one.
-struct Running {
+/// A running watch of a source, or of one data center of a source.
+struct RunningWatch {
     source: Source,
     datacenter: Option<String>,
-    /// The name under which the catalogue knows it.
+    /// The name of the watch in the catalogue.
     name: Rc<str>,
     task: AbortHandle,
 }
 
-impl Drop for Running {
+impl Drop for RunningWatch {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Starts and ends watches as the sources change. A source that changes in anything is a new one to the
-/// catalogue, so that its old words stand until the new ones have come.
+/// Starts and stops watches as the configured sources change. A source with any change in its settings is a new
+/// source to the catalogue, so that its old list stays in force until the new one has arrived.
 pub async fn watch_sources(
     mut sources: watch::Receiver<Rc<Vec<Source>>>,
     discovery: watch::Receiver<SocketAddr>,
     limits: Rc<Limits>,
     engine: mpsc::Sender<EngineEvent>,
 ) {
-    let mut running: Vec<Running> = Vec::new();
+    let mut running: Vec<RunningWatch> = Vec::new();
     let mut generation = 0;
     loop {
-        let wanted = sources.borrow_and_update().clone();
+        let configured = sources.borrow_and_update().clone();
         generation += 1;
-        let mut next = Vec::new();
-        let mut new = Vec::new();
-        for (source, datacenter) in wanted.iter().flat_map(watches) {
-            let same = |r: &Running| r.source == *source && r.datacenter == datacenter;
-            if let Some(at) = running.iter().position(same) {
-                next.push(running.swap_remove(at));
+        let mut still_running = Vec::new();
+        let mut start_senders = Vec::new();
+        for (source, datacenter) in configured.iter().flat_map(list_watches) {
+            let is_same =
+                |watch: &RunningWatch| watch.source == *source && watch.datacenter == datacenter;
+            if let Some(index) = running.iter().position(is_same) {
+                still_running.push(running.swap_remove(index));
                 continue;
             }
-            let name = called(source, datacenter.as_deref(), generation);
-            let (go, wait) = tokio::sync::oneshot::channel::<()>();
-            let watch = start(
+            let name = watch_name(source, datacenter.as_deref(), generation);
+            let (start_sender, start_receiver) = tokio::sync::oneshot::channel::<()>();
+            let watch = create_watch(
                 source,
                 datacenter.clone(),
                 &name,
@@ -59,49 +60,53 @@
                 &engine,
             );
             let task = tokio::task::spawn_local(async move {
-                // Nothing is told before the engine knows the name.
-                if wait.await.is_ok() {
+                // No update is sent before the engine knows the name of the source.
+                if start_receiver.await.is_ok() {
                     watch.await;
                 }
             });
-            new.push(go);
-            next.push(Running {
+            start_senders.push(start_sender);
+            still_running.push(RunningWatch {
                 source: source.clone(),
                 datacenter,
                 name,
                 task: task.abort_handle(),
             });
         }
-        // Those that are left over end here.
-        running = next;
-        let names: Vec<Rc<str>> = running.iter().map(|r| r.name.clone()).collect();
+        // Watches that are no longer configured are dropped here, which stops them.
+        running = still_running;
+        let names: Vec<Rc<str>> = running.iter().map(|watch| watch.name.clone()).collect();
         info!(?names, "sources");
         if engine.send(EngineEvent::Sources(names)).await.is_err() {
             return;
         }
-        for go in new {
-            // One that has ended needs no word.
-            let _ = go.send(());
+        for start_sender in start_senders {
+            // Fails only if the watch task has already ended.
+            let _ = start_sender.send(());
         }
         if sources.changed().await.is_err() {
-            // Nobody reloads any more; the watches go on.
+            // No more reloads will come; the watches keep running.
             return std::future::pending().await;
         }
     }
 }
 
-fn watches(source: &Source) -> Vec<(&Source, Option<String>)> {
+/// Returns the watches that a source needs: one for each data center.
+fn list_watches(source: &Source) -> Vec<(&Source, Option<String>)> {
     match &source.kind {
         SourceKind::Consul(settings) if !settings.datacenters.is_empty() => {
-            let each = settings.datacenters.iter();
-            each.map(|dc| (source, Some(dc.clone()))).collect()
+            let datacenters = settings.datacenters.iter();
+            datacenters
+                .map(|datacenter| (source, Some(datacenter.clone())))
+                .collect()
         }
         _ => vec![(source, None)],
     }
 }
 
-/// `NAME`, `NAME/DATACENTER`, and after a reload that changed it `NAME#2` and so on.
-fn called(source: &Source, datacenter: Option<&str>, generation: u64) -> Rc<str> {
+/// Returns the name of a watch in the catalogue: `NAME` or `NAME/DATACENTER`, followed by `#GENERATION` if the watch
+/// was started by a reload.
+fn watch_name(source: &Source, datacenter: Option<&str>, generation: u64) -> Rc<str> {
     let mut name = source.name.clone();
     if let Some(datacenter) = datacenter {
         name = format!("{name}/{datacenter}");
@@ -114,7 +119,8 @@
 
 type Watch = std::pin::Pin<Box<dyn Future<Output = ()>>>;
 
-fn start(
+/// Creates the future that watches a source.
+fn create_watch(
     source: &Source,
     datacenter: Option<String>,
     name: &Rc<str>,
@@ -131,16 +137,20 @@
             engine,
         )),
         SourceKind::Registry { address, zones } => {
-            let tells = ListDelivery::Catalogue(name, zones.clone());
+            let delivery = ListDelivery::Catalogue(name, zones.clone());
             let limits = limits.clone();
             let (address, mut platform) = (*address, discovery.clone());
             Box::pin(async move {
-                // An address of its own never changes; the platform's does at a reload.
-                let fixed = watch::channel(address.unwrap_or(*platform.borrow_and_update()));
-                let at = if address.is_some() { fixed.1 } else { platform };
-                // The catalogue takes changes only after a whole list of the same source.
-                discovery::watch(at, limits, tells, None, engine).await;
-                drop(fixed.0);
+                // The source's own address never changes; the platform's may change at a reload.
+                let own_address = watch::channel(address.unwrap_or(*platform.borrow_and_update()));
+                let watched_address = if address.is_some() {
+                    own_address.1
+                } else {
+                    platform
+                };
+                // Without a known version: the catalogue accepts changes only after a whole list from the same source.
+                discovery::watch(watched_address, limits, delivery, None, engine).await;
+                drop(own_address.0);
             })
         }
     }
--- a/crates/proxy/tests/unit_operator.rs
+++ b/crates/proxy/tests/unit_operator.rs
@@ -85,7 +85,7 @@
 zone = "meta:"
 datacenters = ["x", "x"]"#;
     let expected = [
-        "f.toml:1: `catalogue.doubt_most`: no longer than `doubt_window`",
+        "f.toml:1: `catalogue.doubt_most`: must be longer than `doubt_window`",
         "f.toml:3: `catalogue.absent_four`: no such key (did you mean `absent_for`?)",
         "f.toml:6: `source.0.kind`: expected \"registry\" or \"consul\", found \"consol\"",
         "f.toml:7: `source.1.address`: expected an address and a port, found nothing",
