--- a/crates/proxy/src/cli.rs
+++ b/crates/proxy/src/cli.rs
@@ -44,7 +44,7 @@
         #[command(flatten)]
         overrides: ConfigOverrides,
     },
-    /// Query each source of an operator's file once, and show what it reports, the resulting state of each server, and the reason.
+    /// Query each source of an operator's file once: show its reports, the state of each server, and the reason.
     Catalogue {
         file: PathBuf,
         #[command(flatten)]
--- a/crates/proxy/tests/commands.rs
+++ b/crates/proxy/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line: `check`, `catalogue`, `completions`, and a start by a bad file.
+//! The command line: `check`, `catalogue`, `completions`, and a start with an invalid file.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use violetwind_standins::consul::{Check, Consul, Instance, Maintenance};
 
-fn violetwind(args: &[&str]) -> Output {
+fn run_violetwind(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_violetwind"))
         .args(args)
         .env_remove("NODE_CONFIG")
@@ -18,82 +18,82 @@
         .unwrap()
 }
 
-fn text(bytes: &[u8]) -> String {
+fn to_text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn written(name: &str, text: &str) -> PathBuf {
+fn write_temp_file(name: &str, contents: &str) -> PathBuf {
     let name = format!("violetwind-{}-{name}", std::process::id());
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, text).unwrap();
+    std::fs::write(&path, contents).unwrap();
     path
 }
 
 #[test]
-fn the_example_is_sound() {
+fn accepts_the_example_configuration() {
     let example = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../deploy/violetwind.example.toml"
     );
-    let output = violetwind(&["check", example]);
-    assert!(output.status.success(), "{}", text(&output.stdout));
+    let output = run_violetwind(&["check", example]);
+    assert!(output.status.success(), "{}", to_text(&output.stdout));
 }
 
 #[test]
-fn every_error_of_a_file_is_told_at_once_and_a_run_by_it_does_not_start() {
-    let path = written(
+fn reports_every_error_of_a_file_and_refuses_to_start_with_it() {
+    let path = write_temp_file(
         "bad.toml",
         "[log]\nformt = \"json\"\n[limits]\nprobe = \"1h\"\n",
     );
     let name = path.display().to_string();
-    let output = violetwind(&["check", &name]);
+    let output = run_violetwind(&["check", &name]);
     assert_eq!(output.status.code(), Some(1));
     let expected = format!(
         "{name}:2: `log.formt`: no such key (did you mean `format`?)\n\
          {name}:4: `limits.probe`: 60m is not from 10ms to 10s\n"
     );
-    assert_eq!(text(&output.stdout), expected);
-    let output = violetwind(&["run", "--config", &name]);
+    assert_eq!(to_text(&output.stdout), expected);
+    let output = run_violetwind(&["run", "--config", &name]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(text(&output.stderr).contains("did you mean `format`?"));
+    assert!(to_text(&output.stderr).contains("did you mean `format`?"));
     std::fs::remove_file(path).unwrap();
 }
 
 #[test]
-fn the_catalogue_is_shown_with_what_each_source_says_and_why_it_is_believed() {
+fn shows_the_catalogue_with_the_report_of_each_source_and_the_reason() {
     let server = Server::start("s-1");
     let consul = Consul::start("agenda");
     consul.register_all((1..9).map(|n| Instance::new(&format!("s-{n}"), server.addr)));
     consul.set_check(&["s-2"], Check::Critical);
     consul.update_instances(&["s-3"], |i| i.maintenance = Maintenance::Service);
-    let source = |name: &str, at: String| {
+    let source = |name: &str, address: String| {
         format!(
-            "[[source]]\nname = \"{name}\"\nkind = \"consul\"\nservice = \"agenda\"\naddress = \"{at}\"\n"
+            "[[source]]\nname = \"{name}\"\nkind = \"consul\"\nservice = \"agenda\"\naddress = \"{address}\"\n"
         )
     };
     let file = source("one", consul.addr.to_string()) + &source("gone", unused_addr().to_string());
-    let path = written("catalogue.toml", &file);
+    let path = write_temp_file("catalogue.toml", &file);
     let name = path.display().to_string();
-    let output = violetwind(&["catalogue", &name, "--json"]);
-    // One source did not answer.
+    let output = run_violetwind(&["catalogue", &name, "--json"]);
+    // The second source does not answer.
     assert_eq!(output.status.code(), Some(1));
-    let shown: Value = serde_json::from_slice(&output.stdout).unwrap();
-    assert_eq!(shown["sources"][0]["answered"], true);
-    assert_eq!(shown["sources"][1]["answered"], false);
-    let believed: Vec<&str> = (0..3)
-        .map(|n| shown["servers"][n]["believed"].as_str().unwrap())
+    let catalogue: Value = serde_json::from_slice(&output.stdout).unwrap();
+    assert_eq!(catalogue["sources"][0]["answered"], true);
+    assert_eq!(catalogue["sources"][1]["answered"], false);
+    let statuses: Vec<&str> = (0..3)
+        .map(|n| catalogue["servers"][n]["believed"].as_str().unwrap())
         .collect();
-    assert_eq!(believed, ["ready", "suspected", "draining"]);
-    assert_eq!(shown["servers"][1]["said"]["one"], "failing");
-    let output = violetwind(&["catalogue", &name]);
-    assert!(text(&output.stdout).contains("a source says that it fails"));
+    assert_eq!(statuses, ["ready", "suspected", "draining"]);
+    assert_eq!(catalogue["servers"][1]["said"]["one"], "failing");
+    let output = run_violetwind(&["catalogue", &name]);
+    assert!(to_text(&output.stdout).contains("a source says that it fails"));
     std::fs::remove_file(path).unwrap();
 }
 
 #[test]
-fn completions_and_help_are_there() {
-    let output = violetwind(&["completions", "bash"]);
-    assert!(text(&output.stdout).contains("catalogue"));
-    let output = violetwind(&["--help"]);
-    assert!(text(&output.stdout).contains("Examples:"));
+fn prints_completions_and_help() {
+    let output = run_violetwind(&["completions", "bash"]);
+    assert!(to_text(&output.stdout).contains("catalogue"));
+    let output = run_violetwind(&["--help"]);
+    assert!(to_text(&output.stdout).contains("Examples:"));
 }
--- a/crates/proxy/tests/unit_operator.rs
+++ b/crates/proxy/tests/unit_operator.rs
@@ -1,4 +1,4 @@
-//! `operator` by itself.
+//! Unit tests of `operator_config`, the reader of the operator's file.
 
 use std::collections::BTreeMap;
 
@@ -12,32 +12,32 @@
 fn read(text: &str) -> Result<OperatorConfig, Vec<String>> {
     let tree = ConfigTree::parse("f.toml", text).unwrap();
     let problems = Problems::default();
-    let operator = OperatorConfig::read(&Section::root(&tree, &problems));
+    let config = OperatorConfig::read(&Section::root(&tree, &problems));
     let problems: Vec<String> = problems.into_vec().iter().map(Problem::to_string).collect();
     match problems.is_empty() {
-        true => Ok(operator),
+        true => Ok(config),
         false => Err(problems),
     }
 }
 
 #[test]
-fn an_empty_file_changes_nothing() {
-    let operator = read("").unwrap();
-    assert!(operator.sources.is_empty());
+fn an_empty_file_keeps_all_defaults() {
+    let config = read("").unwrap();
+    assert!(config.sources.is_empty());
     let (mut limits, before) = (
         Limits::new(LimitInputs::default()),
         Limits::new(LimitInputs::default()),
     );
-    operator.apply_limits(&mut limits);
+    config.apply_limits(&mut limits);
     assert_eq!(format!("{limits:?}"), format!("{before:?}"));
-    let default = violetwind_catalogue::Limits::default();
-    assert_eq!(operator.catalogue_limits, default);
+    let defaults = violetwind_catalogue::Limits::default();
+    assert_eq!(config.catalogue_limits, defaults);
 }
 
 use violetwind_proxy::limits::{LimitInputs, Limits};
 
 #[test]
-fn a_consul_source_is_read_with_its_rules() {
+fn reads_a_consul_source_with_its_mapping_rules() {
     let text = r#"
             [zones]
             dc1 = "a"
@@ -53,8 +53,8 @@
             zone = "meta:az"
             server_kind = "tag:model="
         "#;
-    let operator = read(text).unwrap();
-    let SourceKind::Consul(settings) = &operator.sources[0].kind else {
+    let config = read(text).unwrap();
+    let SourceKind::Consul(settings) = &config.sources[0].kind else {
         panic!()
     };
     assert_eq!(settings.rules.identity, Identity::NodeAndId);
@@ -62,16 +62,16 @@
     assert_eq!(settings.rules.kind, FieldSource::TagPrefix("model=".into()));
     assert_eq!(settings.rules.zones["dc1"], "a");
     let mut limits = Limits::new(LimitInputs::default());
-    operator.apply_limits(&mut limits);
+    config.apply_limits(&mut limits);
     assert_eq!(limits.engine.drain_wait, Duration::from_secs(1));
     assert_eq!(
-        read("").unwrap().sections_needing_restart(&operator),
+        read("").unwrap().sections_needing_restart(&config),
         ["limits", "source"]
     );
 }
 
 #[test]
-fn what_does_not_fit_together_is_told_beside_what_is_misspelt() {
+fn reports_inconsistent_values_together_with_unknown_keys() {
     let text = r#"[catalogue]
 doubt_window = "10m"
 absent_four = "1m"
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_fleet_is_read_with_all_that_is_wrong_in_it() {
+fn reads_a_fleet_and_reports_all_its_problems() {
     let text = r#"[fleet]
 name = "turnos"
 listen = "127.0.0.1:7100"
@@ -136,24 +136,37 @@
 address = "127.0.0.1:7101"
 votes = true"#;
     let fleet = read(text).unwrap().fleet.unwrap();
-    assert_eq!(fleet.warnings.len(), 1, "two voters stand no loss");
-    let of = |of: &str, kind: &str| {
+    assert_eq!(
+        fleet.warnings.len(),
+        1,
+        "expected a warning: a fleet of two voters tolerates no failure"
+    );
+    let read_budget = |of: &str, kind: &str| {
         let budget =
             format!("[[fleet.budget]]\nname = \"b\"\nwhole = 9\nof = \"{of}\"\nkind = \"{kind}\"");
-        read(&format!("{text}\n{budget}")).map(|operator| operator.fleet.unwrap().balancer_budgets)
+        read(&format!("{text}\n{budget}")).map(|config| config.fleet.unwrap().balancer_budgets)
     };
-    let counted = |of_what| Ok(BTreeMap::from([("b".to_string(), of_what)]));
-    assert_eq!(of("cold", "rate"), counted(BudgetSubject::Cold));
-    assert_eq!(of("probes", "rate"), counted(BudgetSubject::Probes));
-    assert_eq!(of("moves", "rate"), counted(BudgetSubject::Moves));
-    let fault = of("moves", "held").unwrap_err();
+    let expected_subject = |subject| Ok(BTreeMap::from([("b".to_string(), subject)]));
+    assert_eq!(
+        read_budget("cold", "rate"),
+        expected_subject(BudgetSubject::Cold)
+    );
+    assert_eq!(
+        read_budget("probes", "rate"),
+        expected_subject(BudgetSubject::Probes)
+    );
+    assert_eq!(
+        read_budget("moves", "rate"),
+        expected_subject(BudgetSubject::Moves)
+    );
+    let problems = read_budget("moves", "held").unwrap_err();
     assert!(
-        fault[0].starts_with("f.toml:16: `fleet.budget.0.kind`: retries, moves"),
-        "{fault:?}"
+        problems[0].starts_with("f.toml:16: `fleet.budget.0.kind`: retries, moves"),
+        "{problems:?}"
     );
-    let fault = fleet.check_node("c").unwrap_err();
-    assert!(fault.contains("own name"), "{fault}");
-    let fault = fleet.check_node("a").unwrap_err();
-    assert!(fault.contains("fleet.dir"), "{fault}");
+    let problem = fleet.check_node("c").unwrap_err();
+    assert!(problem.contains("own name"), "{problem}");
+    let problem = fleet.check_node("a").unwrap_err();
+    assert!(problem.contains("fleet.dir"), "{problem}");
     assert!(read("").unwrap().fleet.is_none());
 }
