--- a/crates/proxy/benches/sources.rs
+++ b/crates/proxy/benches/sources.rs
@@ -18,11 +18,11 @@
 fn main() {
     let args: Vec<String> = std::env::args()
         .skip(1)
-        .filter(|word| word != "--bench")
+        .filter(|arg| arg != "--bench")
         .collect();
     let number = |index: usize, default: usize| -> usize {
         args.get(index)
-            .and_then(|word| word.parse().ok())
+            .and_then(|arg| arg.parse().ok())
             .unwrap_or(default)
     };
     match args.first().map(String::as_str) {
@@ -66,11 +66,11 @@
     let servers: Vec<Server> = (0..6).map(|n| Server::start(&format!("s-{n}"))).collect();
     let consul = Consul::start("agenda");
     let ids: Vec<String> = (0..instances).map(|n| format!("s-{n}")).collect();
-    let at = |n: usize| servers[n % servers.len()].addr;
+    let address_of = |n: usize| servers[n % servers.len()].addr;
     consul.register_all(
         ids.iter()
             .enumerate()
-            .map(|(n, id)| Instance::new(id, at(n))),
+            .map(|(n, id)| Instance::new(id, address_of(n))),
     );
     let file = format!(
         "[limits]\ndrain_wait = \"0ms\"\ndrain_span = \"20ms\"\n[zones]\ndc1 = \"a\"\n[[source]]\n\
--- a/crates/proxy/src/catalogue_command.rs
+++ b/crates/proxy/src/catalogue_command.rs
@@ -67,7 +67,9 @@
         match &source.kind {
             SourceKind::Registry { address, zones } => {
                 let outcome = match address.or_else(platform_discovery_address) {
-                    Some(at) => discovery::fetch_list(at, limits.clone(), zones.clone()).await,
+                    Some(address) => {
+                        discovery::fetch_list(address, limits.clone(), zones.clone()).await
+                    }
                     None => Err("no address: neither in the file nor in NODE_DISCOVERY".into()),
                 };
                 results.push(SourceResult {
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -212,7 +212,7 @@
             .map_err(|error| QueryFailure::Other(error.to_string()))?;
         let response = sender.send_request(request).await.map_err(to_failure)?;
         let status = response.status();
-        // These statuses mean that the call itself is invalid, so repeating it later would not help.
+        // These statuses mean that the call itself is invalid, so repeating the same call later would not help.
         if status.is_client_error() && !matches!(status.as_u16(), 408 | 425 | 429) {
             return Err(QueryFailure::VersionExpired(format!("status {status}")));
         }
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -39,8 +39,8 @@
 
 /// Opens the listener for clients. With `shared`, a successor that is not passed this listener may bind the same
 /// address (SO_REUSEPORT).
-pub fn listen(at: SocketAddr, shared: bool, limits: &Limits) -> io::Result<TcpListener> {
-    let socket = match at {
+pub fn listen(address: SocketAddr, shared: bool, limits: &Limits) -> io::Result<TcpListener> {
+    let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4(),
         SocketAddr::V6(_) => TcpSocket::new_v6(),
     }?;
@@ -48,7 +48,7 @@
     if shared && let Err(error) = socket.set_reuseport(true) {
         warn!(%error, "the clients' address can't be shared");
     }
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(limits.backlog)
 }
 
@@ -74,7 +74,9 @@
             Some((predecessor, state, listener)) => Self {
                 bans: state.bans,
                 has_left: state.has_left,
-                discovery_address: state.discovery_address.and_then(|at| at.parse().ok()),
+                discovery_address: state
+                    .discovery_address
+                    .and_then(|address| address.parse().ok()),
                 listener: Some(listener),
                 predecessor: Some(predecessor),
             },
@@ -263,7 +265,9 @@
     let state = HandoverState {
         bans: service.bans(),
         has_left: service.has_left(),
-        discovery_address: service.discovery_override().map(|at| at.to_string()),
+        discovery_address: service
+            .discovery_override()
+            .map(|address| address.to_string()),
         descriptors_in_use: context.descriptors_in_use(),
     };
     let message = Message::State(state);
--- a/crates/proxy/src/operator_service.rs
+++ b/crates/proxy/src/operator_service.rs
@@ -146,7 +146,7 @@
         self.has_predecessor.get()
     }
 
-    /// Whether duties still have to be handed over to other members.
+    /// Whether duties still have to be handed off to other members.
     pub fn has_pending_handoffs(&self) -> bool {
         self.fleet.as_ref().is_some_and(FleetHandle::is_active)
     }
@@ -162,8 +162,8 @@
     }
 
     /// Records the discovery address set by a reload.
-    pub fn set_discovery_override(&self, at: SocketAddr) {
-        self.discovery_override.set(Some(at));
+    pub fn set_discovery_override(&self, address: SocketAddr) {
+        self.discovery_override.set(Some(address));
     }
 
     /// Returns the sender of connection offers to a successor, if there is one.
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -64,8 +64,8 @@
     }
 
     /// Sets the discovery address that a reload in the predecessor process had set.
-    pub fn set_discovery_address(&self, at: SocketAddr) {
-        self.discovery_address.send_replace(at);
+    pub fn set_discovery_address(&self, address: SocketAddr) {
+        self.discovery_address.send_replace(address);
     }
 
     /// Reloads on each signal. Several signals in quick succession may cause a single reload, which applies the
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -44,7 +44,7 @@
     sleep_until(requested_at + limits.min_shutdown_time.min(schedule.admission_end)).await;
     // One slot is always held by the listener, for the next client.
     let has_clients = || requests.in_use() > 0 || first_lines.in_use() > 1;
-    // With maintenance work, the remaining duties are handed over only after all clients are gone (see below).
+    // With maintenance work, the remaining duties are handed off only after all clients are gone (see below).
     while Instant::now() < admission_end
         && (has_clients() || (!service.does_maintenance() && service.has_pending_handoffs()))
     {
