--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,18 +1,19 @@
-//! A replicated log by majority, after "In Search of an Understandable Consensus Algorithm" (Ongaro and
+//! A replicated log with majority commitment, after "In Search of an Understandable Consensus Algorithm" (Ongaro and
 //! Ousterhout) and Ongaro's thesis: randomized elections with pre-vote and check-quorum, replication with
-//! conflict hints and bounded batches in flight, snapshots in pieces, one change of the voters at a time,
-//! members that do not vote, leadership transfer, and read index.
+//! conflict hints and a bounded number of batches in flight, chunked snapshots, one membership change at a time,
+//! non-voting members, leadership transfer, and read index.
 //!
-//! [`Node::handle`] takes an [`Input`] at a time (milliseconds of a clock that does not go back) and returns
-//! [`Output`]s: messages, writes to be synced, committed entries. The same settings, seed and inputs always
-//! give the same outputs. Invariants, by the names that the design note and the tests use:
+//! [`Node::handle`] processes one [`Input`] at a time, with the milliseconds of a monotonic clock;
+//! [`Node::take_outputs`] returns the [`Output`]s: messages, writes to sync, committed entries. The node is
+//! deterministic: the same settings, seed and inputs always give the same outputs. Invariants, with their names in the
+//! design note and in the tests:
 //!
-//! - *Election Safety*: at most one leader a term.
+//! - *Election Safety*: at most one leader per term.
 //! - *Log Matching*, *Leader Completeness*, *State Machine Safety*: as in the paper.
-//! - *Sync Before Answer*: a vote, a term or an entry is answered only after the write it stands on is
-//!   acknowledged ([`Input::Persisted`]); a leader counts itself only then, too.
-//! - *Vouched For*: a node that starts from a directory neither votes nor acknowledges until a majority has
-//!   told it that nobody saw it further than its directory is; one that was seen further is stale for good.
+//! - *Sync Before Answer*: a vote, a term or an entry is acknowledged only after the write that contains it is
+//!   acknowledged ([`Input::Persisted`]); a leader counts its own copy only then, too.
+//! - *Vouched For*: a node that starts from a directory neither votes nor acknowledges until a majority has confirmed
+//!   that no member has seen a later write of this directory. A node whose later write was seen is stale for good.
 
 mod limits;
 mod log;
--- a/crates/consensus/src/limits.rs
+++ b/crates/consensus/src/limits.rs
@@ -1,30 +1,32 @@
-//! Every size, count and time of the log.
+//! Sizes, counts and times of the replicated log.
 
 use crate::messages::Millis;
 
+/// Limits of a node. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// A follower that hears no leader for a time drawn from `election..2 * election` asks for votes; a
-    /// leader that a majority has not answered for `election` steps down.
+    /// A follower starts an election after a random time in `election_timeout..2 * election_timeout` without a message
+    /// from a leader. A leader steps down after `election_timeout` without responses from a majority.
     pub election_timeout: Millis,
-    /// A leader speaks to everybody at least this often.
+    /// The longest time between two messages from the leader to each member.
     pub heartbeat_interval: Millis,
-    /// Payload bytes of one batch of entries; a single larger entry goes alone.
+    /// Bytes of one batch of entries; a larger entry is sent in a batch of its own.
     pub max_batch_bytes: usize,
-    /// Batches on the way to one member that it has not answered.
+    /// Unacknowledged batches in flight to one member.
     pub max_in_flight_batches: usize,
-    /// The largest payload of one entry; larger ones are refused.
+    /// The largest payload of one entry; larger ones are rejected.
     pub max_entry_bytes: usize,
-    /// Entries that a leader appends without a majority having them; more are refused.
+    /// Uncommitted entries in the leader's log; more are rejected.
     pub max_uncommitted_entries: usize,
-    /// Bytes of a snapshot in one message, and of a whole one that a member takes.
+    /// Bytes of a snapshot in one message.
     pub snapshot_chunk_bytes: usize,
+    /// Bytes of a whole snapshot that a member accepts.
     pub max_snapshot_bytes: usize,
-    /// Readers that wait for a majority; more are refused.
+    /// Reads that await confirmation by a majority; more are rejected.
     pub max_pending_reads: usize,
-    /// Who is let vote lacks no more entries than these.
+    /// Entries that a member may lack when it is promoted to a voter.
     pub max_promotion_lag: u64,
-    /// Members, voters and others.
+    /// Members, both voters and learners.
     pub max_members: usize,
 }
 
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! One member: elections, replication, commitment, reads.
+//! The state machine of one node: elections, log replication, commitment and linearizable reads.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -14,29 +14,34 @@
     MessageBody, Millis, NodeId, Output, Payload, ReadId, Snapshot, Term, WriteSeq,
 };
 
+/// The part that a node has in its current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
     Follower,
+    /// Collects pre-votes, without a new term.
     PreCandidate,
+    /// Collects votes in a new term.
     Candidate,
     Leader,
 }
 
-/// Why something was not taken.
+/// Why a call was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The leader, as far as it is known here, has to be asked.
+    /// This node is not the leader; the leader's id, if this node knows it.
     NotLeader(Option<NodeId>),
-    /// A leader that hands over, or has not committed anything of its own term yet.
+    /// The leader is transferring leadership, or has not committed an entry of its own term yet.
     NotNow,
-    /// At a limit: entries without a majority, waiting readers, members, the size of an entry.
+    /// A limit is reached: uncommitted entries, pending reads, members, or the size of an entry.
     Full,
-    /// The change before it is not committed yet.
+    /// The previous membership change is not committed yet.
     Changing,
-    /// The change makes no sense: nobody of that id, already one, the last voter, or too far behind.
+    /// The change is invalid: the id is unknown, the member exists already, it is the last voter, or the member to
+    /// promote lags too far behind.
     Senseless,
 }
 
+/// A node's state for status reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     pub role: Role,
@@ -45,44 +50,51 @@
     pub commit_index: Index,
     pub last_index: Index,
     pub snapshot_index: Index,
-    /// Whether it waits to be vouched for.
+    /// Whether the staleness check after the start is still running: the node neither votes nor acknowledges.
     pub awaits_staleness_check: bool,
+    /// Whether the directory is an older copy; the node then takes no further part.
     pub is_stale: bool,
 }
 
-/// What a leader knows of another member.
+/// A leader's replication state for another member.
 #[derive(Clone, Debug)]
 struct Progress {
-    matched: Index,
-    next: Index,
-    /// The last indices of the batches on the way.
+    /// The last index that the member has acknowledged.
+    match_index: Index,
+    /// The first index to send next.
+    next_index: Index,
+    /// The last index of each batch that is sent and not acknowledged.
     in_flight: VecDeque<Index>,
-    round: u64,
-    heard: Millis,
-    /// The snapshot on the way, how much of it has come, and when a piece was last sent.
-    piece: Option<(Arc<Snapshot>, usize, Millis)>,
+    /// The latest round that the member has answered.
+    acked_round: u64,
+    last_response_at: Millis,
+    /// The snapshot in transfer, the number of bytes received by the member, and the time of the last chunk sent.
+    snapshot_transfer: Option<(Arc<Snapshot>, usize, Millis)>,
 }
 
 impl Progress {
-    fn new(next: Index, now: Millis) -> Self {
+    fn new(next_index: Index, now: Millis) -> Self {
         let in_flight = VecDeque::new();
         Self {
-            matched: 0,
-            next,
+            match_index: 0,
+            next_index,
             in_flight,
-            round: 0,
-            heard: now,
-            piece: None,
+            acked_round: 0,
+            last_response_at: now,
+            snapshot_transfer: None,
         }
     }
 }
 
+/// A snapshot that the leader is transferring to this node.
 #[derive(Clone, Debug)]
-struct Incoming {
+struct IncomingSnapshot {
     from: NodeId,
     snapshot: Snapshot,
 }
 
+/// A node of the replicated log. It does no I/O: inputs go into [`Node::handle`], effects come out of
+/// [`Node::take_outputs`].
 #[derive(Clone, Debug)]
 pub struct Node {
     id: NodeId,
@@ -90,101 +102,118 @@
     rng: Pcg32,
     now: Millis,
     term: Term,
-    vote: Option<NodeId>,
+    voted_for: Option<NodeId>,
     log: Log,
-    commit: Index,
+    commit_index: Index,
     role: Role,
     leader: Option<NodeId>,
-    /// When a leader of this term was last heard.
-    heard: Option<Millis>,
-    election_at: Millis,
-    heartbeat_at: Millis,
+    /// When the leader of this term last sent a message.
+    leader_contact_at: Option<Millis>,
+    election_deadline: Millis,
+    next_heartbeat_at: Millis,
+    /// Responses to this node's requests for pre-votes or votes.
     votes: BTreeMap<NodeId, bool>,
-    /// All up to here stands in this leader's log too.
-    verified: Index,
-    incoming: Option<Incoming>,
+    /// The log up to this index is known to match the log of this term's leader.
+    verified_index: Index,
+    incoming_snapshot: Option<IncomingSnapshot>,
 
     peers: BTreeMap<NodeId, Progress>,
-    /// An entry of the own term is committed.
-    settled: bool,
+    /// Whether this leader has committed an entry of its own term.
+    has_committed_own_term: bool,
+    /// The number of the latest heartbeat round; a round that a majority has answered confirms the leadership.
     round: u64,
-    waiting: Vec<ReadId>,
-    reads: VecDeque<(u64, ReadId, Index)>,
+    /// Reads for the next round.
+    queued_reads: Vec<ReadId>,
+    /// Reads of the current round: the round, the read, and the commit index when the round began.
+    confirming_reads: VecDeque<(u64, ReadId, Index)>,
+    /// The target and the deadline of a leadership transfer.
     transfer: Option<(NodeId, Millis)>,
 
-    seq: WriteSeq,
-    durable: WriteSeq,
+    last_write_seq: WriteSeq,
+    /// All writes up to this one are on disk.
+    durable_seq: WriteSeq,
+    /// The last log index that is on disk.
     durable_index: Index,
-    /// Writes on the way to the disk, and the last index that each brings there.
-    writes: VecDeque<(WriteSeq, Index)>,
-    pending: Option<DurableWrite>,
-    /// The write that term and vote stand on.
-    hard: WriteSeq,
-    held: VecDeque<(WriteSeq, NodeId, Message)>,
-
-    seen: BTreeMap<NodeId, WriteSeq>,
-    unsaved: BTreeSet<NodeId>,
-    vouched: BTreeSet<NodeId>,
-    barred: bool,
-    hello_at: Millis,
-    stale: bool,
-    out: Vec<Output>,
+    /// Writes that are not on disk yet, each with its last log index.
+    in_flight_writes: VecDeque<(WriteSeq, Index)>,
+    pending_write: Option<DurableWrite>,
+    /// The write that makes the current term and vote durable.
+    hard_state_seq: WriteSeq,
+    /// Messages that are sent once the write is on disk.
+    held_messages: VecDeque<(WriteSeq, NodeId, Message)>,
+
+    /// The highest `durable_seq` received from each member.
+    seen_seqs: BTreeMap<NodeId, WriteSeq>,
+    /// Members whose entry in `seen_seqs` is not written yet.
+    unsaved_seen_ids: BTreeSet<NodeId>,
+    /// Members that have not seen this directory at a later write than its own.
+    staleness_confirmations: BTreeSet<NodeId>,
+    awaits_staleness_check: bool,
+    next_staleness_request_at: Millis,
+    is_stale: bool,
+    outputs: Vec<Output>,
 }
 
 impl Node {
-    /// Goes on from a directory; `seed` draws the times of elections.
-    pub fn new(id: NodeId, disk: DurableState, limits: Limits, seed: u64, now: Millis) -> Self {
-        let snapshot = disk.snapshot.unwrap_or(Snapshot {
+    /// Creates a node from the state of its directory; `seed` randomizes election timeouts.
+    pub fn new(
+        id: NodeId,
+        durable_state: DurableState,
+        limits: Limits,
+        seed: u64,
+        now: Millis,
+    ) -> Self {
+        let snapshot = durable_state.snapshot.unwrap_or(Snapshot {
             index: 0,
             term: 0,
             members: Members::default(),
             data: Vec::new(),
         });
-        let mut out = Vec::new();
+        let mut outputs = Vec::new();
         if snapshot.index > 0 {
-            out.push(Output::SnapshotInstalled(snapshot.clone()));
+            outputs.push(Output::SnapshotInstalled(snapshot.clone()));
         }
-        let log = Log::new(snapshot, disk.entries);
+        let log = Log::new(snapshot, durable_state.entries);
         let mut node = Self {
             id,
             rng: Pcg32::seed_from_u64(seed ^ id.0),
             now,
-            term: disk.term,
-            vote: disk.voted_for,
-            commit: log.snapshot.index,
+            term: durable_state.term,
+            voted_for: durable_state.voted_for,
+            commit_index: log.snapshot.index,
             role: Role::Follower,
             leader: None,
-            heard: None,
-            election_at: now,
-            heartbeat_at: now,
+            leader_contact_at: None,
+            election_deadline: now,
+            next_heartbeat_at: now,
             votes: BTreeMap::new(),
-            verified: 0,
-            incoming: None,
+            verified_index: 0,
+            incoming_snapshot: None,
             peers: BTreeMap::new(),
-            settled: false,
+            has_committed_own_term: false,
             round: 0,
-            waiting: Vec::new(),
-            reads: VecDeque::new(),
+            queued_reads: Vec::new(),
+            confirming_reads: VecDeque::new(),
             transfer: None,
-            seq: disk.seq,
-            durable: disk.seq,
+            last_write_seq: durable_state.seq,
+            durable_seq: durable_state.seq,
             durable_index: log.last_index(),
-            writes: VecDeque::new(),
-            pending: None,
-            hard: disk.seq,
-            held: VecDeque::new(),
-            seen: disk.seen_seqs,
-            unsaved: BTreeSet::new(),
-            vouched: BTreeSet::new(),
-            barred: true,
-            hello_at: now,
-            stale: false,
-            out,
+            in_flight_writes: VecDeque::new(),
+            pending_write: None,
+            hard_state_seq: durable_state.seq,
+            held_messages: VecDeque::new(),
+            seen_seqs: durable_state.seen_seqs,
+            unsaved_seen_ids: BTreeSet::new(),
+            staleness_confirmations: BTreeSet::new(),
+            awaits_staleness_check: true,
+            next_staleness_request_at: now,
+            is_stale: false,
+            outputs,
             limits,
             log,
         };
-        node.election_at = now + node.draw();
-        node.weigh_vouchers();
+        node.election_deadline = now + node.draw_election_timeout();
+        node.update_staleness_check();
         node
     }
 
@@ -201,124 +230,134 @@
             role: self.role,
             term: self.term,
             leader: self.leader,
-            commit_index: self.commit,
+            commit_index: self.commit_index,
             last_index: self.log.last_index(),
             snapshot_index: self.log.snapshot.index,
-            awaits_staleness_check: self.barred,
-            is_stale: self.stale,
+            awaits_staleness_check: self.awaits_staleness_check,
+            is_stale: self.is_stale,
         }
     }
 
-    /// What settles how it acts next, apart from times and what is drawn: two nodes of one digest are alike
-    /// to an explorer of states.
-    pub fn hash_state(&self, into: &mut impl Hasher) {
+    /// Hashes the state that determines further behaviour, except times and random numbers: a state explorer treats
+    /// two nodes with the same hash as equal.
+    pub fn hash_state(&self, hasher: &mut impl Hasher) {
         (
             self.id,
             self.term,
-            self.vote,
-            self.commit,
+            self.voted_for,
+            self.commit_index,
             self.role,
             self.leader,
         )
-            .hash(into);
+            .hash(hasher);
         (
             self.has_leader(),
             &self.votes,
-            self.verified,
-            self.settled,
+            self.verified_index,
+            self.has_committed_own_term,
             self.round,
         )
-            .hash(into);
+            .hash(hasher);
         (
-            self.seq,
-            self.durable,
+            self.last_write_seq,
+            self.durable_seq,
             self.durable_index,
-            &self.writes,
-            self.hard,
+            &self.in_flight_writes,
+            self.hard_state_seq,
         )
-            .hash(into);
+            .hash(hasher);
         (
-            &self.seen,
-            &self.vouched,
-            self.barred,
-            self.stale,
-            &self.waiting,
-            &self.reads,
+            &self.seen_seqs,
+            &self.staleness_confirmations,
+            self.awaits_staleness_check,
+            self.is_stale,
+            &self.queued_reads,
+            &self.confirming_reads,
         )
-            .hash(into);
+            .hash(hasher);
         (
             self.log.snapshot.index,
             self.log.last_index(),
             self.transfer.map(|(to, _)| to),
         )
-            .hash(into);
+            .hash(hasher);
         for index in self.log.snapshot.index + 1..=self.log.last_index() {
-            self.log.get(index).hash(into);
+            self.log.get(index).hash(hasher);
         }
         for (id, peer) in &self.peers {
-            (id, peer.matched, peer.next, &peer.in_flight, peer.round).hash(into);
-        }
-        self.held.hash(into);
+            (
+                id,
+                peer.match_index,
+                peer.next_index,
+                &peer.in_flight,
+                peer.acked_round,
+            )
+                .hash(hasher);
+        }
+        self.held_messages.hash(hasher);
     }
 
-    /// Whether this node leads and has all that was committed before its term.
+    /// Whether this node is the leader and its state machine includes every entry committed in earlier terms.
     pub fn is_ready_leader(&self) -> bool {
-        self.role == Role::Leader && self.settled
+        self.role == Role::Leader && self.has_committed_own_term
     }
 
-    /// The voters that this leader has heard within `within`, itself among them.
-    pub fn active_voter_count(&self, within: Millis) -> usize {
-        let heard = |id: &NodeId| {
+    /// The number of voters, including this leader, that have responded within the last `window` milliseconds.
+    pub fn active_voter_count(&self, window: Millis) -> usize {
+        let is_active = |id: &NodeId| {
             let peer = self.peers.get(id);
-            *id == self.id || peer.is_some_and(|peer| peer.heard + within > self.now)
+            *id == self.id || peer.is_some_and(|peer| peer.last_response_at + window > self.now)
         };
-        self.members().voters().filter(heard).count()
+        self.members().voters().filter(is_active).count()
     }
 
+    /// Processes one input at time `now`. A stale node ignores all inputs.
     pub fn handle(&mut self, now: Millis, input: Input) {
         self.now = self.now.max(now);
-        if self.stale {
+        if self.is_stale {
             return;
         }
         match input {
-            Input::Tick => self.tick(),
-            Input::Message(from, message) => self.message(from, message),
-            Input::Persisted(seq) => self.persisted(seq),
+            Input::Tick => self.handle_tick(),
+            Input::Message(from, message) => self.handle_message(from, message),
+            Input::Persisted(seq) => self.handle_persisted(seq),
         }
     }
 
-    /// All there is to do since it was last asked.
+    /// Returns the outputs since the last call, and starts a round for queued reads.
     pub fn take_outputs(&mut self) -> Vec<Output> {
-        if !self.stale {
-            self.begin_round();
+        if !self.is_stale {
+            self.start_read_round();
         }
-        self.flush();
-        std::mem::take(&mut self.out)
+        self.flush_pending_write();
+        std::mem::take(&mut self.outputs)
     }
 
-    /// Appends a command; it holds once an entry of this term and index is committed.
+    /// Appends a command. It takes effect when an entry with the returned term and index is committed.
     ///
     /// # Errors
-    /// Only a leader takes commands, and only so many without a majority.
+    /// [`Rejection::NotLeader`], [`Rejection::NotNow`], or [`Rejection::Full`] when the command is too large or too
+    /// many entries are uncommitted.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<(Term, Index), Rejection> {
-        self.may_append()?;
+        self.check_append_allowed()?;
         if command.len() > self.limits.max_entry_bytes {
             return Err(Rejection::Full);
         }
-        Ok((self.term, self.append(Payload::Command(command))))
+        Ok((self.term, self.append_entry(Payload::Command(command))))
     }
 
-    /// Appends a change of who is a member.
+    /// Appends a membership change.
     ///
     /// # Errors
-    /// One change at a time; nobody votes who has not nearly all of the log.
+    /// A rejection while another change is uncommitted, for an invalid change, and for the promotion of a member that
+    /// lags by more than `max_promotion_lag` entries.
     pub fn change_membership(
         &mut self,
         change: MembershipChange,
     ) -> Result<(Term, Index), Rejection> {
-        self.may_append()?;
-        let (at, members) = self.log.members();
-        if at > self.commit {
+        self.check_append_allowed()?;
+        let (members_index, members) = self.log.members();
+        if members_index > self.commit_index {
             return Err(Rejection::Changing);
         }
         let mut members = members.clone();
@@ -339,14 +378,16 @@
                 );
             }
             MembershipChange::Promote(id) => {
-                // It has acknowledged at least that it is a member: an empty log is not close to a short one.
-                let matched = self.peers.get(&id).map_or(0, |peer| peer.matched);
-                let behind = self.log.last_index() - matched;
-                let close = matched >= at && behind <= self.limits.max_promotion_lag;
+                // The member must have acknowledged at least the entry that added it: otherwise an empty log would
+                // count as caught up with a short one.
+                let match_index = self.peers.get(&id).map_or(0, |peer| peer.match_index);
+                let lag = self.log.last_index() - match_index;
+                let is_caught_up =
+                    match_index >= members_index && lag <= self.limits.max_promotion_lag;
                 let member = members
                     .0
                     .get_mut(&id)
-                    .filter(|member| close && !member.is_voter);
+                    .filter(|member| is_caught_up && !member.is_voter);
                 member.ok_or(Rejection::Senseless)?.is_voter = true;
             }
             MembershipChange::Remove(id) => {
@@ -356,39 +397,40 @@
                 }
             }
         }
-        let index = self.append(Payload::Members(members.clone()));
-        let (next, now) = (self.log.last_index(), self.now);
+        let index = self.append_entry(Payload::Members(members.clone()));
+        let (next_index, now) = (self.log.last_index(), self.now);
         for id in members.0.keys().filter(|id| **id != self.id) {
             self.peers
                 .entry(*id)
-                .or_insert_with(|| Progress::new(next, now));
+                .or_insert_with(|| Progress::new(next_index, now));
         }
-        self.broadcast(false);
+        self.replicate_to_all(false);
         Ok((self.term, index))
     }
 
-    /// Asks for [`Output::Read`]: what is applied then was in force after this call.
+    /// Requests a linearizable read. [`Output::ReadReady`] names the index that must be applied first.
     ///
     /// # Errors
-    /// Only a leader can tell, and only for so many at once.
-    pub fn request_read(&mut self, token: ReadId) -> Result<(), Rejection> {
+    /// [`Rejection::NotLeader`], [`Rejection::NotNow`], or [`Rejection::Full`] when too many reads are pending.
+    pub fn request_read(&mut self, read_id: ReadId) -> Result<(), Rejection> {
         if self.role != Role::Leader {
             return Err(Rejection::NotLeader(self.leader));
         }
-        if !self.settled {
+        if !self.has_committed_own_term {
             return Err(Rejection::NotNow);
         }
-        if self.waiting.len() + self.reads.len() >= self.limits.max_pending_reads {
+        if self.queued_reads.len() + self.confirming_reads.len() >= self.limits.max_pending_reads {
             return Err(Rejection::Full);
         }
-        self.waiting.push(token);
+        self.queued_reads.push(read_id);
         Ok(())
     }
 
-    /// Hands the lead to another voter once that has the whole log; given up after an election's time.
+    /// Transfers leadership to another voter once it has the whole log. The transfer is abandoned after
+    /// `election_timeout`.
     ///
     /// # Errors
-    /// Only a leader can, to another voter.
+    /// [`Rejection::NotLeader`], or [`Rejection::Senseless`] when the target is not another voter.
     pub fn transfer_leadership(&mut self, to: NodeId) -> Result<(), Rejection> {
         if self.role != Role::Leader {
             return Err(Rejection::NotLeader(self.leader));
@@ -397,36 +439,39 @@
             return Err(Rejection::Senseless);
         }
         self.transfer = Some((to, self.now + self.limits.election_timeout));
-        self.hand_over();
+        self.send_timeout_now_if_caught_up();
         Ok(())
     }
 
-    /// The voter that is furthest with the log, for a transfer.
+    /// Returns the recently active voter with the most complete log, as the target of a leadership transfer.
     pub fn transfer_target(&self) -> Option<NodeId> {
         let voters = self.members().voters().filter(|id| *id != self.id);
-        let lately = |id: &NodeId| {
+        let is_active = |id: &NodeId| {
             self.peers
                 .get(id)
-                .is_some_and(|peer| peer.heard + self.limits.election_timeout > self.now)
+                .is_some_and(|peer| peer.last_response_at + self.limits.election_timeout > self.now)
         };
         voters
-            .filter(lately)
-            .max_by_key(|id| self.peers.get(id).map(|peer| peer.matched))
+            .filter(is_active)
+            .max_by_key(|id| self.peers.get(id).map(|peer| peer.match_index))
     }
 
-    /// Puts the state machine as it is after the entry at `index` in the place of the entries up to it.
+    /// Replaces the entries up to `index` with a snapshot; `data` is the state machine after the entry at `index`.
     ///
     /// # Panics
-    /// Where that entry is not committed.
+    /// If that entry is not committed.
     pub fn compact(&mut self, index: Index, data: Vec<u8>) {
-        assert!(index <= self.commit, "a snapshot of what is not committed");
+        assert!(
+            index <= self.commit_index,
+            "snapshot of uncommitted entries"
+        );
         if index <= self.log.snapshot.index {
             return;
         }
         let term = self
             .log
             .term(index)
-            .expect("committed, and behind the snapshot");
+            .expect("a committed entry after the snapshot is in the log");
         let members = self.log.members_at(index).clone();
         let snapshot = Snapshot {
             index,
@@ -434,17 +479,19 @@
             members,
             data,
         };
-        self.flush();
-        let write = self.write();
+        self.flush_pending_write();
+        let write = self.pending_write_mut();
         (write.snapshot, write.keep_suffix) = (Some(snapshot.clone()), true);
         self.log.compact(snapshot);
     }
 
-    fn may_append(&self) -> Result<(), Rejection> {
+    fn check_append_allowed(&self) -> Result<(), Rejection> {
         match self.role {
-            Role::Leader if !self.settled || self.transfer.is_some() => Err(Rejection::NotNow),
+            Role::Leader if !self.has_committed_own_term || self.transfer.is_some() => {
+                Err(Rejection::NotNow)
+            }
             Role::Leader
-                if self.log.last_index() - self.commit
+                if self.log.last_index() - self.commit_index
                     >= self.limits.max_uncommitted_entries as u64 =>
             {
                 Err(Rejection::Full)
@@ -454,18 +501,18 @@
         }
     }
 
-    // Time.
+    // Timers.
 
-    fn draw(&mut self) -> Millis {
-        let election = self.limits.election_timeout;
-        self.rng.random_range(election..2 * election)
+    fn draw_election_timeout(&mut self) -> Millis {
+        let timeout = self.limits.election_timeout;
+        self.rng.random_range(timeout..2 * timeout)
     }
 
-    fn tick(&mut self) {
-        if self.barred {
-            if self.now >= self.hello_at {
-                self.hello_at = self.now + self.limits.heartbeat_interval;
-                for id in self.others() {
+    fn handle_tick(&mut self) {
+        if self.awaits_staleness_check {
+            if self.now >= self.next_staleness_request_at {
+                self.next_staleness_request_at = self.now + self.limits.heartbeat_interval;
+                for id in self.other_member_ids() {
                     self.send(id, MessageBody::StalenessRequest);
                 }
             }
@@ -473,23 +520,26 @@
         }
         if self.role == Role::Leader {
             if self.active_voter_count(self.limits.election_timeout) < self.members().majority() {
-                // Check-quorum: who can't be followed does not lead.
-                self.follow(self.term, None);
+                // Check-quorum: a leader without responses from a majority steps down.
+                self.become_follower(self.term, None);
                 return;
             }
-            if self.transfer.is_some_and(|(_, until)| self.now >= until) {
+            if self
+                .transfer
+                .is_some_and(|(_, deadline)| self.now >= deadline)
+            {
                 self.transfer = None;
             }
-            if self.now >= self.heartbeat_at {
+            if self.now >= self.next_heartbeat_at {
                 self.round += 1;
-                self.broadcast(true);
+                self.replicate_to_all(true);
             }
-        } else if self.now >= self.election_at {
-            self.campaign(true, false);
+        } else if self.now >= self.election_deadline {
+            self.start_election(true, false);
         }
     }
 
-    fn others(&self) -> Vec<NodeId> {
+    fn other_member_ids(&self) -> Vec<NodeId> {
         self.members()
             .0
             .keys()
@@ -498,81 +548,88 @@
             .collect()
     }
 
-    fn voters(&self) -> Vec<NodeId> {
+    fn other_voter_ids(&self) -> Vec<NodeId> {
         self.members()
             .voters()
             .filter(|id| *id != self.id)
             .collect()
     }
 
-    // The disk.
+    // Durable writes.
 
-    fn write(&mut self) -> &mut DurableWrite {
-        if self.pending.is_none() {
-            self.seq += 1;
-            let unsaved = std::mem::take(&mut self.unsaved);
-            let seen = unsaved
+    /// Returns the write that collects changes until it is flushed.
+    fn pending_write_mut(&mut self) -> &mut DurableWrite {
+        if self.pending_write.is_none() {
+            self.last_write_seq += 1;
+            let unsaved_ids = std::mem::take(&mut self.unsaved_seen_ids);
+            let unsaved_seqs = unsaved_ids
                 .into_iter()
-                .filter_map(|id| Some((id, *self.seen.get(&id)?)));
-            self.pending = Some(DurableWrite {
-                seq: self.seq,
-                seen_seqs: seen.collect(),
+                .filter_map(|id| Some((id, *self.seen_seqs.get(&id)?)));
+            self.pending_write = Some(DurableWrite {
+                seq: self.last_write_seq,
+                seen_seqs: unsaved_seqs.collect(),
                 ..DurableWrite::default()
             });
         }
-        self.pending.as_mut().expect("just made")
+        self.pending_write.as_mut().expect("created above")
     }
 
-    fn flush(&mut self) {
-        if let Some(mut write) = self.pending.take() {
-            (write.term, write.voted_for) = (self.term, self.vote);
-            let last = write.entries.last().map(|entry| entry.index);
-            let swallowed = write.snapshot.as_ref().map(|snapshot| snapshot.index);
-            self.writes
-                .push_back((write.seq, last.or(swallowed).unwrap_or(0)));
-            self.out.push(Output::Write(write));
+    fn flush_pending_write(&mut self) {
+        if let Some(mut write) = self.pending_write.take() {
+            (write.term, write.voted_for) = (self.term, self.voted_for);
+            let last_entry_index = write.entries.last().map(|entry| entry.index);
+            let snapshot_index = write.snapshot.as_ref().map(|snapshot| snapshot.index);
+            self.in_flight_writes
+                .push_back((write.seq, last_entry_index.or(snapshot_index).unwrap_or(0)));
+            self.outputs.push(Output::Write(write));
         }
     }
 
-    fn hard_state(&mut self, term: Term, vote: Option<NodeId>) {
-        if (self.term, self.vote) != (term, vote) {
-            (self.term, self.vote) = (term, vote);
-            self.hard = self.write().seq;
+    fn set_hard_state(&mut self, term: Term, voted_for: Option<NodeId>) {
+        if (self.term, self.voted_for) != (term, voted_for) {
+            (self.term, self.voted_for) = (term, voted_for);
+            self.hard_state_seq = self.pending_write_mut().seq;
         }
     }
 
-    fn persisted(&mut self, seq: WriteSeq) {
-        self.durable = self.durable.max(seq.min(self.seq));
-        let before = self.matched();
-        while let Some((at, index)) = self.writes.front().copied() {
-            if at > self.durable {
+    fn handle_persisted(&mut self, seq: WriteSeq) {
+        self.durable_seq = self.durable_seq.max(seq.min(self.last_write_seq));
+        let previous_index = self.acknowledgeable_index();
+        while let Some((write_seq, index)) = self.in_flight_writes.front().copied() {
+            if write_seq > self.durable_seq {
                 break;
             }
-            self.writes.pop_front();
+            self.in_flight_writes.pop_front();
             self.durable_index = self.durable_index.max(index);
         }
         while self
-            .held
+            .held_messages
             .front()
-            .is_some_and(|(at, ..)| *at <= self.durable)
+            .is_some_and(|(write_seq, ..)| *write_seq <= self.durable_seq)
         {
-            let (_, to, mut message) = self.held.pop_front().expect("just seen");
-            message.durable_seq = self.durable;
-            self.out.push(Output::Send(to, message));
+            let (_, to, mut message) = self
+                .held_messages
+                .pop_front()
+                .expect("the queue is not empty");
+            message.durable_seq = self.durable_seq;
+            self.outputs.push(Output::Send(to, message));
         }
         match self.role {
-            Role::Leader => self.advance(),
-            Role::Candidate if self.hard <= self.durable && !self.votes.contains_key(&self.id) => {
+            Role::Leader => self.advance_commit_and_reads(),
+            Role::Candidate
+                if self.hard_state_seq <= self.durable_seq
+                    && !self.votes.contains_key(&self.id) =>
+            {
                 self.votes.insert(self.id, true);
-                self.tally();
+                self.count_votes();
             }
-            Role::Follower if self.matched() > before => {
+            Role::Follower if self.acknowledgeable_index() > previous_index => {
                 if let Some(leader) = self.leader {
-                    let matched = self.matched();
+                    let match_index = self.acknowledgeable_index();
                     self.send(
                         leader,
                         MessageBody::AppendResponse {
-                            match_index: matched,
+                            match_index,
                             next_index_hint: None,
                             round: 0,
                         },
@@ -583,9 +640,9 @@
         }
     }
 
-    /// What a follower may acknowledge: on its disk, and as its leader has it.
-    fn matched(&self) -> Index {
-        self.verified.min(self.durable_index)
+    /// The highest index that a follower may acknowledge: it is on disk and matches the leader's log.
+    fn acknowledgeable_index(&self) -> Index {
+        self.verified_index.min(self.durable_index)
     }
 
     fn send(&mut self, to: NodeId, body: MessageBody) {
@@ -593,92 +650,96 @@
             MessageBody::PreVoteRequest { .. } => self.term + 1,
             _ => self.term,
         };
-        self.send_as(to, term, body);
+        self.send_with_term(to, term, body);
     }
 
-    fn send_as(&mut self, to: NodeId, term: Term, body: MessageBody) {
+    fn send_with_term(&mut self, to: NodeId, term: Term, body: MessageBody) {
         let message = Message {
             term,
-            durable_seq: self.durable,
+            durable_seq: self.durable_seq,
             body,
         };
-        // Sync Before Answer: nothing is said that a term or a vote not yet on disk stands behind.
-        if self.hard > self.durable {
-            // A bound: what is older than this many is lost, as on any link.
-            if self.held.len() >= 16 * self.limits.max_members {
-                self.held.pop_front();
+        // Sync Before Answer: no message depends on a term or a vote that is not on disk yet.
+        if self.hard_state_seq > self.durable_seq {
+            // Bounds the queue: the oldest message is dropped, as a network link may drop it.
+            if self.held_messages.len() >= 16 * self.limits.max_members {
+                self.held_messages.pop_front();
             }
-            self.held.push_back((self.hard, to, message));
+            self.held_messages
+                .push_back((self.hard_state_seq, to, message));
         } else {
-            self.out.push(Output::Send(to, message));
+            self.outputs.push(Output::Send(to, message));
         }
     }
 
-    // Who is vouched for.
+    // The staleness check after a start.
 
-    fn weigh_vouchers(&mut self) {
+    /// Ends the staleness check once enough members have confirmed that this directory is not an older copy.
+    fn update_staleness_check(&mut self) {
         let members = self.members();
-        let voters = members.voters().count();
-        let needed = match (voters, members.is_voter(self.id)) {
+        let voter_count = members.voters().count();
+        let required = match (voter_count, members.is_voter(self.id)) {
             (0, _) => 1,
             (_, true) => members.majority() - 1,
             (_, false) => members.majority(),
         };
-        let vouched = self
-            .vouched
+        let confirmations = self
+            .staleness_confirmations
             .iter()
-            .filter(|id| voters == 0 || members.is_voter(**id));
-        if self.barred && vouched.count() >= needed {
-            self.barred = false;
-            self.election_at = self.now + self.draw();
+            .filter(|id| voter_count == 0 || members.is_voter(**id));
+        if self.awaits_staleness_check && confirmations.count() >= required {
+            self.awaits_staleness_check = false;
+            self.election_deadline = self.now + self.draw_election_timeout();
         }
     }
 
-    fn seen(&mut self, from: NodeId, durable: WriteSeq) {
+    fn record_seen_seq(&mut self, from: NodeId, durable_seq: WriteSeq) {
         if self.members().0.contains_key(&from) {
-            let seen = self.seen.entry(from).or_default();
-            if durable > *seen {
-                *seen = durable;
-                self.unsaved.insert(from);
+            let seen_seq = self.seen_seqs.entry(from).or_default();
+            if durable_seq > *seen_seq {
+                *seen_seq = durable_seq;
+                self.unsaved_seen_ids.insert(from);
             }
         }
     }
 
     // Messages.
 
-    fn message(&mut self, from: NodeId, message: Message) {
-        self.seen(from, message.durable_seq);
+    fn handle_message(&mut self, from: NodeId, message: Message) {
+        self.record_seen_seq(from, message.durable_seq);
         match message.body {
             MessageBody::StalenessRequest => {
-                let seen = self.seen.get(&from).copied().unwrap_or(0);
-                return self.send(from, MessageBody::StalenessResponse(seen));
+                let seen_seq = self.seen_seqs.get(&from).copied().unwrap_or(0);
+                return self.send(from, MessageBody::StalenessResponse(seen_seq));
             }
-            MessageBody::StalenessResponse(seen) => {
-                if seen > self.durable {
-                    self.stale = true;
+            MessageBody::StalenessResponse(seen_seq) => {
+                if seen_seq > self.durable_seq {
+                    self.is_stale = true;
                     self.role = Role::Follower;
-                    self.held.clear();
-                    self.out.push(Output::Stale {
-                        own: self.durable,
-                        seen,
+                    self.held_messages.clear();
+                    self.outputs.push(Output::Stale {
+                        own: self.durable_seq,
+                        seen: seen_seq,
                     });
                 } else {
-                    self.vouched.insert(from);
-                    self.weigh_vouchers();
+                    self.staleness_confirmations.insert(from);
+                    self.update_staleness_check();
                 }
                 return;
             }
-            _ if self.barred => return self.send(from, MessageBody::StalenessRequest),
+            _ if self.awaits_staleness_check => {
+                return self.send(from, MessageBody::StalenessRequest);
+            }
             MessageBody::PreVoteRequest {
-                last_index: last,
+                last_index,
                 last_term,
             } => {
-                return self.pre_vote(from, message.term, last, last_term);
+                return self.handle_pre_vote_request(from, message.term, last_index, last_term);
             }
             MessageBody::PreVoteResponse { granted: true } => {
                 if self.role == Role::PreCandidate && message.term == self.term + 1 {
                     self.votes.insert(from, true);
-                    self.tally();
+                    self.count_votes();
                 }
                 return;
             }
@@ -692,7 +753,7 @@
                 message.body,
                 MessageBody::AppendRequest { .. } | MessageBody::SnapshotChunk { .. }
             ) {
-                // A leader of an older term learns so.
+                // Notifies a leader of an older term of the current term.
                 self.send(
                     from,
                     MessageBody::AppendResponse {
@@ -705,28 +766,28 @@
             return;
         }
         if message.term > self.term {
-            self.follow(message.term, None);
+            self.become_follower(message.term, None);
         }
         match message.body {
             MessageBody::VoteRequest {
-                last_index: last,
+                last_index,
                 last_term,
                 ..
-            } => self.vote(from, last, last_term),
+            } => self.handle_vote_request(from, last_index, last_term),
             MessageBody::VoteResponse { granted } if self.role == Role::Candidate => {
                 self.votes.insert(from, granted);
-                self.tally();
+                self.count_votes();
             }
             MessageBody::AppendRequest {
-                prev_index: prev,
+                prev_index,
                 prev_term,
                 entries,
-                commit_index: commit,
+                commit_index,
                 round,
             } => {
-                self.heed(from);
-                self.take(from, prev, prev_term, entries, round);
-                self.commit_to(commit.min(self.verified));
+                self.accept_leader(from);
+                self.handle_append_request(from, prev_index, prev_term, entries, round);
+                self.commit_to(commit_index.min(self.verified_index));
             }
             MessageBody::SnapshotChunk {
                 index,
@@ -734,211 +795,233 @@
                 members,
                 offset,
                 data,
-                is_last: last,
+                is_last,
                 round,
             } => {
-                self.heed(from);
-                let piece = Snapshot {
+                self.accept_leader(from);
+                let chunk = Snapshot {
                     index,
                     term,
                     members,
                     data,
                 };
-                self.piece(from, piece, offset as usize, last, round);
+                self.handle_snapshot_chunk(from, chunk, offset as usize, is_last, round);
             }
             MessageBody::AppendResponse {
-                match_index: matched,
-                next_index_hint: next,
+                match_index,
+                next_index_hint,
                 round,
             } if self.role == Role::Leader => {
-                self.appended(from, matched, next, round);
+                self.handle_append_response(from, match_index, next_index_hint, round);
             }
             MessageBody::SnapshotChunkResponse {
                 index,
-                next_offset: offset,
+                next_offset,
                 round,
             } if self.role == Role::Leader => {
-                self.pieced(from, index, offset as usize, round);
+                self.handle_snapshot_chunk_response(from, index, next_offset as usize, round);
+            }
+            MessageBody::TimeoutNow if self.leader == Some(from) => {
+                self.start_election(false, true)
             }
-            MessageBody::TimeoutNow if self.leader == Some(from) => self.campaign(false, true),
             _ => {}
         }
     }
 
-    /// Whether a leader was heard so lately that nobody else may ask for votes.
+    /// Whether this node leads or received a leader's message within `election_timeout`. It then rejects requests for
+    /// votes, except those of a leadership transfer.
     fn has_leader(&self) -> bool {
-        let lately = |heard: Millis| self.now < heard + self.limits.election_timeout;
-        self.role == Role::Leader || (self.leader.is_some() && self.heard.is_some_and(lately))
+        let is_recent = |contact_at: Millis| self.now < contact_at + self.limits.election_timeout;
+        self.role == Role::Leader
+            || (self.leader.is_some() && self.leader_contact_at.is_some_and(is_recent))
     }
 
-    fn up_to_date(&self, last: Index, last_term: Term) -> bool {
-        (last_term, last) >= (self.log.last_term(), self.log.last_index())
+    fn is_log_up_to_date(&self, last_index: Index, last_term: Term) -> bool {
+        (last_term, last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
     // Elections.
 
-    fn follow(&mut self, term: Term, leader: Option<NodeId>) {
-        let led = self.role == Role::Leader;
+    fn become_follower(&mut self, term: Term, leader: Option<NodeId>) {
+        let was_leader = self.role == Role::Leader;
         if term > self.term {
-            self.hard_state(term, None);
-            self.verified = 0;
-            self.incoming = None;
-            self.heard = None;
+            self.set_hard_state(term, None);
+            self.verified_index = 0;
+            self.incoming_snapshot = None;
+            self.leader_contact_at = None;
         }
         self.role = Role::Follower;
         self.leader = leader;
         self.votes.clear();
-        self.election_at = self.now + self.draw();
-        if led {
+        self.election_deadline = self.now + self.draw_election_timeout();
+        if was_leader {
             self.peers.clear();
-            self.settled = false;
+            self.has_committed_own_term = false;
             self.transfer = None;
-            self.heard = None;
-            let waiting = self.waiting.drain(..);
-            let reads = self.reads.drain(..).map(|(_, token, _)| token);
-            let failed: Vec<_> = waiting.chain(reads).map(Output::ReadFailed).collect();
-            self.out.extend(failed);
-            self.out.push(Output::SteppedDown(self.term));
+            self.leader_contact_at = None;
+            let queued = self.queued_reads.drain(..);
+            let confirming = self
+                .confirming_reads
+                .drain(..)
+                .map(|(_, read_id, _)| read_id);
+            let failed: Vec<_> = queued.chain(confirming).map(Output::ReadFailed).collect();
+            self.outputs.extend(failed);
+            self.outputs.push(Output::SteppedDown(self.term));
         }
     }
 
-    /// Takes the sender for the leader of this term.
-    fn heed(&mut self, from: NodeId) {
+    /// Follows the sender as the leader of this term.
+    fn accept_leader(&mut self, from: NodeId) {
         if self.role != Role::Follower || self.leader != Some(from) {
-            self.follow(self.term, Some(from));
+            self.become_follower(self.term, Some(from));
         }
-        self.heard = Some(self.now);
-        self.election_at = self.now + self.draw();
+        self.leader_contact_at = Some(self.now);
+        self.election_deadline = self.now + self.draw_election_timeout();
     }
 
-    fn campaign(&mut self, pre: bool, transfer: bool) {
-        self.election_at = self.now + self.draw();
+    fn start_election(&mut self, is_pre_vote: bool, is_transfer: bool) {
+        self.election_deadline = self.now + self.draw_election_timeout();
         if !self.members().is_voter(self.id) {
             return;
         }
         self.leader = None;
         self.votes.clear();
-        let (last, last_term) = (self.log.last_index(), self.log.last_term());
-        if pre {
+        let (last_index, last_term) = (self.log.last_index(), self.log.last_term());
+        if is_pre_vote {
             self.role = Role::PreCandidate;
             self.votes.insert(self.id, true);
-            for id in self.voters() {
+            for id in self.other_voter_ids() {
                 self.send(
                     id,
                     MessageBody::PreVoteRequest {
-                        last_index: last,
+                        last_index,
                         last_term,
                     },
                 );
             }
-            self.tally();
+            self.count_votes();
         } else {
             self.role = Role::Candidate;
-            self.verified = 0;
-            self.incoming = None;
-            self.hard_state(self.term + 1, Some(self.id));
-            for id in self.voters() {
+            self.verified_index = 0;
+            self.incoming_snapshot = None;
+            self.set_hard_state(self.term + 1, Some(self.id));
+            for id in self.other_voter_ids() {
                 self.send(
                     id,
                     MessageBody::VoteRequest {
-                        last_index: last,
+                        last_index,
                         last_term,
-                        is_transfer: transfer,
+                        is_transfer,
                     },
                 );
             }
         }
     }
 
-    fn pre_vote(&mut self, from: NodeId, term: Term, last: Index, last_term: Term) {
-        let granted = !self.has_leader() && term > self.term && self.up_to_date(last, last_term);
+    fn handle_pre_vote_request(
+        &mut self,
+        from: NodeId,
+        term: Term,
+        last_index: Index,
+        last_term: Term,
+    ) {
+        let granted =
+            !self.has_leader() && term > self.term && self.is_log_up_to_date(last_index, last_term);
         if granted {
-            self.send_as(from, term, MessageBody::PreVoteResponse { granted });
+            self.send_with_term(from, term, MessageBody::PreVoteResponse { granted });
         } else if term <= self.term {
-            // Its term is behind: it learns of this one.
+            // Notifies the sender of the current term, which is newer.
             self.send(from, MessageBody::VoteResponse { granted });
         }
     }
 
-    fn vote(&mut self, from: NodeId, last: Index, last_term: Term) {
-        let free = self.vote.is_none() || self.vote == Some(from);
-        let granted = free && self.role == Role::Follower && self.up_to_date(last, last_term);
+    fn handle_vote_request(&mut self, from: NodeId, last_index: Index, last_term: Term) {
+        let can_vote = self.voted_for.is_none() || self.voted_for == Some(from);
+        let granted = can_vote
+            && self.role == Role::Follower
+            && self.is_log_up_to_date(last_index, last_term);
         if granted {
-            self.hard_state(self.term, Some(from));
-            self.election_at = self.now + self.draw();
+            self.set_hard_state(self.term, Some(from));
+            self.election_deadline = self.now + self.draw_election_timeout();
         }
         self.send(from, MessageBody::VoteResponse { granted });
     }
 
-    fn tally(&mut self) {
+    /// Starts the next stage of the election once a majority has granted its vote.
+    fn count_votes(&mut self) {
         let members = self.members();
-        let granted = |(id, granted): &(&NodeId, &bool)| **granted && members.is_voter(**id);
-        if self.votes.iter().filter(granted).count() < members.majority() {
+        let is_granted_by_voter =
+            |(id, granted): &(&NodeId, &bool)| **granted && members.is_voter(**id);
+        if self.votes.iter().filter(is_granted_by_voter).count() < members.majority() {
             return;
         }
         match self.role {
-            Role::PreCandidate => self.campaign(false, false),
-            Role::Candidate => self.lead(),
+            Role::PreCandidate => self.start_election(false, false),
+            Role::Candidate => self.become_leader(),
             Role::Follower | Role::Leader => {}
         }
     }
 
-    fn lead(&mut self) {
+    fn become_leader(&mut self) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
-        self.settled = false;
+        self.has_committed_own_term = false;
         self.round = 0;
-        let (next, now) = (self.log.last_index() + 1, self.now);
+        let (next_index, now) = (self.log.last_index() + 1, self.now);
         self.peers = self
-            .others()
+            .other_member_ids()
             .into_iter()
-            .map(|id| (id, Progress::new(next, now)))
+            .map(|id| (id, Progress::new(next_index, now)))
             .collect();
-        self.append(Payload::Noop);
+        self.append_entry(Payload::Noop);
         self.round += 1;
-        self.broadcast(true);
-        self.advance();
+        self.replicate_to_all(true);
+        self.advance_commit_and_reads();
     }
 
-    // A leader's log.
+    // Replication: the leader's side.
 
-    fn append(&mut self, payload: Payload) -> Index {
+    fn append_entry(&mut self, payload: Payload) -> Index {
         let entry = Entry {
             term: self.term,
             index: self.log.last_index() + 1,
             payload,
         };
         let index = entry.index;
-        self.write().entries.push(entry.clone());
+        self.pending_write_mut().entries.push(entry.clone());
         self.log.push(entry);
-        self.broadcast(false);
+        self.replicate_to_all(false);
         index
     }
 
-    fn broadcast(&mut self, heartbeat: bool) {
+    fn replicate_to_all(&mut self, heartbeat: bool) {
         if heartbeat {
-            self.heartbeat_at = self.now + self.limits.heartbeat_interval;
+            self.next_heartbeat_at = self.now + self.limits.heartbeat_interval;
         }
         let ids: Vec<_> = self.peers.keys().copied().collect();
         for id in ids {
-            self.replicate(id, heartbeat);
+            self.replicate_to(id, heartbeat);
         }
     }
 
-    /// Sends a member what it lacks as far as the window allows; a heartbeat in any case if asked.
-    fn replicate(&mut self, to: NodeId, mut heartbeat: bool) {
-        let (commit, round, last) = (self.commit, self.round, self.log.last_index());
+    /// Sends a member the entries or the snapshot chunk that it lacks, within the in-flight window. With `heartbeat` at
+    /// least one message is sent.
+    fn replicate_to(&mut self, to: NodeId, mut heartbeat: bool) {
+        let (commit_index, round, last_index) =
+            (self.commit_index, self.round, self.log.last_index());
         loop {
             let Some(peer) = self.peers.get_mut(&to) else {
                 return;
             };
-            if peer.next <= self.log.snapshot.index || peer.piece.is_some() {
-                let resend = 2 * self.limits.heartbeat_interval;
+            if peer.next_index <= self.log.snapshot.index || peer.snapshot_transfer.is_some() {
+                let resend_interval = 2 * self.limits.heartbeat_interval;
                 let snapshot = self.log.snapshot.clone();
-                let fresh = peer.piece.is_none();
-                let piece = peer.piece.get_or_insert((snapshot, 0, self.now));
-                if fresh || self.now >= piece.2 + resend {
-                    self.send_piece(to);
+                let is_new_transfer = peer.snapshot_transfer.is_none();
+                let transfer = peer
+                    .snapshot_transfer
+                    .get_or_insert((snapshot, 0, self.now));
+                if is_new_transfer || self.now >= transfer.2 + resend_interval {
+                    self.send_snapshot_chunk(to);
                 }
                 if heartbeat {
                     let entries = Vec::new();
@@ -953,12 +1036,12 @@
                 }
                 return;
             }
-            let prev = peer.next - 1;
-            let room = peer.in_flight.len() < self.limits.max_in_flight_batches;
-            let entries = match room && peer.next <= last {
+            let prev_index = peer.next_index - 1;
+            let has_window = peer.in_flight.len() < self.limits.max_in_flight_batches;
+            let entries = match has_window && peer.next_index <= last_index {
                 true => self
                     .log
-                    .entries_from(peer.next, self.limits.max_batch_bytes),
+                    .entries_from(peer.next_index, self.limits.max_batch_bytes),
                 false => Vec::new(),
             };
             if entries.is_empty() && !heartbeat {
@@ -966,32 +1049,35 @@
             }
             heartbeat = false;
             if let Some(entry) = entries.last() {
-                peer.next = entry.index + 1;
+                peer.next_index = entry.index + 1;
                 peer.in_flight.push_back(entry.index);
             }
-            let prev_term = self.log.term(prev).expect("behind the snapshot");
+            let prev_term = self
+                .log
+                .term(prev_index)
+                .expect("entries from the snapshot on are in the log");
             self.send(
                 to,
                 MessageBody::AppendRequest {
-                    prev_index: prev,
+                    prev_index,
                     prev_term,
                     entries,
-                    commit_index: commit,
+                    commit_index,
                     round,
                 },
             );
         }
     }
 
-    fn send_piece(&mut self, to: NodeId) {
+    fn send_snapshot_chunk(&mut self, to: NodeId) {
         let (now, round) = (self.now, self.round);
         let Some(peer) = self.peers.get_mut(&to) else {
             return;
         };
-        let Some((snapshot, offset, sent)) = &mut peer.piece else {
+        let Some((snapshot, offset, sent_at)) = &mut peer.snapshot_transfer else {
             return;
         };
-        *sent = now;
+        *sent_at = now;
         let end = (*offset + self.limits.snapshot_chunk_bytes).min(snapshot.data.len());
         let body = MessageBody::SnapshotChunk {
             index: snapshot.index,
@@ -1005,231 +1091,279 @@
         self.send(to, body);
     }
 
-    fn pieced(&mut self, from: NodeId, index: Index, offset: usize, round: u64) {
+    fn handle_snapshot_chunk_response(
+        &mut self,
+        from: NodeId,
+        index: Index,
+        next_offset: usize,
+        round: u64,
+    ) {
         let now = self.now;
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
-        peer.heard = now;
-        peer.round = peer.round.max(round);
-        if let Some((snapshot, at, _)) = &mut peer.piece
+        peer.last_response_at = now;
+        peer.acked_round = peer.acked_round.max(round);
+        if let Some((snapshot, sent_offset, _)) = &mut peer.snapshot_transfer
             && snapshot.index == index
-            && offset <= snapshot.data.len()
+            && next_offset <= snapshot.data.len()
         {
-            let more = offset != *at && offset < snapshot.data.len();
-            *at = offset.min(snapshot.data.len());
-            if more {
-                self.send_piece(from);
+            let should_send_next = next_offset != *sent_offset && next_offset < snapshot.data.len();
+            *sent_offset = next_offset.min(snapshot.data.len());
+            if should_send_next {
+                self.send_snapshot_chunk(from);
             }
         }
-        self.advance();
+        self.advance_commit_and_reads();
     }
 
-    fn appended(&mut self, from: NodeId, matched: Index, next: Option<Index>, round: u64) {
-        let (now, last) = (self.now, self.log.last_index());
+    fn handle_append_response(
+        &mut self,
+        from: NodeId,
+        match_index: Index,
+        next_index_hint: Option<Index>,
+        round: u64,
+    ) {
+        let (now, last_index) = (self.now, self.log.last_index());
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
-        peer.heard = now;
-        peer.round = peer.round.max(round);
-        if matched > peer.matched {
-            peer.matched = matched;
-            peer.next = peer.next.max(matched + 1);
+        peer.last_response_at = now;
+        peer.acked_round = peer.acked_round.max(round);
+        if match_index > peer.match_index {
+            peer.match_index = match_index;
+            peer.next_index = peer.next_index.max(match_index + 1);
             if peer
-                .piece
+                .snapshot_transfer
                 .as_ref()
-                .is_some_and(|(snapshot, ..)| snapshot.index <= matched)
+                .is_some_and(|(snapshot, ..)| snapshot.index <= match_index)
             {
-                peer.piece = None;
+                peer.snapshot_transfer = None;
             }
         }
         while peer
             .in_flight
             .front()
-            .is_some_and(|index| *index <= peer.matched)
+            .is_some_and(|index| *index <= peer.match_index)
         {
             peer.in_flight.pop_front();
         }
-        if let Some(next) = next {
-            peer.next = next.clamp(peer.matched + 1, last + 1);
+        if let Some(next_index) = next_index_hint {
+            peer.next_index = next_index.clamp(peer.match_index + 1, last_index + 1);
             peer.in_flight.clear();
         }
-        self.replicate(from, false);
-        self.hand_over();
-        self.advance();
+        self.replicate_to(from, false);
+        self.send_timeout_now_if_caught_up();
+        self.advance_commit_and_reads();
     }
 
-    fn hand_over(&mut self) {
+    fn send_timeout_now_if_caught_up(&mut self) {
         if let Some((to, _)) = self.transfer
             && self
                 .peers
                 .get(&to)
-                .is_some_and(|peer| peer.matched == self.log.last_index())
+                .is_some_and(|peer| peer.match_index == self.log.last_index())
         {
             self.send(to, MessageBody::TimeoutNow);
         }
     }
 
-    /// Commits what a majority has, and answers reads that a majority has confirmed.
-    fn advance(&mut self) {
+    /// Commits entries that are on a majority of voters, and completes reads whose round a majority has answered.
+    fn advance_commit_and_reads(&mut self) {
         if self.role != Role::Leader {
             return;
         }
         let (majority, voters) = (self.members().majority(), self.members().voters());
-        let (mut matched, mut rounds): (Vec<_>, Vec<_>) = voters
+        let (mut match_indices, mut rounds): (Vec<_>, Vec<_>) = voters
             .map(|id| match self.peers.get(&id) {
-                Some(peer) => (peer.matched, peer.round),
+                Some(peer) => (peer.match_index, peer.acked_round),
                 None if id == self.id => (self.durable_index, self.round),
                 None => (0, 0),
             })
             .unzip();
-        matched.sort_unstable_by(|a, b| b.cmp(a));
+        match_indices.sort_unstable_by(|a, b| b.cmp(a));
         rounds.sort_unstable_by(|a, b| b.cmp(a));
-        let (matched, round) = (matched[majority - 1], rounds[majority - 1]);
-        // Only entries of the own term are committed by counting.
-        if matched > self.commit && self.log.term(matched) == Some(self.term) {
-            self.commit_to(matched);
+        let (match_index, round) = (match_indices[majority - 1], rounds[majority - 1]);
+        // Only entries of the leader's own term are committed by counting replicas.
+        if match_index > self.commit_index && self.log.term(match_index) == Some(self.term) {
+            self.commit_to(match_index);
         }
-        while self.reads.front().is_some_and(|(at, ..)| *at <= round) {
-            let (_, token, index) = self.reads.pop_front().expect("just seen");
-            self.out.push(Output::ReadReady(token, index));
+        while self
+            .confirming_reads
+            .front()
+            .is_some_and(|(read_round, ..)| *read_round <= round)
+        {
+            let (_, read_id, index) = self
+                .confirming_reads
+                .pop_front()
+                .expect("the queue is not empty");
+            self.outputs.push(Output::ReadReady(read_id, index));
         }
     }
 
-    /// One round for all who wait, and the next when it has come back.
-    fn begin_round(&mut self) {
-        if self.role != Role::Leader || self.waiting.is_empty() || !self.reads.is_empty() {
+    /// Starts one round for all queued reads, unless the previous read round is unconfirmed.
+    fn start_read_round(&mut self) {
+        if self.role != Role::Leader
+            || self.queued_reads.is_empty()
+            || !self.confirming_reads.is_empty()
+        {
             return;
         }
         self.round += 1;
-        for token in std::mem::take(&mut self.waiting) {
-            self.reads.push_back((self.round, token, self.commit));
+        for read_id in std::mem::take(&mut self.queued_reads) {
+            self.confirming_reads
+                .push_back((self.round, read_id, self.commit_index));
         }
-        self.broadcast(true);
-        self.advance();
+        self.replicate_to_all(true);
+        self.advance_commit_and_reads();
     }
 
+    /// Commits the entries up to `index`, and steps down if a committed change has removed this leader's vote.
     fn commit_to(&mut self, index: Index) {
-        if index <= self.commit {
+        if index <= self.commit_index {
             return;
         }
-        let from = self.commit + 1;
-        let committed = (from..=index).map(|at| self.log.get(at).expect("verified").clone());
+        let from = self.commit_index + 1;
+        let committed = (from..=index).map(|at| {
+            self.log
+                .get(at)
+                .expect("an entry to commit is in the log")
+                .clone()
+        });
         let committed: Vec<_> = committed.collect();
-        self.commit = index;
-        let own = committed.iter().any(|entry| entry.term == self.term);
-        self.out.push(Output::Committed(committed));
+        self.commit_index = index;
+        let has_own_term = committed.iter().any(|entry| entry.term == self.term);
+        self.outputs.push(Output::Committed(committed));
         if self.role != Role::Leader {
             return;
         }
-        if own && !self.settled {
-            self.settled = true;
-            self.out.push(Output::LeaderReady(self.term));
+        if has_own_term && !self.has_committed_own_term {
+            self.has_committed_own_term = true;
+            self.outputs.push(Output::LeaderReady(self.term));
         }
-        let (at, members) = self.log.members();
-        if at <= index {
-            let (out, stays) = (!members.is_voter(self.id), members.0.clone());
-            self.peers.retain(|id, _| stays.contains_key(id));
-            if out {
-                self.follow(self.term, None);
+        let (members_index, members) = self.log.members();
+        if members_index <= index {
+            let (is_removed, remaining) = (!members.is_voter(self.id), members.0.clone());
+            self.peers.retain(|id, _| remaining.contains_key(id));
+            if is_removed {
+                self.become_follower(self.term, None);
             }
         }
     }
 
-    // A follower's log.
+    // Replication: the follower's side.
 
-    fn take(
+    fn handle_append_request(
         &mut self,
         from: NodeId,
-        prev: Index,
+        prev_index: Index,
         prev_term: Term,
         entries: Vec<Entry>,
         round: u64,
     ) {
-        let swallowed = self.log.snapshot.index;
-        let end = prev + entries.len() as Index;
-        if prev > swallowed && self.log.term(prev) != Some(prev_term) {
-            let next = match self.log.term(prev) {
+        let snapshot_index = self.log.snapshot.index;
+        let end_index = prev_index + entries.len() as Index;
+        if prev_index > snapshot_index && self.log.term(prev_index) != Some(prev_term) {
+            let next_index = match self.log.term(prev_index) {
                 None => self.log.last_index() + 1,
-                Some(_) => self.log.first_index_of_term(prev),
+                Some(_) => self.log.first_index_of_term(prev_index),
             };
-            let matched = self.matched();
+            let match_index = self.acknowledgeable_index();
             return self.send(
                 from,
                 MessageBody::AppendResponse {
-                    match_index: matched,
-                    next_index_hint: Some(next),
+                    match_index,
+                    next_index_hint: Some(next_index),
                     round,
                 },
             );
         }
-        for entry in entries.into_iter().filter(|entry| entry.index > swallowed) {
+        for entry in entries
+            .into_iter()
+            .filter(|entry| entry.index > snapshot_index)
+        {
             if self.log.term(entry.index) == Some(entry.term) {
                 continue;
             }
             if entry.index <= self.log.last_index() {
-                self.truncate(entry.index);
+                self.truncate_log_from(entry.index);
             }
-            self.write().entries.push(entry.clone());
+            self.pending_write_mut().entries.push(entry.clone());
             self.log.push(entry);
         }
-        self.verified = self.verified.max(end);
-        let matched = self.matched();
+        self.verified_index = self.verified_index.max(end_index);
+        let match_index = self.acknowledgeable_index();
         self.send(
             from,
             MessageBody::AppendResponse {
-                match_index: matched,
+                match_index,
                 next_index_hint: None,
                 round,
             },
         );
     }
 
-    fn truncate(&mut self, from: Index) {
-        assert!(from > self.commit, "a committed entry is never dropped");
-        self.flush();
-        self.write().truncate_from = Some(from);
+    /// Drops uncommitted entries that conflict with the leader's log.
+    fn truncate_log_from(&mut self, from: Index) {
+        assert!(
+            from > self.commit_index,
+            "committed entries are never truncated"
+        );
+        self.flush_pending_write();
+        self.pending_write_mut().truncate_from = Some(from);
         self.log.truncate_from(from);
         self.durable_index = self.durable_index.min(from - 1);
-        for (_, index) in &mut self.writes {
+        for (_, index) in &mut self.in_flight_writes {
             *index = (*index).min(from - 1);
         }
     }
 
-    fn piece(&mut self, from: NodeId, piece: Snapshot, offset: usize, last: bool, round: u64) {
-        let index = piece.index;
-        if index <= self.commit {
-            // Whoever leads has all that is committed (Leader Completeness).
-            self.verified = self.verified.max(self.commit);
-            let matched = self.matched();
+    fn handle_snapshot_chunk(
+        &mut self,
+        from: NodeId,
+        chunk: Snapshot,
+        offset: usize,
+        is_last: bool,
+        round: u64,
+    ) {
+        let index = chunk.index;
+        if index <= self.commit_index {
+            // The leader has every committed entry (Leader Completeness).
+            self.verified_index = self.verified_index.max(self.commit_index);
+            let match_index = self.acknowledgeable_index();
             return self.send(
                 from,
                 MessageBody::AppendResponse {
-                    match_index: matched,
+                    match_index,
                     next_index_hint: None,
                     round,
                 },
             );
         }
-        let same = |at: &Incoming| {
-            at.from == from && (at.snapshot.index, at.snapshot.term) == (index, piece.term)
+        let is_same_snapshot = |incoming: &IncomingSnapshot| {
+            incoming.from == from
+                && (incoming.snapshot.index, incoming.snapshot.term) == (index, chunk.term)
         };
-        if !self.incoming.as_ref().is_some_and(same) {
+        if !self
+            .incoming_snapshot
+            .as_ref()
+            .is_some_and(is_same_snapshot)
+        {
             let data = Vec::new();
-            self.incoming = Some(Incoming {
+            self.incoming_snapshot = Some(IncomingSnapshot {
                 from,
                 snapshot: Snapshot {
                     data,
-                    ..piece.clone()
+                    ..chunk.clone()
                 },
             });
         }
-        let incoming = self.incoming.as_mut().expect("just made");
+        let incoming = self.incoming_snapshot.as_mut().expect("created above");
         let data = &mut incoming.snapshot.data;
-        let mut done = false;
-        if offset == data.len() && data.len() + piece.data.len() <= self.limits.max_snapshot_bytes {
-            data.extend_from_slice(&piece.data);
-            done = last;
+        let mut is_complete = false;
+        if offset == data.len() && data.len() + chunk.data.len() <= self.limits.max_snapshot_bytes {
+            data.extend_from_slice(&chunk.data);
+            is_complete = is_last;
         }
         let offset = data.len() as u64;
         self.send(
@@ -1240,29 +1374,29 @@
                 round,
             },
         );
-        if done {
-            let incoming = self.incoming.take().expect("just seen");
-            self.install(incoming.snapshot);
+        if is_complete {
+            let incoming = self.incoming_snapshot.take().expect("present until here");
+            self.install_snapshot(incoming.snapshot);
         }
     }
 
-    fn install(&mut self, snapshot: Snapshot) {
+    fn install_snapshot(&mut self, snapshot: Snapshot) {
         let index = snapshot.index;
-        let keep = self.log.term(index) == Some(snapshot.term);
-        self.flush();
-        let write = self.write();
-        (write.snapshot, write.keep_suffix) = (Some(snapshot.clone()), keep);
-        if keep {
+        let keep_suffix = self.log.term(index) == Some(snapshot.term);
+        self.flush_pending_write();
+        let write = self.pending_write_mut();
+        (write.snapshot, write.keep_suffix) = (Some(snapshot.clone()), keep_suffix);
+        if keep_suffix {
             self.log.compact(snapshot.clone());
         } else {
             self.log = Log::new(snapshot.clone(), Vec::new());
             self.durable_index = 0;
-            for (_, index) in &mut self.writes {
+            for (_, index) in &mut self.in_flight_writes {
                 *index = 0;
             }
         }
-        self.verified = self.verified.max(index);
-        self.commit = index;
-        self.out.push(Output::SnapshotInstalled(snapshot));
+        self.verified_index = self.verified_index.max(index);
+        self.commit_index = index;
+        self.outputs.push(Output::SnapshotInstalled(snapshot));
     }
 }
--- a/crates/consensus/tests/cases.rs
+++ b/crates/consensus/tests/cases.rs
@@ -1,61 +1,61 @@
-//! The hard cases by name, each alone.
+//! Difficult cases of the replicated log, one per test: partitions, lost state, slow disks, membership changes.
 
 use violetwind_consensus::{DurableState, MembershipChange, NodeId, Rejection};
 use violetwind_storm::replicated_log::World;
 
-fn settled(seed: u64, voters: u64) -> (World, NodeId) {
+fn elect_first_leader(seed: u64, voters: u64) -> (World, NodeId) {
     let mut world = World::new(seed, voters);
     world.run_for(3000);
-    let leader = world.leader().expect("a leader within 3 s");
+    let leader = world.leader().expect("a leader is elected within 3 s");
     (world, leader)
 }
 
-fn others(world: &World, than: NodeId) -> Vec<NodeId> {
+fn other_ids(world: &World, excluded: NodeId) -> Vec<NodeId> {
     world
         .hosts
         .keys()
         .copied()
-        .filter(|id| *id != than)
+        .filter(|id| *id != excluded)
         .collect()
 }
 
-fn cut(world: &mut World, a: NodeId, b: NodeId) {
-    world.cut_links.insert((a, b));
-    world.cut_links.insert((b, a));
+fn cut_link(world: &mut World, first: NodeId, second: NodeId) {
+    world.cut_links.insert((first, second));
+    world.cut_links.insert((second, first));
 }
 
 #[test]
-fn a_link_that_flaps_makes_no_storm_of_elections() {
+fn a_flapping_link_causes_no_extra_elections() {
     for seed in 0..10 {
-        let (mut world, leader) = settled(seed, 3);
-        let follower = others(&world, leader)[0];
-        let before = world.elections_won;
+        let (mut world, leader) = elect_first_leader(seed, 3);
+        let follower = other_ids(&world, leader)[0];
+        let elections_before = world.elections_won;
         for turn in 0..50 {
             match turn % 2 {
-                0 => cut(&mut world, leader, follower),
+                0 => cut_link(&mut world, leader, follower),
                 _ => world.cut_links.clear(),
             }
             world.run_for(200);
         }
-        assert_eq!(world.elections_won, before, "seed {seed}");
+        assert_eq!(world.elections_won, elections_before, "seed {seed}");
         assert_eq!(world.leader(), Some(leader), "seed {seed}");
     }
 }
 
 #[test]
-fn one_that_nobody_hears_comes_back_without_an_election() {
-    let (mut world, leader) = settled(1, 5);
-    let away = others(&world, leader)[0];
-    others(&world, away)
+fn an_isolated_follower_rejoins_without_an_election() {
+    let (mut world, leader) = elect_first_leader(1, 5);
+    let isolated = other_ids(&world, leader)[0];
+    other_ids(&world, isolated)
         .into_iter()
-        .for_each(|id| cut(&mut world, away, id));
+        .for_each(|id| cut_link(&mut world, isolated, id));
     let (before, term) = (
         world.elections_won,
-        world.hosts[&away].node.as_ref().unwrap().status().term,
+        world.hosts[&isolated].node.as_ref().unwrap().status().term,
     );
     world.run_for(10_000);
     assert_eq!(
-        world.hosts[&away].node.as_ref().unwrap().status().term,
+        world.hosts[&isolated].node.as_ref().unwrap().status().term,
         term,
         "pre-vote"
     );
@@ -67,54 +67,57 @@
 }
 
 #[test]
-fn a_leader_that_hears_nobody_steps_down_and_another_leads() {
+fn a_leader_that_receives_no_messages_steps_down_and_is_replaced() {
     for seed in 0..10 {
-        let (mut world, leader) = settled(seed, 3);
-        // It is heard, and hears nothing.
-        for id in others(&world, leader) {
+        let (mut world, leader) = elect_first_leader(seed, 3);
+        // The others receive the leader's messages; the leader receives none.
+        for id in other_ids(&world, leader) {
             world.cut_links.insert((id, leader));
         }
         world.run_for(3000);
-        let now = world.leader().expect("another leads");
-        assert_ne!(now, leader, "seed {seed}");
+        let new_leader = world.leader().expect("another node becomes leader");
+        assert_ne!(new_leader, leader, "seed {seed}");
         world.heal_and_check();
         assert_eq!(world.violation, None, "seed {seed}");
     }
 }
 
 #[test]
-fn the_smaller_half_commits_nothing_and_its_entries_are_dropped() {
+fn a_minority_partition_commits_nothing_and_its_entries_are_truncated() {
     for seed in 0..10 {
-        let (mut world, leader) = settled(seed, 5);
-        let rest = others(&world, leader);
-        for far in &rest[1..] {
-            cut(&mut world, leader, *far);
-            cut(&mut world, rest[0], *far);
+        let (mut world, leader) = elect_first_leader(seed, 5);
+        let others = other_ids(&world, leader);
+        for distant in &others[1..] {
+            cut_link(&mut world, leader, *distant);
+            cut_link(&mut world, others[0], *distant);
         }
-        let last = *world.committed.keys().last().unwrap();
+        let last_committed = *world.committed.keys().last().unwrap();
         for _ in 0..5 {
             world
                 .propose(leader)
-                .expect("it still believes that it leads");
+                .expect("the isolated leader still accepts proposals");
         }
         world.run_for(3000);
-        let leads = world.leader().expect("the larger half has a leader");
-        assert!(rest[1..].contains(&leads), "seed {seed}");
-        world.propose(leads).unwrap();
+        let new_leader = world.leader().expect("the majority partition has a leader");
+        assert!(others[1..].contains(&new_leader), "seed {seed}");
+        world.propose(new_leader).unwrap();
         world.heal_and_check();
         assert_eq!(world.violation, None, "seed {seed}");
-        let later = world.committed.range(last + 1..).filter(|(_, entry)| {
-            matches!(entry.payload, violetwind_consensus::Payload::Command(_))
-        });
-        // The larger half's and the one after the healing: none of the five.
-        assert_eq!(later.count(), 2, "seed {seed}");
+        let later_commands = world
+            .committed
+            .range(last_committed + 1..)
+            .filter(|(_, entry)| {
+                matches!(entry.payload, violetwind_consensus::Payload::Command(_))
+            });
+        // One command of the majority and one after the partition heals, but none of the minority's five.
+        assert_eq!(later_commands.count(), 2, "seed {seed}");
     }
 }
 
 #[test]
-fn a_leader_killed_with_entries_at_a_minority_loses_nothing_that_was_committed() {
+fn killing_a_leader_with_entries_on_a_minority_loses_no_committed_entry() {
     for seed in 0..20 {
-        let (mut world, leader) = settled(seed, 5);
+        let (mut world, leader) = elect_first_leader(seed, 5);
         for _ in 0..10 {
             world.propose(leader).unwrap();
         }
@@ -132,36 +135,36 @@
 }
 
 #[test]
-fn a_member_far_behind_gets_a_snapshot_though_it_is_killed_meanwhile() {
+fn a_lagging_member_installs_a_snapshot_despite_restarts() {
     for seed in 0..10 {
-        let (mut world, leader) = settled(seed, 3);
-        let away = others(&world, leader)[0];
-        world.kill_process(away);
+        let (mut world, leader) = elect_first_leader(seed, 3);
+        let lagging = other_ids(&world, leader)[0];
+        world.kill_process(lagging);
         for _ in 0..300 {
             let _ = world.propose(leader);
             world.step();
         }
         world.compact_log(leader);
-        world.start_process(away);
+        world.start_process(lagging);
         for _ in 0..5 {
             world.run_for(40);
-            world.kill_process(away);
-            world.start_process(away);
+            world.kill_process(lagging);
+            world.start_process(lagging);
         }
         world.heal_and_check();
         assert_eq!(world.violation, None, "seed {seed}");
-        let status = world.hosts[&away].node.as_ref().unwrap().status();
+        let status = world.hosts[&lagging].node.as_ref().unwrap().status();
         assert!(
             status.snapshot_index > 100,
-            "it came by a snapshot: {status:?}"
+            "the member installed a snapshot: {status:?}"
         );
     }
 }
 
 #[test]
-fn a_disk_that_takes_two_seconds_holds_nobody_else_up() {
-    let (mut world, leader) = settled(3, 3);
-    let slow = others(&world, leader)[0];
+fn a_two_second_disk_sync_delays_no_other_member() {
+    let (mut world, leader) = elect_first_leader(3, 3);
+    let slow = other_ids(&world, leader)[0];
     world.hosts.get_mut(&slow).unwrap().sync_latency = 2000;
     let (before, elections) = (world.commits, world.elections_won);
     for _ in 0..1000 {
@@ -176,55 +179,61 @@
 }
 
 #[test]
-fn the_lead_is_handed_over_within_300_ms() {
+fn transfers_leadership_within_300_ms() {
     for seed in 0..10 {
-        let (mut world, leader) = settled(seed, 5);
+        let (mut world, leader) = elect_first_leader(seed, 5);
         let node = world.hosts.get_mut(&leader).unwrap().node.as_mut().unwrap();
-        let to = node.transfer_target().unwrap();
-        node.transfer_leadership(to).unwrap();
+        let target = node.transfer_target().unwrap();
+        node.transfer_leadership(target).unwrap();
         assert_eq!(node.propose(vec![0; 8]), Err(Rejection::NotNow));
         world.process_outputs(leader);
         world.run_for(300);
-        assert_eq!(world.leader(), Some(to), "seed {seed}");
+        assert_eq!(world.leader(), Some(target), "seed {seed}");
     }
 }
 
 #[test]
-fn a_directory_restored_from_an_older_copy_is_stale_even_after_all_were_restarted() {
-    for all in [false, true] {
+fn a_directory_restored_from_an_older_copy_is_stale_even_after_a_full_restart() {
+    for restart_all in [false, true] {
         for seed in 0..10 {
-            let (mut world, leader) = settled(seed, 3);
-            let id = others(&world, leader)[0];
-            let older = world.hosts[&id].disk.clone();
+            let (mut world, leader) = elect_first_leader(seed, 3);
+            let restored = other_ids(&world, leader)[0];
+            let older_copy = world.hosts[&restored].disk.clone();
             for _ in 0..50 {
                 let _ = world.propose(leader);
                 world.run_for(20);
             }
-            if all {
+            if restart_all {
                 let ids: Vec<_> = world.hosts.keys().copied().collect();
                 ids.into_iter().for_each(|id| world.kill_process(id));
-                others(&world, id)
+                other_ids(&world, restored)
                     .into_iter()
                     .for_each(|id| world.start_process(id));
             } else {
-                world.kill_process(id);
+                world.kill_process(restored);
             }
-            world.hosts.get_mut(&id).unwrap().disk = older;
-            world.start_process(id);
+            world.hosts.get_mut(&restored).unwrap().disk = older_copy;
+            world.start_process(restored);
             world.run_for(3000);
-            assert!(world.hosts[&id].stale, "seed {seed}, all restarted: {all}");
+            assert!(
+                world.hosts[&restored].stale,
+                "seed {seed}, all restarted: {restart_all}"
+            );
             world.heal_and_check();
-            assert_eq!(world.violation, None, "seed {seed}, all restarted: {all}");
+            assert_eq!(
+                world.violation, None,
+                "seed {seed}, all restarted: {restart_all}"
+            );
         }
     }
 }
 
 #[test]
-fn one_with_an_empty_directory_votes_only_once_it_is_let_in() {
-    let (mut world, leader) = settled(4, 3);
-    let lost = others(&world, leader)[0];
-    world.kill_process(lost);
-    world.hosts.remove(&lost);
+fn a_node_with_an_empty_directory_votes_only_after_promotion() {
+    let (mut world, leader) = elect_first_leader(4, 3);
+    let removed = other_ids(&world, leader)[0];
+    world.kill_process(removed);
+    world.hosts.remove(&removed);
     let stranger = NodeId(99);
     world.add_host(stranger, DurableState::default());
     world.run_for(3000);
@@ -238,7 +247,7 @@
         0
     );
     world
-        .change_membership(leader, MembershipChange::Remove(lost))
+        .change_membership(leader, MembershipChange::Remove(removed))
         .unwrap();
     world.run_for(200);
     world
@@ -251,7 +260,7 @@
         world.change_membership(leader, MembershipChange::Promote(stranger)),
         Err(Rejection::Changing)
     );
-    // It has to acknowledge that it is a member before it may vote, however short the log is.
+    // Promotion requires that the member has acknowledged the entry that added it, however short the log is.
     world.cut_links.insert((stranger, leader));
     world.run_for(500);
     assert_eq!(
@@ -264,25 +273,28 @@
         .change_membership(leader, MembershipChange::Promote(stranger))
         .unwrap();
     world.run_for(1000);
-    let third = others(&world, leader)
+    let third_voter = other_ids(&world, leader)
         .into_iter()
         .find(|id| *id != stranger)
         .unwrap();
-    world.kill_process(third);
+    world.kill_process(third_voter);
     world.propose(leader).unwrap();
     let before = world.commits;
     world.run_for(500);
-    assert!(world.commits > before, "the one let in makes the majority");
-    world.start_process(third);
+    assert!(
+        world.commits > before,
+        "the promoted member completes the majority"
+    );
+    world.start_process(third_voter);
     world.heal_and_check();
     assert_eq!(world.violation, None);
 }
 
 #[test]
-fn voters_changed_during_a_cut_never_make_two_majorities() {
+fn changing_voters_during_a_partition_never_allows_two_majorities() {
     for seed in 0..40 {
-        let (mut world, leader) = settled(seed, 3);
-        let rest = others(&world, leader);
+        let (mut world, leader) = elect_first_leader(seed, 3);
+        let others = other_ids(&world, leader);
         world.add_host(NodeId(4), DurableState::default());
         world
             .change_membership(
@@ -291,17 +303,21 @@
             )
             .unwrap();
         world.run_for(1000);
-        rest.iter().for_each(|id| cut(&mut world, leader, *id));
-        // The old leader and the new voter on one side, the two others on the other.
-        rest.iter().for_each(|id| cut(&mut world, NodeId(4), *id));
+        others
+            .iter()
+            .for_each(|id| cut_link(&mut world, leader, *id));
+        // The old leader and the new voter are on one side, the two other voters on the other side.
+        others
+            .iter()
+            .for_each(|id| cut_link(&mut world, NodeId(4), *id));
         world
             .change_membership(leader, MembershipChange::Promote(NodeId(4)))
             .unwrap();
         let _ = world.propose(leader);
         world.run_for(3000);
-        let other = world.leader().expect("two of three lead");
-        assert!(rest.contains(&other), "seed {seed}");
-        world.propose(other).unwrap();
+        let new_leader = world.leader().expect("the majority side has a leader");
+        assert!(others.contains(&new_leader), "seed {seed}");
+        world.propose(new_leader).unwrap();
         world.run_for(500);
         world.heal_and_check();
         assert_eq!(world.violation, None, "seed {seed}");
@@ -309,20 +325,20 @@
 }
 
 #[test]
-fn a_member_that_is_removed_disturbs_nobody() {
-    let (mut world, leader) = settled(6, 5);
-    let gone = others(&world, leader)[0];
+fn a_removed_member_causes_no_election() {
+    let (mut world, leader) = elect_first_leader(6, 5);
+    let removed = other_ids(&world, leader)[0];
     world
-        .change_membership(leader, MembershipChange::Remove(gone))
+        .change_membership(leader, MembershipChange::Remove(removed))
         .unwrap();
     world.run_for(200);
-    let before = world.elections_won;
+    let elections_before = world.elections_won;
     world.run_for(10_000);
     assert_eq!(
         (world.elections_won, world.leader()),
-        (before, Some(leader))
+        (elections_before, Some(leader))
     );
-    // A leader that is removed leaves the lead to another.
+    // A removed leader is replaced by another one.
     world
         .change_membership(leader, MembershipChange::Remove(leader))
         .unwrap();
@@ -330,25 +346,25 @@
     assert!(
         world
             .leader()
-            .is_some_and(|now| now != leader && now != gone)
+            .is_some_and(|now| now != leader && now != removed)
     );
     assert_eq!(world.violation, None);
 }
 
 #[test]
-fn limits_refuse_by_name() {
-    let (mut world, leader) = settled(8, 3);
-    others(&world, leader)
+fn exceeding_a_limit_returns_its_rejection() {
+    let (mut world, leader) = elect_first_leader(8, 3);
+    other_ids(&world, leader)
         .into_iter()
-        .for_each(|id| cut(&mut world, leader, id));
-    let taken = (0..10_000)
+        .for_each(|id| cut_link(&mut world, leader, id));
+    let accepted = (0..10_000)
         .map_while(|_| world.propose(leader).ok())
         .count();
-    assert_eq!(taken, world.limits.max_uncommitted_entries);
+    assert_eq!(accepted, world.limits.max_uncommitted_entries);
     let node = world.hosts.get_mut(&leader).unwrap().node.as_mut().unwrap();
-    let read = (0..10_000)
-        .map_while(|token| node.request_read(token).ok())
+    let pending_reads = (0..10_000)
+        .map_while(|read_id| node.request_read(read_id).ok())
         .count();
-    assert_eq!(read, world.limits.max_pending_reads);
+    assert_eq!(pending_reads, world.limits.max_pending_reads);
     assert_eq!(node.propose(vec![0; 1 << 20]), Err(Rejection::Full));
 }
--- a/crates/consensus/tests/seeds.rs
+++ b/crates/consensus/tests/seeds.rs
@@ -1,10 +1,10 @@
-//! Thousands of seeds of faults, and errors planted in the host that the books have to find.
+//! Runs with random faults from many seeds, and with bugs injected into the host that the checks must detect.
 
 use violetwind_storm::replicated_log::{InjectedBug, World};
 
-fn play(seed: u64, voters: u64, planted: InjectedBug) -> World {
+fn run_seed(seed: u64, voters: u64, injected_bug: InjectedBug) -> World {
     let mut world = World::new(seed, voters);
-    world.injected_bug = planted;
+    world.injected_bug = injected_bug;
     world.run_for(1500);
     for _ in 0..2 {
         world.run_random_faults(4000);
@@ -12,11 +12,11 @@
     world
 }
 
-fn campaign(seeds: std::ops::Range<u64>) -> (usize, u64, usize) {
+fn run_seeds(seeds: std::ops::Range<u64>) -> (usize, u64, usize) {
     let (mut elections, mut commits, mut reads) = (0, 0, 0);
     for seed in seeds {
         let voters = [3, 5, 3, 7][seed as usize % 4];
-        let world = play(seed, voters, InjectedBug::Nothing);
+        let world = run_seed(seed, voters, InjectedBug::Nothing);
         assert_eq!(world.violation, None, "seed {seed}, {voters} voters");
         elections += world.elections_won;
         commits += world.commits;
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn no_invariant_breaks_over_seeds_of_faults() {
-    let (elections, commits, reads) = campaign(0..120);
-    // Without any of these nothing would have been tried.
+fn random_faults_violate_no_invariant() {
+    let (elections, commits, reads) = run_seeds(0..120);
+    // Lower counts would mean that the runs exercised nothing.
     assert!(
         elections > 300 && commits > 10_000 && reads > 1000,
         "{elections} {commits} {reads}"
@@ -37,11 +37,11 @@
 
 /// `cargo test --release -p violetwind-consensus --test seeds -- --ignored --nocapture`
 #[test]
-#[ignore = "minutes; for a release build"]
-fn ten_thousand_seeds() {
+#[ignore = "takes minutes; needs a release build"]
+fn random_faults_with_ten_thousand_seeds_violate_no_invariant() {
     let parts: Vec<_> = (0..8)
         .map(|part| {
-            std::thread::spawn(move || campaign(1000 + part * 1250..1000 + (part + 1) * 1250))
+            std::thread::spawn(move || run_seeds(1000 + part * 1250..1000 + (part + 1) * 1250))
         })
         .collect();
     let sums = parts.into_iter().map(|part| part.join().unwrap());
@@ -51,28 +51,29 @@
 }
 
 #[test]
-fn planted_errors_are_found() {
-    let planted = [
+fn random_faults_reveal_injected_bugs() {
+    let injected_bugs = [
         InjectedBug::AckBeforeSync,
         InjectedBug::SkipsEntry,
         InjectedBug::EmptiedUnderItsName,
     ];
-    for planted in planted {
-        let found = (0..400).find_map(|seed| Some((seed, play(seed, 3, planted).violation?)));
-        let (seed, what) = found.unwrap_or_else(|| panic!("{planted:?} is not found"));
-        println!("{planted:?}: seed {seed}, {what}");
+    for injected_bug in injected_bugs {
+        let found =
+            (0..400).find_map(|seed| Some((seed, run_seed(seed, 3, injected_bug).violation?)));
+        let (seed, violation) = found.unwrap_or_else(|| panic!("{injected_bug:?} is not detected"));
+        println!("{injected_bug:?}: seed {seed}, {violation}");
         assert!(
-            what.contains("Safety") || what.contains("Liveness"),
-            "{what}"
+            violation.contains("Safety") || violation.contains("Liveness"),
+            "{violation}"
         );
     }
 }
 
 #[test]
-fn one_seed_replays_all() {
-    let told = |world: World| (world.committed, world.leaders, world.elections_won);
+fn the_same_seed_replays_the_same_run() {
+    let outcome = |world: World| (world.committed, world.leaders, world.elections_won);
     assert_eq!(
-        told(play(7, 5, InjectedBug::Nothing)),
-        told(play(7, 5, InjectedBug::Nothing))
+        outcome(run_seed(7, 5, InjectedBug::Nothing)),
+        outcome(run_seed(7, 5, InjectedBug::Nothing))
     );
 }
--- a/crates/store/src/directory.rs
+++ b/crates/store/src/directory.rs
@@ -1,4 +1,4 @@
-//! The files of a directory, and the lock that keeps other processes out.
+//! The files of a data directory, and the lock that excludes other processes.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write as _};
@@ -11,9 +11,10 @@
 use crate::error::{StoreError, io_error_at};
 use crate::frame;
 
+/// The format version of the `member` file.
 const VERSION: u8 = 1;
 
-/// Whose directory it is.
+/// The member that a directory belongs to, as stored in the `member` file.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Owner {
     pub fleet: String,
@@ -21,15 +22,16 @@
     pub id: NodeId,
 }
 
+/// A locked data directory.
 #[derive(Debug)]
 pub(crate) struct Directory {
     path: PathBuf,
-    /// Held for as long as this is.
+    /// The open file holds the lock.
     _lock: File,
 }
 
 impl Directory {
-    /// Makes the directory if need be, and locks it.
+    /// Creates the directory if it does not exist, and locks it.
     pub fn open(path: &Path) -> Result<Self, StoreError> {
         fs::create_dir_all(path).map_err(io_error_at(path))?;
         let lock_path = path.join("lock");
@@ -63,19 +65,20 @@
 
     /// The numbers of the segments, in order.
     pub fn segment_numbers(&self) -> Result<Vec<u64>, StoreError> {
-        let mut found = Vec::new();
+        let mut numbers = Vec::new();
         for entry in fs::read_dir(&self.path).map_err(io_error_at(&self.path))? {
             let name = entry.map_err(io_error_at(&self.path))?.file_name();
             let number = name
                 .to_str()
                 .and_then(|name| name.strip_prefix("log."))
                 .and_then(|number| number.parse::<u64>().ok());
-            found.extend(number);
+            numbers.extend(number);
         }
-        found.sort_unstable();
-        Ok(found)
+        numbers.sort_unstable();
+        Ok(numbers)
     }
 
+    /// Reads a whole file; `None` if it does not exist.
     pub fn read_file(&self, name: &str) -> Result<Option<Vec<u8>>, StoreError> {
         let path = self.file_path(name);
         match fs::read(&path) {
@@ -85,15 +88,15 @@
         }
     }
 
-    /// Puts the names of files on disk.
+    /// Syncs the directory, so that created and renamed files are on disk under their names.
     pub fn sync(&self) -> Result<(), StoreError> {
         let synced = File::open(&self.path).and_then(|directory| directory.sync_all());
         synced.map_err(io_error_at(&self.path))
     }
 
-    /// Writes a file that has another name yet; its bytes are on disk when this returns.
+    /// Writes and syncs a file under a temporary name.
     pub fn write_temp_file(&self, name: &str, bytes: &[u8]) -> Result<File, StoreError> {
-        let path = self.aside(name);
+        let path = self.temp_path(name);
         let mut file = OpenOptions::new()
             .create(true)
             .truncate(true)
@@ -106,13 +109,13 @@
         Ok(file)
     }
 
-    /// Gives such a file its name, which is not on disk before [`Directory::sync`].
+    /// Renames a temporary file to its final name, which is durable only after [`Directory::sync`].
     pub fn rename_temp_file(&self, name: &str) -> Result<(), StoreError> {
         let path = self.file_path(name);
-        fs::rename(self.aside(name), &path).map_err(io_error_at(&path))
+        fs::rename(self.temp_path(name), &path).map_err(io_error_at(&path))
     }
 
-    /// Writes a small file so that it is there whole or not at all.
+    /// Replaces a small file atomically and durably.
     pub fn replace_file(&self, name: &str, bytes: &[u8]) -> Result<File, StoreError> {
         let file = self.write_temp_file(name, bytes)?;
         self.rename_temp_file(name)?;
@@ -120,32 +123,43 @@
         Ok(file)
     }
 
-    fn aside(&self, name: &str) -> PathBuf {
+    fn temp_path(&self, name: &str) -> PathBuf {
         self.path.join(format!("{name}.new"))
     }
 
-    /// The owner that the directory names; a new one gets `fresh`.
-    pub fn load_or_create_owner(&self, fresh: Owner) -> Result<Owner, StoreError> {
+    /// Reads the owner of the directory; a new directory is assigned to `new_owner`.
+    ///
+    /// # Errors
+    /// [`StoreError::WrongOwner`] if the directory belongs to another fleet or node, [`StoreError::Corrupted`], or
+    /// [`StoreError::Io`].
+    pub fn load_or_create_owner(&self, new_owner: Owner) -> Result<Owner, StoreError> {
         let path = self.file_path("member");
-        let damaged = |what: String| StoreError::Corrupted {
+        let corrupted = |detail: String| StoreError::Corrupted {
             path: path.clone(),
             offset: 0,
-            detail: what,
+            detail,
         };
         let Some(bytes) = self.read_file("member")? else {
             if !self.segment_numbers()?.is_empty() {
-                return Err(damaged("it is missing, and there are records".into()));
+                return Err(corrupted(
+                    "the file is missing, but log segments exist".into(),
+                ));
             }
-            self.replace_file("member", &[&[VERSION][..], &frame::encode(&fresh)].concat())?;
-            return Ok(fresh);
+            self.replace_file(
+                "member",
+                &[&[VERSION][..], &frame::encode(&new_owner)].concat(),
+            )?;
+            return Ok(new_owner);
         };
-        let (&version, rest) = bytes.split_first().ok_or_else(|| damaged("empty".into()))?;
+        let (&version, rest) = bytes
+            .split_first()
+            .ok_or_else(|| corrupted("empty".into()))?;
         if version != VERSION {
-            let what = format!("version {version}, and this program knows {VERSION}");
-            return Err(damaged(what));
+            let detail = format!("unsupported version {version}, expected {VERSION}");
+            return Err(corrupted(detail));
         }
-        let (owner, _): (Owner, usize) = frame::decode(rest).map_err(damaged)?;
-        if (&owner.fleet, &owner.node) != (&fresh.fleet, &fresh.node) {
+        let (owner, _): (Owner, usize) = frame::decode(rest).map_err(corrupted)?;
+        if (&owner.fleet, &owner.node) != (&new_owner.fleet, &new_owner.node) {
             return Err(StoreError::WrongOwner {
                 path,
                 fleet: owner.fleet,
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,15 +1,16 @@
-//! Checksummed records: length, CRC-32 of length and body, body (postcard).
+//! Checksummed records: a length, the CRC-32 of length and body, and a body (postcard).
 
 use serde::{Deserialize, Serialize};
 
-/// Length and checksum before each body.
+/// The size of length and checksum before each body.
 const HEADER_BYTES: usize = 8;
-/// The longest body: a snapshot, or a batch of entries.
+/// The largest body, a snapshot or a batch of entries, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-pub(crate) fn encode(what: &impl Serialize) -> Vec<u8> {
-    let bytes = postcard::to_extend(what, vec![0; HEADER_BYTES]);
-    let mut bytes: Vec<u8> = bytes.expect("plain data can be written");
+/// Encodes a value as one record.
+pub(crate) fn encode(value: &impl Serialize) -> Vec<u8> {
+    let bytes = postcard::to_extend(value, vec![0; HEADER_BYTES]);
+    let mut bytes: Vec<u8> = bytes.expect("plain data can be serialized");
     let length = (bytes.len() - HEADER_BYTES) as u32;
     bytes[..4].copy_from_slice(&length.to_le_bytes());
     let crc = checksum(&bytes);
@@ -17,25 +18,31 @@
     bytes
 }
 
-/// The first record of some bytes and its length, or what is wrong with it.
+/// Decodes the record at the start of `bytes`, and returns it with its length in bytes.
+///
+/// # Errors
+/// The reason why the bytes hold no valid record.
 pub(crate) fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<(T, usize), String> {
     if bytes.len() < HEADER_BYTES {
-        return Err("a record ends early".into());
+        return Err("the record is truncated".into());
     }
-    let word = |at: usize| u32::from_le_bytes(bytes[at..at + 4].try_into().expect("four bytes"));
-    let length = word(0) as usize;
+    let read_u32 =
+        |at: usize| u32::from_le_bytes(bytes[at..at + 4].try_into().expect("four bytes"));
+    let length = read_u32(0) as usize;
     if length > MAX_BODY_BYTES {
-        return Err(format!("a record of {length} bytes"));
+        return Err(format!(
+            "the record length of {length} bytes exceeds the limit"
+        ));
     }
     let Some(record) = bytes.get(..HEADER_BYTES + length) else {
-        return Err("a record ends early".into());
+        return Err("the record is truncated".into());
     };
-    if checksum(record) != word(4) {
-        return Err("a record is altered: its checksum differs".into());
+    if checksum(record) != read_u32(4) {
+        return Err("the record is corrupted: its checksum differs".into());
     }
-    let read = postcard::from_bytes(&record[HEADER_BYTES..]);
+    let decoded = postcard::from_bytes(&record[HEADER_BYTES..]);
     Ok((
-        read.map_err(|error| format!("a record: {error}"))?,
+        decoded.map_err(|error| format!("the record can't be decoded: {error}"))?,
         record.len(),
     ))
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,20 +1,20 @@
 //! The durable state of a voter: a write-ahead log in segments, in a directory of its own.
 //!
-//! | file | what it holds |
+//! | file | content |
 //! | --- | --- |
-//! | `member` | whose directory it is |
-//! | `log.N` | segment N: a snapshot, then the records that followed it; the highest number counts |
-//! | `acked` | up to which byte of which segment records were acknowledged |
-//! | `lock` | held while a process uses the directory |
+//! | `member` | the fleet, the name and the id of the member that owns the directory |
+//! | `log.N` | segment N: a snapshot and the records after it; the segment with the highest number is in use |
+//! | `acked` | the segment and the byte offset up to which records were acknowledged |
+//! | `lock` | the lock file of the process that uses the directory |
 //!
-//! Assumptions on the disk: a sync that succeeds has put on disk what was written since the last sync that succeeded;
-//! one that fails says nothing of what is on disk, also when the next one succeeds. Whatever was not covered by a
-//! successful sync is therefore written again before it is acknowledged, and a process that starts on a segment with
-//! records behind the `acked` mark writes a new segment first. Nothing is appended to a segment once a newer one may
-//! have its name.
+//! Assumptions about the disk: a successful sync makes durable what was written since the last successful sync; after
+//! a failed sync it is unknown what is durable, even if the next sync succeeds. Data that no successful sync has
+//! covered is therefore written again before it is acknowledged, and a process that starts on a segment with records
+//! beyond the `acked` offset writes a new segment first. Once a newer segment may have its name, nothing is appended to
+//! the older one.
 //!
-//! A record that ends early behind the mark was never acknowledged and is dropped. Anything else that can't be read is
-//! refused with its file and byte: it is never guessed over.
+//! A truncated record beyond the `acked` offset was never acknowledged and is dropped. Anything else that can't be read
+//! is an error with file and byte offset; the store never guesses.
 
 mod directory;
 mod error;
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: records are appended to the newest segment, which is replaced by a snapshot once it has grown.
+//! The log: records are appended to the newest segment; once it has grown, a new segment with a snapshot replaces it.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{Read, Seek, SeekFrom, Write as _};
@@ -14,25 +14,28 @@
 use crate::error::{StoreError, io_error_at};
 use crate::frame;
 
-/// What a segment consists of.
+/// A record of a segment.
 #[derive(Debug, Serialize, Deserialize)]
 enum LogRecord {
-    /// All that went before, the first record of a segment.
+    /// The state before the other records; always the first record of a segment.
     Snapshot(SavedState),
+    /// A change of the state.
     Record(MemberRecord),
 }
 
-/// Up to which byte of which segment records were acknowledged.
+/// The position up to which records were acknowledged, as stored in the `acked` file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct Mark {
+struct AckedPosition {
     segment: u64,
     bytes: u64,
 }
 
-/// How a directory is used.
+/// Settings of a [`Store`].
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// The fleet that the member belongs to.
     pub fleet: String,
+    /// The name of the member.
     pub node: String,
     /// Growth in bytes after which a segment is replaced by a snapshot.
     pub compaction_threshold_bytes: u64,
@@ -40,7 +43,7 @@
     pub sync_writes: bool,
 }
 
-/// A new segment whose name may or may not have been put in place.
+/// A new segment of which it is unknown whether its rename took effect.
 #[derive(Debug)]
 struct Replacement {
     segment: u64,
@@ -48,53 +51,53 @@
     bytes: u64,
 }
 
-/// The log of one member.
+/// The durable log of one member.
 #[derive(Debug)]
 pub struct Store {
     directory: Directory,
     settings: Settings,
-    mark: File,
+    acked_file: File,
     segment: u64,
     file: File,
-    /// The part of the segment that a sync has covered; with what lies behind it nothing may be done.
-    bytes: u64,
-    /// Bytes may lie behind that part, of writes or syncs that failed.
-    tail_dirty: bool,
-    /// The segment's name may not be on disk yet.
-    name_dirty: bool,
-    unsettled: Option<Replacement>,
-    /// The size of the segment when it was new.
-    base_bytes: u64,
+    /// The length of the segment's part that a successful sync has covered; bytes beyond it must not be used.
+    synced_bytes: u64,
+    /// Whether failed writes or syncs may have left bytes beyond that part.
+    may_have_dirty_tail: bool,
+    /// Whether the segment's name may not be on disk yet.
+    may_have_unsynced_name: bool,
+    unresolved_replacement: Option<Replacement>,
+    /// The size of the segment when it was created, or at the last attempt to replace it.
+    compaction_base_bytes: u64,
     state: SavedState,
 }
 
 impl Store {
-    /// Opens or makes the directory of a member; `fresh` is the id that a new one gets. Once this returns, all that
-    /// [`Store::saved`] tells is on disk.
+    /// Opens or creates the directory of a member; `new_id` is the id for a new directory. On return, everything in
+    /// [`Store::saved_state`] is on disk.
     ///
     /// # Errors
-    /// In use, somebody else's, damaged, or a call failed.
-    pub fn open(path: &Path, settings: Settings, fresh: NodeId) -> Result<Self, StoreError> {
+    /// If the directory is in use, belongs to another member or is damaged, or if a system call failed.
+    pub fn open(path: &Path, settings: Settings, new_id: NodeId) -> Result<Self, StoreError> {
         let directory = Directory::open(path)?;
         let owner = directory.load_or_create_owner(Owner {
             fleet: settings.fleet.clone(),
             node: settings.node.clone(),
-            id: fresh,
+            id: new_id,
         })?;
-        let known = read_mark(&directory)?;
-        let mark_path = directory.file_path("acked");
-        let mark = OpenOptions::new()
+        let acked = read_acked_position(&directory)?;
+        let acked_path = directory.file_path("acked");
+        let acked_file = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
-            .open(&mark_path)
-            .map_err(io_error_at(&mark_path))?;
+            .open(&acked_path)
+            .map_err(io_error_at(&acked_path))?;
         let newest = directory.segment_numbers()?.last().copied();
-        if newest.unwrap_or(0) < known.segment {
+        if newest.unwrap_or(0) < acked.segment {
             return Err(StoreError::Corrupted {
-                path: mark_path,
+                path: acked_path,
                 offset: 0,
-                detail: format!("log.{} is missing", known.segment),
+                detail: format!("log.{} is missing", acked.segment),
             });
         }
         let Some(segment) = newest else {
@@ -104,7 +107,7 @@
             return Ok(Self::new(
                 directory,
                 settings,
-                mark,
+                acked_file,
                 file,
                 1,
                 bytes.len() as u64,
@@ -120,153 +123,171 @@
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)
             .map_err(io_error_at(&segment_path))?;
-        let acknowledged = match known.segment == segment {
-            true => known.bytes as usize,
+        let acked_bytes = match acked.segment == segment {
+            true => acked.bytes as usize,
             false => 0,
         };
-        let read = replay(&segment_path, &bytes, acknowledged, owner.id)?;
+        let replayed = replay_segment(&segment_path, &bytes, acked_bytes, owner.id)?;
         let mut store = Self::new(
-            directory, settings, mark, file, segment, read.bytes, read.state,
+            directory,
+            settings,
+            acked_file,
+            file,
+            segment,
+            replayed.bytes,
+            replayed.state,
         );
-        store.base_bytes = read.snapshot_bytes;
-        store.tail_dirty = read.bytes < bytes.len() as u64;
-        if read.bytes > acknowledged as u64 {
-            // They may be in memory alone, whatever a sync says now.
-            store.write_segment()?;
+        store.compaction_base_bytes = replayed.snapshot_bytes;
+        store.may_have_dirty_tail = replayed.bytes < bytes.len() as u64;
+        if replayed.bytes > acked_bytes as u64 {
+            // Records beyond the acknowledged offset may exist only in the page cache, even if a sync succeeds now.
+            store.write_snapshot_segment()?;
         } else {
-            store.name_dirty = true;
+            store.may_have_unsynced_name = true;
         }
-        store.settle()?;
+        store.finish_replacement()?;
         Ok(store)
     }
 
     fn new(
         directory: Directory,
         settings: Settings,
-        mark: File,
+        acked_file: File,
         file: File,
         segment: u64,
-        bytes: u64,
+        synced_bytes: u64,
         state: SavedState,
     ) -> Self {
         Self {
             directory,
             settings,
-            mark,
+            acked_file,
             segment,
             file,
-            bytes,
-            tail_dirty: false,
-            name_dirty: false,
-            unsettled: None,
-            base_bytes: bytes,
+            synced_bytes,
+            may_have_dirty_tail: false,
+            may_have_unsynced_name: false,
+            unresolved_replacement: None,
+            compaction_base_bytes: synced_bytes,
             state,
         }
     }
 
-    /// All that was acknowledged.
+    /// The state after all acknowledged records.
     pub fn saved_state(&self) -> &SavedState {
         &self.state
     }
 
+    /// The path of the directory.
     pub fn path(&self) -> &Path {
         self.directory.path()
     }
 
-    /// Puts the files of this directory aside, under a name that says why; who opens it next is somebody else.
+    /// Moves the files of this directory into a subdirectory, whose name consists of `label` and the member's id. When
+    /// the directory is opened next, the member gets a new id.
     ///
     /// # Errors
-    /// A call failed; some files may have been moved.
-    pub fn quarantine(self, why: &str) -> Result<PathBuf, StoreError> {
+    /// If a system call failed; some files may have been moved.
+    pub fn quarantine(self, label: &str) -> Result<PathBuf, StoreError> {
         let id = self.state.id.0;
-        let aside = self.directory.file_path(&format!("{why}-{id:x}"));
-        fs::create_dir_all(&aside).map_err(io_error_at(&aside))?;
+        let quarantine_dir = self.directory.file_path(&format!("{label}-{id:x}"));
+        fs::create_dir_all(&quarantine_dir).map_err(io_error_at(&quarantine_dir))?;
         let segments = self.directory.segment_numbers()?;
         let segments = segments.iter().map(|number| format!("log.{number}"));
         for name in segments.chain(["acked".into(), "member".into()]) {
-            let from = self.directory.file_path(&name);
-            if from.exists() {
-                fs::rename(&from, aside.join(&name)).map_err(io_error_at(&from))?;
+            let source = self.directory.file_path(&name);
+            if source.exists() {
+                fs::rename(&source, quarantine_dir.join(&name)).map_err(io_error_at(&source))?;
             }
         }
-        Ok(aside)
+        Ok(quarantine_dir)
     }
 
-    /// Writes records behind what is there; they are on disk when this returns. After an error the same records may
-    /// be appended again.
+    /// Appends records; they are on disk on return, unless syncing is off. After an error the same records may be
+    /// appended again.
     ///
     /// # Errors
-    /// A call failed, or a record does not follow what is there.
+    /// If a system call failed, or a record does not follow the current state.
     pub fn append(&mut self, records: &[MemberRecord]) -> Result<(), StoreError> {
-        self.settle()?;
-        self.drop_tail()?;
+        self.finish_replacement()?;
+        self.truncate_dirty_tail()?;
         let path = self.directory.segment_path(self.segment);
         let encode = |record: &MemberRecord| frame::encode(&LogRecord::Record(record.clone()));
         let bytes: Vec<u8> = records.iter().flat_map(encode).collect();
-        // From here on until the sync succeeds nothing is known of what lies behind.
-        self.tail_dirty = true;
+        // Until the sync succeeds, the content beyond the synced part is unknown.
+        self.may_have_dirty_tail = true;
         self.file.write_all(&bytes).map_err(io_error_at(&path))?;
         if self.settings.sync_writes {
             self.file.sync_data().map_err(io_error_at(&path))?;
         }
-        self.tail_dirty = false;
-        self.bytes += bytes.len() as u64;
+        self.may_have_dirty_tail = false;
+        self.synced_bytes += bytes.len() as u64;
         for record in records {
             let applied = self.state.apply(record.clone());
-            applied.map_err(|what| StoreError::Corrupted {
+            applied.map_err(|detail| StoreError::Corrupted {
                 path: path.clone(),
-                offset: self.bytes,
-                detail: what,
+                offset: self.synced_bytes,
+                detail,
             })?;
         }
-        self.write_mark();
-        if self.bytes > self.base_bytes + self.settings.compaction_threshold_bytes {
+        self.write_acked_position();
+        if self.synced_bytes > self.compaction_base_bytes + self.settings.compaction_threshold_bytes
+        {
             self.compact();
         }
         Ok(())
     }
 
-    /// Removes what writes or syncs that failed have left behind the records.
-    fn drop_tail(&mut self) -> Result<(), StoreError> {
-        if self.tail_dirty {
+    /// Removes bytes that failed writes or syncs have left after the last record.
+    fn truncate_dirty_tail(&mut self) -> Result<(), StoreError> {
+        if self.may_have_dirty_tail {
             let path = self.directory.segment_path(self.segment);
-            self.file.set_len(self.bytes).map_err(io_error_at(&path))?;
+            self.file
+                .set_len(self.synced_bytes)
+                .map_err(io_error_at(&path))?;
         }
         let path = self.directory.segment_path(self.segment);
         self.file
-            .seek(SeekFrom::Start(self.bytes))
+            .seek(SeekFrom::Start(self.synced_bytes))
             .map_err(io_error_at(&path))?;
         Ok(())
     }
 
-    /// Tells a cut from an alteration at the next start. Not synced, and no loss where it fails: it only makes the
-    /// reader stricter, and has more written anew.
-    fn write_mark(&mut self) {
-        let mark = frame::encode(&Mark {
+    /// Writes the acknowledged position, which lets the next start distinguish a truncated last record from corruption.
+    /// It is not synced, and a failure loses no data: the position only makes replay stricter, and a missing one causes
+    /// a rewrite of the log.
+    fn write_acked_position(&mut self) {
+        let record = frame::encode(&AckedPosition {
             segment: self.segment,
-            bytes: self.bytes,
+            bytes: self.synced_bytes,
         });
-        if let Err(error) = self.mark.write_all_at(&mark, 0) {
-            warn!(file = %self.directory.file_path("acked").display(), %error, "the mark can't be written");
+        if let Err(error) = self.acked_file.write_all_at(&record, 0) {
+            warn!(
+                file = %self.directory.file_path("acked").display(),
+                %error,
+                "the acknowledged position can't be written"
+            );
         }
     }
 
-    /// Replaces a segment that has grown. Where that fails the old one goes on.
+    /// Replaces a segment that has grown. If that fails, the old segment stays in use.
     fn compact(&mut self) {
-        self.base_bytes = self.bytes;
-        let done = self.write_segment().and_then(|()| self.settle());
-        match done {
+        self.compaction_base_bytes = self.synced_bytes;
+        let result = self
+            .write_snapshot_segment()
+            .and_then(|()| self.finish_replacement());
+        match result {
             Ok(()) => info!(
                 segment = self.segment,
-                bytes = self.bytes,
+                bytes = self.synced_bytes,
                 "the log is written anew"
             ),
             Err(error) => warn!(%error, "the log can't be written anew now"),
         }
     }
 
-    /// Writes all that is there into a new segment, which is the one in use if it may have its name.
-    fn write_segment(&mut self) -> Result<(), StoreError> {
+    /// Writes the whole state as a snapshot into a new segment, and switches to it once it has its name.
+    fn write_snapshot_segment(&mut self) -> Result<(), StoreError> {
         let bytes = frame::encode(&LogRecord::Snapshot(self.state.clone()));
         let segment = self.segment + 1;
         let name = format!("log.{segment}");
@@ -278,45 +299,45 @@
         };
         match self.directory.rename_temp_file(&name) {
             Ok(()) => {
-                self.adopt(replacement);
+                self.switch_to_segment(replacement);
                 Ok(())
             }
             Err(error) => {
-                // It may have happened all the same.
-                self.unsettled = Some(replacement);
+                // The rename may have taken effect despite the error.
+                self.unresolved_replacement = Some(replacement);
                 Err(error)
             }
         }
     }
 
-    fn adopt(&mut self, replacement: Replacement) {
+    fn switch_to_segment(&mut self, replacement: Replacement) {
         self.segment = replacement.segment;
         self.file = replacement.file;
-        self.bytes = replacement.bytes;
-        self.base_bytes = replacement.bytes;
-        (self.tail_dirty, self.name_dirty) = (false, true);
+        self.synced_bytes = replacement.bytes;
+        self.compaction_base_bytes = replacement.bytes;
+        (self.may_have_dirty_tail, self.may_have_unsynced_name) = (false, true);
     }
 
-    /// Finds out which segment counts at the next start, and has its name on disk.
-    fn settle(&mut self) -> Result<(), StoreError> {
-        if let Some(replacement) = self.unsettled.take() {
+    /// Determines which segment the next start would use, syncs its name, and removes older segments.
+    fn finish_replacement(&mut self) -> Result<(), StoreError> {
+        if let Some(replacement) = self.unresolved_replacement.take() {
             let path = self.directory.segment_path(replacement.segment);
             match path.try_exists() {
-                Ok(true) => self.adopt(replacement),
+                Ok(true) => self.switch_to_segment(replacement),
                 Ok(false) => {}
                 Err(error) => {
-                    self.unsettled = Some(replacement);
+                    self.unresolved_replacement = Some(replacement);
                     return Err(StoreError::Io { path, error });
                 }
             }
         }
-        if self.name_dirty {
+        if self.may_have_unsynced_name {
             self.directory.sync()?;
-            self.name_dirty = false;
-            self.write_mark();
+            self.may_have_unsynced_name = false;
+            self.write_acked_position();
             for older in self.directory.segment_numbers()? {
                 if older < self.segment {
-                    // One that stays is passed over at the next start.
+                    // A remaining segment is ignored at the next start.
                     let _ = fs::remove_file(self.directory.segment_path(older));
                 }
             }
@@ -325,71 +346,87 @@
     }
 }
 
-/// Half of a mark says nothing: then a cut and an alteration look alike, and nothing counts as acknowledged.
-fn read_mark(directory: &Directory) -> Result<Mark, StoreError> {
+/// Reads the acknowledged position. If it is missing or damaged, truncation and corruption can't be distinguished, and
+/// no record counts as acknowledged.
+fn read_acked_position(directory: &Directory) -> Result<AckedPosition, StoreError> {
     let bytes = directory.read_file("acked")?;
-    let mark = bytes.and_then(|bytes| frame::decode(&bytes).ok());
-    Ok(mark.map_or_else(Mark::default, |(mark, _)| mark))
+    let position = bytes.and_then(|bytes| frame::decode(&bytes).ok());
+    Ok(position.map_or_else(AckedPosition::default, |(position, _)| position))
 }
 
-/// What a segment comes to.
-struct Replayed {
+/// The result of replaying a segment.
+struct ReplayedSegment {
     state: SavedState,
     snapshot_bytes: u64,
-    /// Up to the end of the last whole record.
+    /// The offset of the end of the last complete record.
     bytes: u64,
 }
 
-fn replay(
+/// Replays a segment's records. An unreadable record before `acked_bytes` is an error; one beyond it was never
+/// acknowledged and is dropped.
+fn replay_segment(
     path: &Path,
     bytes: &[u8],
-    acknowledged: usize,
-    owner: NodeId,
-) -> Result<Replayed, StoreError> {
-    let damaged = |at: usize, what: String| StoreError::Corrupted {
+    acked_bytes: usize,
+    owner_id: NodeId,
+) -> Result<ReplayedSegment, StoreError> {
+    let corrupted = |offset: usize, detail: String| StoreError::Corrupted {
         path: path.to_path_buf(),
-        offset: at as u64,
-        detail: what,
+        offset: offset as u64,
+        detail,
     };
-    if bytes.len() < acknowledged {
-        let what = format!("it ends before byte {acknowledged}, which was acknowledged");
-        return Err(damaged(bytes.len(), what));
+    if bytes.len() < acked_bytes {
+        let detail = format!("the segment ends before the acknowledged byte {acked_bytes}");
+        return Err(corrupted(bytes.len(), detail));
     }
-    // The first record was there whole before the segment got its name.
+    // The first record was complete before the segment got its name.
     let (mut state, snapshot_bytes) = match frame::decode::<LogRecord>(bytes) {
-        Ok((LogRecord::Snapshot(state), _)) if state.id != owner => {
-            return Err(damaged(0, "it is another directory's".into()));
+        Ok((LogRecord::Snapshot(state), _)) if state.id != owner_id => {
+            return Err(corrupted(
+                0,
+                "the segment belongs to another member id".into(),
+            ));
         }
         Ok((LogRecord::Snapshot(state), length)) => (state, length),
         Ok((LogRecord::Record(_), _)) => {
-            return Err(damaged(0, "a record in a place that is not its own".into()));
+            return Err(corrupted(
+                0,
+                "a record of the wrong kind for this position".into(),
+            ));
         }
-        Err(_) if bytes.is_empty() => return Err(damaged(0, "it is empty".into())),
-        Err(what) => return Err(damaged(0, what)),
+        Err(_) if bytes.is_empty() => return Err(corrupted(0, "the segment is empty".into())),
+        Err(detail) => return Err(corrupted(0, detail)),
     };
-    let mut at = snapshot_bytes;
-    while at < bytes.len() {
-        match frame::decode::<LogRecord>(&bytes[at..]) {
+    let mut offset = snapshot_bytes;
+    while offset < bytes.len() {
+        match frame::decode::<LogRecord>(&bytes[offset..]) {
             Ok((LogRecord::Record(record), length)) => {
-                state.apply(record).map_err(|what| damaged(at, what))?;
-                at += length;
+                state
+                    .apply(record)
+                    .map_err(|detail| corrupted(offset, detail))?;
+                offset += length;
             }
             Ok((LogRecord::Snapshot(_), _)) => {
-                return Err(damaged(
-                    at,
-                    "a record in a place that is not its own".into(),
+                return Err(corrupted(
+                    offset,
+                    "a record of the wrong kind for this position".into(),
                 ));
             }
-            Err(what) if at < acknowledged => return Err(damaged(at, what)),
-            Err(what) => {
-                warn!(file = %path.display(), at, what, "the last record was never acknowledged: it is dropped");
+            Err(detail) if offset < acked_bytes => return Err(corrupted(offset, detail)),
+            Err(detail) => {
+                warn!(
+                    file = %path.display(),
+                    at = offset,
+                    what = detail,
+                    "dropping an unreadable last record that was never acknowledged"
+                );
                 break;
             }
         }
     }
-    Ok(Replayed {
+    Ok(ReplayedSegment {
         state,
         snapshot_bytes: snapshot_bytes as u64,
-        bytes: at as u64,
+        bytes: offset as u64,
     })
 }
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -1,4 +1,4 @@
-//! Directories that were cut, altered, copied or put aside.
+//! Truncated, altered and quarantined directories, and the compaction of a grown log.
 
 use std::fs;
 use std::path::PathBuf;
@@ -7,9 +7,10 @@
 use violetwind_fleet::{MemberRecord, SavedState};
 use violetwind_store::{Settings, Store, StoreError};
 
-struct Dir(PathBuf);
+/// A directory that is removed when dropped.
+struct TestDir(PathBuf);
 
-impl Dir {
+impl TestDir {
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("violetwind-store-{}-{name}", std::process::id()));
@@ -31,8 +32,8 @@
         self.open_as("n", 7, 1 << 20)
     }
 
-    /// The segment that counts.
-    fn log(&self) -> PathBuf {
+    /// The segment in use.
+    fn newest_segment_path(&self) -> PathBuf {
         self.0
             .join(format!("log.{}", self.segments().last().unwrap()))
     }
@@ -48,7 +49,7 @@
     }
 }
 
-impl Drop for Dir {
+impl Drop for TestDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -68,7 +69,7 @@
     })
 }
 
-fn filled(dir: &Dir, writes: u64) -> SavedState {
+fn fill(dir: &TestDir, writes: u64) -> SavedState {
     let mut store = dir.open().unwrap();
     let member = Member {
         name: "n".into(),
@@ -85,9 +86,9 @@
 }
 
 #[test]
-fn what_was_acknowledged_is_there_again_and_the_directory_is_used_once() {
-    let dir = Dir::new("again");
-    let saved = filled(&dir, 5);
+fn reopening_restores_acknowledged_records_and_a_directory_has_one_user() {
+    let dir = TestDir::new("again");
+    let saved = fill(&dir, 5);
     let store = dir.open().unwrap();
     assert_eq!(*store.saved_state(), saved);
     assert_eq!(store.saved_state().consensus_state.entries.len(), 5);
@@ -99,29 +100,29 @@
     ));
 }
 
-/// A kill in the middle of a write leaves any part of it. Cut at every byte of the last record.
+/// A process killed during a write leaves any prefix of the record: the file is cut at every byte of the last record.
 #[test]
-fn a_torn_last_record_is_dropped_unless_it_was_acknowledged() {
-    let dir = Dir::new("torn");
-    filled(&dir, 3);
-    let (sound, mark) = (
-        fs::read(dir.log()).unwrap(),
+fn drops_a_torn_last_record_unless_it_was_acknowledged() {
+    let dir = TestDir::new("torn");
+    fill(&dir, 3);
+    let (intact, acked) = (
+        fs::read(dir.newest_segment_path()).unwrap(),
         fs::read(dir.0.join("acked")).unwrap(),
     );
     dir.open().unwrap().append(&[write(4)]).unwrap();
-    let longer = fs::read(dir.log()).unwrap();
-    assert!(longer.starts_with(&sound), "nothing was written anew");
-    let log = dir.log();
-    for cut in sound.len()..longer.len() {
+    let longer = fs::read(dir.newest_segment_path()).unwrap();
+    assert!(longer.starts_with(&intact), "the segment was not rewritten");
+    let log = dir.newest_segment_path();
+    for cut in intact.len()..longer.len() {
         fs::write(&log, &longer[..cut]).unwrap();
-        fs::write(dir.0.join("acked"), &mark).unwrap();
+        fs::write(dir.0.join("acked"), &acked).unwrap();
         let mut store = dir.open().unwrap();
         assert_eq!(
             store.saved_state().consensus_state.entries.len(),
             3,
             "cut at {cut}"
         );
-        // What follows stands in the place of what was torn.
+        // The next record overwrites the torn one.
         store.append(&[write(4)]).unwrap();
         drop(store);
         assert_eq!(
@@ -136,25 +137,25 @@
         );
         assert_eq!(fs::metadata(&log).unwrap().len(), longer.len() as u64);
     }
-    // Shorter than what was acknowledged.
-    fs::write(&log, &sound[..sound.len() - 1]).unwrap();
+    // The file is shorter than the acknowledged offset.
+    fs::write(&log, &intact[..intact.len() - 1]).unwrap();
     assert!(matches!(dir.open(), Err(StoreError::Corrupted { .. })));
 }
 
-/// A record that is whole but was never marked as acknowledged may be in memory alone: it is put on disk anew.
+/// A complete record beyond the acknowledged position may exist only in the page cache: it is written to disk again.
 #[test]
-fn a_whole_record_behind_the_mark_is_kept_and_written_anew() {
-    let dir = Dir::new("unmarked");
-    filled(&dir, 3);
-    let mark = fs::read(dir.0.join("acked")).unwrap();
+fn keeps_and_rewrites_a_complete_record_beyond_the_acked_position() {
+    let dir = TestDir::new("unmarked");
+    fill(&dir, 3);
+    let acked = fs::read(dir.0.join("acked")).unwrap();
     dir.open().unwrap().append(&[write(4)]).unwrap();
-    fs::write(dir.0.join("acked"), &mark).unwrap();
-    let before = dir.segments();
+    fs::write(dir.0.join("acked"), &acked).unwrap();
+    let segments_before = dir.segments();
     let store = dir.open().unwrap();
     assert_eq!(store.saved_state().consensus_state.entries.len(), 4);
     drop(store);
-    assert!(dir.segments() > before, "{before:?}");
-    let settled = dir.segments();
+    assert!(dir.segments() > segments_before, "{segments_before:?}");
+    let rewritten = dir.segments();
     assert_eq!(
         dir.open()
             .unwrap()
@@ -164,23 +165,23 @@
             .len(),
         4
     );
-    assert_eq!(dir.segments(), settled, "once is enough");
+    assert_eq!(dir.segments(), rewritten, "a second start rewrites nothing");
 }
 
 #[test]
-fn an_altered_byte_is_refused_with_file_and_place_wherever_it_is() {
-    let dir = Dir::new("altered");
-    filled(&dir, 3);
-    let sound = fs::read(dir.log()).unwrap();
-    for at in 0..sound.len() {
-        let mut altered = sound.clone();
-        altered[at] ^= 0x10;
-        fs::write(dir.log(), &altered).unwrap();
+fn reports_file_and_offset_of_any_altered_byte() {
+    let dir = TestDir::new("altered");
+    fill(&dir, 3);
+    let intact = fs::read(dir.newest_segment_path()).unwrap();
+    for offset in 0..intact.len() {
+        let mut altered = intact.clone();
+        altered[offset] ^= 0x10;
+        fs::write(dir.newest_segment_path(), &altered).unwrap();
         let opened = dir.open().map(|store| store.saved_state().clone());
         let error = opened.unwrap_err().to_string();
-        assert!(error.contains("log.1: byte "), "{at}: {error}");
+        assert!(error.contains("log.1: byte "), "{offset}: {error}");
     }
-    fs::write(dir.log(), &sound).unwrap();
+    fs::write(dir.newest_segment_path(), &intact).unwrap();
     assert!(dir.open().is_ok());
     let mut member = fs::read(dir.0.join("member")).unwrap();
     *member.last_mut().unwrap() ^= 1;
@@ -189,16 +190,16 @@
 }
 
 #[test]
-fn a_log_that_is_missing_is_told_and_one_that_grew_is_written_anew() {
-    let dir = Dir::new("anew");
+fn compacts_a_grown_log_and_reports_a_missing_one() {
+    let dir = TestDir::new("anew");
     let mut store = dir.open_as("n", 7, 1 << 12).unwrap();
     for seq in 1..=200 {
         store.append(&[write(seq)]).unwrap();
     }
     let saved = store.saved_state().clone();
     drop(store);
-    assert!(dir.segments()[0] > 1, "written anew");
-    assert_eq!(dir.segments().len(), 1, "older ones go");
+    assert!(dir.segments()[0] > 1, "the log was rewritten");
+    assert_eq!(dir.segments().len(), 1, "older segments are removed");
     assert_eq!(*dir.open().unwrap().saved_state(), saved);
     for segment in dir.segments() {
         fs::remove_file(dir.0.join(format!("log.{segment}"))).unwrap();
@@ -208,11 +209,11 @@
 }
 
 #[test]
-fn a_directory_that_is_put_aside_is_another_next_time() {
-    let dir = Dir::new("aside");
-    filled(&dir, 1);
-    let aside = dir.open().unwrap().quarantine("stale").unwrap();
-    assert!(aside.join("member").exists());
+fn a_quarantined_directory_opens_with_a_new_identity() {
+    let dir = TestDir::new("aside");
+    fill(&dir, 1);
+    let quarantine_dir = dir.open().unwrap().quarantine("stale").unwrap();
+    assert!(quarantine_dir.join("member").exists());
     let store = dir.open_as("n", 9, 1 << 20).unwrap();
     let found = (
         store.saved_state().id,
