--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -129,22 +129,19 @@
     /// The highest `durable_seq` that the sender has seen from the receiver.
     StalenessResponse(WriteSeq),
     /// Asks whether the receiver would grant its vote in the message's term. Neither node enters that term.
-    PreVoteRequest {
-        last_index: Index,
-        last_term: Term,
-    },
-    PreVoteResponse {
-        granted: bool,
-    },
+    PreVoteRequest { last_index: Index, last_term: Term },
+    /// The answer to a pre-vote request; if granted, it has the request's term.
+    PreVoteResponse { granted: bool },
+    /// Requests the receiver's vote in the message's term.
     VoteRequest {
         last_index: Index,
         last_term: Term,
         /// Whether the current leader has requested this election.
         is_transfer: bool,
     },
-    VoteResponse {
-        granted: bool,
-    },
+    /// The answer to a vote request. A rejected pre-vote from an older term gets this answer too, which carries the
+    /// current term.
+    VoteResponse { granted: bool },
     /// Entries that follow `prev_index`; without entries a heartbeat.
     AppendRequest {
         prev_index: Index,
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -14,11 +14,11 @@
     MessageBody, Millis, NodeId, Output, Payload, ReadId, Snapshot, Term, WriteSeq,
 };
 
-/// The part that a node has in its current term.
+/// The role of a node in its current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
     Follower,
-    /// Collects pre-votes, without a new term.
+    /// Collects pre-votes without entering a new term.
     PreCandidate,
     /// Collects votes in a new term.
     Candidate,
@@ -221,10 +221,12 @@
         self.id
     }
 
+    /// The latest membership in the log, committed or not.
     pub fn members(&self) -> &Members {
         self.log.members().1
     }
 
+    /// A summary of the state for status reports.
     pub fn status(&self) -> Status {
         Status {
             role: self.role,
--- a/crates/proxy/src/fleet/allowances.rs
+++ b/crates/proxy/src/fleet/allowances.rs
@@ -1,5 +1,5 @@
-//! Parts of the fleet's budgets on their way to the module, which counts them, and what it uses on the way back. On
-//! the engine's thread; without a budget that the module counts there is nothing of it.
+//! Passes parts of the fleet's budgets to the balancer, which counts their use, and reports the use to the fleet. Runs
+//! on the engine's thread, and only if there are budgets that the balancer counts.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,122 +18,129 @@
 use crate::config::ActiveConfig;
 use crate::operator_service::OperatorService;
 
-/// One budget that the module counts.
-struct Counted {
-    def: BudgetDefinition,
-    of: BudgetSubject,
-    /// The newest word of the fleet, and its number.
-    told: Option<(Number, Part)>,
-    /// What the module was last told, and by which word.
-    said: Option<(QuotaKind, Allowance, Instant)>,
-    in_force: Number,
+/// A budget that the balancer counts.
+struct CountedBudget {
+    definition: BudgetDefinition,
+    subject: BudgetSubject,
+    /// The latest part from the fleet, and its number.
+    latest_part: Option<(Number, Part)>,
+    /// The allowance last sent to the balancer, with its quota and the end of its lease.
+    last_sent: Option<(QuotaKind, Allowance, Instant)>,
+    /// The number of the part that the balancer's allowance is based on.
+    part_number_in_force: Number,
 }
 
+/// The exchange of allowances and usage with the balancer.
 pub struct Allowances {
-    counted: BTreeMap<Name, Counted>,
-    parts: mpsc::Receiver<BudgetUpdate>,
+    budgets: BTreeMap<Name, CountedBudget>,
+    updates: mpsc::Receiver<BudgetUpdate>,
     fleet: FleetHandle,
     engine: mpsc::Sender<EngineEvent>,
     config: ActiveConfig,
     service: Rc<OperatorService>,
     started: Instant,
-    every: Duration,
-    /// How long a client may wait for a larger part, if its time allows: an exchange that is not answered within the
-    /// lease ends with it, and then nothing more is to be hoped for.
-    longest_exchange: Duration,
+    exchange_interval: Duration,
+    /// How long a request may wait for a larger part, if its deadline allows: an exchange that is not answered within
+    /// the lease ends with the lease, and a longer wait would be futile.
+    max_exchange_time: Duration,
 }
 
 impl Allowances {
-    /// None where the module counts nothing.
+    /// Returns `None` if the balancer counts no budget.
     pub fn new(
         settings: &FleetSettings,
-        (fleet, parts): (FleetHandle, mpsc::Receiver<BudgetUpdate>),
+        (fleet, updates): (FleetHandle, mpsc::Receiver<BudgetUpdate>),
         engine: mpsc::Sender<EngineEvent>,
         config: ActiveConfig,
         service: Rc<OperatorService>,
     ) -> Option<Self> {
-        let counted = settings.balancer_budgets.iter().filter_map(|(name, of)| {
-            let def = settings
-                .budgets
-                .iter()
-                .find(|def| def.name == *name)?
-                .clone();
-            let counted = Counted {
-                def,
-                of: of.clone(),
-                told: None,
-                said: None,
-                in_force: 0,
-            };
-            Some((name.clone(), counted))
-        });
-        let counted: BTreeMap<Name, Counted> = counted.collect();
-        (!counted.is_empty()).then(|| Self {
-            counted,
-            parts,
+        let budgets = settings
+            .balancer_budgets
+            .iter()
+            .filter_map(|(name, subject)| {
+                let definition = settings
+                    .budgets
+                    .iter()
+                    .find(|definition| definition.name == *name)?
+                    .clone();
+                let budget = CountedBudget {
+                    definition,
+                    subject: subject.clone(),
+                    latest_part: None,
+                    last_sent: None,
+                    part_number_in_force: 0,
+                };
+                Some((name.clone(), budget))
+            });
+        let budgets: BTreeMap<Name, CountedBudget> = budgets.collect();
+        (!budgets.is_empty()).then(|| Self {
+            budgets,
+            updates,
             fleet,
             engine,
             config,
             service,
             started: Instant::now(),
-            every: settings.link_limits.usage_interval,
-            longest_exchange: Duration::from_millis(settings.limits.lease_duration),
+            exchange_interval: settings.link_limits.usage_interval,
+            max_exchange_time: Duration::from_millis(settings.limits.lease_duration),
         })
     }
 
-    /// Tells the module its first parts, before any request can come: floors alone.
+    /// Sends the initial allowances, the floors alone, before the first request.
     pub async fn send_initial(&mut self) {
-        self.exchange().await;
+        self.exchange_with_balancer().await;
     }
 
-    /// Goes on for as long as the engine does.
+    /// Runs until the engine ends.
     pub async fn run(mut self) {
-        let mut ticks = interval(self.every);
+        let mut ticks = interval(self.exchange_interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = ticks.tick() => {}
-                part = self.parts.recv() => match part {
-                    Some(part) => self.take(part),
-                    // The fleet's thread has ended: what was told runs out, and floors are left.
-                    None => return self.alone(ticks).await,
+                update = self.updates.recv() => match update {
+                    Some(update) => self.record_update(update),
+                    // The fleet's thread has ended: the parts expire with their leases, and the floors remain.
+                    None => return self.run_without_fleet(ticks).await,
                 }
             }
-            while let Ok(part) = self.parts.try_recv() {
-                self.take(part);
+            while let Ok(update) = self.updates.try_recv() {
+                self.record_update(update);
             }
-            if !self.exchange().await {
+            if !self.exchange_with_balancer().await {
                 return;
             }
         }
     }
 
-    async fn alone(mut self, mut ticks: tokio::time::Interval) {
-        while self.exchange().await {
+    /// Continues the exchange without further parts, until the engine ends.
+    async fn run_without_fleet(mut self, mut ticks: tokio::time::Interval) {
+        while self.exchange_with_balancer().await {
             ticks.tick().await;
         }
     }
 
-    fn take(&mut self, (name, number, part): BudgetUpdate) {
-        if let Some(counted) = self.counted.get_mut(&name) {
+    fn record_update(&mut self, (name, number, part): BudgetUpdate) {
+        if let Some(budget) = self.budgets.get_mut(&name) {
             debug!(
                 budget = name,
                 number,
                 ?part,
                 mono_ms = boottime_ms(),
-                "part"
+                "budget part received"
             );
-            counted.told = Some((number, part));
+            budget.latest_part = Some((number, part));
         }
     }
 
-    /// Tells the module what is new and hears what it uses; whether there still is an engine.
-    async fn exchange(&mut self) -> bool {
-        let (elder, started) = (self.service.has_predecessor(), self.started);
+    /// Sends changed allowances to the balancer and reports its usage to the fleet. Returns `false` once the engine has
+    /// ended.
+    async fn exchange_with_balancer(&mut self) -> bool {
+        let (has_predecessor, started) = (self.service.has_predecessor(), self.started);
         let config = self.config.get();
-        let mut news = Vec::new();
-        for counted in self.counted.values_mut() {
-            let matter = match &counted.of {
+        let mut changes = Vec::new();
+        for budget in self.budgets.values_mut() {
+            let quota = match &budget.subject {
                 BudgetSubject::Retries => Some(QuotaKind::Further),
                 BudgetSubject::Moves => Some(QuotaKind::Moves),
                 BudgetSubject::Probes => Some(QuotaKind::Probes),
@@ -143,81 +150,94 @@
                     config.names.tenant_index(Some(name)).map(QuotaKind::Tenant)
                 }
             };
-            // The settings may name it later.
-            let Some(matter) = matter else {
+            // The settings may name the class or tenant later.
+            let Some(quota) = quota else {
                 continue;
             };
-            let (number, part) = counted.part(elder, started);
-            // The moment first: a lease may seem shorter than it is, never longer.
-            let (at, now) = (Instant::now(), boottime_ms());
-            let until = at + Duration::from_millis(part.until.saturating_sub(now));
+            let (number, part) = budget.effective_part(has_predecessor, started);
+            // The instant is taken first: a lease may appear shorter than it is, never longer.
+            let (instant, now_ms) = (Instant::now(), boottime_ms());
+            let until = instant + Duration::from_millis(part.until.saturating_sub(now_ms));
             let allowance = Allowance {
                 units: part.units,
                 lease_end: 0.0,
                 units_after_lease: part.after,
                 span: part.span as f64 / 1000.0,
-                fleet_units: counted.def.total,
+                fleet_units: budget.definition.total,
                 max_wait: if part.hopeful {
-                    self.longest_exchange.as_secs_f64()
+                    self.max_exchange_time.as_secs_f64()
                 } else {
                     0.0
                 },
             };
-            let same = counted
-                .said
-                .is_some_and(|(known, said, _)| (known, said) == (matter, allowance));
-            if !same || part.until > now || counted.in_force != number {
-                news.push((matter, allowance, until));
-                counted.said = Some((matter, allowance, until));
+            let is_unchanged = budget
+                .last_sent
+                .is_some_and(|(sent_quota, sent_allowance, _)| {
+                    (sent_quota, sent_allowance) == (quota, allowance)
+                });
+            if !is_unchanged || part.until > now_ms || budget.part_number_in_force != number {
+                changes.push((quota, allowance, until));
+                budget.last_sent = Some((quota, allowance, until));
             }
-            counted.in_force = number;
+            budget.part_number_in_force = number;
         }
-        let (reply, uses) = oneshot::channel();
+        let (reply, usages) = oneshot::channel();
         if self
             .engine
-            .send(EngineEvent::Allowances(news, reply))
+            .send(EngineEvent::Allowances(changes, reply))
             .await
             .is_err()
         {
             return false;
         }
-        let Ok(uses) = uses.await else {
+        let Ok(usages) = usages.await else {
             return false;
         };
-        for (name, counted) in &self.counted {
-            let said = counted.said.map(|(matter, ..)| matter);
-            match uses.iter().find(|of| Some(of.quota) == said) {
-                Some(of) => self
+        for (name, budget) in &self.budgets {
+            let sent_quota = budget.last_sent.map(|(quota, ..)| quota);
+            match usages.iter().find(|usage| Some(usage.quota) == sent_quota) {
+                Some(usage) => self.fleet.report_usage(
+                    name,
+                    budget.part_number_in_force,
+                    usage.in_use,
+                    usage.denied,
+                ),
+                None if sent_quota.is_some() => {
+                    warn!(budget = name, "the balancer does not count this budget")
+                }
+                // The settings name no such class or tenant, so no request can use the budget.
+                None => self
                     .fleet
-                    .report_usage(name, counted.in_force, of.in_use, of.denied),
-                None if said.is_some() => warn!(budget = name, "the module counts nothing of it"),
-                // No request can be of what the settings do not name.
-                None => self.fleet.report_usage(name, counted.in_force, 0, 0),
+                    .report_usage(name, budget.part_number_in_force, 0, 0),
             }
         }
         true
     }
 }
 
-impl Counted {
-    /// What counts now: the fleet's word, or the floor alone. While the process before this one of an upgrade
-    /// is there, the floor is that one's.
-    fn part(&self, elder: bool, started: Instant) -> (Number, Part) {
-        let window = self.def.window + self.def.window / 50 + 1;
-        let quiet =
-            self.def.kind == BudgetKind::Rate && started.elapsed() < Duration::from_millis(window);
-        let floor = if quiet { 0 } else { self.def.floor };
-        let alone = Part {
+impl CountedBudget {
+    /// Returns the part in force and its number: the fleet's latest part, or the floor alone. During an upgrade, while
+    /// the predecessor process still runs, the floor belongs to the predecessor.
+    fn effective_part(&self, has_predecessor: bool, started: Instant) -> (Number, Part) {
+        let window = self.definition.window + self.definition.window / 50 + 1;
+        let is_first_window = self.definition.kind == BudgetKind::Rate
+            && started.elapsed() < Duration::from_millis(window);
+        let floor = if is_first_window {
+            0
+        } else {
+            self.definition.floor
+        };
+        let floor_only = Part {
             units: floor,
             until: 0,
             after: floor,
             span: window,
             hopeful: false,
         };
-        let (number, part) = self.told.unwrap_or((0, alone));
-        match elder {
+        let (number, part) = self.latest_part.unwrap_or((0, floor_only));
+        match has_predecessor {
             true => {
-                let units = part.units.saturating_sub(self.def.floor);
+                let units = part.units.saturating_sub(self.definition.floor);
                 (
                     number,
                     Part {
--- a/crates/proxy/src/fleet/frames.rs
+++ b/crates/proxy/src/fleet/frames.rs
@@ -1,4 +1,5 @@
-//! Frames between members: a length, a checksum, a value. The first on each link says who speaks.
+//! Frames between members: a length, a checksum and a value. The first frame on each link is a handshake that names the
+//! sender.
 
 use bytes::{Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
@@ -6,40 +7,45 @@
 use violetwind_consensus::NodeId;
 use violetwind_fleet::{Name, PeerMessage};
 
-/// Before the first value, so that another version can be told from anything else.
-/// The first bytes of a link.
+/// Precedes the handshake on a link, so that a member of another version is distinguished from any other sender.
 pub const MAGIC: &[u8] = b"violetwind fleet";
+/// The version of the frames.
 pub const VERSION: u8 = 2;
 
+/// The handshake of a member: its fleet, its name, and the expected name of the peer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     pub fleet: Name,
     pub from: Name,
     pub to: Name,
-    /// The sender's directory, where it has one.
+    /// The id of the sender's directory, if it has one.
     pub node_id: Option<NodeId>,
 }
 
+/// The first frame of each side of a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Handshake {
     Hello(Hello),
+    /// The link is refused, with the reason.
     Refused(String),
 }
 
+/// The codec that splits a stream into frames of at most `frame_bytes` bytes.
 pub fn frame_codec(frame_bytes: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
         .max_frame_length(frame_bytes)
         .new_codec()
 }
 
-/// A frame with its checksum behind it.
+/// Fills in the checksum of a frame: the first four bytes receive the CRC-32 of the rest.
 pub fn with_checksum(mut bytes: Vec<u8>) -> Bytes {
     let crc = crc32fast::hash(&bytes[4..]);
     bytes[..4].copy_from_slice(&crc.to_le_bytes());
     bytes.into()
 }
 
-fn checked(frame: &BytesMut) -> Result<&[u8], String> {
+/// Returns the content of a frame after its checksum.
+fn verify_checksum(frame: &BytesMut) -> Result<&[u8], String> {
     let (crc, rest) = frame
         .split_first_chunk::<4>()
         .ok_or("a frame without a checksum")?;
@@ -49,17 +55,20 @@
     }
 }
 
-pub fn encode_handshake(first: &Handshake) -> Bytes {
+/// Encodes a handshake frame.
+pub fn encode_handshake(handshake: &Handshake) -> Bytes {
     let mut bytes = vec![0; 4];
     bytes.extend_from_slice(MAGIC);
     bytes.push(VERSION);
-    with_checksum(postcard::to_extend(first, bytes).expect("plain data can be written"))
+    with_checksum(postcard::to_extend(handshake, bytes).expect("plain data can be serialized"))
 }
 
+/// Decodes a handshake frame.
+///
 /// # Errors
-/// No member of any fleet, or one of another version.
+/// If the sender is no fleet member or has another version; the text is sent to the peer.
 pub fn decode_handshake(frame: &BytesMut) -> Result<Handshake, String> {
-    let rest = checked(frame)?
+    let rest = verify_checksum(frame)?
         .strip_prefix(MAGIC)
         .ok_or("no member of a fleet speaks here")?;
     match rest.split_first() {
@@ -71,24 +80,25 @@
     }
 }
 
-/// Nothing to say.
+/// Encodes a ping: an empty frame that keeps a link alive.
 pub fn encode_ping() -> Bytes {
     with_checksum(vec![0; 4])
 }
 
+/// Encodes a message to a peer.
 pub fn encode_peer(peer: &PeerMessage) -> Bytes {
-    with_checksum(postcard::to_extend(peer, vec![0; 4]).expect("plain data can be written"))
+    with_checksum(postcard::to_extend(peer, vec![0; 4]).expect("plain data can be serialized"))
 }
 
-/// None for a ping.
+/// Decodes a frame after the handshake; `None` for a ping.
 ///
 /// # Errors
-/// Altered, or nothing that this version knows.
+/// If the checksum differs or the message is unknown to this version.
 pub fn decode_peer(frame: &BytesMut) -> Result<Option<PeerMessage>, String> {
-    match checked(frame)? {
+    match verify_checksum(frame)? {
         [] => Ok(None),
         rest => postcard::from_bytes(rest)
             .map(Some)
-            .map_err(|error| format!("a frame: {error}")),
+            .map_err(|error| format!("decoding a frame: {error}")),
     }
 }
--- a/crates/proxy/src/fleet/links.rs
+++ b/crates/proxy/src/fleet/links.rs
@@ -1,6 +1,6 @@
-//! Sockets to peers. A member dials every voter of the file and takes links from whoever says the fleet's name.
-//! Frames that a peer does not take in time are dropped and counted; a peer that says nothing, takes nothing or
-//! says what no member says loses its link. Nothing here waits for a peer but its own two tasks.
+//! Connections to peers, called links. A member dials every configured voter, and accepts links from senders that name
+//! its fleet. Frames that do not fit into a peer's send queue are dropped and counted. A link is closed when the peer
+//! is silent, accepts no data or sends invalid frames. Only the read and write futures of a link wait for its peer.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,29 +29,33 @@
 type Reader = FramedRead<SharedTcpStream, LengthDelimitedCodec>;
 type Writer = FramedWrite<SharedTcpStream, LengthDelimitedCodec>;
 
-/// The way to one member.
-struct Way {
+/// An established link to one member.
+struct Link {
     number: u64,
-    frames: mpsc::Sender<Bytes>,
-    bytes: Rc<Cell<usize>>,
+    frame_sender: mpsc::Sender<Bytes>,
+    /// Bytes in the send queue.
+    queued_bytes: Rc<Cell<usize>>,
 }
 
-/// What all links of a member share.
+/// The links of a member, and their common state.
 pub struct PeerLinks {
     fleet: Name,
     node: Name,
-    id: Option<NodeId>,
+    node_id: Option<NodeId>,
     limits: Limits,
-    /// The newest link of a name is spoken to.
-    ways: RefCell<BTreeMap<Name, Vec<Way>>>,
-    next: Cell<u64>,
-    accepted: Cell<usize>,
+    /// The links to each peer, the newest last; frames are sent on the newest.
+    links: RefCell<BTreeMap<Name, Vec<Link>>>,
+    next_link_number: Cell<u64>,
+    accepted_count: Cell<usize>,
+    /// Frames dropped because of a full send queue.
     pub dropped_frames: Cell<u64>,
+    /// Inputs for this member.
     inbox: mpsc::Sender<Input>,
-    repeats: LogThrottle,
+    log_throttle: LogThrottle,
 }
 
 impl PeerLinks {
+    /// Creates the state without any link.
     pub fn new(
         settings: &FleetSettings,
         node: &str,
@@ -61,63 +65,63 @@
         Rc::new(Self {
             fleet: settings.name.clone(),
             node: node.to_string(),
-            id,
+            node_id: id,
             limits: settings.link_limits.clone(),
-            ways: RefCell::default(),
-            next: Cell::default(),
-            accepted: Cell::default(),
+            links: RefCell::default(),
+            next_link_number: Cell::default(),
+            accepted_count: Cell::default(),
             dropped_frames: Cell::default(),
             inbox,
-            repeats: LogThrottle::new(10, Duration::from_secs(1)),
+            log_throttle: LogThrottle::new(10, Duration::from_secs(1)),
         })
     }
 
-    /// Sends a frame if there is a link and room in it.
-    pub fn send(&self, to: &str, peer: &PeerMessage) {
-        let ways = self.ways.borrow();
-        let Some(way) = ways.get(to).and_then(|ways| ways.last()) else {
+    /// Queues a message to a peer. It is dropped if there is no link, or if the send queue is full.
+    pub fn send(&self, to: &str, message: &PeerMessage) {
+        let links = self.links.borrow();
+        let Some(link) = links.get(to).and_then(|peer_links| peer_links.last()) else {
             return;
         };
-        let frame = frames::encode_peer(peer);
-        let full = way.bytes.get() + frame.len() > self.limits.max_send_queue_bytes;
+        let frame = frames::encode_peer(message);
+        let is_full = link.queued_bytes.get() + frame.len() > self.limits.max_send_queue_bytes;
         let length = frame.len();
-        if full || way.frames.try_send(frame).is_err() {
+        if is_full || link.frame_sender.try_send(frame).is_err() {
             self.dropped_frames.set(self.dropped_frames.get() + 1);
-            if let Some(left_out) = self.repeats.try_acquire() {
+            if let Some(left_out) = self.log_throttle.try_acquire() {
                 let dropped = self.dropped_frames.get();
                 info!(
                     peer = to,
-                    dropped, left_out, "a peer does not take its frames: dropped"
+                    dropped, left_out, "frame dropped: the send queue of a peer is full"
                 );
             }
             return;
         }
-        way.bytes.set(way.bytes.get() + length);
+        link.queued_bytes.set(link.queued_bytes.get() + length);
     }
 
-    fn log(&self, peer: &str, why: &dyn std::fmt::Display) {
-        if let Some(left_out) = self.repeats.try_acquire() {
-            info!(peer, %why, left_out, "a link to a peer ends");
+    fn log_link_end(&self, peer: &str, why: &dyn std::fmt::Display) {
+        if let Some(left_out) = self.log_throttle.try_acquire() {
+            info!(peer, %why, left_out, "link to a peer closed");
         }
     }
 
-    /// Dials one voter for good.
+    /// Connects to one voter, and reconnects with backoff whenever the link ends. Does not return.
     pub async fn dial_with_backoff(self: Rc<Self>, peer: PeerConfig) {
-        let mut again = self.limits.initial_backoff;
+        let mut backoff = self.limits.initial_backoff;
         loop {
-            match timeout(self.limits.connect_timeout, self.greet(&peer)).await {
+            match timeout(self.limits.connect_timeout, self.connect_to_peer(&peer)).await {
                 Ok(Ok((hello, reader, writer))) => {
-                    again = self.limits.initial_backoff;
-                    let why = self.clone().serve(hello, reader, writer).await;
-                    self.log(&peer.node, &why);
+                    backoff = self.limits.initial_backoff;
+                    let why = self.clone().run_link(hello, reader, writer).await;
+                    self.log_link_end(&peer.node, &why);
                 }
-                Ok(Err(why)) => debug!(peer = peer.node, why, "not linked"),
-                Err(_) => debug!(peer = peer.node, "no link in time"),
+                Ok(Err(why)) => debug!(peer = peer.node, why, "connecting to a peer failed"),
+                Err(_) => debug!(peer = peer.node, "connecting to a peer timed out"),
             }
-            // Those that lost the same peer do not come back in one moment.
-            let part = rand::rng().random_range(0.5..1.5);
-            sleep(again.mul_f64(part)).await;
-            again = (2 * again).min(self.limits.max_backoff);
+            // Jitter: members that lost the same peer do not reconnect all at once.
+            let jitter = rand::rng().random_range(0.5..1.5);
+            sleep(backoff.mul_f64(jitter)).await;
+            backoff = (2 * backoff).min(self.limits.max_backoff);
         }
     }
 
@@ -126,11 +130,11 @@
             fleet: self.fleet.clone(),
             from: self.node.clone(),
             to: to.to_string(),
-            node_id: self.id,
+            node_id: self.node_id,
         }
     }
 
-    fn frame(&self, stream: TcpStream) -> (Reader, Writer) {
+    fn frame_stream(&self, stream: TcpStream) -> (Reader, Writer) {
         let _ = stream.set_nodelay(true);
         let stream = SharedTcpStream::new(stream);
         let codec = || frames::frame_codec(self.limits.max_frame_bytes);
@@ -140,58 +144,66 @@
         )
     }
 
-    async fn greet(&self, peer: &PeerConfig) -> Result<(Hello, Reader, Writer), String> {
+    /// Connects to a peer and exchanges handshakes.
+    async fn connect_to_peer(&self, peer: &PeerConfig) -> Result<(Hello, Reader, Writer), String> {
         let stream = connect(peer.address)
             .await
             .map_err(|error| error.into_inner().to_string())?;
-        let (mut reader, mut writer) = self.frame(stream);
+        let (mut reader, mut writer) = self.frame_stream(stream);
         let hello = frames::encode_handshake(&Handshake::Hello(self.hello(&peer.node)));
         writer
             .send(hello)
             .await
             .map_err(|error| error.to_string())?;
-        match first(&mut reader).await? {
+        match read_handshake(&mut reader).await? {
             Handshake::Hello(hello) if hello.from == peer.node => Ok((hello, reader, writer)),
-            Handshake::Hello(hello) => Err(format!("\"{}\" answers at its address", hello.from)),
+            Handshake::Hello(hello) => Err(format!(
+                "member \"{}\" answered at the peer's address",
+                hello.from
+            )),
             Handshake::Refused(why) => {
-                if let Some(left_out) = self.repeats.try_acquire() {
-                    info!(peer = peer.node, why, left_out, "refused by a peer");
+                if let Some(left_out) = self.log_throttle.try_acquire() {
+                    info!(peer = peer.node, why, left_out, "a peer refused the link");
                 }
                 Err(why)
             }
         }
     }
 
-    /// Takes links for good.
+    /// Accepts links. Does not return.
     pub async fn accept_links(self: Rc<Self>, listener: TcpListener) {
         let mut tasks = JoinSet::new();
         loop {
             while tasks.try_join_next().is_some() {}
             match listener.accept().await {
-                Ok((stream, _)) if self.accepted.get() >= self.limits.max_accepted_links => {
+                Ok((stream, _)) if self.accepted_count.get() >= self.limits.max_accepted_links => {
                     drop(stream);
-                    self.log("?", &"as many as there may be: a new one is turned away");
+                    self.log_link_end(
+                        "?",
+                        &"the limit of accepted links is reached: a new link is rejected",
+                    );
                 }
                 Ok((stream, from)) => {
-                    self.accepted.set(self.accepted.get() + 1);
+                    self.accepted_count.set(self.accepted_count.get() + 1);
                     let links = self.clone();
                     tasks.spawn_local(async move {
-                        let why = links.clone().taken(stream).await;
-                        links.accepted.set(links.accepted.get() - 1);
-                        links.log(&from.to_string(), &why);
+                        let why = links.clone().handle_accepted(stream).await;
+                        links.accepted_count.set(links.accepted_count.get() - 1);
+                        links.log_link_end(&from.to_string(), &why);
                     });
                 }
                 Err(error) => {
-                    self.log("?", &error);
+                    self.log_link_end("?", &error);
                     sleep(self.limits.initial_backoff).await;
                 }
             }
         }
     }
 
-    async fn taken(self: Rc<Self>, stream: TcpStream) -> String {
-        let (mut reader, mut writer) = self.frame(stream);
-        let hello = match timeout(self.limits.connect_timeout, first(&mut reader)).await {
+    /// Runs an accepted link to its end, and returns the reason of the end.
+    async fn handle_accepted(self: Rc<Self>, stream: TcpStream) -> String {
+        let (mut reader, mut writer) = self.frame_stream(stream);
+        let hello = match timeout(self.limits.connect_timeout, read_handshake(&mut reader)).await {
             Ok(Ok(Handshake::Hello(hello))) => hello,
             Ok(Ok(Handshake::Refused(why))) => return why,
             Ok(Err(why)) => {
@@ -199,7 +211,7 @@
                 let _ = timeout(self.limits.connect_timeout, writer.send(refused)).await;
                 return why;
             }
-            Err(_) => return "it does not say who it is".into(),
+            Err(_) => return "no handshake within the connect timeout".into(),
         };
         let why = if hello.fleet != self.fleet {
             Some(format!(
@@ -226,62 +238,65 @@
         .await
         {
             Ok(Ok(())) => {}
-            _ => return "it does not take an answer".into(),
+            _ => return "the handshake answer could not be sent".into(),
         }
         match why {
-            None => self.serve(hello, reader, writer).await,
-            Some(why) => format!("\"{}\" was refused: {why}", hello.from),
+            None => self.run_link(hello, reader, writer).await,
+            Some(why) => format!("the link of \"{}\" was refused: {why}", hello.from),
         }
     }
 
-    /// A link that is up, until it ends; why it did.
-    async fn serve(self: Rc<Self>, hello: Hello, reader: Reader, writer: Writer) -> String {
-        let (frames, queue) = mpsc::channel(self.limits.send_queue_capacity);
-        let bytes = Rc::new(Cell::new(0));
-        let number = self.next.replace(self.next.get() + 1);
-        let way = Way {
+    /// Runs an established link until it ends, and returns the reason of the end.
+    async fn run_link(self: Rc<Self>, hello: Hello, reader: Reader, writer: Writer) -> String {
+        let (frame_sender, queue) = mpsc::channel(self.limits.send_queue_capacity);
+        let queued_bytes = Rc::new(Cell::new(0));
+        let number = self
+            .next_link_number
+            .replace(self.next_link_number.get() + 1);
+        let link = Link {
             number,
-            frames,
-            bytes: bytes.clone(),
+            frame_sender,
+            queued_bytes: queued_bytes.clone(),
         };
-        self.ways
+        self.links
             .borrow_mut()
             .entry(hello.from.clone())
             .or_default()
-            .push(way);
-        info!(peer = hello.from, "linked");
-        let met = Input::PeerConnected(hello.from.clone(), hello.node_id);
-        let why = match self.inbox.send(met).await {
+            .push(link);
+        info!(peer = hello.from, "link to a peer established");
+        let connected = Input::PeerConnected(hello.from.clone(), hello.node_id);
+        let why = match self.inbox.send(connected).await {
             Ok(()) => {
                 tokio::select! {
-                    why = self.read(&hello.from, reader) => why,
-                    why = self.write(queue, writer, bytes) => why,
+                    why = self.read_frames(&hello.from, reader) => why,
+                    why = self.write_frames(queue, writer, queued_bytes) => why,
                 }
             }
             Err(_) => "this member has ended".into(),
         };
-        let mut ways = self.ways.borrow_mut();
-        if let Some(of) = ways.get_mut(&hello.from) {
-            of.retain(|way| way.number != number);
-            if of.is_empty() {
-                ways.remove(&hello.from);
+        let mut links = self.links.borrow_mut();
+        if let Some(peer_links) = links.get_mut(&hello.from) {
+            peer_links.retain(|link| link.number != number);
+            if peer_links.is_empty() {
+                links.remove(&hello.from);
             }
         }
         why
     }
 
-    async fn read(&self, from: &str, mut reader: Reader) -> String {
+    /// Passes received messages to the member until the link ends, and returns the reason of the end.
+    async fn read_frames(&self, from: &str, mut reader: Reader) -> String {
         loop {
             let frame = match timeout(self.limits.silence_timeout, reader.next()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(error))) => return error.to_string(),
-                Ok(None) => return "the peer has closed it".into(),
-                Err(_) => return "no whole frame in time".into(),
+                Ok(None) => return "the peer closed the connection".into(),
+                Err(_) => return "no complete frame within the silence timeout".into(),
             };
             match frames::decode_peer(&frame) {
                 Ok(None) => {}
                 Ok(Some(peer)) => {
-                    // The member is quick; while it is not, the peer waits in its own socket.
+                    // Backpressure: while the inbox is full, the peer's data waits in the socket.
                     if self
                         .inbox
                         .send(Input::PeerMessage(from.to_string(), peer))
@@ -296,26 +311,27 @@
         }
     }
 
-    async fn write(
+    /// Writes queued frames, and pings while there are none, until the link ends. Returns the reason of the end.
+    async fn write_frames(
         &self,
         mut queue: mpsc::Receiver<Bytes>,
         mut writer: Writer,
-        bytes: Rc<Cell<usize>>,
+        queued_bytes: Rc<Cell<usize>>,
     ) -> String {
         loop {
             let frame = match timeout(self.limits.ping_interval, queue.recv()).await {
                 Ok(Some(frame)) => {
-                    bytes.set(bytes.get() - frame.len());
+                    queued_bytes.set(queued_bytes.get() - frame.len());
                     frame
                 }
-                Ok(None) => return "another link has taken its place".into(),
+                Ok(None) => return "another link has replaced this one".into(),
                 Err(_) => frames::encode_ping(),
             };
             let send = async {
                 writer.feed(frame).await?;
-                // What waits goes in one write.
+                // All queued frames are written with one flush.
                 while let Ok(frame) = queue.try_recv() {
-                    bytes.set(bytes.get() - frame.len());
+                    queued_bytes.set(queued_bytes.get() - frame.len());
                     writer.feed(frame).await?;
                 }
                 SinkExt::<Bytes>::flush(&mut writer).await
@@ -323,13 +339,14 @@
             match timeout(self.limits.silence_timeout, send).await {
                 Ok(Ok(())) => {}
                 Ok(Err(error)) => return error.to_string(),
-                Err(_) => return "it takes nothing".into(),
+                Err(_) => return "the peer accepted no data within the silence timeout".into(),
             }
         }
     }
 }
 
-async fn first(reader: &mut Reader) -> Result<Handshake, String> {
+/// Reads the first frame of a link; an error text may be sent to the peer.
+async fn read_handshake(reader: &mut Reader) -> Result<Handshake, String> {
     match reader.next().await {
         Some(Ok(frame)) => frames::decode_handshake(&frame),
         Some(Err(error)) => Err(error.to_string()),
@@ -337,13 +354,17 @@
     }
 }
 
-pub fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() {
+/// Opens the listener for links.
+///
+/// # Errors
+/// If a socket call fails.
+pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
     } else {
         TcpSocket::new_v6()?
     };
     socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(128)
 }
--- a/crates/proxy/src/fleet/maintenance.rs
+++ b/crates/proxy/src/fleet/maintenance.rs
@@ -1,5 +1,6 @@
-//! Work on machines at this proxy, on the engine's thread: what is out is written down, then in force in the engine, then
-//! confirmed. Without `[fleet.work]` there is nothing of it.
+//! Work on machines at this proxy, on the engine's thread. A list of machines that are out, that is, out of service for
+//! work on them, is written to disk, then put in force in the engine, then confirmed to the fleet. Runs only with the
+//! section `[fleet.work]`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File};
@@ -21,36 +22,44 @@
 use super::{FleetHandle, boottime_ms};
 use crate::operator_service::OperatorService;
 
-/// The first words of the file, with a checksum of the rest behind them.
+/// The start of the state file; the checksum of the remaining lines follows it.
 const MAGIC: &str = "violetwind out 1 ";
 
-/// What staff may read of a machine that is out, and what a new process goes by.
-pub fn read_state_file(path: &Path, longest: u64) -> Result<Option<MachineAvailability>, String> {
-    let place = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
+/// Reads the state file: for operators, and for the start of a process. Returns `None` if there is none.
+///
+/// # Errors
+/// If the file can't be read, is too large or is damaged.
+pub fn read_state_file(path: &Path, max_bytes: u64) -> Result<Option<MachineAvailability>, String> {
+    let with_path = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
     let text = match fs::metadata(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Ok(file) if file.len() > longest => return Err(place(&"longer than any list")),
-        Ok(_) => fs::read_to_string(path).map_err(|error| place(&error))?,
-        Err(error) => return Err(place(&error)),
+        Ok(file) if file.len() > max_bytes => {
+            return Err(with_path(&"the file exceeds the size limit"));
+        }
+        Ok(_) => fs::read_to_string(path).map_err(|error| with_path(&error))?,
+        Err(error) => return Err(with_path(&error)),
     };
     let body = text
         .strip_prefix(MAGIC)
         .and_then(|rest| rest.split_once('\n'));
-    let (sum, body) = body.ok_or_else(|| place(&"line 1: no list of what is out"))?;
-    let known = u32::from_str_radix(sum, 16).ok();
-    if known != Some(crc32fast::hash(body.as_bytes())) {
-        return Err(place(&"line 1: the checksum differs; nothing is guessed"));
+    let (checksum, body) =
+        body.ok_or_else(|| with_path(&"line 1: this is no machine list file"))?;
+    let expected_checksum = u32::from_str_radix(checksum, 16).ok();
+    if expected_checksum != Some(crc32fast::hash(body.as_bytes())) {
+        return Err(with_path(
+            &"line 1: the checksum differs; nothing is guessed",
+        ));
     }
     serde_json::from_str(body)
         .map(Some)
-        .map_err(|error| place(&error))
+        .map_err(|error| with_path(&error))
 }
 
-/// The same of a process that begins, told in the log.
-pub fn load_state(path: &Path, longest: u64) -> Option<MachineAvailability> {
-    match read_state_file(path, longest) {
-        Ok(belief) => {
-            let out = belief
+/// Reads the state file at the start of a process, and logs the machines that are out, or an error.
+pub fn load_state(path: &Path, max_bytes: u64) -> Option<MachineAvailability> {
+    match read_state_file(path, max_bytes) {
+        Ok(availability) => {
+            let out = availability
                 .iter()
                 .flat_map(MachineAvailability::closed_by_orders);
             let out: Vec<&Name> = out.map(|(name, _)| name).collect();
@@ -61,222 +70,239 @@
                     mono_ms, "machines are out, by the file of the last process"
                 );
             }
-            belief
+            availability
         }
         Err(why) => {
-            error!(why, "what is out can't be read");
+            error!(why, "the machine list file can't be read");
             None
         }
     }
 }
 
-/// Whether the machine that a proxy runs on is out.
-pub fn is_proxy_machine_out(belief: &MachineAvailability, proxy: &str) -> bool {
-    let own = belief.machine_of(proxy);
-    own.is_some_and(|(_, own)| own.closed)
+/// Whether the machine on which a proxy runs is out.
+pub fn is_proxy_machine_out(availability: &MachineAvailability, proxy: &str) -> bool {
+    let proxy_machine = availability.machine_of(proxy);
+    proxy_machine.is_some_and(|(_, machine)| machine.closed)
 }
 
-/// Writes it down in one step; it is on disk when this returns.
-fn write(path: &Path, belief: &MachineAvailability) -> io::Result<()> {
-    let body = serde_json::to_string_pretty(belief).map_err(io::Error::other)? + "\n";
-    let new = path.with_extension("out.new");
-    let mut file = File::create(&new)?;
-    let sum = crc32fast::hash(body.as_bytes());
-    file.write_all(format!("{MAGIC}{sum:08x}\n{body}").as_bytes())?;
+/// Replaces the state file atomically and durably.
+fn write_state_file(path: &Path, availability: &MachineAvailability) -> io::Result<()> {
+    let body = serde_json::to_string_pretty(availability).map_err(io::Error::other)? + "\n";
+    let temp_path = path.with_extension("out.new");
+    let mut file = File::create(&temp_path)?;
+    let checksum = crc32fast::hash(body.as_bytes());
+    file.write_all(format!("{MAGIC}{checksum:08x}\n{body}").as_bytes())?;
     file.sync_all()?;
-    fs::rename(&new, path)?;
+    fs::rename(&temp_path, path)?;
     let dir = path.parent().filter(|dir| !dir.as_os_str().is_empty());
     File::open(dir.unwrap_or(Path::new(".")))?.sync_all()
 }
 
+/// Applies the fleet's machine lists at this proxy, and reports the state of the machines to the fleet.
 pub struct MaintenanceAgent {
-    work: MaintenanceSettings,
+    settings: MaintenanceSettings,
     node: Name,
-    votes: BTreeSet<Name>,
+    voters: BTreeSet<Name>,
     fleet: FleetHandle,
-    lists: mpsc::Receiver<(Number, MachineList)>,
+    machine_lists: mpsc::Receiver<(Number, MachineList)>,
     engine: mpsc::Sender<EngineEvent>,
     service: Rc<OperatorService>,
-    /// What is in force, and on disk.
-    belief: MachineAvailability,
-    /// This proxy was left as its machine is out.
-    left: bool,
-    /// The disk did not take the last list; told once.
-    stuck: bool,
-    removed: bool,
-    wall: WallClock,
+    /// The availability of machines that is in force and on disk.
+    availability: MachineAvailability,
+    /// Whether this proxy has left service because its own machine is out.
+    has_left: bool,
+    /// Whether the last list could not be written; logged once.
+    is_write_failing: bool,
+    /// Whether the state file was removed because this proxy has stopped serving.
+    is_state_file_removed: bool,
+    wall_clock: WallClock,
 }
 
-/// The time of day, which may be stepped at any time.
+/// The system clock, which may be stepped at any time.
 struct WallClock {
-    /// What it showed at the start, and the monotonic clock with it.
-    start_ms: u64,
+    /// The system time at the start, and the monotonic time at the same moment.
+    start_wall_ms: u64,
     start_mono_ms: u64,
 }
 
 impl WallClock {
     fn new() -> Self {
         Self {
-            start_ms: wall_ms(),
+            start_wall_ms: wall_ms(),
             start_mono_ms: boottime_ms(),
         }
     }
 
-    /// The earlier of what it shows now and of what it would show had it not been stepped since the start: an order that
-    /// is not to begin before a time begins no sooner, whichever way it is stepped.
+    /// Returns the earlier of the current system time and the time it would be without clock steps since the start.
+    /// Thus a clock step in either direction never starts an order before its earliest start time.
     fn earliest_ms(&self) -> u64 {
-        let unstepped = self.start_ms + (boottime_ms() - self.start_mono_ms);
+        let unstepped = self.start_wall_ms + (boottime_ms() - self.start_mono_ms);
         unstepped.min(wall_ms())
     }
 }
 
+/// The system time in milliseconds since the Unix epoch.
 fn wall_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
 
 impl MaintenanceAgent {
-    /// None without the section.
+    /// Returns `None` without the section `[fleet.work]`.
     pub fn new(
         settings: &FleetSettings,
         node: &str,
-        (fleet, lists): (FleetHandle, mpsc::Receiver<(Number, MachineList)>),
+        (fleet, machine_lists): (FleetHandle, mpsc::Receiver<(Number, MachineList)>),
         engine: mpsc::Sender<EngineEvent>,
         service: Rc<OperatorService>,
     ) -> Option<Self> {
-        let votes = settings.voters().map(|peer| peer.node.clone());
+        let voters = settings.voters().map(|peer| peer.node.clone());
         Some(Self {
-            work: settings.maintenance.clone()?,
+            settings: settings.maintenance.clone()?,
             node: node.to_string(),
-            votes: votes.collect(),
+            voters: voters.collect(),
             fleet,
-            lists,
+            machine_lists,
             engine,
             service,
-            belief: MachineAvailability::default(),
-            left: false,
-            stuck: false,
-            removed: false,
-            wall: WallClock::new(),
+            availability: MachineAvailability::default(),
+            has_left: false,
+            is_write_failing: false,
+            is_state_file_removed: false,
+            wall_clock: WallClock::new(),
         })
     }
 
-    /// Goes by what was on disk, before the first client; where nothing is, by the first word of the fleet, which is
-    /// waited for no longer than is set. An upgrade's successor does not wait: the process before it has kept the file.
-    pub async fn start(&mut self, kept: Option<MachineAvailability>, succeeds: bool) {
-        if let Some(belief) = kept {
-            self.left = is_proxy_machine_out(&belief, &self.node);
-            return self.go_by(belief).await;
+    /// Puts the state from disk in force before the first client is admitted. Without such a state it waits, up to the
+    /// configured timeout, for the first list from the fleet. The successor in an upgrade does not wait: its
+    /// predecessor maintains the file.
+    pub async fn start(&mut self, saved: Option<MachineAvailability>, is_successor: bool) {
+        if let Some(availability) = saved {
+            self.has_left = is_proxy_machine_out(&availability, &self.node);
+            return self.apply_availability(availability).await;
         }
-        if succeeds {
+        if is_successor {
             return;
         }
         self.fleet.activate();
-        let first = Instant::now();
-        let heard = timeout(self.work.machine_list_timeout, self.first_list())
-            .await
-            .is_ok();
-        if !heard {
+        let started = Instant::now();
+        let is_received = timeout(
+            self.settings.machine_list_timeout,
+            self.receive_first_list(),
+        )
+        .await
+        .is_ok();
+        if !is_received {
             warn!(
-                waited_ms = first.elapsed().as_millis() as u64,
+                waited_ms = started.elapsed().as_millis() as u64,
                 mono_ms = boottime_ms(),
-                "no list of what is out, on disk or from the fleet: all machines are used until there is one"
+                "no machine list on disk or from the fleet: all machines are in use until a list arrives"
             );
         }
     }
 
-    async fn first_list(&mut self) {
+    /// Waits for the first list that is applied. Does not return if the fleet's thread has ended.
+    async fn receive_first_list(&mut self) {
         loop {
             self.fleet.report_maintenance(LocalWorkStatus::default());
             tokio::select! {
-                list = self.lists.recv() => match list {
+                list = self.machine_lists.recv() => match list {
                     Some((version, list)) => {
-                        if self.take(version, list).await {
+                        if self.apply_list(version, list).await {
                             return;
                         }
                     }
                     None => return std::future::pending().await,
                 },
-                () = sleep(self.work.report_interval) => {}
+                () = sleep(self.settings.report_interval) => {}
             }
         }
     }
 
-    /// A successor goes by what its elder wrote last.
+    /// Puts the state in force that the predecessor process wrote last.
     pub async fn reload_state(&mut self) {
-        if let Ok(Some(belief)) =
-            read_state_file(&self.work.state_file, self.work.max_state_file_bytes)
-            && belief.list_version() > self.belief.list_version()
+        if let Ok(Some(availability)) = read_state_file(
+            &self.settings.state_file,
+            self.settings.max_state_file_bytes,
+        ) && availability.list_version() > self.availability.list_version()
         {
-            self.go_by(belief).await;
+            self.apply_availability(availability).await;
         }
     }
 
-    /// Goes on for as long as the engine does.
+    /// Runs until the engine ends.
     pub async fn run(mut self) {
-        let mut listens = true;
+        let mut is_list_channel_open = true;
         loop {
-            let busy = self.belief.machines().next().is_some();
-            let busy = busy || self.service.is_admission_closed();
-            let rest = if busy {
-                self.work.report_interval
+            let is_reporting_frequently = self.availability.machines().next().is_some();
+            let is_reporting_frequently =
+                is_reporting_frequently || self.service.is_admission_closed();
+            let delay = if is_reporting_frequently {
+                self.settings.report_interval
             } else {
-                self.work.idle_report_interval
+                self.settings.idle_report_interval
             };
             tokio::select! {
-                list = self.lists.recv(), if listens => match list {
+                list = self.machine_lists.recv(), if is_list_channel_open => match list {
                     Some((mut version, mut list)) => {
-                        while let Ok(newer) = self.lists.try_recv() {
+                        while let Ok(newer) = self.machine_lists.try_recv() {
                             (version, list) = newer;
                         }
-                        self.take(version, list).await;
+                        self.apply_list(version, list).await;
                     }
-                    // The fleet's thread has ended: what is out stays out.
-                    None => listens = false,
+                    // The fleet's thread has ended: machines that are out stay out.
+                    None => is_list_channel_open = false,
                 },
-                () = sleep(rest) => {}
+                () = sleep(delay) => {}
             }
-            let Some(looked) = self.look().await else {
+            let Some(snapshot) = self.query_machines().await else {
                 return;
             };
-            let local = self.local(&looked);
-            if local.has_stopped_serving && !std::mem::replace(&mut self.removed, true) {
-                // Who starts anew asks what is out: nobody waits for its word until then.
-                if let Err(error) = fs::remove_file(&self.work.state_file) {
-                    warn!(%error, "the list of what is out stays");
+            let local = self.local_status(&snapshot);
+            if local.has_stopped_serving
+                && !std::mem::replace(&mut self.is_state_file_removed, true)
+            {
+                // A process that starts later requests the list from the fleet, which does not wait for its
+                // confirmations until then.
+                if let Err(error) = fs::remove_file(&self.settings.state_file) {
+                    warn!(%error, "the machine list file can't be removed");
                 }
             }
             self.fleet.report_maintenance(local);
         }
     }
 
-    /// A newer list: on disk, then in force. False if it can't be written: then it is not confirmed.
-    async fn take(&mut self, version: Number, list: MachineList) -> bool {
-        if version < self.belief.list_version() || self.removed {
+    /// Writes a newer list to disk, then puts it in force. Returns `false` if it can't be written; it is then not
+    /// confirmed.
+    async fn apply_list(&mut self, version: Number, list: MachineList) -> bool {
+        if version < self.availability.list_version() || self.is_state_file_removed {
             return true;
         }
-        let mut belief = self.belief.clone();
-        belief.apply_list(version, list);
-        let (path, kept) = (self.work.state_file.clone(), belief.clone());
-        let written = tokio::task::spawn_blocking(move || write(&path, &kept)).await;
-        match written {
-            Ok(Ok(())) => self.stuck = false,
+        let mut availability = self.availability.clone();
+        availability.apply_list(version, list);
+        let (path, written_availability) = (self.settings.state_file.clone(), availability.clone());
+        let result =
+            tokio::task::spawn_blocking(move || write_state_file(&path, &written_availability))
+                .await;
+        match result {
+            Ok(Ok(())) => self.is_write_failing = false,
             error => {
-                if !std::mem::replace(&mut self.stuck, true) {
-                    error!(?error, file = %self.work.state_file.display(), mono_ms = boottime_ms(),
-                        "what is out can't be written down: it is in force and not confirmed");
+                if !std::mem::replace(&mut self.is_write_failing, true) {
+                    error!(?error, file = %self.settings.state_file.display(), mono_ms = boottime_ms(),
+                        "the machine list file can't be written: the list is in force but not confirmed");
                 }
-                // Nothing new goes to what is to go out; it is only not said.
-                self.engine_goes_by(&belief).await;
+                // The machines of the list still get no new connections; only the confirmation is withheld.
+                self.send_closed_machines(&availability).await;
                 return false;
             }
         }
-        self.go_by(belief).await;
+        self.apply_availability(availability).await;
         true
     }
 
-    async fn engine_goes_by(&self, belief: &MachineAvailability) {
-        let closed = belief.closed_by_orders().map(|(name, listed)| {
+    /// Sends the machines that are closed by orders to the engine, and waits until it has applied them.
+    async fn send_closed_machines(&self, availability: &MachineAvailability) {
+        let closed = availability.closed_by_orders().map(|(name, listed)| {
             let servers = listed
                 .machine
                 .servers
@@ -285,26 +311,30 @@
             (name.clone(), servers.collect())
         });
         let (reply, done) = oneshot::channel();
-        let told = EngineEvent::MachinesOut(closed.collect(), reply);
-        if self.engine.send(told).await.is_ok() {
+        let event = EngineEvent::MachinesOut(closed.collect(), reply);
+        if self.engine.send(event).await.is_ok() {
             let _ = done.await;
         }
     }
 
-    async fn go_by(&mut self, belief: MachineAvailability) {
-        let names = |belief: &MachineAvailability| -> BTreeSet<Name> {
-            belief
+    /// Puts an availability in force, and lets this proxy leave or join when its own machine goes out or returns.
+    async fn apply_availability(&mut self, availability: MachineAvailability) {
+        let closed_names = |availability: &MachineAvailability| -> BTreeSet<Name> {
+            availability
                 .closed_by_orders()
                 .map(|(name, _)| name.clone())
                 .collect()
         };
-        let (before, after) = (names(&self.belief), names(&belief));
-        self.engine_goes_by(&belief).await;
+        let (before, after) = (
+            closed_names(&self.availability),
+            closed_names(&availability),
+        );
+        self.send_closed_machines(&availability).await;
         for (name, out) in before
             .symmetric_difference(&after)
             .map(|name| (name, after.contains(name)))
         {
-            let version = belief
+            let version = availability
                 .report(name, 0, false)
                 .map_or(0, |report| report.version);
             info!(
@@ -315,142 +345,158 @@
                 "a machine by the orders for work"
             );
         }
-        self.belief = belief;
-        let own = self
-            .belief
+        self.availability = availability;
+        let is_proxy_machine_closed = self
+            .availability
             .machine_of(&self.node)
-            .map(|(_, own)| own.closed);
-        match own.unwrap_or(false) {
-            true if !self.left => {
-                self.left = true;
-                self.say(OperatorChange::Leave).await;
+            .map(|(_, machine)| machine.closed);
+        match is_proxy_machine_closed.unwrap_or(false) {
+            true if !self.has_left => {
+                self.has_left = true;
+                self.apply_proxy_change(OperatorChange::Leave).await;
             }
-            false if self.left => {
-                self.left = false;
-                self.say(OperatorChange::Join).await;
+            false if self.has_left => {
+                self.has_left = false;
+                self.apply_proxy_change(OperatorChange::Join).await;
             }
             _ => {}
         }
     }
 
-    /// This proxy's machine goes out, or is back.
-    async fn say(&self, change: OperatorChange) {
-        let word = self.service.apply_external(u64::MAX, change).await;
-        if let Err(why) = word {
-            warn!(why, "this proxy's own machine");
+    /// Lets this proxy leave or join, because its own machine goes out or returns.
+    async fn apply_proxy_change(&self, change: OperatorChange) {
+        let result = self.service.apply_external(u64::MAX, change).await;
+        if let Err(why) = result {
+            warn!(why, "a change for this proxy's own machine failed");
         }
     }
 
-    async fn look(&self) -> Option<MachinesSnapshot> {
-        let (reply, looked) = oneshot::channel();
+    /// Returns the engine's view of the machines; `None` once the engine has ended.
+    async fn query_machines(&self) -> Option<MachinesSnapshot> {
+        let (reply, snapshot) = oneshot::channel();
         self.engine
             .send(EngineEvent::QueryMachines(reply))
             .await
             .ok()?;
-        looked.await.ok()
+        snapshot.await.ok()
     }
 
-    fn local(&mut self, looked: &MachinesSnapshot) -> LocalWorkStatus {
-        let elder = u64::from(self.service.has_predecessor());
-        let names: Vec<Name> = self.belief.machines().cloned().collect();
-        let none = ObservedMachine::default();
+    /// Builds the report for the fleet, and updates operators' overrides.
+    fn local_status(&mut self, snapshot: &MachinesSnapshot) -> LocalWorkStatus {
+        let predecessor_clients = u64::from(self.service.has_predecessor());
+        let names: Vec<Name> = self.availability.machines().cloned().collect();
+        let unobserved = ObservedMachine::default();
         let mut reports = BTreeMap::new();
         for name in names {
-            let seen = looked.machines.get(&name).unwrap_or(&none);
+            let observed = snapshot.machines.get(&name).unwrap_or(&unobserved);
             let listed = self
-                .belief
+                .availability
                 .listed_machine(&name)
                 .cloned()
                 .unwrap_or_default();
-            let own = matches!(&listed.machine.proxy, Some((proxy, _)) if *proxy == self.node);
-            // Operators' words at this proxy are stronger.
-            let opened = seen.servers.iter().any(|server| server.opened)
-                || (own && !self.service.has_left());
-            // One that the sources have leave is not waited for.
-            let stay = || seen.servers.iter().filter(|server| !server.draining);
-            let servers = stay().next().is_some();
-            let banned = servers && stay().all(|server| server.banned);
-            let word = match (opened && listed.closed, banned) {
+            let is_own_machine =
+                matches!(&listed.machine.proxy, Some((proxy, _)) if *proxy == self.node);
+            // Changes that operators make at this proxy take precedence over orders.
+            let is_opened = observed.servers.iter().any(|server| server.opened)
+                || (is_own_machine && !self.service.has_left());
+            // Servers that the sources report as draining are not waited for.
+            let remaining_servers = || observed.servers.iter().filter(|server| !server.draining);
+            let has_servers = remaining_servers().next().is_some();
+            let all_banned = has_servers && remaining_servers().all(|server| server.banned);
+            let operator_override = match (is_opened && listed.closed, all_banned) {
                 (true, _) => Some(true),
                 (false, true) => Some(false),
                 (false, false) => None,
             };
-            self.belief.set_override(&name, word);
-            let expected = !listed.machine.servers.is_empty();
-            let warm = (servers || !expected)
-                && stay().all(|server| server.warm)
-                && !(own && self.service.has_left());
-            let clients = seen.clients + elder + if own { looked.connections as u64 } else { 0 };
-            let report: Option<MachineReport> = self.belief.report(&name, clients, warm);
+            self.availability.set_override(&name, operator_override);
+            let expects_servers = !listed.machine.servers.is_empty();
+            let is_warm = (has_servers || !expects_servers)
+                && remaining_servers().all(|server| server.warm)
+                && !(is_own_machine && self.service.has_left());
+            let clients = observed.clients
+                + predecessor_clients
+                + if is_own_machine {
+                    snapshot.connections as u64
+                } else {
+                    0
+                };
+            let report: Option<MachineReport> = self.availability.report(&name, clients, is_warm);
             reports.extend(report.map(|report| (name, report)));
         }
-        let shut = looked.machines.iter().filter(|(_, seen)| {
-            let mut stay = seen
+        let closed_machines = snapshot.machines.iter().filter(|(_, observed)| {
+            let mut remaining_servers = observed
                 .servers
                 .iter()
                 .filter(|server| !server.draining)
                 .peekable();
-            stay.peek().is_some() && stay.all(|server| server.banned)
+            remaining_servers.peek().is_some() && remaining_servers.all(|server| server.banned)
         });
-        let shut = shut.map(|(name, _)| name.clone()).collect();
-        let machines = self.machines(looked);
-        let up = |name: &&Name| {
-            let seen = looked.machines.get(*name);
-            seen.is_none_or(|seen| {
-                seen.servers
+        let closed_machines = closed_machines.map(|(name, _)| name.clone()).collect();
+        let machines = self.known_machines(snapshot);
+        let is_up = |name: &&Name| {
+            let observed = snapshot.machines.get(*name);
+            observed.is_none_or(|observed| {
+                observed
+                    .servers
                     .iter()
                     .any(|server| server.up && !server.banned)
             })
         };
         LocalWorkStatus {
-            list_version: if self.stuck {
+            list_version: if self.is_write_failing {
                 0
             } else {
-                self.belief.list_version()
+                self.availability.list_version()
             },
-            reports: if self.stuck { BTreeMap::new() } else { reports },
-            up_machines: machines.keys().filter(up).cloned().collect(),
+            reports: if self.is_write_failing {
+                BTreeMap::new()
+            } else {
+                reports
+            },
+            up_machines: machines.keys().filter(is_up).cloned().collect(),
             machines,
-            closed_machines: shut,
+            closed_machines,
             has_stopped_serving: self.service.is_admission_closed()
-                && looked.connections == 0
-                && elder == 0,
-            unix_time_ms: self.wall.earliest_ms(),
+                && snapshot.connections == 0
+                && predecessor_clients == 0,
+            unix_time_ms: self.wall_clock.earliest_ms(),
         }
     }
 
-    /// All machines: those of the lists, and those that the file names.
-    fn machines(&self, looked: &MachinesSnapshot) -> BTreeMap<Name, Machine> {
-        let server = |seen: &violetwind_engine::ObservedServer| Server {
-            name: seen.uid.clone(),
-            kind: seen.kind.clone().unwrap_or_default(),
-            cell: seen.cell,
-            room: match seen.draining {
+    /// Returns all machines: those that the engine observes in the sources' lists, and those in the settings.
+    fn known_machines(&self, snapshot: &MachinesSnapshot) -> BTreeMap<Name, Machine> {
+        let server = |observed: &violetwind_engine::ObservedServer| Server {
+            name: observed.uid.clone(),
+            kind: observed.kind.clone().unwrap_or_default(),
+            cell: observed.cell,
+            room: match observed.draining {
                 true => 0,
-                false => (seen.rating.filter(|room| *room > 0.0).unwrap_or(1.0) * 1000.0) as u64,
+                false => {
+                    (observed.rating.filter(|room| *room > 0.0).unwrap_or(1.0) * 1000.0) as u64
+                }
             },
         };
         let mut machines: BTreeMap<Name, Machine> = BTreeMap::new();
-        for (name, seen) in looked
+        for (name, observed) in snapshot
             .machines
             .iter()
-            .filter(|(_, seen)| !seen.servers.is_empty())
+            .filter(|(_, observed)| !observed.servers.is_empty())
         {
             let machine = Machine {
-                zone: seen.zone.clone().unwrap_or_default(),
-                servers: seen.servers.iter().map(server).collect(),
+                zone: observed.zone.clone().unwrap_or_default(),
+                servers: observed.servers.iter().map(server).collect(),
                 proxy: None,
             };
             machines.insert(name.clone(), machine);
         }
-        for (name, (zone, proxy)) in &self.work.named_machines {
+        for (name, (zone, proxy)) in &self.settings.named_machines {
             let machine = machines.entry(name.clone()).or_default();
             if let Some(zone) = zone {
                 machine.zone.clone_from(zone);
             }
             machine.proxy = proxy
                 .clone()
-                .map(|proxy| (proxy.clone(), self.votes.contains(&proxy)));
+                .map(|proxy| (proxy.clone(), self.voters.contains(&proxy)));
         }
         machines
     }
--- a/crates/proxy/src/fleet/mod.rs
+++ b/crates/proxy/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! This proxy as a member of a fleet, on a thread of its own: sockets to peers (`links`), the directory
-//! (`violetwind_store`), timers, operators' calls. It decides nothing: `violetwind_fleet` does. Neither the disk nor a
-//! peer is ever waited for on the engine's thread, and without `[fleet]` there is no thread.
+//! Runs this proxy as a member of a fleet, on a thread of its own: connections to peers (`links`), the data directory
+//! (`violetwind_store`), timers and operators' calls. All decisions are made in `violetwind_fleet`. The engine's thread
+//! never waits for the disk or a peer. Without the section `[fleet]` the thread does not exist.
 
 pub mod allowances;
 pub mod frames;
@@ -31,83 +31,91 @@
 use self::links::PeerLinks;
 use self::settings::FleetSettings;
 
-/// Milliseconds of a clock that does not go back and that goes on while the machine sleeps: the same for all
-/// processes of a machine.
+/// Milliseconds of the boot-time clock, which is monotonic, continues during suspend, and is the same for all processes
+/// of a machine.
 pub fn boottime_ms() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as u64 * 1000 + now.tv_nsec as u64 / 1_000_000
 }
 
-enum Word {
+/// A command for the fleet's thread.
+enum Command {
+    /// An operator's call, and the channel for its answer.
     Call(OperatorCall, oneshot::Sender<OperatorAnswer>),
-    /// What the module uses of a budget that it counts: part in force, in use, how often too small.
-    Used(Name, Number, u64, u64),
-    /// What is so here of machines that are worked on.
-    Work(Box<LocalWorkStatus>),
+    /// The balancer's usage of a budget: its name, the number of the part in force, units in use, denied requests.
+    Usage(Name, Number, u64, u64),
+    /// The state of the machines under maintenance as seen by this proxy.
+    Maintenance(Box<LocalWorkStatus>),
 }
 
-/// Whether it is to take part.
+/// Whether this process is to run a fleet member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wanted {
-    No,
-    /// The process ends: a member that takes part in work says when it serves nobody.
-    Ending,
-    Yes,
+enum Participation {
+    Inactive,
+    /// The process is ending: a member that takes part in work on machines stays until the proxy has stopped serving,
+    /// if that is soon, so that it can report this.
+    Draining,
+    Active,
 }
 
-/// The way to the fleet's thread.
+/// A handle to the fleet's thread.
 #[derive(Clone)]
 pub struct FleetHandle {
-    words: mpsc::Sender<Word>,
-    /// Told to hand on, it hands on and stays away until it is wanted again.
-    wanted: watch::Sender<Wanted>,
-    /// Whether it takes part, or still hands on.
-    busy: watch::Receiver<bool>,
+    commands: mpsc::Sender<Command>,
+    /// The requested participation. A member that is to stop hands over its duties and stays away until it is activated
+    /// again.
+    participation: watch::Sender<Participation>,
+    /// Whether a member is running, including one that is still handing over.
+    is_active: watch::Receiver<bool>,
 }
 
-/// A part of a budget that the module counts, with its number.
+/// A budget that the balancer counts, the number of its new part, and the part.
 pub type BudgetUpdate = (Name, Number, Part);
 
-/// What the fleet's thread tells the engine's: parts of budgets, and what is out.
+/// Updates from the fleet's thread to the engine's thread: parts of budgets, and lists of machines that are out.
 pub struct FleetUpdates {
     pub budget_updates: mpsc::Receiver<BudgetUpdate>,
     pub machine_lists: mpsc::Receiver<(Number, MachineList)>,
 }
 
-/// The other ends of these.
-struct Tells {
-    parts: mpsc::Sender<BudgetUpdate>,
-    lists: mpsc::Sender<(Number, MachineList)>,
+/// The sending ends of [`FleetUpdates`].
+struct UpdateSenders {
+    budget_updates: mpsc::Sender<BudgetUpdate>,
+    machine_lists: mpsc::Sender<(Number, MachineList)>,
 }
 
 impl FleetHandle {
-    /// Starts the thread, which waits for [`Fleet::begin`].
+    /// Starts the thread, which waits for [`FleetHandle::activate`].
     ///
     /// # Errors
-    /// The thread can't be started, or the section does not fit this proxy.
+    /// If the thread can't be started, or the section `[fleet]` does not fit this proxy.
     pub fn start(settings: FleetSettings, node: &str) -> io::Result<(Self, FleetUpdates)> {
         settings.check_node(node).map_err(io::Error::other)?;
         for warning in &settings.warnings {
-            warn!(warning, "fleet");
+            warn!(warning, "questionable fleet setting");
         }
-        let (words, inbox) = mpsc::channel(settings.link_limits.call_queue_capacity);
-        let (is_busy, busy) = watch::channel(false);
-        let (wanted, is_wanted) = watch::channel(Wanted::No);
+        let (command_sender, commands) = mpsc::channel(settings.link_limits.call_queue_capacity);
+        let (activity_sender, is_active) = watch::channel(false);
+        let (participation_sender, participation) = watch::channel(Participation::Inactive);
         let inbox = Inbox {
-            words: inbox,
-            wanted: is_wanted,
+            commands,
+            participation,
         };
-        let (parts, parts_told) = mpsc::channel(settings.link_limits.budget_queue_capacity);
-        let (lists, lists_told) = mpsc::channel(
+        let (budget_sender, budget_updates) =
+            mpsc::channel(settings.link_limits.budget_queue_capacity);
+        let (list_sender, machine_lists) = mpsc::channel(
             settings
                 .maintenance
                 .as_ref()
-                .map_or(1, |work| work.list_queue_capacity),
+                .map_or(1, |maintenance| maintenance.list_queue_capacity),
         );
-        let tells = Tells { parts, lists };
-        let told = FleetUpdates {
-            budget_updates: parts_told,
-            machine_lists: lists_told,
+        let update_senders = UpdateSenders {
+            budget_updates: budget_sender,
+            machine_lists: list_sender,
+        };
+        let updates = FleetUpdates {
+            budget_updates,
+            machine_lists,
         };
         let node = node.to_string();
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -115,49 +123,62 @@
             .build()?;
         thread::Builder::new().name("fleet".into()).spawn(move || {
             let tasks = tokio::task::LocalSet::new();
-            tasks.block_on(&runtime, live(settings, node, inbox, (is_busy, tells)));
+            tasks.block_on(
+                &runtime,
+                run_fleet(settings, node, inbox, (activity_sender, update_senders)),
+            );
             runtime.shutdown_background();
         })?;
         let fleet = Self {
-            words,
-            wanted,
-            busy,
+            commands: command_sender,
+            participation: participation_sender,
+            is_active,
         };
-        Ok((fleet, told))
+        Ok((fleet, updates))
     }
 
+    /// Requests that the member starts.
     pub fn activate(&self) {
-        self.wanted.send_replace(Wanted::Yes);
+        self.participation.send_replace(Participation::Active);
     }
 
+    /// Requests that the member stops; `ending` tells whether the process ends without a successor.
     pub fn deactivate(&self, ending: bool) {
-        self.wanted.send_replace(match ending {
-            true => Wanted::Ending,
-            false => Wanted::No,
+        self.participation.send_replace(match ending {
+            true => Participation::Draining,
+            false => Participation::Inactive,
         });
     }
 
-    /// What the module uses of a budget; said again and again, so that one word may be lost.
-    pub fn report_usage(&self, budget: &str, part: Number, busy: u64, denied: u64) {
-        let _ = self
-            .words
-            .try_send(Word::Used(budget.to_string(), part, busy, denied));
+    /// Reports the balancer's usage of a budget. The report is repeated periodically, so a full queue may drop one.
+    pub fn report_usage(&self, budget: &str, part_number: Number, in_use: u64, denied: u64) {
+        let _ = self.commands.try_send(Command::Usage(
+            budget.to_string(),
+            part_number,
+            in_use,
+            denied,
+        ));
     }
 
-    /// What is so here of machines; said again and again, so that one word may be lost.
+    /// Reports the state of machines at this proxy. The report is repeated periodically, so a full queue may drop one.
     pub fn report_maintenance(&self, local: LocalWorkStatus) {
-        let _ = self.words.try_send(Word::Work(Box::new(local)));
+        let _ = self
+            .commands
+            .try_send(Command::Maintenance(Box::new(local)));
     }
 
+    /// Whether a member is running, including one that is still handing over.
     pub fn is_active(&self) -> bool {
-        *self.busy.borrow()
+        *self.is_active.borrow()
     }
 
+    /// Passes an operator's call to the member, and waits for the answer.
+    ///
     /// # Errors
-    /// The member has ended, or too many calls wait.
+    /// If no member is running, or too many calls are queued.
     pub async fn call(&self, call: OperatorCall) -> Result<OperatorAnswer, String> {
         let (reply, answer) = oneshot::channel();
-        let sent = self.words.try_send(Word::Call(call, reply));
+        let sent = self.commands.try_send(Command::Call(call, reply));
         sent.map_err(|_| "the fleet's thread takes no calls".to_string())?;
         answer
             .await
@@ -165,62 +186,64 @@
     }
 }
 
-/// What the fleet's thread hears from the proxy.
+/// The receiving ends of a [`FleetHandle`].
 struct Inbox {
-    words: mpsc::Receiver<Word>,
-    wanted: watch::Receiver<Wanted>,
+    commands: mpsc::Receiver<Command>,
+    participation: watch::Receiver<Participation>,
 }
 
-/// Why a member is over.
-enum Over {
+/// Why a member has ended.
+enum ExitReason {
+    /// It was requested to stop, and has handed over.
     Quit,
-    /// The directory is an older copy of itself.
+    /// The data directory is an older copy of itself.
     Stale,
-    /// The disk is too far behind what it has to save.
-    Behind,
+    /// Too many bytes wait to be written to disk.
+    DiskBehind,
+    /// An error that a retry does not remove.
     Failed(String),
-    /// The program ends.
-    Dropped,
+    /// All handles are dropped: the program ends.
+    HandleDropped,
 }
 
-/// Takes part whenever it is told to, for as long as the program runs.
-async fn live(
+/// Runs a member whenever participation is requested, until the program ends.
+async fn run_fleet(
     settings: FleetSettings,
     node: Name,
     mut inbox: Inbox,
-    (busy, tells): (watch::Sender<bool>, Tells),
+    (is_active, updates): (watch::Sender<bool>, UpdateSenders),
 ) {
-    let (settings, tells) = (Rc::new(settings), Rc::new(tells));
+    let (settings, updates) = (Rc::new(settings), Rc::new(updates));
     loop {
-        let wanted = *inbox.wanted.borrow_and_update() == Wanted::Yes;
-        busy.send_replace(wanted);
-        if !wanted {
+        let is_wanted = *inbox.participation.borrow_and_update() == Participation::Active;
+        is_active.send_replace(is_wanted);
+        if !is_wanted {
             tokio::select! {
-                changed = inbox.wanted.changed() => if changed.is_err() {
+                changed = inbox.participation.changed() => if changed.is_err() {
                     return;
                 },
-                // Who calls is told that it takes no part now.
-                word = inbox.words.recv() => drop(word),
+                // Dropping a call's reply channel answers that the proxy does not take part now.
+                command = inbox.commands.recv() => drop(command),
             }
             continue;
         }
-        match take_part(&settings, &node, &mut inbox, &tells).await {
-            Over::Quit => {}
-            Over::Dropped => return,
-            // Set aside: it comes back as a stranger.
-            Over::Stale => {}
-            // What was not acknowledged is forgotten; it begins again with what is on disk.
-            Over::Behind => sleep(settings.link_limits.retry_interval).await,
-            Over::Failed(why) => {
+        match run_member(&settings, &node, &mut inbox, &updates).await {
+            ExitReason::Quit => {}
+            ExitReason::HandleDropped => return,
+            // The directory is quarantined: the member returns with a new id, and has to be let in.
+            ExitReason::Stale => {}
+            // Unacknowledged records are discarded: the member restarts from the state on disk.
+            ExitReason::DiskBehind => sleep(settings.link_limits.retry_interval).await,
+            ExitReason::Failed(why) => {
                 error!(
                     why,
                     mono_ms = boottime_ms(),
-                    "this proxy takes no part in the fleet until it is restarted; it serves on"
+                    "fleet membership failed: the proxy serves on without the fleet until it is restarted"
                 );
-                busy.send_replace(false);
-                // A directory that is damaged or somebody else's stays so however often it is tried.
-                while let Some(word) = inbox.words.recv().await {
-                    drop(word);
+                is_active.send_replace(false);
+                // A retry does not repair a directory that is damaged or belongs to another member.
+                while let Some(command) = inbox.commands.recv().await {
+                    drop(command);
                 }
                 return;
             }
@@ -228,173 +251,192 @@
     }
 }
 
-/// Opens what another process may still use; none if told to quit meanwhile.
-async fn open<T>(
+/// Opens a resource that another process may still use, with retries. Returns an exit reason if the attempt fails for
+/// good, or if participation is no longer requested.
+async fn open_with_retry<T>(
     settings: &FleetSettings,
     inbox: &mut Inbox,
-    mut open: impl FnMut() -> Result<T, (bool, String)>,
-) -> Result<T, Over> {
-    let mut said = false;
+    mut try_open: impl FnMut() -> Result<T, (bool, String)>,
+) -> Result<T, ExitReason> {
+    let mut is_logged = false;
     loop {
-        match open() {
+        match try_open() {
             Ok(opened) => return Ok(opened),
             Err((true, why)) => {
-                if !std::mem::replace(&mut said, true) {
-                    info!(why, "the fleet is joined once that is free");
+                if !std::mem::replace(&mut is_logged, true) {
+                    info!(
+                        why,
+                        "joining the fleet is delayed until the resource is available"
+                    );
                 }
             }
-            Err((false, why)) => return Err(Over::Failed(why)),
+            Err((false, why)) => return Err(ExitReason::Failed(why)),
         }
         tokio::select! {
             () = sleep(settings.link_limits.retry_interval) => {}
-            changed = inbox.wanted.changed() => match changed {
-                Ok(()) if *inbox.wanted.borrow_and_update() == Wanted::Yes => {}
-                Ok(()) => return Err(Over::Quit),
-                Err(_) => return Err(Over::Dropped),
+            changed = inbox.participation.changed() => match changed {
+                Ok(()) if *inbox.participation.borrow_and_update() == Participation::Active => {}
+                Ok(()) => return Err(ExitReason::Quit),
+                Err(_) => return Err(ExitReason::HandleDropped),
             },
-            Some(word) = inbox.words.recv() => drop(word),
+            Some(command) = inbox.commands.recv() => drop(command),
         }
     }
 }
 
-async fn take_part(
+/// Runs one member from the opening of its directory to its end.
+async fn run_member(
     settings: &Rc<FleetSettings>,
     node: &str,
-    heard: &mut Inbox,
-    tells: &Rc<Tells>,
-) -> Over {
+    inbox: &mut Inbox,
+    updates: &Rc<UpdateSenders>,
+) -> ExitReason {
     let store = match &settings.data_dir {
         None => None,
         Some(dir) => {
-            let opened = open(settings, heard, || {
-                let fresh = NodeId(rand::random::<u64>().max(1));
+            let opened = open_with_retry(settings, inbox, || {
+                let new_id = NodeId(rand::random::<u64>().max(1));
                 let store = violetwind_store::Settings {
                     fleet: settings.name.clone(),
                     node: node.to_string(),
                     compaction_threshold_bytes: settings.link_limits.max_segment_bytes,
                     sync_writes: settings.fsync,
                 };
-                Store::open(dir, store, fresh)
+                Store::open(dir, store, new_id)
                     .map_err(|error| (error.is_transient(), error.to_string()))
             });
             match opened.await {
                 Ok(store) => Some(store),
-                Err(over) => return over,
+                Err(exit_reason) => return exit_reason,
             }
         }
     };
-    let listener = open(settings, heard, || {
+    let listener = open_with_retry(settings, inbox, || {
         links::listen(settings.listen).map_err(|error| {
-            let passes = error.kind() == io::ErrorKind::AddrInUse || is_resource_exhaustion(&error);
-            (passes, format!("fleet.listen {}: {error}", settings.listen))
+            let is_transient =
+                error.kind() == io::ErrorKind::AddrInUse || is_resource_exhaustion(&error);
+            (
+                is_transient,
+                format!("fleet.listen {}: {error}", settings.listen),
+            )
         })
     });
     let listener = match listener.await {
         Ok(listener) => listener,
-        Err(over) => return over,
+        Err(exit_reason) => return exit_reason,
     };
-    let saved = store.as_ref().map(|store| store.saved_state().clone());
-    let id = saved.as_ref().map(|saved| saved.id);
-    let (inbox, mut inputs) = mpsc::channel(settings.link_limits.inbox_capacity);
-    let links = PeerLinks::new(settings, node, id, inbox.clone());
+    let saved_state = store.as_ref().map(|store| store.saved_state().clone());
+    let id = saved_state.as_ref().map(|state| state.id);
+    let (input_sender, mut inputs) = mpsc::channel(settings.link_limits.inbox_capacity);
+    let links = PeerLinks::new(settings, node, id, input_sender.clone());
     let mut tasks = JoinSet::new();
     tasks.spawn_local(links.clone().accept_links(listener));
     for peer in settings.voters().filter(|peer| peer.node != node) {
         tasks.spawn_local(links.clone().dial_with_backoff(peer.clone()));
     }
-    let (told, mut disk) = mpsc::unbounded_channel();
+    let (disk_event_sender, mut disk_events) = mpsc::unbounded_channel();
     let disk_thread = match store.map(|store| {
         violetwind_store::spawn_writer(
             store,
-            move |word| drop(told.send(word)),
+            move |event| drop(disk_event_sender.send(event)),
             settings.link_limits.retry_interval,
         )
     }) {
         None => None,
-        Some(Ok(running)) => Some(running),
-        Some(Err(error)) => return Over::Failed(format!("the disk's thread: {error}")),
+        Some(Ok(writer)) => Some(writer),
+        Some(Err(error)) => {
+            return ExitReason::Failed(format!("starting the disk thread: {error}"));
+        }
     };
     info!(fleet = settings.name, node, listen = %settings.listen, id = id.map(|id| format!("{:x}", id.0)),
-        mono_ms = boottime_ms(), "this proxy takes part in a fleet");
-    let records = disk_thread.as_ref().map(|(records, _)| records.clone());
-    let mut part = Process::new(settings, node, saved, (links, records), tells.clone());
+        mono_ms = boottime_ms(), "fleet member started");
+    let record_sender = disk_thread
+        .as_ref()
+        .map(|(record_sender, _)| record_sender.clone());
+    let mut runtime = MemberRuntime::new(
+        settings,
+        node,
+        saved_state,
+        (links, record_sender),
+        updates.clone(),
+    );
     let mut ticks = interval(settings.link_limits.tick_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    while part.over.is_none() {
+    while runtime.exit_reason.is_none() {
         tokio::select! {
-            _ = ticks.tick() => part.handle(Input::Tick),
-            Some(input) = inputs.recv() => part.handle(input),
-            Some(word) = disk.recv() => match word {
-                DiskEvent::RecordsSaved(number) => part.saved(number),
+            _ = ticks.tick() => runtime.handle_input(Input::Tick),
+            Some(input) = inputs.recv() => runtime.handle_input(input),
+            Some(event) = disk_events.recv() => match event {
+                DiskEvent::RecordsSaved(number) => runtime.handle_records_saved(number),
                 DiskEvent::WriteFailed(error) => {
-                    part.over = Some(Over::Failed(error.to_string()));
+                    runtime.exit_reason = Some(ExitReason::Failed(error.to_string()));
                 }
             },
-            changed = heard.wanted.changed() => match changed {
-                Ok(()) => match *heard.wanted.borrow_and_update() {
-                    Wanted::Yes => {}
-                    Wanted::No => part.handle(Input::Quit),
-                    Wanted::Ending => part.handle(Input::QuitAfterDrain),
+            changed = inbox.participation.changed() => match changed {
+                Ok(()) => match *inbox.participation.borrow_and_update() {
+                    Participation::Active => {}
+                    Participation::Inactive => runtime.handle_input(Input::Quit),
+                    Participation::Draining => runtime.handle_input(Input::QuitAfterDrain),
                 },
-                // The program ends without a word to anybody: the lease runs out.
-                Err(_) => part.over = Some(Over::Dropped),
+                // The program ends without notifying the fleet: the lease expires.
+                Err(_) => runtime.exit_reason = Some(ExitReason::HandleDropped),
             },
-            Some(word) = heard.words.recv() => match word {
-                Word::Used(budget, number, busy, denied) => {
-                    part.handle(Input::ExternalUsage { budget, part_number: number, in_use: busy, denied });
+            Some(command) = inbox.commands.recv() => match command {
+                Command::Usage(budget, part_number, in_use, denied) => {
+                    runtime.handle_input(Input::ExternalUsage { budget, part_number, in_use, denied });
                 }
-                Word::Work(local) => part.handle(Input::LocalWorkStatus(*local)),
-                Word::Call(call, reply) => part.call(call, reply),
+                Command::Maintenance(local) => runtime.handle_input(Input::LocalWorkStatus(*local)),
+                Command::Call(call, reply) => runtime.handle_call(call, reply),
             },
         }
     }
-    let over = part.over.take().unwrap_or(Over::Quit);
-    // The last frames have a moment to go.
-    if matches!(over, Over::Quit) {
+    let exit_reason = runtime.exit_reason.take().unwrap_or(ExitReason::Quit);
+    // Allow time for the last frames to be sent.
+    if matches!(exit_reason, ExitReason::Quit) {
         sleep(settings.link_limits.tick_interval).await;
     }
     tasks.shutdown().await;
-    drop(part);
-    let Some((records, thread)) = disk_thread else {
-        return over;
+    drop(runtime);
+    let Some((record_sender, thread)) = disk_thread else {
+        return exit_reason;
     };
-    drop(records);
+    drop(record_sender);
     let store = tokio::task::spawn_blocking(move || thread.join()).await;
-    match (over, store) {
-        (Over::Stale, Ok(Ok(store))) => match store.quarantine("stale") {
-            Ok(aside) => {
-                warn!(aside = %aside.display(), "the older copy is put aside; this member is a stranger until it is let in");
-                Over::Stale
+    match (exit_reason, store) {
+        (ExitReason::Stale, Ok(Ok(store))) => match store.quarantine("stale") {
+            Ok(quarantine_dir) => {
+                warn!(aside = %quarantine_dir.display(), "the older copy is put aside; this member is a stranger until it is let in");
+                ExitReason::Stale
             }
-            Err(fault) => Over::Failed(fault.to_string()),
+            Err(error) => ExitReason::Failed(error.to_string()),
         },
-        (over, _) => over,
+        (exit_reason, _) => exit_reason,
     }
 }
 
-/// A member, and the ways to what is around it.
-struct Process {
+/// A member with its connections to the engine, the peers and the disk.
+struct MemberRuntime {
     member: Member,
-    /// The way to the engine's thread.
-    tells: Rc<Tells>,
+    /// The channels to the engine's thread.
+    updates: Rc<UpdateSenders>,
     links: Rc<PeerLinks>,
     records: Option<RecordSender>,
-    /// Records on the way to the disk, and their sizes.
-    unsynced: VecDeque<(Number, usize)>,
+    /// Records that are not on disk yet, with their sizes in bytes.
+    unsynced_records: VecDeque<(Number, usize)>,
     unsynced_bytes: usize,
-    unsynced_most: usize,
-    calls: BTreeMap<Number, oneshot::Sender<OperatorAnswer>>,
-    next_call: Number,
-    over: Option<Over>,
+    max_unsynced_bytes: usize,
+    pending_calls: BTreeMap<Number, oneshot::Sender<OperatorAnswer>>,
+    last_call_number: Number,
+    exit_reason: Option<ExitReason>,
 }
 
-impl Process {
+impl MemberRuntime {
     fn new(
         settings: &FleetSettings,
         node: &str,
-        saved: Option<SavedState>,
+        saved_state: Option<SavedState>,
         (links, records): (Rc<PeerLinks>, Option<RecordSender>),
-        tells: Rc<Tells>,
+        updates: Rc<UpdateSenders>,
     ) -> Self {
         let config = Config {
             work_enabled: settings.maintenance.is_some(),
@@ -409,73 +451,85 @@
             external_budgets: settings.balancer_budgets.keys().cloned().collect(),
             limits: settings.limits.clone(),
         };
-        // The two highest bits are left free for counting on from it.
+        // The two highest bits are clear, so that numbers counted up from the seed do not overflow.
         let seed = rand::random::<u64>() >> 2;
         Self {
-            member: Member::new(config, saved, seed, boottime_ms()),
-            tells,
+            member: Member::new(config, saved_state, seed, boottime_ms()),
+            updates,
             links,
             records,
-            unsynced: VecDeque::new(),
+            unsynced_records: VecDeque::new(),
             unsynced_bytes: 0,
-            unsynced_most: settings.link_limits.max_unsynced_bytes,
-            calls: BTreeMap::new(),
-            next_call: 0,
-            over: None,
+            max_unsynced_bytes: settings.link_limits.max_unsynced_bytes,
+            pending_calls: BTreeMap::new(),
+            last_call_number: 0,
+            exit_reason: None,
         }
     }
 
-    fn call(&mut self, call: OperatorCall, reply: oneshot::Sender<OperatorAnswer>) {
-        self.next_call += 1;
-        self.calls.retain(|_, reply| !reply.is_closed());
-        self.calls.insert(self.next_call, reply);
-        self.handle(Input::Call(self.next_call, call));
+    fn handle_call(&mut self, call: OperatorCall, reply: oneshot::Sender<OperatorAnswer>) {
+        self.last_call_number += 1;
+        self.pending_calls.retain(|_, reply| !reply.is_closed());
+        self.pending_calls.insert(self.last_call_number, reply);
+        self.handle_input(Input::Call(self.last_call_number, call));
     }
 
-    fn saved(&mut self, number: Number) {
-        while let Some((_, bytes)) = self.unsynced.pop_front_if(|(at, _)| *at <= number) {
+    fn handle_records_saved(&mut self, number: Number) {
+        while let Some((_, bytes)) = self.unsynced_records.pop_front_if(|(at, _)| *at <= number) {
             self.unsynced_bytes -= bytes;
         }
-        self.handle(Input::RecordsSaved(number));
+        self.handle_input(Input::RecordsSaved(number));
     }
 
-    fn handle(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         for output in self.member.handle(boottime_ms(), input) {
             match output {
                 Output::Send(to, peer) => self.links.send(&to, &peer),
-                Output::SaveRecord(number, record) => self.save(number, record),
+                Output::SaveRecord(number, record) => self.save_record(number, record),
                 Output::Answer(number, answer) => {
-                    if let Some(reply) = self.calls.remove(&number) {
-                        // A caller that has gone needs none.
+                    if let Some(reply) = self.pending_calls.remove(&number) {
+                        // The caller may have stopped waiting for the answer.
                         let _ = reply.send(answer);
                     }
                 }
                 Output::Part(budget, number, part) => {
-                    // One that is not taken is told again when it changes; until then less counts, not more.
-                    if self.tells.parts.try_send((budget, number, part)).is_err() {
-                        warn!("the module does not take its parts of budgets");
+                    // A dropped part is sent again when it changes; until then a smaller part is in force, never a
+                    // larger one.
+                    if self
+                        .updates
+                        .budget_updates
+                        .try_send((budget, number, part))
+                        .is_err()
+                    {
+                        warn!("budget update dropped: the queue to the balancer is full or closed");
                     }
                 }
                 Output::MachineList(version, list) => {
-                    // It is told again for as long as it is not in force.
-                    if self.tells.lists.try_send((version, list)).is_err() {
-                        warn!("the engine's thread does not take what is out");
+                    // The list is sent again until it is in force.
+                    if self
+                        .updates
+                        .machine_lists
+                        .try_send((version, list))
+                        .is_err()
+                    {
+                        warn!("machine list dropped: the queue to the engine is full or closed");
                     }
                 }
-                Output::Event(event) => self.event(event),
-                Output::Ended => self.over = Some(Over::Quit),
+                Output::Event(event) => self.handle_event(event),
+                Output::Ended => self.exit_reason = Some(ExitReason::Quit),
             }
         }
     }
 
-    fn save(&mut self, number: Number, record: MemberRecord) {
+    /// Queues a record for the disk, and ends the member if too many bytes are unsynced.
+    fn save_record(&mut self, number: Number, record: MemberRecord) {
         let bytes = match &record {
             MemberRecord::Write(write) => {
-                let snapshot = write
+                let snapshot_bytes = write
                     .snapshot
                     .as_ref()
                     .map_or(0, |snapshot| snapshot.data.len());
-                64 + snapshot
+                64 + snapshot_bytes
                     + write
                         .entries
                         .iter()
@@ -484,30 +538,31 @@
             }
             MemberRecord::Agreed(_) | MemberRecord::Formed => 64,
         };
-        self.unsynced.push_back((number, bytes));
+        self.unsynced_records.push_back((number, bytes));
         self.unsynced_bytes += bytes;
-        if self.unsynced_bytes > self.unsynced_most {
+        if self.unsynced_bytes > self.max_unsynced_bytes {
             let bytes = self.unsynced_bytes;
             warn!(
                 bytes,
                 mono_ms = boottime_ms(),
-                "more waits for the disk than may: this member begins again"
+                "too many unsynced bytes: this member restarts"
             );
-            self.over = Some(Over::Behind);
+            self.exit_reason = Some(ExitReason::DiskBehind);
             return;
         }
         if let Some(records) = &self.records {
-            // Its thread tells itself why it ended.
+            // If the thread has ended, its event reports the reason.
             let _ = records.send((number, record));
         }
     }
 
-    fn event(&mut self, event: Event) {
+    /// Logs an event; a stale directory ends the member.
+    fn handle_event(&mut self, event: Event) {
         let mono_ms = boottime_ms();
         match event {
             Event::Gained { duty, fence } => info!(duty, fence, mono_ms, "duty gained"),
             Event::Lost { duty, fence, why } => info!(duty, fence, mono_ms, %why, "duty lost"),
-            Event::Session { number } => info!(session = number, mono_ms, "session"),
+            Event::Session { number } => info!(session = number, mono_ms, "session opened"),
             Event::NoSession { why } => info!(mono_ms, %why, "no session: nothing is held"),
             Event::NeedLeftOpen { need, term, took } => debug!(
                 budget = need.budget,
@@ -516,7 +571,7 @@
                 term,
                 took_ms = took,
                 mono_ms,
-                "the leader has answered and left a need open"
+                "the leader answered without granting all requested units"
             ),
             Event::NoLeader { since } => {
                 warn!(
@@ -524,12 +579,11 @@
                     mono_ms, "nobody that leads the fleet answers: nothing is held here"
                 );
             }
-            Event::LeaderAgain => info!(mono_ms, "the fleet is led again"),
+            Event::LeaderAgain => info!(mono_ms, "the fleet has a leader again"),
             Event::Leads { term } => info!(term, mono_ms, "this member leads the fleet"),
-            Event::Follows { term } => info!(
-                term,
-                mono_ms, "this member does not lead the fleet any more"
-            ),
+            Event::Follows { term } => {
+                info!(term, mono_ms, "this member no longer leads the fleet")
+            }
             Event::Formed { voters } => info!(?voters, mono_ms, "the fleet is formed"),
             Event::Stranger { id } => {
                 let id = format!("{:x}", id.0);
@@ -543,17 +597,17 @@
                     own,
                     seen, mono_ms, "the directory is an older copy of itself: it never votes again"
                 );
-                self.over = Some(Over::Stale);
+                self.exit_reason = Some(ExitReason::Stale);
             }
-            Event::Ended { name, why } => info!(member = name, mono_ms, %why, "a session is over"),
+            Event::Ended { name, why } => info!(member = name, mono_ms, %why, "session ended"),
             Event::Halted { why } => {
                 error!(
                     why,
                     mono_ms,
-                    "this program is too old for the fleet's log: it votes and settles nothing"
+                    "this program is too old for the fleet's log: it still votes, but decides nothing"
                 );
             }
-            Event::Full { what } => warn!(what, mono_ms, "at a limit of the fleet"),
+            Event::Full { what } => warn!(what, mono_ms, "fleet limit reached"),
         }
     }
 }
--- a/crates/proxy/src/fleet/settings.rs
+++ b/crates/proxy/src/fleet/settings.rs
@@ -1,5 +1,5 @@
-//! `[fleet]` of the operator's file: who belongs together, the times and limits, and what this proxy is able to
-//! hold. Without the section there is no fleet.
+//! The section `[fleet]` of the operator's file: the peers, times and limits, and the duties and budgets of this proxy.
+//! Without the section there is no fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,27 +12,31 @@
 use violetwind_fleet::{Limits, LimitsError, Name, StateLimits};
 use violetwind_service::MachineMap;
 
+/// The settings of this proxy as a fleet member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
     pub name: Name,
     pub listen: SocketAddr,
-    /// Without one this proxy never votes.
+    /// The directory for durable state; without one this proxy never votes.
     pub data_dir: Option<PathBuf>,
-    /// Whether the disk is waited for: false only to measure what that costs.
+    /// Whether records are synced to disk before they are acknowledged; off only to measure the cost of syncing.
     pub fsync: bool,
+    /// The members listed in the file, including this proxy.
     pub peers: Vec<PeerConfig>,
+    /// Duties that this proxy may hold.
     pub duties: Vec<Name>,
     pub budgets: Vec<BudgetDefinition>,
-    /// Budgets that the module counts, and of what.
+    /// Budgets that the balancer counts, and their subjects.
     pub balancer_budgets: BTreeMap<Name, BudgetSubject>,
-    /// Its part in work on machines, if it has one.
+    /// Settings for work on machines, if this proxy takes part in it.
     pub maintenance: Option<MaintenanceSettings>,
     pub limits: Limits,
     pub link_limits: LinkLimits,
-    /// What is allowed and probably not meant.
+    /// Settings that are valid but probably unintended.
     pub warnings: Vec<String>,
 }
 
+/// A member of the fleet as configured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerConfig {
     pub node: Name,
@@ -40,72 +44,79 @@
     pub is_voter: bool,
 }
 
-/// `[fleet.work]`: machines, and what is out on disk.
+/// The section `[fleet.work]`: machines, and the file for the machines that are out of service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MaintenanceSettings {
     pub machines: MachineMap,
-    /// Machines that carry a proxy, or that the file names with a zone: zone and proxy.
+    /// Machines that the file names with a zone or a proxy: zone and proxy of each.
     pub named_machines: BTreeMap<Name, (Option<Name>, Option<Name>)>,
-    /// What is out, as last heard.
+    /// The file for the latest list of machines that are out.
     pub state_file: PathBuf,
-    /// A longer file is not read.
+    /// The largest file that is read, in bytes.
     pub max_state_file_bytes: u64,
-    /// Without such a file the fleet is waited for so long before the first client.
+    /// Without such a file, how long the start waits for a list from the fleet before the first client is admitted.
     pub machine_list_timeout: Duration,
-    /// Between two looks at what is here, and the same while nothing is ordered.
+    /// The time between two reports of the machines' state.
     pub report_interval: Duration,
+    /// The same while there are no orders.
     pub idle_report_interval: Duration,
-    /// Lists on their way from the fleet's thread.
+    /// Queued lists from the fleet's thread.
     pub list_queue_capacity: usize,
 }
 
-/// What the module counts for a budget.
+/// What the balancer counts for a budget.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BudgetSubject {
-    /// Attempts beyond a request's first.
+    /// Attempts after a request's first.
     Retries,
-    /// Connections that the module moves off servers for their load.
+    /// Connections that the balancer moves off loaded servers.
     Moves,
+    /// Probes of servers.
     Probes,
-    /// Attempts at any one cold server.
+    /// Attempts at each cold server.
     Cold,
-    /// Connections at once, of a class or a tenant of that name.
+    /// Concurrent connections of the class with this name.
     Class(Name),
+    /// Concurrent connections of the tenant with this name.
     Tenant(Name),
 }
 
-/// Sizes and times of links and of the directory.
+/// Sizes and times of links, queues and the data directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkLimits {
-    /// Members that may be linked to this one at once, beyond those that it dials.
+    /// Concurrent accepted links, in addition to those that this member dials.
     pub max_accepted_links: usize,
-    /// The longest frame; a longer one ends the link before anything is kept of it.
+    /// The largest frame in bytes; a larger one ends the link before any of it is buffered.
     pub max_frame_bytes: usize,
-    /// Frames and bytes on the way to one member; more are dropped and counted.
+    /// Queued frames to one member; more are dropped and counted.
     pub send_queue_capacity: usize,
+    /// Queued bytes to one member; more are dropped and counted.
     pub max_send_queue_bytes: usize,
-    /// Until a link is up and both have said who they are.
+    /// The time limit for establishing a link, including the handshake. On an accepted link it applies to each
+    /// handshake message.
     pub connect_timeout: Duration,
-    /// Between two attempts: the first, doubled up to the longest.
+    /// The first backoff between two connection attempts; it doubles up to `max_backoff`.
     pub initial_backoff: Duration,
     pub max_backoff: Duration,
-    /// A link that has nothing to say says so; one that is heard nothing of, or takes nothing, for
-    /// `silence` is cut.
+    /// The idle time after which a ping is sent.
     pub ping_interval: Duration,
+    /// A link on which nothing is received, or nothing can be sent, for this time is closed.
     pub silence_timeout: Duration,
-    /// Frames and acknowledgements that wait for the member.
+    /// Queued inputs for the member.
     pub inbox_capacity: usize,
-    /// Calls of operators that wait for an answer.
+    /// Queued commands for the fleet's thread, such as operators' calls.
     pub call_queue_capacity: usize,
-    /// Parts of budgets on the way to the module, and how often it is asked what it uses.
+    /// Queued parts of budgets for the balancer.
     pub budget_queue_capacity: usize,
+    /// The time between two exchanges of allowances and usage with the balancer.
     pub usage_interval: Duration,
-    /// Bytes of records that are not on disk yet; with more the member stops.
+    /// Bytes of records that are not on disk yet; with more the member restarts.
     pub max_unsynced_bytes: usize,
-    /// A file of the log is written anew when it has grown by so much.
+    /// Growth in bytes after which a log segment is replaced.
     pub max_segment_bytes: u64,
-    /// Between two attempts to write to a disk that is full, or to lock a directory that is in use.
+    /// The time between two attempts to write to a full disk, or to lock a directory that is in use.
     pub retry_interval: Duration,
+    /// The time between two ticks of the member.
     pub tick_interval: Duration,
 }
 
@@ -134,21 +145,25 @@
     }
 }
 
-/// Voters at most: each one more makes every commit wait for more disks.
-const VOTERS: usize = 7;
+/// The maximum number of voters: with each further voter, every commit waits for more disks.
+const MAX_VOTERS: usize = 7;
 
 impl FleetSettings {
-    /// Descriptors that are set aside for the fleet, whatever clients do: links both ways, the listener, the
-    /// directory's files and the thread's own.
+    /// File descriptors that are reserved for the fleet and not available to clients: accepted and dialled links, the
+    /// listener, the directory's files and those of the thread itself.
     pub fn reserved_descriptors(&self) -> usize {
-        self.link_limits.max_accepted_links + VOTERS + 16
+        self.link_limits.max_accepted_links + MAX_VOTERS + 16
     }
 
+    /// The peers that vote.
     pub fn voters(&self) -> impl Iterator<Item = &PeerConfig> {
         self.peers.iter().filter(|peer| peer.is_voter)
     }
 
-    /// What is wrong with the section for a proxy of that name.
+    /// Checks the section for the proxy named `node`.
+    ///
+    /// # Errors
+    /// If no peer has this name, or the proxy votes and has no directory.
     pub fn check_node(&self, node: &str) -> Result<(), String> {
         let own = self.peers.iter().find(|peer| peer.node == node);
         match own {
@@ -156,43 +171,48 @@
                 "`fleet.peer`: no peer has this proxy's own name, \"{node}\""
             )),
             Some(own) if own.is_voter && self.data_dir.is_none() => Err(format!(
-                "`fleet.dir`: \"{node}\" votes, and has no directory to remember its votes in"
+                "`fleet.dir`: voter \"{node}\" needs a directory to store its votes"
             )),
             Some(_) => Ok(()),
         }
     }
 
+    /// Reads the section, and reports problems to its reader; `None` without the section.
     pub fn read(root: &Section<'_>) -> Option<Self> {
         let section = root.section("fleet");
         if !section.is_present() {
             return None;
         }
-        let settings = Self::from(&section);
+        let settings = Self::from_section(&section);
         section.report_unknown_keys();
         Some(settings)
     }
 
-    fn from(section: &Section<'_>) -> Self {
+    fn from_section(section: &Section<'_>) -> Self {
         let ms = Duration::from_millis;
-        let span = |name: &str, from, to, default| {
-            let span = section.duration(name, ms(from)..=ms(to), ms(default));
-            span.as_millis() as u64
+        let millis = |name: &str, from, to, default| {
+            let duration = section.duration(name, ms(from)..=ms(to), ms(default));
+            duration.as_millis() as u64
         };
-        let base = Limits::default();
-        let lease = span("lease", 200, 600_000, base.lease_duration);
-        let election = span("election", 50, 60_000, base.consensus.election_timeout);
+        let defaults = Limits::default();
+        let lease = millis("lease", 200, 600_000, defaults.lease_duration);
+        let election = millis("election", 50, 60_000, defaults.consensus.election_timeout);
         let mut limits = Limits::with_timeouts(lease, election);
         limits.weight = section.int("weight", 1..=StateLimits::MAX_WEIGHT, limits.weight);
-        limits.lease_margin = span("margin", 1, 300_000, limits.lease_margin);
+        limits.lease_margin = millis("margin", 1, 300_000, limits.lease_margin);
         match limits.validate() {
             Ok(()) => {}
-            Err(LimitsError::LeaseTooShort { min_lease: least }) => section.report_problem(
+            Err(LimitsError::LeaseTooShort { min_lease }) => section.report_problem(
                 "lease",
-                format!("shorter than elections need: {least}ms at least, or a shorter `election`"),
+                format!(
+                    "shorter than elections need: {min_lease}ms at least, or a shorter `election`"
+                ),
             ),
-            Err(LimitsError::MarginTooLong { max_margin: most }) => {
-                section
-                    .report_problem("margin", format!("longer than half of the lease, {most}ms"));
+            Err(LimitsError::MarginTooLong { max_margin }) => {
+                section.report_problem(
+                    "margin",
+                    format!("longer than half of the lease, {max_margin}ms"),
+                );
             }
         }
         let mut link_limits = LinkLimits::new(&limits);
@@ -208,8 +228,8 @@
             65_536..=1 << 40,
             link_limits.max_segment_bytes,
         );
-        let name = checked(section, "name");
-        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
+        let name = read_name(section, "name");
+        let unset_address = SocketAddr::from(([127, 0, 0, 1], 0));
         let address = |section: &Section<'_>, key: &str| {
             if !section.has_key(key) {
                 section.report_problem(key, "expected an address and a port, found nothing");
@@ -217,21 +237,19 @@
             let expected = "an IP address and a port, such as \"127.0.0.1:7100\"";
             section.parse_with(key, expected, |text| text.parse().ok())
         };
-        let listen = address(section, "listen").unwrap_or(unset);
+        let listen = address(section, "listen").unwrap_or(unset_address);
         let data_dir = section.text("dir").map(PathBuf::from);
         let fsync = section.flag("sync", true);
         let mut warnings = Vec::new();
         if !fsync {
-            warnings.push(
-                "`fleet.sync` is off: what is acknowledged is lost with the machine's power".into(),
-            );
+            warnings.push("`fleet.sync` is off: a power failure loses acknowledged records".into());
         }
         let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
         let mut peers = Vec::new();
         for section in section.sections("peer") {
             let peer = PeerConfig {
-                node: checked(&section, "node"),
-                address: address(&section, "address").unwrap_or(unset),
+                node: read_name(&section, "node"),
+                address: address(&section, "address").unwrap_or(unset_address),
                 is_voter: section.flag("votes", false),
             };
             section.report_unknown_keys();
@@ -247,20 +265,20 @@
         match voters {
             0 => section.report_problem(
                 "peer",
-                "nobody votes: 1, 3, 5 or 7 peers with `votes = true`",
+                "no voters: expected 1, 3, 5 or 7 peers with `votes = true`",
             ),
-            _ if voters > VOTERS => {
-                section.report_problem("peer", format!("{voters} voters, {VOTERS} at most"));
+            _ if voters > MAX_VOTERS => {
+                section.report_problem("peer", format!("{voters} voters, {MAX_VOTERS} at most"));
             }
             _ if voters % 2 == 0 => warnings.push(format!(
-                "`fleet.peer`: {voters} voters stand no more losses than {}",
+                "`fleet.peer`: {voters} voters tolerate no more failures than {}",
                 voters - 1
             )),
             _ => {}
         }
         let mut duties = BTreeSet::new();
         for section in section.sections("duty") {
-            let duty = checked(&section, "name");
+            let duty = read_name(&section, "name");
             section.report_unknown_keys();
             if !duties.insert(duty) {
                 section.report_problem("name", "another duty has this name");
@@ -276,13 +294,16 @@
                 ),
             );
         }
-        let work = work(section, data_dir.as_deref(), &limits, &peers);
-        if work.as_ref().is_some_and(|(_, conducts)| *conducts) {
+        let maintenance = read_maintenance(section, data_dir.as_deref(), &limits, &peers);
+        if maintenance
+            .as_ref()
+            .is_some_and(|(_, may_conduct)| *may_conduct)
+        {
             duties.insert(WORK_DUTY.into());
         }
-        let maintenance = work.map(|(work, _)| work);
+        let maintenance = maintenance.map(|(maintenance, _)| maintenance);
         let duties = duties.into_iter().collect();
-        let (budgets, balancer_budgets) = budgets(section, peers.len() as u64);
+        let (budgets, balancer_budgets) = read_budgets(section, peers.len() as u64);
         Self {
             name,
             listen,
@@ -300,10 +321,10 @@
     }
 }
 
-/// The section for work on machines, and whether this proxy may conduct.
-fn work(
+/// Reads the section `[fleet.work]`: its settings, and whether this proxy may conduct work.
+fn read_maintenance(
     root: &Section<'_>,
-    dir: Option<&Path>,
+    data_dir: Option<&Path>,
     limits: &Limits,
     peers: &[PeerConfig],
 ) -> Option<(MaintenanceSettings, bool)> {
@@ -312,7 +333,7 @@
         return None;
     }
     let ms = Duration::from_millis;
-    let mut named = BTreeMap::new();
+    let mut named_machines = BTreeMap::new();
     let mut machines = MachineMap {
         name_delimiter: section
             .text("machine_until")
@@ -320,12 +341,12 @@
         by_server: BTreeMap::new(),
     };
     for machine in section.sections("machine") {
-        let name = checked(&machine, "name");
+        let name = read_name(&machine, "name");
         let proxy = machine.text("proxy");
         if let Some(proxy) = &proxy
             && !peers.iter().any(|peer| peer.node == *proxy)
         {
-            // Members that never vote need not be named among the peers; a mistyped voter would be worse.
+            // Non-voting members need not be listed as peers, but accepting unknown names would hide a mistyped voter.
             machine.report_problem("proxy", "no peer has this name");
         }
         for uid in machine.text_list("servers") {
@@ -334,54 +355,61 @@
                 .insert(uid.clone(), name.clone())
                 .is_some()
             {
-                machine.report_problem("servers", format!("\"{uid}\" is on another machine too"));
+                machine.report_problem(
+                    "servers",
+                    format!("server \"{uid}\" is listed on another machine too"),
+                );
             }
         }
         let zone = machine.text("zone");
         machine.report_unknown_keys();
-        if named.insert(name, (zone, proxy)).is_some() {
+        if named_machines.insert(name, (zone, proxy)).is_some() {
             machine.report_problem("name", "another machine has this name");
         }
     }
-    let file = section.text("file").map(PathBuf::from);
-    let file = file.or_else(|| dir.map(|dir| dir.with_extension("out")));
-    if file.is_none() {
+    let state_file = section.text("file").map(PathBuf::from);
+    let state_file = state_file.or_else(|| data_dir.map(|data_dir| data_dir.with_extension("out")));
+    if state_file.is_none() {
         section.report_problem(
             "file",
-            "a file for what is out, as there is no `fleet.dir` beside it",
+            "expected a file for the machine list, because `fleet.dir` is not set",
         );
     }
-    let every = ms(limits.work_poll_interval / 2);
-    let work = MaintenanceSettings {
+    let report_interval = ms(limits.work_poll_interval / 2);
+    let maintenance = MaintenanceSettings {
         machines,
-        named_machines: named,
-        state_file: file.unwrap_or_default(),
+        named_machines,
+        state_file: state_file.unwrap_or_default(),
         max_state_file_bytes: 64 << 20,
-        // A killed process's session lasts for a lease: until then the next one has no list.
+        // The session of a killed process lasts for a lease; until then the next process receives no list.
         machine_list_timeout: section.duration(
             "first",
             ms(0)..=ms(1_800_000),
             ms(2 * limits.lease_duration),
         ),
-        report_interval: every,
+        report_interval,
         idle_report_interval: ms(limits.renew_interval),
         list_queue_capacity: 16,
     };
-    let conducts = section.flag("conduct", true);
+    let may_conduct = section.flag("conduct", true);
     section.report_unknown_keys();
-    Some((work, conducts))
+    Some((maintenance, may_conduct))
 }
 
-/// What `of` can say.
+/// The kinds of values of `of`.
 #[derive(Clone)]
-enum Wanted {
+enum SubjectKind {
+    /// Counted by programs that call the operators' address.
     Callers,
+    /// A rate that the balancer counts.
     Rate(BudgetSubject),
+    /// Concurrent connections of a named class or tenant.
     Held(fn(Name) -> BudgetSubject),
 }
 
-/// Budgets of the whole fleet. `members` is how many members there may be at most, whose floors are set aside.
-fn budgets(
+/// Reads the budgets of the fleet, and the subjects of those that the balancer counts. The key `members` is the maximum
+/// number of members for which floors are reserved.
+fn read_budgets(
     section: &Section<'_>,
     peers: u64,
 ) -> (Vec<BudgetDefinition>, BTreeMap<Name, BudgetSubject>) {
@@ -392,7 +420,7 @@
         peers.max(1),
     );
     let mut names = BTreeSet::new();
-    let (mut budgets, mut counted_by) = (Vec::new(), BTreeMap::new());
+    let (mut budgets, mut subjects) = (Vec::new(), BTreeMap::new());
     for section in section.sections("budget") {
         let kinds = [("held", BudgetKind::Concurrent), ("rate", BudgetKind::Rate)];
         if !section.has_key("kind") {
@@ -402,8 +430,8 @@
             section.report_problem("whole", "expected a whole number, found nothing");
         }
         let window = section.duration("window", ms(100)..=ms(3_600_000), ms(10_000));
-        let def = BudgetDefinition {
-            name: checked(&section, "name"),
+        let definition = BudgetDefinition {
+            name: read_name(&section, "name"),
             kind: section.choice("kind", &kinds, BudgetKind::Concurrent),
             total: section.int("whole", 0..=1_000_000, 0),
             floor: section.int("floor", 0..=1_000_000, 0),
@@ -411,47 +439,56 @@
             max_members: members,
             version: section.int("version", 1..=u64::from(u32::MAX), 1),
         };
-        let words = [
-            ("callers", Wanted::Callers),
-            ("retries", Wanted::Rate(BudgetSubject::Retries)),
-            ("moves", Wanted::Rate(BudgetSubject::Moves)),
-            ("probes", Wanted::Rate(BudgetSubject::Probes)),
-            ("cold", Wanted::Rate(BudgetSubject::Cold)),
-            ("class", Wanted::Held(BudgetSubject::Class)),
-            ("tenant", Wanted::Held(BudgetSubject::Tenant)),
+        let choices = [
+            ("callers", SubjectKind::Callers),
+            ("retries", SubjectKind::Rate(BudgetSubject::Retries)),
+            ("moves", SubjectKind::Rate(BudgetSubject::Moves)),
+            ("probes", SubjectKind::Rate(BudgetSubject::Probes)),
+            ("cold", SubjectKind::Rate(BudgetSubject::Cold)),
+            ("class", SubjectKind::Held(BudgetSubject::Class)),
+            ("tenant", SubjectKind::Held(BudgetSubject::Tenant)),
         ];
-        let of = section.choice("of", &words, Wanted::Callers);
+        let subject = section.choice("of", &choices, SubjectKind::Callers);
         section.report_unknown_keys();
-        let named = def.name.split_once(':').map(|(_, name)| name.to_string());
-        let (kind, of) = match (of, named) {
-            (Wanted::Callers, _) => (def.kind, None),
-            (Wanted::Rate(of), _) => (BudgetKind::Rate, Some(of)),
-            (Wanted::Held(of), Some(name)) => (BudgetKind::Concurrent, Some(of(name))),
-            (Wanted::Held(_), None) => {
+        let name_suffix = definition
+            .name
+            .split_once(':')
+            .map(|(_, name)| name.to_string());
+        let (kind, subject) = match (subject, name_suffix) {
+            (SubjectKind::Callers, _) => (definition.kind, None),
+            (SubjectKind::Rate(subject), _) => (BudgetKind::Rate, Some(subject)),
+            (SubjectKind::Held(make_subject), Some(name)) => {
+                (BudgetKind::Concurrent, Some(make_subject(name)))
+            }
+            (SubjectKind::Held(_), None) => {
                 section.report_problem(
                     "name",
-                    "expected what it is of behind a `:`, such as \"tenant:clinica-sur\"",
+                    "expected the name of a class or tenant after `:`, such as \"tenant:clinica-sur\"",
                 );
-                (def.kind, None)
+                (definition.kind, None)
             }
         };
-        if kind != def.kind {
+        if kind != definition.kind {
             section.report_problem(
                 "kind",
                 "retries, moves, probes and cold servers are rates; connections of a class or a tenant are held",
             );
         }
-        if of.is_some() && counted_by.values().any(|known| Some(known) == of.as_ref()) {
-            section.report_problem("of", "another budget is of the same");
+        if subject.is_some()
+            && subjects
+                .values()
+                .any(|other| Some(other) == subject.as_ref())
+        {
+            section.report_problem("of", "another budget has the same subject");
         }
-        counted_by.extend(of.map(|of| (def.name.clone(), of)));
-        if let Err(what) = def.validate() {
-            section.report_problem("floor", what);
+        subjects.extend(subject.map(|subject| (definition.name.clone(), subject)));
+        if let Err(problem) = definition.validate() {
+            section.report_problem("floor", problem);
         }
-        if !names.insert(def.name.clone()) {
+        if !names.insert(definition.name.clone()) {
             section.report_problem("name", "another budget has this name");
         }
-        budgets.push(def);
+        budgets.push(definition);
     }
     if budgets.len() > StateLimits::MAX_BUDGETS {
         section.report_problem(
@@ -463,15 +500,17 @@
             ),
         );
     }
-    (budgets, counted_by)
+    (budgets, subjects)
 }
 
-/// A name that must be there: it goes into frames, calls and logs.
-fn checked(section: &Section<'_>, key: &str) -> Name {
+/// Reads a required name. Its characters are restricted because it goes into frames, calls and logs.
+fn read_name(section: &Section<'_>, key: &str) -> Name {
     let name = section.required_text(key);
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
     if section.has_key(key)
-        && (name.is_empty() || name.len() > StateLimits::MAX_NAME_BYTES || !name.chars().all(plain))
+        && (name.is_empty()
+            || name.len() > StateLimits::MAX_NAME_BYTES
+            || !name.chars().all(is_allowed))
     {
         section.report_problem(
             key,
