--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! The program under test, and the stand-ins round it. Nothing here decides whether a test passes.
-#![allow(dead_code, unused_imports)] // each test file uses its part
+//! Starts the program under test together with stand-ins for discovery and servers. Test verdicts are left to the test
+//! files.
+#![allow(dead_code, unused_imports)] // each test file uses only some of these items
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -17,7 +18,7 @@
     WAIT_TIMEOUT, target_row, unused_addr,
 };
 
-/// The settings of a lone balancer with classes that may and may not be repeated.
+/// Settings of a single balancer with one idempotent request class and one that must not be retried.
 pub fn settings() -> Value {
     json!({
         "fleet-size": 1, "me": 0, "zone": "a", "azs": ["a", "b"], "skus": ["m"], "orgs": [],
@@ -35,7 +36,8 @@
     })
 }
 
-fn configuration(listen: SocketAddr, discovery: SocketAddr) -> Value {
+/// The complete platform configuration (`NODE_CONFIG`) around `settings`.
+fn platform_config(listen: SocketAddr, discovery: SocketAddr) -> Value {
     json!({
         "name": "n0", "listen": listen.to_string(), "discovery": discovery.to_string(),
         "seed": "8c1f30d27a5be964",
@@ -45,126 +47,135 @@
     })
 }
 
-/// The program, started with a configuration of its own.
+/// A process of the program under test with its own configuration directory. Dropping it kills the process.
 pub struct Proxy {
+    /// The address for clients.
     pub addr: SocketAddr,
-    /// The operators' address, where it has one.
+    /// The operators' address, if one is configured.
     pub management: Option<SocketAddr>,
     child: Child,
     log: Arc<(Mutex<String>, Condvar)>,
     dir: PathBuf,
-    /// Whether the directory goes with it.
-    clears: bool,
-    /// The system call faults that it meets.
+    /// Whether dropping this value deletes the directory.
+    removes_dir: bool,
+    /// Injects system call faults, if the process was started with them.
     faults: Option<FaultInjector>,
-    /// Each client has an id of its own, as usual ones do.
-    clients: AtomicU64,
+    /// The request id of the next client; ids are unique, as those of production clients are.
+    next_client_id: AtomicU64,
 }
 
 impl Proxy {
-    /// Started and ready.
+    /// Starts a process and waits until it is ready.
     pub fn start(discovery: &Discovery) -> Self {
         let proxy = Self::launch(discovery.addr, |_| {});
         proxy.wait_ready();
         proxy
     }
 
-    /// The same, with room for any number of clients.
+    /// Same as [`Proxy::start`], without load reports, so that any number of clients is admitted.
     pub fn start_roomy(discovery: &Discovery) -> Self {
         let proxy = Self::launch(discovery.addr, without_loads);
         proxy.wait_ready();
         proxy
     }
 
-    /// Started, with changes to its configuration.
+    /// Starts a process with a changed configuration, without waiting for readiness.
     pub fn launch(discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Self {
         let addr = unused_addr();
-        let mut config = configuration(addr, discovery);
+        let mut config = platform_config(addr, discovery);
         change(&mut config);
         Self::run_with(addr, &config.to_string(), Some(discovery), None)
     }
 
-    /// The same, with system call faults from its first call on.
+    /// Same as [`Proxy::launch`], with system call faults injected from the first call on.
     pub fn launch_faulty(
         discovery: SocketAddr,
         rules: &str,
         change: impl FnOnce(&mut Value),
     ) -> Self {
         let addr = unused_addr();
-        let mut config = configuration(addr, discovery);
+        let mut config = platform_config(addr, discovery);
         change(&mut config);
-        let dir = Self::directory(&config.to_string(), None);
+        let dir = Self::create_config_dir(&config.to_string(), None);
         Self::spawn(addr, dir, Some(discovery), false, true, Some(rules))
     }
 
-    /// Other system call faults; they hold once this returns.
+    /// Replaces the fault rules. They are in force when this returns.
     pub fn set_faults(&self, rules: &str) {
         self.faults
             .as_ref()
-            .expect("started with faults")
+            .expect("the process was not started by launch_faulty")
             .set_rules(rules);
     }
 
-    /// Ready, with an operator's file.
+    /// Starts a process with an operator's file and waits until it is ready.
     pub fn start_with(
         discovery: SocketAddr,
-        operators: &str,
+        operator_text: &str,
         change: impl FnOnce(&mut Value),
     ) -> Self {
         let addr = unused_addr();
-        let mut config = configuration(addr, discovery);
+        let mut config = platform_config(addr, discovery);
         change(&mut config);
-        let proxy = Self::run_with(addr, &config.to_string(), Some(discovery), Some(operators));
+        let proxy = Self::run_with(
+            addr,
+            &config.to_string(),
+            Some(discovery),
+            Some(operator_text),
+        );
         proxy.wait_ready();
         proxy
     }
 
+    /// Starts a process on the given text of the platform configuration, without `NODE_DISCOVERY`.
     pub fn run(addr: SocketAddr, config: &str) -> Self {
         Self::run_with(addr, config, None, None)
     }
 
-    /// Started with discovery's address in the environment too.
+    /// Starts a process on the given configuration text, with `NODE_DISCOVERY` set and an operator's file if given.
     pub fn run_with(
         addr: SocketAddr,
         config: &str,
         discovery: Option<SocketAddr>,
-        operators: Option<&str>,
+        operator_text: Option<&str>,
     ) -> Self {
-        let dir = Self::directory(config, operators);
-        Self::spawn(addr, dir, discovery, operators.is_some(), true, None)
+        let dir = Self::create_config_dir(config, operator_text);
+        Self::spawn(addr, dir, discovery, operator_text.is_some(), true, None)
     }
 
-    /// A directory of its own that holds the files it is started on.
-    fn directory(config: &str, operators: Option<&str>) -> PathBuf {
+    /// Creates a new directory that holds the configuration files of one process.
+    fn create_config_dir(config: &str, operator_text: Option<&str>) -> PathBuf {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let number = COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("violetwind-test-{}-{number}", std::process::id());
         let dir = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&dir).unwrap();
-        let path = dir.join("config.json");
-        std::fs::write(&path, config).unwrap();
-        let file = dir.join("operator.toml");
-        if let Some(text) = operators {
-            std::fs::write(&file, text).unwrap();
+        let config_path = dir.join("config.json");
+        std::fs::write(&config_path, config).unwrap();
+        let operator_path = dir.join("operator.toml");
+        if let Some(text) = operator_text {
+            std::fs::write(&operator_path, text).unwrap();
         }
         dir
     }
 
-    /// The program on what a directory holds, which it may clear away in the end.
+    /// Starts a process on the configuration files in `dir`. `removes_dir`: dropping the value deletes `dir`.
     fn spawn(
         addr: SocketAddr,
         dir: PathBuf,
         discovery: Option<SocketAddr>,
-        operators: bool,
-        clears: bool,
+        has_operator_file: bool,
+        removes_dir: bool,
         rules: Option<&str>,
     ) -> Self {
-        let path = dir.join("config.json");
-        let file = dir.join("operator.toml");
-        let text = std::fs::read_to_string(&path).unwrap_or_default();
+        let config_path = dir.join("config.json");
+        let operator_path = dir.join("operator.toml");
+        let text = std::fs::read_to_string(&config_path).unwrap_or_default();
         let config: Value = serde_json::from_str(&text).unwrap_or_default();
-        let management = config["management"].as_str().and_then(|at| at.parse().ok());
-        // Another build, for a comparison with an earlier version.
+        let management = config["management"]
+            .as_str()
+            .and_then(|addr| addr.parse().ok());
+        // VIOLETWIND_BIN selects another build, for a comparison with an earlier version.
         let program = std::env::var_os("VIOLETWIND_BIN");
         let program = program.unwrap_or_else(|| env!("CARGO_BIN_EXE_violetwind").into());
         let faults = rules.map(|rules| FaultInjector::new(&dir, rules));
@@ -173,27 +184,27 @@
             faults.preload(&mut command);
         }
         let mut child = command
-            .env("NODE_CONFIG", &path)
+            .env("NODE_CONFIG", &config_path)
             .env_remove("NODE_LISTEN")
             .env_remove("NODE_DISCOVERY")
-            .envs(discovery.map(|at| ("NODE_DISCOVERY", at.to_string())))
+            .envs(discovery.map(|addr| ("NODE_DISCOVERY", addr.to_string())))
             .env_remove("NODE_NAME")
             .env_remove("NODE_MANAGEMENT")
             .env("TMPDIR", &dir)
             .env_remove("VIOLETWIND_CONFIG")
-            .envs(operators.then_some(("VIOLETWIND_CONFIG", &file)))
+            .envs(has_operator_file.then_some(("VIOLETWIND_CONFIG", &operator_path)))
             .stdin(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
         let log = Arc::new((Mutex::new(String::new()), Condvar::new()));
-        let (stderr, kept) = (child.stderr.take().unwrap(), log.clone());
+        let (stderr, collected) = (child.stderr.take().unwrap(), log.clone());
         thread::spawn(move || {
             let mut stderr = BufReader::new(stderr);
             let mut line = String::new();
             while stderr.read_line(&mut line).unwrap_or(0) > 0 {
-                kept.0.lock().unwrap().push_str(&line);
-                kept.1.notify_all();
+                collected.0.lock().unwrap().push_str(&line);
+                collected.1.notify_all();
                 line.clear();
             }
         });
@@ -203,13 +214,13 @@
             child,
             log,
             dir,
-            clears,
+            removes_dir,
             faults,
-            clients: AtomicU64::new(0x9b1f_03aa_5c7e_2d41),
+            next_client_id: AtomicU64::new(0x9b1f_03aa_5c7e_2d41),
         }
     }
 
-    /// Ready, with an address for operators and changes to its configuration.
+    /// Starts a process with an operators' address and a changed configuration, and waits until it is ready.
     pub fn managed(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> Self {
         let proxy = Self::launch(discovery.addr, |config| {
             config["management"] = json!(unused_addr().to_string());
@@ -219,7 +230,7 @@
         proxy
     }
 
-    /// A second process of the same program, with another address for operators and all else the same.
+    /// Starts a second process on the same configuration with another operators' address, as an upgrade does.
     pub fn successor(&self, discovery: SocketAddr) -> Self {
         let path = self.dir.join("config.json");
         let mut config: Value = serde_json::from_str(&self.config_text()).unwrap();
@@ -233,29 +244,31 @@
             false,
             None,
         );
-        next.clients.store(
-            self.clients.load(Ordering::Relaxed) + (1 << 20),
+        next.next_client_id.store(
+            self.next_client_id.load(Ordering::Relaxed) + (1 << 20),
             Ordering::Relaxed,
         );
         next
     }
 
-    /// The directory that outlives the process.
+    /// The configuration directory. It is not deleted when the process ends.
     pub fn dir(&self) -> &std::path::Path {
         &self.dir
     }
 
-    /// The answer to an operator's call.
+    /// Sends an operator's call and returns the answer line; the connection must be closed after it.
     pub fn call(&self, line: &str) -> String {
-        let mut caller =
-            LineConnection::connect(self.management.expect("an address for operators"));
+        let mut caller = LineConnection::connect(
+            self.management
+                .expect("no operators' address is configured"),
+        );
         caller.send_line(line);
         let answer = caller.read_line();
         assert_eq!(caller.expect_end(), ConnectionEnd::Closed);
         answer
     }
 
-    /// The same, which must be a yes.
+    /// Same as [`Proxy::call`]; the answer must be `200`.
     pub fn yes(&self, line: &str) -> String {
         let answer = self.call(line);
         assert!(
@@ -266,37 +279,40 @@
         answer
     }
 
+    /// Same as [`Proxy::call`]; the answer must be `400`.
     pub fn no(&self, line: &str) -> String {
         let answer = self.call(line);
         assert!(answer.starts_with("400 "), "{line}: {answer}");
         answer
     }
 
+    /// Waits until the process answers `PING`.
     pub fn wait_ready(&self) {
-        let until = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !self.answers_ping() {
             assert!(
-                Instant::now() < until,
-                "never ready:\n{}",
+                Instant::now() < deadline,
+                "no PONG within {WAIT_TIMEOUT:?}:\n{}",
                 self.log.0.lock().unwrap()
             );
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// A client that asks for a connection of this class.
+    /// Connects a client that sends an `OPEN` line with this class and a deadline of 2 s.
     pub fn open(&self, class: &str) -> LineConnection {
         self.open_with(&format!("c={class},d=2000"))
     }
 
+    /// Connects a client that sends an `OPEN` line with these fields and a new request id.
     pub fn open_with(&self, fields: &str) -> LineConnection {
         let mut client = LineConnection::connect(self.addr);
-        let id = self.clients.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_client_id.fetch_add(1, Ordering::Relaxed);
         client.send_line(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 {fields}"));
         client
     }
 
-    /// A client whose connection is up, with the server's side of it.
+    /// Establishes a connection to `server` and returns the client's side and the server's side.
     pub fn up(&self, server: &Server) -> (LineConnection, LineConnection) {
         let mut client = self.open("watch");
         let (_, mut conn) = server.next_open();
@@ -305,11 +321,12 @@
         (client, conn)
     }
 
+    /// The log lines written so far.
     pub fn log(&self) -> String {
         self.log.0.lock().unwrap().clone()
     }
 
-    /// Waits until the log holds a text.
+    /// Waits until the log contains `text`.
     pub fn logged(&self, text: &str) {
         let log = self.log.0.lock().unwrap();
         let wait = self
@@ -320,7 +337,7 @@
         assert!(!timeout.timed_out(), "`{text}` is not in the log:\n{log}");
     }
 
-    /// Changes the file of the configuration and tells the program.
+    /// Changes the platform configuration file and sends SIGHUP.
     pub fn reload(&self, change: impl FnOnce(&mut Value)) {
         let text = std::fs::read_to_string(self.dir.join("config.json")).unwrap();
         let mut config = serde_json::from_str(&text).unwrap();
@@ -328,7 +345,7 @@
         self.reload_text(&config.to_string());
     }
 
-    /// The same with any text, which takes the old file's place in one step.
+    /// Replaces the platform configuration file atomically by `text` and sends SIGHUP.
     pub fn reload_text(&self, text: &str) {
         let new = self.dir.join("new.json");
         std::fs::write(&new, text).unwrap();
@@ -336,7 +353,7 @@
         self.signal("-HUP");
     }
 
-    /// Another text for the operator's file, which the program rereads.
+    /// Replaces the operator's file atomically by `text` and sends SIGHUP.
     pub fn reload_operators(&self, text: &str) {
         let new = self.dir.join("new.toml");
         std::fs::write(&new, text).unwrap();
@@ -344,46 +361,51 @@
         self.signal("-HUP");
     }
 
+    /// The current text of the platform configuration file.
     pub fn config_text(&self) -> String {
         std::fs::read_to_string(self.dir.join("config.json")).unwrap()
     }
 
+    /// Sends a signal to the process; `name` is an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
-        let id = self.child.id().to_string();
-        let status = Command::new("kill").args([name, &id]).status().unwrap();
+        let pid = self.child.id().to_string();
+        let status = Command::new("kill").args([name, &pid]).status().unwrap();
         assert!(status.success());
     }
 
-    /// Stops the program where it stands; it does nothing more once this returns.
+    /// Sends SIGSTOP and waits until the process is stopped.
     pub fn stop(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        let until = Instant::now() + WAIT_TIMEOUT;
-        // The signal is on its way when `kill` returns.
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        // `kill` returns before the signal takes effect.
         while !std::fs::read_to_string(&stat).unwrap().contains(") T ") {
-            assert!(Instant::now() < until, "it goes on");
+            assert!(
+                Instant::now() < deadline,
+                "the process was not stopped within {WAIT_TIMEOUT:?}"
+            );
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// The processor time that it has taken.
+    /// The CPU time that the process has used, user and system.
     pub fn cpu(&self) -> Duration {
         let path = format!("/proc/{}/stat", self.child.id());
         let stat = std::fs::read_to_string(path).unwrap();
-        // The name in brackets may hold spaces; behind it the fields are counted from the third on.
+        // The command name in brackets may contain spaces, so split behind it; field 3 of proc(5) is then at index 1.
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split(' ').collect();
-        let ticks = |at: usize| fields[at].parse::<u64>().unwrap();
-        // A tick is a hundredth of a second to programs, whatever the kernel's own.
+        let ticks = |index: usize| fields[index].parse::<u64>().unwrap();
+        // USER_HZ is 100 whatever the kernel's own tick rate is.
         Duration::from_millis(10 * (ticks(12) + ticks(13)))
     }
 
-    /// How many descriptors it has open.
+    /// The number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         let path = format!("/proc/{}/fd", self.child.id());
         std::fs::read_dir(path).unwrap().count()
     }
 
-    /// The most memory it has held, in KiB.
+    /// The peak resident set size in KiB.
     pub fn memory_kib(&self) -> u64 {
         let path = format!("/proc/{}/status", self.child.id());
         let status = std::fs::read_to_string(path).unwrap();
@@ -394,52 +416,57 @@
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
 
-    /// Waits for its end.
+    /// Waits until the process has ended and returns its exit status.
     pub fn ended(&mut self) -> ExitStatus {
-        let until = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < until, "it goes on");
+            assert!(
+                Instant::now() < deadline,
+                "the process did not end within {WAIT_TIMEOUT:?}"
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
 
+    /// Whether the process is still running.
     pub fn alive(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 }
 
 impl Pingable for Proxy {
-    /// Whether it answers `PING` with `PONG` now.
+    /// Whether the process answers `PING` with `PONG` now.
     fn answers_ping(&self) -> bool {
         let Ok(stream) = TcpStream::connect(self.addr) else {
             return false;
         };
-        let mut peer = LineConnection::new(stream);
-        // A process that was killed in this moment resets what its listener had taken: that is no answer.
-        peer.try_send_line("PING").is_ok() && peer.try_read_line().as_deref() == Ok("PONG")
+        let mut connection = LineConnection::new(stream);
+        // A process killed at this moment resets the connections its listener had accepted: that counts as no answer.
+        connection.try_send_line("PING").is_ok()
+            && connection.try_read_line().as_deref() == Ok("PONG")
     }
 }
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        // One that has ended already needs no end.
+        // `kill` fails if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        if self.clears {
+        if self.removes_dir {
             let _ = std::fs::remove_dir_all(&self.dir);
         }
     }
 }
 
-/// A configuration in which servers tell no loads: the module finds room for any number of clients.
+/// Removes the load reports of servers from the configuration: the balancer then admits any number of clients.
 pub fn without_loads(config: &mut Value) {
     config["settings"]["reporting"]["fields"] = json!([]);
 }
 
-/// One server, listed, and a proxy that is ready.
+/// Starts one server, a discovery that lists it, and a proxy, and waits until the proxy is ready.
 pub fn one_server() -> (Server, Discovery, Proxy) {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
