--- a/crates/proxy/tests/budgets.rs
+++ b/crates/proxy/tests/budgets.rs
@@ -90,10 +90,10 @@
                 },
             )
         });
-        let begun = Instant::now();
+        let started_at = Instant::now();
         while workload.stats.lock().unwrap().units_in_use() < 18 {
             assert!(
-                begun.elapsed() < Duration::from_secs(10),
+                started_at.elapsed() < Duration::from_secs(10),
                 "{}",
                 fleet.merged_log()
             );
@@ -208,11 +208,11 @@
     assert!(stats.max_in_use > HELD_TOTAL && stats.max_uses_within(WINDOW) > RATE_TOTAL);
 }
 
-/// Opens a connection of the class that has the budget. Returns the client's side and the server's side, or `None` if the
-/// proxy refused the client with a retry time. Only a received answer counts as a refusal: an attempt that reaches the
-/// server late on a busy machine is served too, and is not left over for the next client. Both failures were observed:
-/// the server read lines 250 ms and more after the client had written them, the test did not serve them, and the next
-/// client's `UP` went to the previous client.
+/// Opens a connection of the class that has the budget. Returns the client's side and the server's side, or `None` if
+/// the proxy refused the client with a retry time. Only a received answer counts as a refusal: an attempt that reaches
+/// the server late on a busy machine is served too, and is not left over for the next client. Both failures were
+/// observed: the server read lines 250 ms and more after the client had written them, the test did not serve them, and
+/// the next client's `UP` went to the previous client.
 fn open_client(
     fleet: &FleetHarness,
     proxy: usize,
@@ -235,8 +235,8 @@
     None
 }
 
-/// The balancer counts the clients of a class over three proxies, with demand at one proxy, then at another, and then at
-/// one that is cut off from the fleet.
+/// The balancer counts the clients of a class over three proxies, with demand at one proxy, then at another, and then
+/// at one that is cut off from the fleet.
 #[test]
 fn clients_of_a_class_stay_within_the_budget_over_three_proxies() {
     let mut spec = fleet_spec(3, 0);
@@ -245,10 +245,10 @@
     wait_for_all_members_live(&fleet);
     let (mut id, mut established) = (0x51c3_a9be_00d2_0000, Vec::new());
     // One proxy gets everything except the floors of the two others.
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while established.len() < 10 {
         assert!(
-            begun.elapsed() < Duration::from_secs(10),
+            started_at.elapsed() < Duration::from_secs(10),
             "{} up\n{}",
             established.len(),
             fleet.merged_log()
@@ -262,10 +262,10 @@
     // Six clients leave; their units go to the proxy with demand.
     established.truncate(4);
     established.push(other);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while established.len() < 11 {
         assert!(
-            begun.elapsed() < Duration::from_secs(10),
+            started_at.elapsed() < Duration::from_secs(10),
             "{} up\n{}",
             established.len(),
             fleet.merged_log()
@@ -284,10 +284,10 @@
         assert_eq!(client.read_line(), "line");
     }
     fleet.heal_links();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while established.len() < 11 {
         assert!(
-            begun.elapsed() < Duration::from_secs(10),
+            started_at.elapsed() < Duration::from_secs(10),
             "{} up\n{}",
             established.len(),
             fleet.merged_log()
@@ -398,8 +398,8 @@
         .unwrap_or(0)
 }
 
-/// The largest number of writes that began within one window. Operators count the same way: a send counts from its first
-/// byte.
+/// The largest number of writes that began within one window. Operators count the same way: a send counts from its
+/// first byte.
 fn max_writes_in_window(writes: &[LineWrite]) -> usize {
     let starts: Vec<u64> = writes.iter().map(|write| write.start_us).collect();
     max_in_window(&starts)
@@ -440,8 +440,9 @@
 }
 
 /// A cold server and its probes while clients load all three proxies at once. Lines are counted from the start of their
-/// write, as operators count them. Times taken by the test's thread were late by up to 100 ms beside other tests: it then
-/// counted 5 of 4 allowed lines in a window, where in any window the proxies had written four and the server had read four.
+/// write, as operators count them. Times taken by the test's thread were late by up to 100 ms beside other tests: it
+/// then counted 5 of 4 allowed lines in a window, where in any window the proxies had written four and the server had
+/// read four.
 #[test]
 fn a_cold_server_gets_no_more_than_its_budget_from_three_proxies() {
     const COLD_TOTAL: usize = 4;
@@ -464,8 +465,8 @@
         });
     }
     let load = OpenLoad::start(&fleet, 9, &[0, 1, 2], 500);
-    let (begun, mut conns) = (Instant::now(), Vec::new());
-    while begun.elapsed() < Duration::from_millis(3500) {
+    let (started_at, mut conns) = (Instant::now(), Vec::new());
+    while started_at.elapsed() < Duration::from_millis(3500) {
         let poll_until = Instant::now() + Duration::from_millis(20);
         if let Some((_, mut conn)) = fleet
             .server
@@ -506,10 +507,11 @@
 }
 
 /// Guards against units at a cold server that are counted from the attempt's decision instead of the write of its line.
-/// For a while a proxy has no buffers for new connections, so decided attempts are delayed in `connect`. Then all of them
-/// are sent together, and as many again one window after their decisions, which is only a few hundred milliseconds later.
-/// On a busy machine, without any fault, a delay of 110 ms was observed between the two ("attempt decided" at -111.3 ms,
-/// "line written" at -0.9 ms, the same unit used again at 963 ms), and with it 5 of 4 allowed lines in a window.
+/// For a while a proxy has no buffers for new connections, so decided attempts are delayed in `connect`. Then all of
+/// them are sent together, and as many again one window after their decisions, which is only a few hundred milliseconds
+/// later. On a busy machine, without any fault, a delay of 110 ms was observed between the two ("attempt decided" at
+/// -111.3 ms, "line written" at -0.9 ms, the same unit used again at 963 ms), and with it 5 of 4 allowed lines in a
+/// window.
 #[test]
 fn a_cold_server_gets_no_more_than_its_budget_when_connects_are_delayed() {
     const COLD_TOTAL: usize = 2;
@@ -533,10 +535,10 @@
     let load = OpenLoad::start(&fleet, 8, &[0], 2000);
     let mut conns = Vec::new();
     let mut serve_until = |is_done: &dyn Fn() -> bool| {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         while !is_done() {
             assert!(
-                begun.elapsed() < Duration::from_secs(10),
+                started_at.elapsed() < Duration::from_secs(10),
                 "{}",
                 fleet.merged_log()
             );
@@ -624,12 +626,12 @@
     what: &str,
     total: usize,
 ) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let is_done =
         || Some(total_in_force(fleet)? == total as u64 && allocated_units(fleet)? <= total as u64);
     while is_done() != Some(true) {
         assert!(
-            begun.elapsed() < WAIT_TIMEOUT,
+            started_at.elapsed() < WAIT_TIMEOUT,
             "{what}: not within {WAIT_TIMEOUT:?}, {}\n{}",
             format_state(fleet, workload),
             fleet.merged_log()
@@ -663,8 +665,9 @@
     fleet.start_member(member);
 }
 
-/// Changed operator's files that reach one process after another while all members are under load: the total is lowered to
-/// a tenth while it is in use, files of the same version disagree, and the budget is removed from all files and put back.
+/// Changed operator's files that reach one process after another while all members are under load: the total is lowered
+/// to a tenth while it is in use, files of the same version disagree, and the budget is removed from all files and put
+/// back.
 #[test]
 fn a_whole_follows_files_that_come_one_by_one() {
     let mut spec = fleet_spec(3, 2);
@@ -702,7 +705,8 @@
     });
     let max_in_use = workload.stats.lock().unwrap().max_in_use;
     assert!(max_in_use <= HELD_TOTAL / 10, "{max_in_use}");
-    // One file raises the total, another file of the same version has a lower one: the lower one applies to all members.
+    // One file raises the total, another file of the same version has a lower one: the lower one applies to all
+    // members.
     restart_with_budget(&mut fleet, &workload, 3, &held_budget_toml(HELD_TOTAL, 3));
     fleet.wait_until("the higher total is in force", |fleet| {
         (total_in_force(fleet)? == HELD_TOTAL as u64).then_some(())
@@ -793,9 +797,9 @@
     );
 }
 
-/// Guards against a client with a deadline of 2 s that is refused although the fleet has free units, because the leader's
-/// answer takes 0.3 to 0.6 s: the proxy waited 300 ms from the client's arrival, whatever the state of the exchange with
-/// the leader.
+/// Guards against a client with a deadline of 2 s that is refused although the fleet has free units, because the
+/// leader's answer takes 0.3 to 0.6 s: the proxy waited 300 ms from the client's arrival, whatever the state of the
+/// exchange with the leader.
 #[test]
 fn a_client_waits_for_a_slow_exchange_with_the_leader() {
     let mut spec = fleet_spec(3, 0);
@@ -824,8 +828,8 @@
     }
 }
 
-/// Without other demand and with free units in the fleet, a client beyond its proxy's share waits for one exchange with the
-/// leader and is served, not refused, until all units are allocated.
+/// Without other demand and with free units in the fleet, a client beyond its proxy's share waits for one exchange with
+/// the leader and is served, not refused, until all units are allocated.
 #[test]
 fn a_client_that_one_exchange_with_the_leader_can_serve_is_not_refused() {
     let mut spec = fleet_spec(3, 0);
@@ -840,7 +844,8 @@
             served.unwrap_or_else(|| panic!("client {number} was refused\n{}", fleet.merged_log())),
         );
     }
-    // The remaining units are the floors of the two others. After a few answers without units, clients are refused at once.
+    // The remaining units are the floors of the two others. After a few answers without units, clients are refused at
+    // once.
     fleet.wait_until("a client is refused at once", |fleet| {
         let mut client = LineConnection::connect(fleet.client_addr(0));
         id += 1;
--- a/crates/proxy/tests/clock_steps.rs
+++ b/crates/proxy/tests/clock_steps.rs
@@ -1,5 +1,5 @@
-//! The wall clock of the proxy's machine is stepped by an hour or by seconds: a server that has just started gets no
-//! more than slow start allows, by whatever clock its start was written down, and one that is warm stays in use.
+//! The wall clock of the proxy's machine is stepped by an hour or by seconds. A server that has just started must get
+//! no more than slow start allows, whatever clock its start time was taken from, and a warm server must stay in use.
 
 mod common;
 
@@ -11,14 +11,15 @@
 use serde_json::json;
 use violetwind_standins::soak::{ClientBehaviour, SoakServer, Traffic};
 
-const HOUR: i64 = 3_600_000;
-const COLD_FOR: Duration = Duration::from_secs(4);
-/// Connections that load a server fully, and so what it takes while it warms up.
+const HOUR_MS: i64 = 3_600_000;
+const COLD_DURATION: Duration = Duration::from_secs(4);
+/// The number of connections that load a server fully. What it takes while it warms up depends on this number.
 const CAPACITY: usize = 100;
 
-fn wall_ms(step: i64) -> u64 {
+/// The wall clock in milliseconds since the epoch, plus a step.
+fn wall_clock_ms(step_ms: i64) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
-    (now.as_millis() as i64 + step) as u64
+    (now.as_millis() as i64 + step_ms) as u64
 }
 
 fn behaviour(number: u64) -> ClientBehaviour {
@@ -32,200 +33,211 @@
     }
 }
 
-/// What the proxy's clock does, and by which clock the newcomer's start is written down.
+/// The steps of the proxy's clock and the offset of the clock that the new server's start time is taken from, in ms.
 #[derive(Debug)]
 struct Case {
-    /// The step that the proxy has before its start, and the one that it has while it runs.
-    before: i64,
-    while_running: i64,
-    /// The newcomer's own clock is off by so much.
-    server: i64,
-    /// It is listed from the start, having just started.
+    /// The proxy's step from before its start, and the further step while it runs.
+    step_before_start_ms: i64,
+    step_while_running_ms: i64,
+    /// The offset of the new server's own clock.
+    server_offset_ms: i64,
+    /// Whether the new server is already in the proxy's first list, having just started.
     in_first_list: bool,
 }
 
-/// The requests that the newcomer gets in its first seconds.
-fn newcomer(case: &Case) -> usize {
-    let warm: Vec<SoakServer> = (1..=6)
+/// Runs traffic and returns the number of requests that the new server gets within the slow start period.
+fn count_new_server_requests(case: &Case) -> usize {
+    let warm_servers: Vec<SoakServer> = (1..=6)
         .map(|number| SoakServer::start(&format!("s-{number}"), CAPACITY))
         .collect();
-    let new = SoakServer::start("s-new", CAPACITY);
+    let new_server = SoakServer::start("s-new", CAPACITY);
     let discovery = Discovery::start(&[]);
-    for server in &warm {
+    for server in &warm_servers {
         discovery.upsert_target(server.target_row("ready", 0));
     }
     if case.in_first_list {
-        discovery.upsert_target(new.target_row("ready", wall_ms(case.server)));
+        discovery
+            .upsert_target(new_server.target_row("ready", wall_clock_ms(case.server_offset_ms)));
     }
-    let rules = format!("clock {}", case.before);
+    let rules = format!("clock {}", case.step_before_start_ms);
     let proxy = Proxy::launch_faulty(discovery.addr, &rules, |config| {
-        config["settings"]["rules"]["cold-s"] = json!(COLD_FOR.as_secs_f64());
+        config["settings"]["rules"]["cold-s"] = json!(COLD_DURATION.as_secs_f64());
     });
     proxy.wait_ready();
     let traffic = Traffic::start(proxy.addr, Duration::from_millis(8), 1, behaviour);
     if !case.in_first_list {
         thread::sleep(Duration::from_secs(2));
-        proxy.set_faults(&format!("clock {}", case.before + case.while_running));
+        proxy.set_faults(&format!(
+            "clock {}",
+            case.step_before_start_ms + case.step_while_running_ms
+        ));
         thread::sleep(Duration::from_millis(300));
-        discovery.upsert_target(new.target_row("ready", wall_ms(case.server)));
+        discovery
+            .upsert_target(new_server.target_row("ready", wall_clock_ms(case.server_offset_ms)));
     }
-    thread::sleep(COLD_FOR);
+    thread::sleep(COLD_DURATION);
     drop(traffic.finish());
-    new.attempts().len()
+    new_server.attempts().len()
 }
 
-/// What a newcomer gets is known from a proxy whose clock nobody touches, on the same traffic.
-fn holds(case: Case) {
+/// Checks that the new server gets no more requests than in a control run with the same traffic and no clock steps.
+fn assert_slow_start_holds(case: Case) {
     static CONTROL: OnceLock<usize> = OnceLock::new();
     let control = *CONTROL.get_or_init(|| {
-        newcomer(&Case {
-            before: 0,
-            while_running: 0,
-            server: 0,
+        count_new_server_requests(&Case {
+            step_before_start_ms: 0,
+            step_while_running_ms: 0,
+            server_offset_ms: 0,
             in_first_list: false,
         })
     });
-    let got = newcomer(&case);
-    // Chance makes some of it.
-    let most = control as f64 * 1.5 + 3.0 * (control as f64).sqrt();
+    let requests = count_new_server_requests(&case);
+    // The number varies randomly between runs.
+    let limit = control as f64 * 1.5 + 3.0 * (control as f64).sqrt();
     assert!(
-        got as f64 <= most,
-        "{got} arrivals, {control} where no clock is stepped: {case:?}"
+        requests as f64 <= limit,
+        "{requests} requests, {control} without clock steps: {case:?}"
     );
 }
 
 #[test]
-fn a_newcomer_is_used_within_slow_start_where_no_clock_is_stepped() {
-    let got = newcomer(&Case {
-        before: 0,
-        while_running: 0,
-        server: 0,
+fn a_new_server_gets_slow_start_traffic_without_clock_steps() {
+    let requests = count_new_server_requests(&Case {
+        step_before_start_ms: 0,
+        step_while_running_ms: 0,
+        server_offset_ms: 0,
         in_first_list: false,
     });
-    let warm = 4 * 120 / 7;
+    let warm_requests = 4 * 120 / 7;
     assert!(
-        got > 0 && got * 2 < warm,
-        "{got} arrivals; a warm server gets about {warm}"
+        requests > 0 && requests * 2 < warm_requests,
+        "{requests} requests; a warm server gets about {warm_requests}"
     );
 }
 
 #[test]
-fn a_newcomer_is_cold_after_the_clock_went_back() {
-    // Its own clock went back too, or only the proxy's did.
-    holds(Case {
-        before: 0,
-        while_running: -HOUR,
-        server: -HOUR,
+fn a_new_server_is_cold_after_the_proxys_clock_went_back() {
+    // First the new server's clock goes back too, then only the proxy's.
+    assert_slow_start_holds(Case {
+        step_before_start_ms: 0,
+        step_while_running_ms: -HOUR_MS,
+        server_offset_ms: -HOUR_MS,
         in_first_list: false,
     });
-    holds(Case {
-        before: 0,
-        while_running: -HOUR,
-        server: 0,
+    assert_slow_start_holds(Case {
+        step_before_start_ms: 0,
+        step_while_running_ms: -HOUR_MS,
+        server_offset_ms: 0,
         in_first_list: false,
     });
 }
 
 #[test]
-fn a_newcomer_is_cold_after_the_clock_went_forward() {
-    holds(Case {
-        before: 0,
-        while_running: HOUR,
-        server: HOUR,
+fn a_new_server_is_cold_after_the_proxys_clock_went_forward() {
+    assert_slow_start_holds(Case {
+        step_before_start_ms: 0,
+        step_while_running_ms: HOUR_MS,
+        server_offset_ms: HOUR_MS,
         in_first_list: false,
     });
-    holds(Case {
-        before: 0,
-        while_running: HOUR,
-        server: 0,
+    assert_slow_start_holds(Case {
+        step_before_start_ms: 0,
+        step_while_running_ms: HOUR_MS,
+        server_offset_ms: 0,
         in_first_list: false,
     });
-    holds(Case {
-        before: 0,
-        while_running: 5000,
-        server: 0,
+    assert_slow_start_holds(Case {
+        step_before_start_ms: 0,
+        step_while_running_ms: 5000,
+        server_offset_ms: 0,
         in_first_list: false,
     });
 }
 
-/// All machines read one clock by the page, but one of them may be stepped alone.
+/// According to the documentation all machines read one clock, but a single machine's clock may be stepped alone.
 #[test]
-fn a_newcomer_is_cold_by_whatever_clock_of_its_own() {
-    holds(Case {
-        before: 0,
-        while_running: 0,
-        server: -HOUR,
+fn a_new_server_is_cold_whatever_the_offset_of_its_own_clock() {
+    assert_slow_start_holds(Case {
+        step_before_start_ms: 0,
+        step_while_running_ms: 0,
+        server_offset_ms: -HOUR_MS,
         in_first_list: false,
     });
-    holds(Case {
-        before: 0,
-        while_running: 0,
-        server: -5000,
+    assert_slow_start_holds(Case {
+        step_before_start_ms: 0,
+        step_while_running_ms: 0,
+        server_offset_ms: -5000,
         in_first_list: false,
     });
-    holds(Case {
-        before: 0,
-        while_running: 0,
-        server: HOUR,
+    assert_slow_start_holds(Case {
+        step_before_start_ms: 0,
+        step_while_running_ms: 0,
+        server_offset_ms: HOUR_MS,
         in_first_list: false,
     });
 }
 
 #[test]
-fn a_newcomer_of_the_first_list_is_cold_after_a_step_before_the_start() {
-    holds(Case {
-        before: HOUR,
-        while_running: 0,
-        server: 0,
+fn a_new_server_in_the_first_list_is_cold_after_a_clock_step_before_the_start() {
+    assert_slow_start_holds(Case {
+        step_before_start_ms: HOUR_MS,
+        step_while_running_ms: 0,
+        server_offset_ms: 0,
         in_first_list: true,
     });
-    holds(Case {
-        before: -HOUR,
-        while_running: 0,
-        server: 0,
+    assert_slow_start_holds(Case {
+        step_before_start_ms: -HOUR_MS,
+        step_while_running_ms: 0,
+        server_offset_ms: 0,
         in_first_list: true,
     });
-    holds(Case {
-        before: 5000,
-        while_running: 0,
-        server: 0,
+    assert_slow_start_holds(Case {
+        step_before_start_ms: 5000,
+        step_while_running_ms: 0,
+        server_offset_ms: 0,
         in_first_list: true,
     });
-    holds(Case {
-        before: 0,
-        while_running: 0,
-        server: -HOUR,
+    assert_slow_start_holds(Case {
+        step_before_start_ms: 0,
+        step_while_running_ms: 0,
+        server_offset_ms: -HOUR_MS,
         in_first_list: true,
     });
 }
 
-/// A forward step must not leave a server cold for an hour: it warms up by the clock that runs on.
+/// A forward step must not leave a server cold for an hour: warm-up is measured on a clock that is never stepped.
 #[test]
-fn a_newcomer_warms_up_in_its_time_after_any_step() {
-    for step in [-HOUR, HOUR] {
-        let old = SoakServer::start("s-1", CAPACITY);
-        let new = SoakServer::start("s-new", CAPACITY);
-        let discovery = Discovery::start(&[old.target_row("ready", 0)]);
+fn a_new_server_warms_up_on_time_after_any_clock_step() {
+    for step_ms in [-HOUR_MS, HOUR_MS] {
+        let old_server = SoakServer::start("s-1", CAPACITY);
+        let new_server = SoakServer::start("s-new", CAPACITY);
+        let discovery = Discovery::start(&[old_server.target_row("ready", 0)]);
         let proxy = Proxy::launch_faulty(discovery.addr, "", |config| {
             config["settings"]["rules"]["cold-s"] = json!(2.0);
         });
         proxy.wait_ready();
         let traffic = Traffic::start(proxy.addr, Duration::from_millis(20), 1, behaviour);
         thread::sleep(Duration::from_millis(500));
-        proxy.set_faults(&format!("clock {step}"));
-        discovery.upsert_target(new.target_row("ready", wall_ms(step)));
+        proxy.set_faults(&format!("clock {step_ms}"));
+        discovery.upsert_target(new_server.target_row("ready", wall_clock_ms(step_ms)));
         thread::sleep(Duration::from_millis(3000));
         let warm_at = Instant::now();
         thread::sleep(Duration::from_secs(2));
         drop(traffic.finish());
-        let since = |server: &SoakServer| {
+        let requests_once_warm = |server: &SoakServer| {
             server
                 .attempts()
                 .iter()
                 .filter(|arrival| arrival.received_at > warm_at)
                 .count()
         };
-        let (old, new) = (since(&old), since(&new));
-        assert!(new * 2 > old, "step {step}: {new} of {old} once it is warm");
+        let (old_requests, new_requests) = (
+            requests_once_warm(&old_server),
+            requests_once_warm(&new_server),
+        );
+        assert!(
+            new_requests * 2 > old_requests,
+            "step of {step_ms} ms: the warm new server got {new_requests} requests, the old one {old_requests}"
+        );
     }
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -132,7 +132,8 @@
         Self::run_with(addr, config, None, None)
     }
 
-    /// Starts a process on the given configuration text, with `NODE_DISCOVERY` set and an operator's file if given.
+    /// Starts a process on the given configuration text, with `NODE_DISCOVERY` and an operator's file where they are
+    /// given.
     pub fn run_with(
         addr: SocketAddr,
         config: &str,
@@ -159,7 +160,8 @@
         dir
     }
 
-    /// Starts a process on the configuration files in `dir`. `removes_dir`: dropping the value deletes `dir`.
+    /// Starts a process on the configuration files in `dir`. With `removes_dir` dropping the value deletes `dir`;
+    /// `rules` are system call faults.
     fn spawn(
         addr: SocketAddr,
         dir: PathBuf,
--- a/crates/proxy/tests/duties.rs
+++ b/crates/proxy/tests/duties.rs
@@ -189,8 +189,8 @@
     path.display().to_string()
 }
 
-/// Waits until the receiver has accepted `min_count` pieces of work with a fencing number above `fence_above`; returns the
-/// fencing number of the first.
+/// Waits until the receiver has accepted `min_count` pieces of work with a fencing number above `fence_above`; returns
+/// the fencing number of the first.
 fn wait_for_accepted_work(receiver: &Receiver, min_count: usize, fence_above: u64) -> u64 {
     let deadline = Instant::now() + violetwind_standins::WAIT_TIMEOUT;
     loop {
@@ -210,8 +210,9 @@
     }
 }
 
-/// The proxy and `violetwind hold` are stopped for three leases while the command of `hold` keeps on sending work with the
-/// old fencing number. Guards against a holder that still has an effect after its lease was given to another member.
+/// The proxy and `violetwind hold` are stopped for three leases while the command of `hold` keeps on sending work with
+/// the old fencing number. Guards against a holder that still has an effect after its lease was given to another
+/// member.
 #[test]
 fn work_of_a_holder_stopped_for_three_leases_is_rejected_by_its_fencing_number() {
     let receiver = Receiver::start(([127, 0, 0, 1], 0).into()).unwrap();
@@ -439,8 +440,8 @@
 fn outdated_altered_and_emptied_data_directories_are_detected() {
     let (mut fleet, holder) = start_with_holder(3, 0);
     let victim = (holder + 1) % 3;
-    // A member started on an older copy of its own directory: the copy is put aside, and the member is a stranger to the
-    // fleet until an operator lets it in.
+    // A member started on an older copy of its own directory: the copy is put aside, and the member is a stranger to
+    // the fleet until an operator lets it in.
     let old_copy = fleet.dir().join("copy");
     fleet.kill_member(victim);
     copy_dir(&fleet.fleet_dir(victim), &old_copy);
@@ -701,7 +702,7 @@
         Some(71)
     );
     // Only one program may hold the duty at a time. A command that loses the duty is killed even if it ignores SIGTERM.
-    let mut sigterm_ignoring = Command::new(env!("CARGO_BIN_EXE_violetwind"))
+    let mut hold_process = Command::new(env!("CARGO_BIN_EXE_violetwind"))
         .args([
             "hold",
             "export",
@@ -719,19 +720,20 @@
         .spawn()
         .unwrap();
     let mut first_line = [0; 3];
-    std::io::Read::read_exact(sigterm_ignoring.stdout.as_mut().unwrap(), &mut first_line).unwrap();
+    std::io::Read::read_exact(hold_process.stdout.as_mut().unwrap(), &mut first_line).unwrap();
     assert_eq!(hold(&holder_addr, "exit 0").0, Some(75));
     let handed_on_at = boottime_ms();
     assert_eq!(
         fleet.call_member(holder, "FLEET HAND-ON export").unwrap(),
         "200 done"
     );
-    assert_eq!(sigterm_ignoring.wait().unwrap().code(), Some(76));
+    assert_eq!(hold_process.wait().unwrap().code(), Some(76));
     fleet.wait_for_holder("export", handed_on_at);
     assert_no_duty_violations(&fleet, &[]);
 }
 
-/// During an upgrade both processes of a proxy count as one member; the process that serves clients takes part in the fleet.
+/// During an upgrade both processes of a proxy count as one member; the process that serves clients takes part in the
+/// fleet.
 #[test]
 fn an_upgrade_hands_the_duty_on_before_the_old_process_ends() {
     let (mut fleet, holder) = start_with_holder(3, 0);
--- a/crates/proxy/tests/growth.rs
+++ b/crates/proxy/tests/growth.rs
@@ -1,5 +1,5 @@
-//! What a proxy needs in a fleet of sixteen times the servers: the rows of the operators' table, with the same traffic,
-//! the same limits and the same capacity for each proxy.
+//! Resource use of a proxy in a fleet with sixteen times the servers, checked against the rows of the operators' table.
+//! The traffic, the limits and the capacity of each proxy are the same for both sizes.
 
 mod common;
 
@@ -10,40 +10,44 @@
 use serde_json::json;
 use violetwind_standins::soak::{ClientBehaviour, RequestOutcome, SoakServer, Traffic};
 
-const USUAL: Size = Size {
+const BASELINE_SIZE: FleetSize = FleetSize {
     servers: 200,
     proxies: 56,
 };
-const LARGE: Size = Size {
+const LARGE_SIZE: FleetSize = FleetSize {
     servers: 3200,
     proxies: 900,
 };
-const LASTS: Duration = Duration::from_secs(12);
-/// Sockets that answer; each is listed under many names.
-const SOCKETS: usize = 16;
+const RUN_DURATION: Duration = Duration::from_secs(12);
+/// The number of listening server sockets; each is listed under many server ids.
+const SOCKET_COUNT: usize = 16;
 
+/// The number of servers and proxies in a fleet.
 #[derive(Clone, Copy)]
-struct Size {
+struct FleetSize {
     servers: usize,
     proxies: u64,
 }
 
+/// Measured resource use of a proxy.
 #[derive(Debug)]
-struct Needs {
+struct ResourceUsage {
     cpu_s: f64,
     memory_mb: f64,
     descriptors: usize,
     connections: usize,
     list_bytes: usize,
+    /// The share of requests whose connection was established.
     served: f64,
 }
 
-fn play(size: Size) -> Needs {
-    let sockets: Vec<SoakServer> = (0..SOCKETS)
+/// Runs a proxy in a fleet of this size under the same traffic and measures its resource use.
+fn measure(size: FleetSize) -> ResourceUsage {
+    let sockets: Vec<SoakServer> = (0..SOCKET_COUNT)
         .map(|number| SoakServer::start(&format!("s-{number}"), 4000))
         .collect();
     let row = |number: usize, state: &str| {
-        let endpoint = sockets[number % SOCKETS].addr.to_string();
+        let endpoint = sockets[number % SOCKET_COUNT].addr.to_string();
         target_row(&format!("u-{number}"), &endpoint, state)
     };
     let rows: Vec<_> = (0..size.servers)
@@ -57,7 +61,7 @@
         config["known"] = json!({"rev": size.servers, "all": true, "targets": rows});
     });
     proxy.wait_ready();
-    let before = discovery.list_bytes_sent();
+    let list_bytes_before = discovery.list_bytes_sent();
     let traffic = Traffic::start(proxy.addr, Duration::from_millis(40), 1, |_| {
         ClientBehaviour {
             class: "watch".into(),
@@ -69,68 +73,70 @@
         }
     });
     let mut descriptors = 0;
-    for turn in 0..LASTS.as_millis() as usize / 250 {
-        // Changes go on: one server after the other drains and is back.
+    for turn in 0..RUN_DURATION.as_millis() as usize / 250 {
+        // Keep the list changing: one server after another drains and returns.
         let state = if turn % 2 == 0 { "draining" } else { "ready" };
         discovery.upsert_target(row(turn / 2, state));
         thread::sleep(Duration::from_millis(250));
         descriptors = descriptors.max(proxy.descriptors());
     }
-    let needs = Needs {
+    let usage = ResourceUsage {
         cpu_s: proxy.cpu().as_secs_f64(),
         memory_mb: proxy.memory_kib() as f64 / 1024.0,
         descriptors,
         connections: sockets.iter().map(SoakServer::connection_count).sum(),
-        list_bytes: discovery.list_bytes_sent() - before,
+        list_bytes: discovery.list_bytes_sent() - list_bytes_before,
         served: 0.0,
     };
-    let accounts = traffic.finish();
-    let up = accounts
+    let records = traffic.finish();
+    let established = records
         .iter()
-        .filter(|account| account.outcome == RequestOutcome::Up)
+        .filter(|record| record.outcome == RequestOutcome::Up)
         .count();
-    Needs {
-        served: up as f64 / accounts.len() as f64,
-        ..needs
+    ResourceUsage {
+        served: established as f64 / records.len() as f64,
+        ..usage
     }
 }
 
 #[test]
-fn a_proxy_needs_no_more_than_the_table_allows_at_sixteen_times_the_servers() {
-    let (usual, large) = thread::scope(|scope| {
-        let usual = scope.spawn(|| play(USUAL));
-        let large = play(LARGE);
-        (usual.join().unwrap(), large)
+fn resource_use_stays_within_the_table_at_sixteen_times_the_servers() {
+    let (baseline, large) = thread::scope(|scope| {
+        let baseline = scope.spawn(|| measure(BASELINE_SIZE));
+        let large = measure(LARGE_SIZE);
+        (baseline.join().unwrap(), large)
     });
-    println!("{usual:?}\n{large:?}");
-    let thousands = LARGE.servers as f64 / 1000.0;
-    let held = |what: &str, is: f64, most: f64| assert!(is <= most, "{what}: {is:.3} of {most:.3}");
-    held(
+    println!("{baseline:?}\n{large:?}");
+    let thousands = LARGE_SIZE.servers as f64 / 1000.0;
+    let assert_at_most = |resource: &str, used: f64, limit: f64| {
+        assert!(used <= limit, "{resource}: {used:.3} of {limit:.3}")
+    };
+    assert_at_most(
         "CPU seconds",
         large.cpu_s,
-        1.4 * usual.cpu_s + 0.02 + 0.03 * thousands,
+        1.4 * baseline.cpu_s + 0.02 + 0.03 * thousands,
     );
-    held(
+    assert_at_most(
         "memory",
         large.memory_mb,
-        1.5 * usual.memory_mb + 8.0 + 4.0 * thousands,
+        1.5 * baseline.memory_mb + 8.0 + 4.0 * thousands,
     );
-    held(
+    assert_at_most(
         "descriptors",
         large.descriptors as f64,
-        2.0 * usual.descriptors as f64 + 40.0,
+        2.0 * baseline.descriptors as f64 + 40.0,
     );
-    held(
+    assert_at_most(
         "connections",
         large.connections as f64,
-        2.5 * usual.connections as f64 + 40.0,
+        2.5 * baseline.connections as f64 + 40.0,
     );
-    let bytes = 2.0 * usual.list_bytes as f64 + 65_536.0 + 500_000.0 * thousands;
-    held("bytes of lists", large.list_bytes as f64, bytes);
+    let list_bytes_limit = 2.0 * baseline.list_bytes as f64 + 65_536.0 + 500_000.0 * thousands;
+    assert_at_most("bytes of lists", large.list_bytes as f64, list_bytes_limit);
     assert!(
-        large.served >= 0.85 * usual.served,
-        "{} of {}",
+        large.served >= 0.85 * baseline.served,
+        "served share: {} of {}",
         large.served,
-        usual.served
+        baseline.served
     );
 }
--- a/crates/proxy/tests/recording.rs
+++ b/crates/proxy/tests/recording.rs
@@ -1,4 +1,4 @@
-//! What a recording holds of requests that were served, refused and given up.
+//! The content of recordings for requests that were served and for requests whose client disconnected.
 
 mod common;
 
@@ -8,20 +8,20 @@
 use violetwind_record::{Answer, Reader, Record, RecordingEnd};
 
 #[test]
-fn requests_are_recorded_with_what_came_of_them() {
+fn requests_are_recorded_with_their_answers() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
     let path = std::env::temp_dir().join(format!("violetwind-requests-{}", std::process::id()));
-    let file = format!("[record]\nfile = \"{}\"\n", path.display());
-    let mut proxy = Proxy::start_with(discovery.addr, &file, without_loads);
+    let operator_text = format!("[record]\nfile = \"{}\"\n", path.display());
+    let mut proxy = Proxy::start_with(discovery.addr, &operator_text, without_loads);
     let (client, mut conn) = proxy.up(&server);
     conn.send_line("LOAD 11000");
     drop((client, conn));
-    // One that leaves before it is answered.
-    let left = proxy.open_with("c=book,d=1500,g=clinic-7");
-    // The server holds on: its end would be an answer.
-    let _held = server.next_open();
-    drop(left);
+    // A client that disconnects before it gets an answer.
+    let leaving_client = proxy.open_with("c=book,d=1500,g=clinic-7");
+    // Keep the server's side open: closing it would be an answer.
+    let _open_conn = server.next_open();
+    drop(leaving_client);
     proxy.signal("-TERM");
     assert!(proxy.ended().success());
     let mut reader = Reader::new(File::open(&path).unwrap());
@@ -51,14 +51,14 @@
     std::fs::remove_file(path).unwrap();
 }
 
-/// Serving goes on where the file can't be written.
+/// Requests are served although the recording's file can't be written.
 #[test]
-fn a_file_that_can_not_be_written_costs_nobody_anything() {
+fn a_recording_that_can_not_be_written_does_not_affect_requests() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let nowhere = std::env::temp_dir().join(format!("violetwind-none-{}", unused_addr().ip()));
-    let file = format!("[record]\nfile = \"{}/requests\"\n", nowhere.display());
-    let proxy = Proxy::start_with(discovery.addr, &file, without_loads);
+    let missing_dir = std::env::temp_dir().join(format!("violetwind-none-{}", unused_addr().ip()));
+    let operator_text = format!("[record]\nfile = \"{}/requests\"\n", missing_dir.display());
+    let proxy = Proxy::start_with(discovery.addr, &operator_text, without_loads);
     for _ in 0..5 {
         let _ = proxy.up(&server);
     }
--- a/crates/proxy/tests/storm.rs
+++ b/crates/proxy/tests/storm.rs
@@ -1,17 +1,19 @@
-//! A script of faults on real processes, of the handful that CI plays: `violetwind-lab storm --real` plays any.
+//! Runs one of the few fault scripts that CI plays on real processes; `violetwind-lab storm --real` plays any script.
 
 use violetwind_lab::storm_processes::play_on_processes;
 use violetwind_storm::script::Script;
 
-/// The script that has found that a member that never votes, put out by operators, was out of sight.
+/// This script found that a member without a vote that operators had put out was missing from the members' view.
 #[test]
-fn a_script_with_kills_stalls_cuts_and_a_member_put_out_keeps_all_promises() {
+fn a_script_with_kills_stalls_partitions_and_a_member_put_out_violates_no_invariant() {
     let script = include_str!("../../storm/scripts/put-out.toml");
-    let script = Script::parse(script).expect("sound");
-    let played = play_on_processes(&script, env!("CARGO_BIN_EXE_violetwind").as_ref());
-    assert_eq!(played.wrong, Vec::<String>::new());
+    let script = Script::parse(script).expect("a valid script");
+    let outcome = play_on_processes(&script, env!("CARGO_BIN_EXE_violetwind").as_ref());
+    assert_eq!(outcome.wrong, Vec::<String>::new());
     assert!(
-        played.faults >= 25 && played.machines_emptied == script.machines && played.duties_held > 2,
-        "{played:?}"
+        outcome.faults >= 25
+            && outcome.machines_emptied == script.machines
+            && outcome.duties_held > 2,
+        "{outcome:?}"
     );
 }
--- a/crates/proxy/tests/work.rs
+++ b/crates/proxy/tests/work.rs
@@ -1,5 +1,5 @@
-//! Work orders in a fleet of several real processes with clients, simulated operators and faults. What happens is recorded
-//! outside of the proxies and merged by the machine's clock.
+//! Work orders in a fleet of several real processes with clients, simulated operators and faults. What happens is
+//! recorded outside of the proxies and merged by the machine's clock.
 
 use std::sync::atomic::Ordering;
 use std::thread::sleep;
@@ -14,12 +14,12 @@
 };
 use violetwind_standins::{LineConnection, boottime_ms, target_row};
 
-const MACHINES: usize = 6;
+const MACHINE_COUNT: usize = 6;
 
 /// Starts a fleet and its machines; `lines` are added to `[fleet.work]`.
 fn start_harness(voters: usize, non_voters: usize, lines: &str) -> WorkOrderHarness {
     let program = env!("CARGO_BIN_EXE_violetwind");
-    WorkOrderHarness::start(program.into(), (voters, non_voters), MACHINES, lines)
+    WorkOrderHarness::start(program.into(), (voters, non_voters), MACHINE_COUNT, lines)
 }
 
 #[test]
@@ -30,14 +30,14 @@
         SimulatedOperators::start(management_addrs(&harness.fleet), Duration::from_millis(50));
     harness.plan_work_order(4, "kernel", "m-0..m-5", &["--floor", "0.5", "--most", "2"]);
     let (mut faults, mut previous_machines, mut machines_at_last_fault) = (0, None, None);
-    let begun = Instant::now();
+    let started_at = Instant::now();
     // After each step of the order the coordinator is killed, stopped, cut off or slowed down, in turn.
     let view = loop {
         if let Some(view) = harness.finished_view() {
             break view;
         }
         assert!(
-            begun.elapsed() < Duration::from_secs(20),
+            started_at.elapsed() < Duration::from_secs(20),
             "{}
 {:?}",
             harness.fleet.merged_log(),
@@ -106,12 +106,12 @@
         });
         clients.set_proxy_excused(coordinator, false);
     };
-    let elapsed = begun.elapsed();
+    let elapsed = started_at.elapsed();
     let emptied = operators.stop();
     let client_stats = clients.stop();
-    assert_eq!(view["ended"][0]["done"], MACHINES, "{view}");
+    assert_eq!(view["ended"][0]["done"], MACHINE_COUNT, "{view}");
     assert_eq!(view["out"], json!([]));
-    assert_eq!(emptied.len(), MACHINES, "{emptied:?}");
+    assert_eq!(emptied.len(), MACHINE_COUNT, "{emptied:?}");
     harness.assert_no_violations(&emptied, 2);
     let count = |counter: &std::sync::atomic::AtomicU64| counter.load(Ordering::Relaxed);
     println!(
@@ -140,8 +140,9 @@
         .unwrap_or_default()
 }
 
-/// The fleet is partitioned and the operator is on the minority side: orders can't be changed there, `work show` still lists
-/// what is out, and the proxies there keep on serving. A machine stays out until these proxies have confirmed its return.
+/// The fleet is partitioned and the operator is on the minority side: orders can't be changed there, `work show` still
+/// lists what is out, and the proxies there keep on serving. A machine stays out until these proxies have confirmed its
+/// return.
 #[test]
 fn an_operator_on_the_minority_side_sees_what_is_out_but_can_not_change_orders() {
     let harness = start_harness(3, 2, "");
@@ -190,9 +191,9 @@
     harness.assert_no_violations(&emptied, 1);
 }
 
-/// `pause` is in force at all proxies within a second, `cancel` puts back what is out, and a machine that was reported as
-/// empty is not reported again. A machine that is never worked on and one that never becomes empty are listed as failed
-/// until an operator decides about them.
+/// `pause` is in force at all proxies within a second, `cancel` puts back what is out, and a machine that was reported
+/// as empty is not reported again. A machine that is never worked on and one that never becomes empty are listed as
+/// failed until an operator decides about them.
 #[test]
 fn pause_cancel_and_time_limits_of_a_work_order() {
     let harness = start_harness(3, 0, "");
@@ -266,8 +267,8 @@
     });
 }
 
-/// An operator's `OFFLINE` or `ONLINE` call at one proxy overrides the work order there: a machine closed by an operator
-/// counts as out, and one that an operator opens while it is empty is listed as failed at once.
+/// An operator's `OFFLINE` or `ONLINE` call at one proxy overrides the work order there: a machine closed by an
+/// operator counts as out, and one that an operator opens while it is empty is listed as failed at once.
 #[test]
 fn operators_calls_at_one_proxy_override_the_work_order() {
     let harness = start_harness(3, 0, "");
@@ -315,8 +316,8 @@
 }
 
 /// A machine that runs a proxy: the proxy leaves service, is reported as empty together with its machine, is killed and
-/// restarted during the work, and takes clients again once the machine is back. The coordinator hands its duty on before its
-/// own machine leaves.
+/// restarted during the work, and takes clients again once the machine is back. The coordinator hands its duty on
+/// before its own machine leaves.
 #[test]
 fn a_machine_that_runs_a_proxy_is_drained_and_returns_to_service() {
     let proxy_machines = "[[fleet.work.machine]]\nname = \"p-1\"\nproxy = \"node-a\"\nzone = \"p\"\n\
@@ -347,8 +348,8 @@
     clients.set_proxy_excused(0, true);
     harness.fleet.kill_member(0);
     let killed_at = Instant::now();
-    // The other members proceed without a confirmation from the killed proxy, as it has confirmed that it serves no client.
-    // The killed proxy may have been the leader, so wait for the first view that a majority has settled.
+    // The other members proceed without a confirmation from the killed proxy, as it has confirmed that it serves no
+    // client. The killed proxy may have been the leader, so wait for the first view that a majority has settled.
     let phase = harness.wait_until("a settled view", |harness| harness.machine_phase("p-1"));
     assert_eq!(phase, "empty");
     harness.fleet.start_member(0);
@@ -388,8 +389,8 @@
     );
 }
 
-/// A proxy that starts while it can't reach the fleet applies the list of machines that are out from its own file, before
-/// its first client. If the file was altered, the proxy logs where and waits for the fleet's list.
+/// A proxy that starts while it can't reach the fleet applies the list of machines that are out from its own file,
+/// before its first client. If the file was altered, the proxy logs where and waits for the fleet's list.
 #[test]
 fn a_new_process_applies_the_saved_list_of_machines_out_before_its_first_client() {
     let mut harness = start_harness(3, 0, "first = \"10s\"");
@@ -468,8 +469,8 @@
     );
 }
 
-/// Checks the checker itself with two planted violations: a proxy outside of the fleet sends clients to a machine that was
-/// reported as empty, and an order that allows two machines to be out is checked against a limit of one.
+/// Checks the checker itself with two planted violations: a proxy outside of the fleet sends clients to a machine that
+/// was reported as empty, and an order that allows two machines to be out is checked against a limit of one.
 #[test]
 fn the_checker_detects_a_client_at_an_empty_machine_and_one_machine_too_many() {
     let harness = start_harness(3, 0, "");
@@ -536,8 +537,8 @@
 }
 
 /// Discovery replaces servers while machines are out: a server newly listed on a machine that is out gets no clients. A
-/// machine that does not return in time is listed as failed, and as done once it works again. While a machine is lost, no
-/// further machine leaves.
+/// machine that does not return in time is listed as failed, and as done once it works again. While a machine is lost,
+/// no further machine leaves.
 #[test]
 fn work_orders_handle_servers_replaced_lost_or_late_while_machines_are_out() {
     let harness = start_harness(3, 0, "");
