--- a/crates/faults/src/rules.rs
+++ b/crates/faults/src/rules.rs
@@ -1,15 +1,15 @@
-//! The rules of a control file, and which of them a call meets.
+//! Parses the rules of a control file and selects the rule that applies to a call.
 
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 
-/// What happens to a call.
+/// The effect of a rule on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It fails with this `errno` and does nothing.
+    /// The call fails with this `errno` and has no effect.
     Fail(i32),
-    /// A write puts half of its bytes in place, then fails.
+    /// The call transfers half of its bytes, then fails with this `errno`.
     FailHalfway(i32),
-    /// It handles at most so many bytes.
+    /// The call transfers at most this number of bytes.
     Short(usize),
 }
 
@@ -17,13 +17,13 @@
 struct Rule {
     call: String,
     effect: Effect,
-    /// How many of a thousand calls meet it.
+    /// How many of a thousand calls the rule applies to.
     per_mille: u64,
-    /// Only calls on files whose path holds this text.
+    /// Restricts the rule to files whose path contains this text.
     path: Option<String>,
 }
 
-/// All rules in force.
+/// The rules of a control file.
 #[derive(Debug, Default)]
 pub struct Rules {
     rules: Vec<Rule>,
@@ -33,12 +33,12 @@
 }
 
 static IN_FORCE: AtomicPtr<Rules> = AtomicPtr::new(std::ptr::null_mut());
-static CALLS: AtomicU64 = AtomicU64::new(0);
+static DRAW_COUNT: AtomicU64 = AtomicU64::new(0);
 
-/// The rules that hold now.
+/// The rules currently in force, if any.
 pub fn current() -> Option<&'static Rules> {
     let rules = IN_FORCE.load(Ordering::Acquire);
-    // SAFETY: the pointer is null or came from `Box::into_raw` in `set`, and is never freed.
+    // SAFETY: the pointer is null or came from `Box::into_raw` in `install`, and is never freed.
     unsafe { rules.as_ref() }
 }
 
@@ -47,7 +47,7 @@
     IN_FORCE.store(Box::into_raw(Box::new(rules)), Ordering::Release);
 }
 
-/// Reads a control file. Each line is one of
+/// Parses a control file; `None` if a line is invalid. Each line is one of
 ///
 /// ```text
 /// seed NUMBER
@@ -66,9 +66,9 @@
             [first, ..] if first.starts_with('#') => {}
             ["seed", seed] => rules.seed = seed.parse().ok()?,
             ["clock", step] => rules.clock_step_nanos = step.parse::<i64>().ok()? * 1_000_000,
-            [kind, call, what, per_mille, path @ ..] => rules.rules.push(Rule {
+            [kind, call, argument, per_mille, path @ ..] => rules.rules.push(Rule {
                 call: call.to_string(),
-                effect: effect(kind, what)?,
+                effect: parse_effect(kind, argument)?,
                 per_mille: per_mille.parse().ok()?,
                 path: path.first().map(ToString::to_string),
             }),
@@ -78,11 +78,13 @@
     Some(rules)
 }
 
-fn effect(kind: &str, what: &str) -> Option<Effect> {
+fn parse_effect(kind: &str, argument: &str) -> Option<Effect> {
     match kind {
-        "fail" => Some(Effect::Fail(errno(what)?)),
-        "halfway" => Some(Effect::FailHalfway(errno(what)?)),
-        "short" => Some(Effect::Short(what.parse().ok().filter(|most| *most > 0)?)),
+        "fail" => Some(Effect::Fail(errno(argument)?)),
+        "halfway" => Some(Effect::FailHalfway(errno(argument)?)),
+        "short" => Some(Effect::Short(
+            argument.parse().ok().filter(|bytes| *bytes > 0)?,
+        )),
         _ => None,
     }
 }
@@ -109,20 +111,20 @@
 }
 
 impl Rules {
-    /// What a call meets; the first rule that applies counts. `path` is asked only where a rule wants to know.
+    /// The effect of the first rule that applies to a call. `path` is evaluated only for rules restricted to a path.
     pub fn select_effect(&self, call: &str, path: impl Fn() -> Option<String>) -> Option<Effect> {
         for rule in self.rules.iter().filter(|rule| rule.call == call) {
-            let on_path = |wanted: &String| path().is_some_and(|path| path.contains(wanted));
-            if rule.path.as_ref().is_none_or(on_path) && self.draw() < rule.per_mille {
+            let path_matches = |pattern: &String| path().is_some_and(|path| path.contains(pattern));
+            if rule.path.as_ref().is_none_or(path_matches) && self.draw() < rule.per_mille {
                 return Some(rule.effect);
             }
         }
         None
     }
 
-    /// A number below 1000 by the seed and the count of calls so far (splitmix64).
+    /// A pseudorandom number below 1000, derived from the seed and the number of draws so far (splitmix64).
     fn draw(&self) -> u64 {
-        let count = CALLS.fetch_add(1, Ordering::Relaxed);
+        let count = DRAW_COUNT.fetch_add(1, Ordering::Relaxed);
         let mut mixed = (self.seed ^ count).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/faults/src/watch.rs
+++ b/crates/faults/src/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the control file on a thread of its own, which starts when the library is loaded.
+//! Polls the control file on a separate thread, which starts when the library is loaded.
 
 use std::path::PathBuf;
 use std::thread;
@@ -6,7 +6,7 @@
 
 use crate::rules;
 
-const INTERVAL: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 #[used]
 #[unsafe(link_section = ".init_array")]
@@ -16,36 +16,38 @@
     let Some(path) = std::env::var_os("VIOLETWIND_FAULTS").map(PathBuf::from) else {
         return;
     };
-    let mut seen = None;
-    // What the file holds at the start is in force from the first call on.
-    read(&path, &mut seen);
+    let mut installed_text = None;
+    // The rules that the file has at the start apply from the first call on.
+    reload(&path, &mut installed_text);
     thread::spawn(move || {
         loop {
-            thread::sleep(INTERVAL);
-            read(&path, &mut seen);
+            thread::sleep(POLL_INTERVAL);
+            reload(&path, &mut installed_text);
         }
     });
 }
 
-/// Puts the file's rules in force if its text has changed, and says so.
-fn read(path: &PathBuf, seen: &mut Option<String>) {
+/// Installs the file's rules if its text has changed, and confirms it by writing the first line to `PATH.seen`. Aborts the
+/// process if the file is invalid.
+fn reload(path: &PathBuf, installed_text: &mut Option<String>) {
     let Ok(text) = std::fs::read_to_string(path) else {
         return;
     };
-    if seen.as_ref() == Some(&text) {
+    if installed_text.as_ref() == Some(&text) {
         return;
     }
-    let Some(parsed) = rules::parse(&text) else {
+    let Some(new_rules) = rules::parse(&text) else {
         eprintln!("faults: {}: not understood", path.display());
         std::process::abort();
     };
-    rules::install(parsed);
-    let first = text.lines().next().unwrap_or_default();
-    // Written aside and renamed: a test never reads half of it.
-    let (new, done) = (path.with_extension("new"), path.with_extension("seen"));
-    let written = std::fs::write(&new, first).and_then(|()| std::fs::rename(&new, done));
-    if let Err(error) = written {
+    rules::install(new_rules);
+    let first_line = text.lines().next().unwrap_or_default();
+    // Written to a temporary file and renamed, so that a test never reads a partial line.
+    let (temporary, confirmation) = (path.with_extension("new"), path.with_extension("seen"));
+    let result = std::fs::write(&temporary, first_line)
+        .and_then(|()| std::fs::rename(&temporary, confirmation));
+    if let Err(error) = result {
         eprintln!("faults: {}: {error}", path.display());
     }
-    *seen = Some(text);
+    *installed_text = Some(text);
 }
--- a/crates/storm/src/explorer.rs
+++ b/crates/storm/src/explorer.rs
@@ -1,5 +1,5 @@
-//! Every order of events of three nodes up to a depth: elections, messages that come in any order or never,
-//! writes that are synced or lost, a crash, a command. States that act alike are merged.
+//! Exhaustive exploration of three nodes up to a depth: every order of elections, message deliveries in any order or
+//! never, writes that are synced or lost, a crash and a command. States with equal digests are merged.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,11 +9,13 @@
     Node, NodeId, Output, Role, Term,
 };
 
-/// What is wrong with a host on purpose.
+/// A bug that is injected into hosts, to show that a check detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum InjectedBug {
     Nothing,
+    /// A crashed node loses its vote.
     ForgetsVote,
+    /// Writes are acknowledged before they are synced.
     AckBeforeSync,
 }
 
@@ -24,10 +26,11 @@
     unsynced: Vec<DurableWrite>,
 }
 
+/// A state of the three nodes and their network, with the number of events of each kind that may still happen.
 #[derive(Clone)]
 pub struct State {
     hosts: Vec<Host>,
-    flying: Vec<(NodeId, NodeId, Message)>,
+    in_flight: Vec<(NodeId, NodeId, Message)>,
     now: u64,
     elections: u8,
     crashes: u8,
@@ -36,6 +39,7 @@
     committed: BTreeMap<Index, Entry>,
 }
 
+/// An event. Its number is the index of a node, for `Deliver` that of a message in flight.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
     Elect(usize),
@@ -45,11 +49,12 @@
     Command(usize),
 }
 
+/// A depth-first search through the states.
 pub struct Explorer {
-    planted: InjectedBug,
-    /// How deep it went from each state, by digest.
+    injected_bug: InjectedBug,
+    /// The greatest depth explored from each state, by digest.
     pub explored_depths: HashMap<u64, u8>,
-    /// The invariant that broke, and the way there.
+    /// The violated invariant and the actions that led to it.
     pub violation: Option<String>,
     path: Vec<Action>,
 }
@@ -69,7 +74,7 @@
 }
 
 impl State {
-    /// Three voters that are vouched for.
+    /// Three voters that have passed the staleness check.
     pub fn new() -> Self {
         let member = |id| {
             (
@@ -94,7 +99,7 @@
         };
         let mut state = Self {
             hosts: (1..=3).map(host).collect(),
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             now: 10,
             elections: 3,
             crashes: 1,
@@ -102,8 +107,8 @@
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
         };
-        // All are vouched for at the start.
-        let seen = Message {
+        // All nodes pass the staleness check at the start.
+        let staleness_response = Message {
             term: 0,
             durable_seq: 0,
             body: MessageBody::StalenessResponse(0),
@@ -112,13 +117,13 @@
             let from = NodeId((at as u64 + 1) % 3 + 1);
             state.hosts[at]
                 .node
-                .handle(1, Input::Message(from, seen.clone()));
+                .handle(1, Input::Message(from, staleness_response.clone()));
         }
         state
     }
 
     fn actions(&self) -> Vec<Action> {
-        let mut actions: Vec<Action> = (0..self.flying.len()).map(Action::Deliver).collect();
+        let mut actions: Vec<Action> = (0..self.in_flight.len()).map(Action::Deliver).collect();
         for (at, host) in self.hosts.iter().enumerate() {
             if !host.unsynced.is_empty() {
                 actions.push(Action::Sync(at));
@@ -136,10 +141,11 @@
         actions
     }
 
-    fn act(&mut self, action: Action, planted: InjectedBug) -> Option<String> {
+    /// Applies an action; returns the violated invariant, if there is one.
+    fn apply_action(&mut self, action: Action, injected_bug: InjectedBug) -> Option<String> {
         let (at, input) = match action {
             Action::Deliver(message) => {
-                let (from, to, message) = self.flying.remove(message);
+                let (from, to, message) = self.in_flight.remove(message);
                 (to.0 as usize - 1, Input::Message(from, message))
             }
             Action::Sync(at) => {
@@ -149,7 +155,7 @@
                 (at, Input::Persisted(seq))
             }
             Action::Elect(at) => {
-                // Beyond every election's time, of this node and of what the others remember.
+                // Beyond the election timeout of this node, and of the heartbeats that the other nodes remember.
                 self.now += 10_000;
                 self.elections -= 1;
                 (at, Input::Tick)
@@ -158,7 +164,7 @@
                 self.crashes -= 1;
                 let host = &mut self.hosts[at];
                 host.unsynced.clear();
-                if planted == InjectedBug::ForgetsVote {
+                if injected_bug == InjectedBug::ForgetsVote {
                     host.disk.voted_for = None;
                 }
                 host.node = Node::new(host.node.id(), host.disk.clone(), limits(), 1, self.now);
@@ -171,18 +177,18 @@
             }
         };
         self.hosts[at].node.handle(self.now, input);
-        self.carry_out(at, planted)
+        self.process_outputs(at, injected_bug)
     }
 
-    fn carry_out(&mut self, at: usize, planted: InjectedBug) -> Option<String> {
+    fn process_outputs(&mut self, at: usize, injected_bug: InjectedBug) -> Option<String> {
         let id = self.hosts[at].node.id();
         for output in self.hosts[at].node.take_outputs() {
             match output {
-                Output::Send(to, message) => self.flying.push((id, to, message)),
+                Output::Send(to, message) => self.in_flight.push((id, to, message)),
                 Output::Write(write) => {
                     let seq = write.seq;
                     self.hosts[at].unsynced.push(write);
-                    if planted == InjectedBug::AckBeforeSync {
+                    if injected_bug == InjectedBug::AckBeforeSync {
                         self.hosts[at].node.handle(self.now, Input::Persisted(seq));
                     }
                 }
@@ -201,9 +207,9 @@
             }
         }
         let host = &self.hosts[at];
-        if planted == InjectedBug::AckBeforeSync && host.node.status().awaits_staleness_check {
-            // The planted disk lies to the vouchers too.
-            let seen = Message {
+        if injected_bug == InjectedBug::AckBeforeSync && host.node.status().awaits_staleness_check {
+            // With the bug injected, the disk also misleads the nodes that answer the staleness check.
+            let staleness_response = Message {
                 term: 0,
                 durable_seq: 0,
                 body: MessageBody::StalenessResponse(0),
@@ -211,7 +217,7 @@
             let from = NodeId((at as u64 + 1) % 3 + 1);
             self.hosts[at]
                 .node
-                .handle(self.now, Input::Message(from, seen));
+                .handle(self.now, Input::Message(from, staleness_response));
         }
         let status = self.hosts[at].node.status();
         if status.role == Role::Leader && *self.leaders.entry(status.term).or_insert(id) != id {
@@ -226,15 +232,19 @@
             host.node.hash_state(&mut hasher);
             host.unsynced.hash(&mut hasher);
         }
-        // Messages on the way are a bag.
-        let one = |message: &(NodeId, NodeId, Message)| {
+        // The order of messages in flight does not matter: their hashes are summed.
+        let message_hash = |message: &(NodeId, NodeId, Message)| {
             let mut hasher = DefaultHasher::new();
             message.hash(&mut hasher);
             hasher.finish()
         };
-        let bag = self.flying.iter().map(one).fold(0u64, u64::wrapping_add);
+        let messages_hash = self
+            .in_flight
+            .iter()
+            .map(message_hash)
+            .fold(0u64, u64::wrapping_add);
         (
-            bag,
+            messages_hash,
             self.elections,
             self.crashes,
             self.commands,
@@ -254,8 +264,8 @@
         for action in state.actions() {
             let mut next = state.clone();
             self.path.push(action);
-            if let Some(wrong) = next.act(action, self.planted) {
-                self.violation = Some(format!("{wrong}: {:?}", self.path));
+            if let Some(violation) = next.apply_action(action, self.injected_bug) {
+                self.violation = Some(format!("{violation}: {:?}", self.path));
                 return;
             }
             let known = self.explored_depths.entry(next.digest()).or_default();
@@ -270,9 +280,10 @@
         }
     }
 
-    pub fn run(planted: InjectedBug, state: &State, depth: u8) -> Self {
+    /// Explores all states reachable from `state` in at most `depth` actions, up to the first violation.
+    pub fn run(injected_bug: InjectedBug, state: &State, depth: u8) -> Self {
         let mut explorer = Self {
-            planted,
+            injected_bug,
             explored_depths: HashMap::new(),
             violation: None,
             path: Vec::new(),
@@ -282,25 +293,26 @@
     }
 }
 
-/// Goes a known way first, so that the search begins where it matters: two candidates of one term.
-pub fn state_with_two_candidates(planted: InjectedBug) -> State {
+/// Applies a fixed sequence of actions, so that a search can begin at the state of interest: two candidates of the same
+/// term.
+pub fn state_with_two_candidates(injected_bug: InjectedBug) -> State {
     let mut state = State::new();
     for at in [0, 1] {
-        state.act(Action::Elect(at), planted);
+        state.apply_action(Action::Elect(at), injected_bug);
     }
-    while let Some(at) = state.flying.iter().position(|(.., message)| {
+    while let Some(at) = state.in_flight.iter().position(|(.., message)| {
         matches!(
             message.body,
             MessageBody::PreVoteRequest { .. } | MessageBody::PreVoteResponse { .. }
         )
     }) {
-        state.act(Action::Deliver(at), planted);
+        state.apply_action(Action::Deliver(at), injected_bug);
     }
     for at in [0, 1] {
-        state.act(Action::Sync(at), planted);
+        state.apply_action(Action::Sync(at), injected_bug);
     }
     state
-        .flying
+        .in_flight
         .retain(|(_, _, message)| matches!(message.body, MessageBody::VoteRequest { .. }));
     state.elections = 1;
     state
--- a/crates/storm/src/fleet.rs
+++ b/crates/storm/src/fleet.rs
@@ -1,5 +1,6 @@
-//! Whole members in simulated time: One Holder, Fencing and Held Again are checked from outside at every step,
-//! programs that work on a duty included; clocks of processes start anywhere and run apart.
+//! Simulates a fleet of complete members. One Holder and Fencing are checked from outside the members while it runs,
+//! including the programs that run under a duty; Held Again is checked once the faults have ended. Each process has a
+//! clock of its own with a random offset and drift.
 
 mod faults;
 mod operators;
@@ -23,43 +24,44 @@
 pub(crate) use faults::generate_fault;
 pub use proxies::{Maintenance, Proxy};
 
+/// Simulated time of one step, in milliseconds.
 pub const STEP_INTERVAL: Millis = 5;
 
-/// What is wrong with a host on purpose.
+/// A bug that is injected into hosts, to show that a check detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum InjectedBug {
     #[default]
     Nothing,
-    /// Holders count a lease longer than leaders do.
+    /// Members use a longer lease duration than their leader.
     LongerLease,
-    /// Clocks run apart by more than is stated.
+    /// Clocks drift by more than the stated bound.
     WildClocks,
     /// Records are acknowledged before they are synced, and kills lose them.
     AckBeforeSync,
-    /// Programs go on for a second after they were told to stop.
+    /// Programs continue for a second after they were told to stop.
     DeafProgram,
-    /// One unit in fifty is used without being asked for.
+    /// Every fiftieth unit taken is accompanied by one that was never requested.
     ExtraUnit,
-    /// A proxy confirms that a machine is closed, and empty, before it is.
+    /// A proxy confirms that a machine is closed and empty before it is.
     HastyProxy,
-    /// A killed voter's snapshot comes back without sessions.
+    /// A killed voter restarts with a snapshot that has lost its sessions.
     LostSnapshot,
-    /// A killed voter forgets its term and whom it voted for.
+    /// A killed voter loses its term and its vote.
     ForgetsVote,
-    /// A killed proxy's list is lost, and the next one serves without.
+    /// A killed proxy loses its machine list, and the next process serves without one.
     ServesUnlisted,
-    /// What counts budgets elsewhere in a process does not look when its part ends.
+    /// The external budget counter of a process ignores the end of its part.
     OverstaysPart,
-    /// Connections at servers outlive their killed process by seconds.
+    /// Connections at servers outlive their killed process.
     ConnectionsOutlive,
-    /// Operators are shown what was so a while ago.
+    /// Operators are shown an outdated view.
     StaleViews,
-    /// A proxy confirms what it has not written down, and starts anew by an older list.
+    /// A proxy confirms a machine list that it has not stored, and restarts from an older one.
     ForgetfulProxy,
 }
 
 impl InjectedBug {
-    /// Every error, by the name that the command line knows it by.
+    /// Every bug with its name on the command line.
     pub const NAMES: [(&str, Self); 13] = [
         ("longer-lease", Self::LongerLease),
         ("wild-clocks", Self::WildClocks),
@@ -77,57 +79,66 @@
     ];
 }
 
-/// A process's clock against true time, in parts per thousand.
+/// A process's clock relative to simulated time.
 #[derive(Clone, Copy, Debug)]
 struct Clock {
     offset: Millis,
-    permille: i64,
+    /// Drift in thousandths.
+    drift_permille: i64,
 }
 
 impl Clock {
     fn local_time(self, now: Millis) -> Millis {
-        self.offset + (now as i64 * (1000 + self.permille) / 1000) as Millis
+        self.offset + (now as i64 * (1000 + self.drift_permille) / 1000) as Millis
     }
 
-    /// Of a span by this clock, in true time, no shorter than it is.
-    fn span(self, millis: Millis) -> Millis {
-        (millis as i64 * 1000 / (1000 + self.permille)) as Millis + 1
+    /// Converts a duration measured by this clock to simulated time, rounded up.
+    fn simulated_duration(self, millis: Millis) -> Millis {
+        (millis as i64 * 1000 / (1000 + self.drift_permille)) as Millis + 1
     }
 }
 
-/// A program that works on a duty for as long as it was told.
+/// A program that runs under a duty until its lease ends.
 #[derive(Clone, Debug)]
 struct Program {
     fence: Number,
     until: Millis,
-    /// It ends then, as it was told that the duty is lost.
-    ends: Option<Millis>,
+    /// Set once the program was notified that the duty is lost: the time at which it stops.
+    stops_at: Option<Millis>,
 }
 
+/// A simulated process with its disk, its clock and the programs and clients that use it.
 pub struct Host {
     pub member: Option<Member>,
     pub persisted_state: Option<SavedState>,
+    /// Records written but not yet synced: the time of the sync, the record's number, the record.
     unsynced: VecDeque<(Millis, Number, MemberRecord)>,
     clock: Clock,
     pub stopped_until: Millis,
     pub restart_at: Option<Millis>,
     pub sync_latency: Millis,
-    /// What lies in wait while it is stopped.
-    waiting: VecDeque<(Name, PeerMessage)>,
+    /// Messages that arrived while the process was stopped.
+    deferred_messages: VecDeque<(Name, PeerMessage)>,
     programs: BTreeMap<Name, Program>,
-    calls: BTreeMap<Number, (Millis, Name)>,
-    /// Units asked for, and units in use, by budget and token.
-    asked: BTreeMap<Number, (Name, Name)>,
+    /// Calls to hold a duty that have no answer yet: the time of the call, and the duty.
+    pending_holds: BTreeMap<Number, (Millis, Name)>,
+    /// Units requested and not yet answered: budget and token.
+    pending_acquires: BTreeMap<Number, (Name, Name)>,
+    /// Units in use: budget and token.
     units: BTreeSet<(Name, Name)>,
-    /// What the counter outside was told, how often it was too small, and its words on the way back.
-    parts: BTreeMap<Name, Part>,
-    denied: BTreeMap<Name, u64>,
-    words: VecDeque<(Millis, Name, Number)>,
-    used: BTreeMap<Name, VecDeque<Millis>>,
+    /// Parts given to the external counter, by budget.
+    external_parts: BTreeMap<Name, Part>,
+    /// Number of units that the external counter denied because its part was used up, by budget.
+    external_denied: BTreeMap<Name, u64>,
+    /// Usage reports from the external counter to the member: due time, budget, part number.
+    usage_reports: VecDeque<(Millis, Name, Number)>,
+    /// Times at which externally counted units were taken, by this process's clock.
+    external_usage_times: BTreeMap<Name, VecDeque<Millis>>,
     pub stale: bool,
     pub has_shut_down: bool,
 }
 
+/// A simulated fleet with its network, the load on it, and the records that invariants are checked against.
 pub struct World {
     pub now: Millis,
     pub rng: Pcg32,
@@ -135,79 +146,85 @@
     pub hosts: BTreeMap<Name, Host>,
     peers: BTreeMap<Name, bool>,
     pub duties: Vec<Name>,
+    /// Messages in flight by due time: the message's number, the sender, the receiver.
     queue: BinaryHeap<Reverse<(Millis, u64, Name, Name)>>,
-    flying: BTreeMap<u64, PeerMessage>,
-    sent: u64,
+    in_flight: BTreeMap<u64, PeerMessage>,
+    last_message_number: u64,
     pub frames_sent: u64,
+    /// Cut links, each as sender and receiver.
     pub cut_links: BTreeSet<(Name, Name)>,
+    /// Fraction of all frames that is lost.
     pub loss_rate: f64,
-    /// Part of all frames that come twice.
+    /// Fraction of all frames that is duplicated.
     pub duplicate_rate: f64,
-    /// Calls about who is put out, by member: who called when, and when the answer came.
+    /// Completed operator calls that change or show whether a member is put out, by that member.
     call_history: BTreeMap<Name, Vec<linearizability::Call>>,
     pending_operator_calls: BTreeMap<Number, operators::PendingCall>,
-    /// Operators look at the fleet now and then.
+    /// Whether operators request a view of the fleet from time to time.
     pub views_enabled: bool,
     pub delay_range: (Millis, Millis),
     pub injected_bug: InjectedBug,
     last_number: Number,
-    // The books.
-    newest: BTreeMap<Name, Number>,
-    /// Since when nobody holds a duty.
-    free: BTreeMap<Name, Millis>,
+    // Records for the invariant checks.
+    /// The newest fencing number of each duty.
+    newest_fences: BTreeMap<Name, Number>,
+    /// Time since which a duty has no holder.
+    unheld_since: BTreeMap<Name, Millis>,
     pub longest_unheld: Millis,
     pub duties_gained: usize,
     pub duties_lost: usize,
     pub elections_won: usize,
     pub answers: BTreeMap<Number, OperatorAnswer>,
-    /// Machines that are worked on, if there are any.
+    /// The simulated maintenance of machines, if there are any.
     pub maintenance: Option<Maintenance>,
     pub budgets: Vec<BudgetDefinition>,
-    /// Budgets that are counted outside of the member, as the proxy's own module counts.
+    /// Budgets counted by an external counter instead of the member, as the proxy does for its balancer.
     pub external_budgets: BTreeSet<Name>,
-    /// Clients press no more of the budgets than these, the first ones.
+    /// Clients request units only of this many budgets, the first ones.
     pub demanded_budget_count: usize,
-    /// Members whose files have other budgets.
+    /// Members configured with other budgets.
     pub budget_overrides: BTreeMap<Name, Vec<BudgetDefinition>>,
-    /// How hard each member is pressed: takes a step.
+    /// Average number of units of each budget requested per step, by member.
     pub demand: BTreeMap<Name, f64>,
-    /// When units of rates were used.
-    used: BTreeMap<Name, VecDeque<Millis>>,
+    /// Times at which units of rate budgets were taken, by budget.
+    rate_usage_times: BTreeMap<Name, VecDeque<Millis>>,
     pub units_taken: usize,
     pub units_refused: usize,
-    /// The most that was in use of a budget at once, or in a window.
+    /// The most units of a budget in use at the same time, or taken within a window.
     pub peak_use: BTreeMap<Name, u64>,
     pub violation: Option<String>,
     pub event_log: Vec<String>,
 }
 
 impl Host {
-    /// Units in use here.
+    /// Number of units in use at this process, over all budgets.
     pub fn unit_count(&self) -> usize {
         self.units.len()
     }
 }
 
-pub fn node_name(at: usize) -> Name {
-    format!("node-{at}")
+/// The name of the member with this index.
+pub fn node_name(index: usize) -> Name {
+    format!("node-{index}")
 }
 
 impl World {
-    /// `voters` members with directories, and `others` without.
+    /// Creates a fleet of `voters` members with data directories and `others` without.
     pub fn new(seed: u64, voters: usize, others: usize) -> Self {
         Self::with_injected_bug(seed, voters, others, InjectedBug::Nothing)
     }
 
+    /// Like [`World::new`], with a bug injected.
     pub fn with_injected_bug(
         seed: u64,
         voters: usize,
         others: usize,
-        planted: InjectedBug,
+        injected_bug: InjectedBug,
     ) -> Self {
-        Self::with_budgets(seed, voters, others, planted, Vec::new())
+        Self::with_budgets(seed, voters, others, injected_bug, Vec::new())
     }
 
-    /// The named budgets are counted outside of members, as a proxy's module counts.
+    /// Has the named budgets counted by external counters; restarts all processes.
     pub fn with_external_budgets(mut self, names: &[&str]) -> Self {
         self.external_budgets = names.iter().map(|name| name.to_string()).collect();
         let hosts: Vec<Name> = self.hosts.keys().cloned().collect();
@@ -218,11 +235,12 @@
         self
     }
 
+    /// Like [`World::with_injected_bug`], with budgets that the fleet divides.
     pub fn with_budgets(
         seed: u64,
         voters: usize,
         others: usize,
-        planted: InjectedBug,
+        injected_bug: InjectedBug,
         budgets: Vec<BudgetDefinition>,
     ) -> Self {
         let mut world = Self {
@@ -238,8 +256,8 @@
                 .collect(),
             duties: vec!["export".into(), "sweep".into()],
             queue: BinaryHeap::new(),
-            flying: BTreeMap::new(),
-            sent: 0,
+            in_flight: BTreeMap::new(),
+            last_message_number: 0,
             frames_sent: 0,
             cut_links: BTreeSet::new(),
             loss_rate: 0.0,
@@ -248,10 +266,10 @@
             pending_operator_calls: BTreeMap::new(),
             views_enabled: false,
             delay_range: (0, 10),
-            injected_bug: planted,
+            injected_bug,
             last_number: 0,
-            newest: BTreeMap::new(),
-            free: BTreeMap::new(),
+            newest_fences: BTreeMap::new(),
+            unheld_since: BTreeMap::new(),
             longest_unheld: 0,
             duties_gained: 0,
             duties_lost: 0,
@@ -263,7 +281,7 @@
             demanded_budget_count: usize::MAX,
             budget_overrides: BTreeMap::new(),
             demand: BTreeMap::new(),
-            used: BTreeMap::new(),
+            rate_usage_times: BTreeMap::new(),
             units_taken: 0,
             units_refused: 0,
             peak_use: BTreeMap::new(),
@@ -272,14 +290,16 @@
         };
         for at in 0..voters + others {
             let id = NodeId(world.rng.random_range(1..u64::MAX));
-            let wild = if planted == InjectedBug::WildClocks {
+            let max_drift_permille = if injected_bug == InjectedBug::WildClocks {
                 250
             } else {
                 4
             };
             let clock = Clock {
                 offset: world.rng.random_range(0..1 << 40),
-                permille: world.rng.random_range(-wild..=wild),
+                drift_permille: world
+                    .rng
+                    .random_range(-max_drift_permille..=max_drift_permille),
             };
             let host = Host {
                 member: None,
@@ -289,15 +309,15 @@
                 stopped_until: 0,
                 restart_at: None,
                 sync_latency: 2,
-                waiting: VecDeque::new(),
+                deferred_messages: VecDeque::new(),
                 programs: BTreeMap::new(),
-                calls: BTreeMap::new(),
-                asked: BTreeMap::new(),
+                pending_holds: BTreeMap::new(),
+                pending_acquires: BTreeMap::new(),
                 units: BTreeSet::new(),
-                parts: BTreeMap::new(),
-                denied: BTreeMap::new(),
-                words: VecDeque::new(),
-                used: BTreeMap::new(),
+                external_parts: BTreeMap::new(),
+                external_denied: BTreeMap::new(),
+                usage_reports: VecDeque::new(),
+                external_usage_times: BTreeMap::new(),
                 stale: false,
                 has_shut_down: false,
             };
@@ -308,6 +328,7 @@
         world
     }
 
+    /// Starts a process on the host's disk and connects it to all others.
     pub fn start_process(&mut self, name: &str) {
         let seed = self.rng.random::<u64>() >> 2;
         let mut limits = self.limits.clone();
@@ -318,7 +339,7 @@
         let config = Config {
             work_enabled: self.maintenance.is_some(),
             node: name.to_string(),
-            // As in real files: who votes, and oneself.
+            // As in real configuration files: the voters and the member itself.
             peers: self
                 .peers
                 .iter()
@@ -337,7 +358,7 @@
         let at = host.clock.local_time(self.now);
         host.member = Some(Member::new(config, host.persisted_state.clone(), seed, at));
         (host.restart_at, host.stopped_until, host.has_shut_down) = (None, 0, false);
-        // Links are up at once, with the directories that are there.
+        // Links come up at once, with the ids of the data directories.
         let ids: Vec<_> = self
             .hosts
             .iter()
@@ -363,32 +384,32 @@
         }
     }
 
-    /// SIGKILL. A program of an operator outlives the process and goes on for as long as it was told.
+    /// Kills the process (SIGKILL). A program that runs under a duty outlives it, until its lease ends.
     pub fn kill_process(&mut self, name: &str) {
-        let kept = self.rng.random_range(0..=2);
-        let planted = self.injected_bug;
+        let surviving_writes = self.rng.random_range(0..=2);
+        let injected_bug = self.injected_bug;
         let host = self.hosts.get_mut(name).unwrap();
         host.member = None;
-        host.waiting.clear();
-        host.calls.clear();
-        host.asked.clear();
-        // Its connections end with it.
-        if planted != InjectedBug::ConnectionsOutlive {
+        host.deferred_messages.clear();
+        host.pending_holds.clear();
+        host.pending_acquires.clear();
+        // The process's connections end with it.
+        if injected_bug != InjectedBug::ConnectionsOutlive {
             host.units.clear();
         }
-        host.parts.clear();
-        host.denied.clear();
-        host.words.clear();
-        host.used.clear();
+        host.external_parts.clear();
+        host.external_denied.clear();
+        host.usage_reports.clear();
+        host.external_usage_times.clear();
         let unsynced: Vec<_> = host.unsynced.drain(..).collect();
         self.restart_proxy(name);
         let host = self.hosts.get_mut(name).unwrap();
         if let Some(saved) = host
             .persisted_state
             .as_mut()
-            .filter(|_| planted != InjectedBug::AckBeforeSync)
+            .filter(|_| injected_bug != InjectedBug::AckBeforeSync)
         {
-            for (_, _, record) in unsynced.into_iter().take(kept) {
+            for (_, _, record) in unsynced.into_iter().take(surviving_writes) {
                 saved.apply(record).unwrap();
             }
         }
@@ -396,28 +417,29 @@
             .hosts
             .get_mut(name)
             .and_then(|host| host.persisted_state.as_mut());
-        match (planted, disk.map(|saved| &mut saved.consensus_state)) {
+        match (injected_bug, disk.map(|saved| &mut saved.consensus_state)) {
             (InjectedBug::LostSnapshot, Some(disk)) => {
                 if let Some(snapshot) = disk.snapshot.as_mut().filter(|s| !s.data.is_empty()) {
                     snapshot.data = violetwind_fleet::State::default().encode();
                 }
             }
             (InjectedBug::ForgetsVote, Some(disk)) => {
-                let last = disk.entries.last().map(|entry| entry.term);
-                let kept = disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.term);
-                (disk.term, disk.voted_for) = (last.unwrap_or(kept), None);
+                let last_term = disk.entries.last().map(|entry| entry.term);
+                let snapshot_term = disk.snapshot.as_ref().map_or(0, |snapshot| snapshot.term);
+                (disk.term, disk.voted_for) = (last_term.unwrap_or(snapshot_term), None);
             }
             _ => {}
         }
     }
 
-    /// An empty directory in the place of the old one: somebody else.
+    /// Replaces the data directory with an empty one, which makes it a different member of the log.
     pub fn wipe_directory(&mut self, name: &str) {
         self.kill_process(name);
         let id = NodeId(self.rng.random_range(1..u64::MAX));
         self.hosts.get_mut(name).unwrap().persisted_state = Some(SavedState::new(id));
     }
 
+    /// Runs for the given time, or until an invariant is violated.
     pub fn run_for(&mut self, millis: Millis) {
         let until = self.now + millis;
         while self.now < until && self.violation.is_none() {
@@ -425,6 +447,7 @@
         }
     }
 
+    /// Advances the simulation by [`STEP_INTERVAL`] and checks the invariants.
     pub fn step(&mut self) {
         self.now += STEP_INTERVAL;
         let names: Vec<Name> = self.hosts.keys().cloned().collect();
@@ -433,7 +456,7 @@
                 .restart_at
                 .is_some_and(|back| self.now >= back)
             {
-                // One process of a directory at a time.
+                // Only one process runs on a directory at a time.
                 self.kill_process(name);
                 self.start_process(name);
             }
@@ -443,12 +466,12 @@
                 break;
             }
             self.queue.pop();
-            let peer = self.flying.remove(&number).unwrap();
+            let message = self.in_flight.remove(&number).unwrap();
             let host = self.hosts.get_mut(&to).unwrap();
             if host.stopped_until > self.now && host.member.is_some() {
-                host.waiting.push_back((from, peer));
+                host.deferred_messages.push_back((from, message));
             } else {
-                self.handle_input(&to, Input::PeerMessage(from, peer));
+                self.handle_input(&to, Input::PeerMessage(from, message));
             }
         }
         for name in &names {
@@ -456,8 +479,14 @@
             if host.stopped_until > self.now {
                 continue;
             }
-            while let Some((from, peer)) = self.hosts.get_mut(name).unwrap().waiting.pop_front() {
-                self.handle_input(name, Input::PeerMessage(from, peer));
+            while let Some((from, message)) = self
+                .hosts
+                .get_mut(name)
+                .unwrap()
+                .deferred_messages
+                .pop_front()
+            {
+                self.handle_input(name, Input::PeerMessage(from, message));
             }
             let host = self.hosts.get_mut(name).unwrap();
             let mut synced = None;
@@ -478,28 +507,29 @@
                 self.handle_input(name, Input::RecordsSaved(number));
             }
             self.handle_input(name, Input::Tick);
-            self.work(name);
-            self.count_outside(name);
-            self.use_budgets(name);
+            self.step_programs(name);
+            self.step_external_counter(name);
+            self.step_clients(name);
             self.step_proxy(name);
         }
         self.request_view();
         self.issue_work_commands();
-        self.check();
+        self.check_duties();
         self.check_work();
     }
 
-    /// Programs ask again and again whether they may go on.
-    fn work(&mut self, name: &str) {
+    /// Runs the programs of a host: they renew their hold on the duty at random times and stop when it has ended.
+    fn step_programs(&mut self, name: &str) {
         let now = self.now;
         for duty in self.duties.clone() {
             let host = self.hosts.get_mut(name).unwrap();
             if let Some(program) = host.programs.get(&duty)
-                && (now >= program.until || program.ends.is_some_and(|ends| now >= ends))
+                && (now >= program.until
+                    || program.stops_at.is_some_and(|stops_at| now >= stops_at))
             {
-                let told = program.ends.is_some();
+                let was_notified = program.stops_at.is_some();
                 host.programs.remove(&duty);
-                if told {
+                if was_notified {
                     self.submit_call(
                         name,
                         OperatorCall::EndHold {
@@ -518,62 +548,73 @@
                 self.hosts
                     .get_mut(name)
                     .unwrap()
-                    .calls
+                    .pending_holds
                     .insert(number, (now, duty));
                 self.submit_call(name, call);
             }
         }
     }
 
-    /// The counter outside: its words go back to the member in their order, with what is used when they go.
-    fn count_outside(&mut self, name: &str) {
-        while let Some((due, budget, number)) = self.hosts[name].words.front().cloned() {
+    /// Runs the external counter: delivers its usage reports to the member in order, with the usage at delivery.
+    fn step_external_counter(&mut self, name: &str) {
+        while let Some((due, budget, number)) = self.hosts[name].usage_reports.front().cloned() {
             if due > self.now {
                 return;
             }
-            self.hosts.get_mut(name).unwrap().words.pop_front();
-            let busy = self.busy_outside(name, &budget);
-            let denied = self.hosts[name].denied.get(&budget).copied().unwrap_or(0);
+            self.hosts.get_mut(name).unwrap().usage_reports.pop_front();
+            let in_use = self.external_usage(name, &budget);
+            let external_denied = self.hosts[name]
+                .external_denied
+                .get(&budget)
+                .copied()
+                .unwrap_or(0);
             self.handle_input(
                 name,
                 Input::ExternalUsage {
                     budget,
                     part_number: number,
-                    in_use: busy,
-                    denied,
+                    in_use,
+                    denied: external_denied,
                 },
             );
         }
         if self.rng.random_bool(0.1) {
             for budget in self.external_budgets.clone() {
-                let busy = self.busy_outside(name, &budget);
-                let denied = self.hosts[name].denied.get(&budget).copied().unwrap_or(0);
+                let in_use = self.external_usage(name, &budget);
+                let external_denied = self.hosts[name]
+                    .external_denied
+                    .get(&budget)
+                    .copied()
+                    .unwrap_or(0);
                 self.handle_input(
                     name,
                     Input::ExternalUsage {
                         budget,
                         part_number: 0,
-                        in_use: busy,
-                        denied,
+                        in_use,
+                        denied: external_denied,
                     },
                 );
             }
         }
     }
 
-    fn busy_outside(&mut self, name: &str, budget: &str) -> u64 {
+    fn external_usage(&mut self, name: &str, budget: &str) -> u64 {
         let now = self.now;
         let host = self.hosts.get_mut(name).unwrap();
         let at = host.clock.local_time(now);
-        let span = host.parts.get(budget).map_or(0, |part| part.span);
+        let span = host.external_parts.get(budget).map_or(0, |part| part.span);
         match self
             .budgets
             .iter()
-            .find(|def| def.name == budget)
-            .map(|def| def.kind)
+            .find(|definition| definition.name == budget)
+            .map(|definition| definition.kind)
         {
             Some(BudgetKind::Rate) => {
-                let used = host.used.entry(budget.to_string()).or_default();
+                let used = host
+                    .external_usage_times
+                    .entry(budget.to_string())
+                    .or_default();
                 while used.front().is_some_and(|used| at >= *used + span) {
                     used.pop_front();
                 }
@@ -583,15 +624,15 @@
         }
     }
 
-    fn take_outside(&mut self, name: &str, budget: &str, token: Name) {
-        let busy = self.busy_outside(name, budget);
+    fn take_external_unit(&mut self, name: &str, budget: &str, token: Name) {
+        let in_use = self.external_usage(name, budget);
         let now = self.now;
         let host = self.hosts.get_mut(name).unwrap();
         if host.member.is_none() {
             return;
         }
         let at = host.clock.local_time(now);
-        let Some(part) = host.parts.get(budget) else {
+        let Some(part) = host.external_parts.get(budget) else {
             return;
         };
         let units = if at < part.until || self.injected_bug == InjectedBug::OverstaysPart {
@@ -599,76 +640,85 @@
         } else {
             part.after
         };
-        if busy < units {
-            host.used
+        if in_use < units {
+            host.external_usage_times
                 .entry(budget.to_string())
                 .or_default()
                 .push_back(at);
-            self.unit(name, (budget.to_string(), token));
+            self.record_unit_taken(name, (budget.to_string(), token));
         } else {
-            *host.denied.entry(budget.to_string()).or_default() += 1;
+            *host.external_denied.entry(budget.to_string()).or_default() += 1;
             self.units_refused += 1;
         }
     }
 
-    /// Clients come and go: units are asked for and given back.
-    /// One unit is wanted of each budget that is counted outside the member: whoever counts there goes on by the part that it was
-    /// told also while the member's own thread is stalled.
+    /// Requests one unit of each externally counted budget. The external counter continues with the part it was given,
+    /// even while the member's own thread is stalled.
     pub fn take_external_units(&mut self, name: &str) {
-        let counted = self.budgets.iter().map(|def| def.name.clone());
-        let counted: Vec<Name> = counted
+        let external = self
+            .budgets
+            .iter()
+            .map(|definition| definition.name.clone());
+        let external: Vec<Name> = external
             .filter(|name| self.external_budgets.contains(name))
             .collect();
-        for budget in counted {
+        for budget in external {
             self.last_number += 1;
             let token = format!("t{}", self.last_number);
-            self.take_outside(name, &budget, token);
+            self.take_external_unit(name, &budget, token);
         }
     }
 
-    fn use_budgets(&mut self, name: &str) {
-        let press = self.demand.get(name).copied().unwrap_or(0.0);
-        if press == 0.0 && self.hosts[name].units.is_empty() {
+    /// Simulates clients, which acquire and release units.
+    fn step_clients(&mut self, name: &str) {
+        let demand_rate = self.demand.get(name).copied().unwrap_or(0.0);
+        if demand_rate == 0.0 && self.hosts[name].units.is_empty() {
             return;
         }
-        let pressed: Vec<BudgetDefinition> = self
+        let demanded: Vec<BudgetDefinition> = self
             .budgets
             .iter()
             .take(self.demanded_budget_count)
             .cloned()
             .collect();
-        for def in pressed {
-            let mut left = press;
-            while left > 0.0 && self.rng.random_bool(left.min(1.0)) {
-                left -= 1.0;
+        for definition in demanded {
+            let mut remaining = demand_rate;
+            while remaining > 0.0 && self.rng.random_bool(remaining.min(1.0)) {
+                remaining -= 1.0;
                 let token = format!("t{}", self.last_number + 1);
-                let key = (def.name.clone(), token.clone());
-                if self.external_budgets.contains(&def.name) {
+                let key = (definition.name.clone(), token.clone());
+                if self.external_budgets.contains(&definition.name) {
                     self.last_number += 1;
-                    self.take_outside(name, &def.name, token);
+                    self.take_external_unit(name, &definition.name, token);
                     continue;
                 }
                 let number = self.last_number + 1;
-                self.hosts.get_mut(name).unwrap().asked.insert(number, key);
-                let wait = [0, 100][self.rng.random_range(0..2)];
+                self.hosts
+                    .get_mut(name)
+                    .unwrap()
+                    .pending_acquires
+                    .insert(number, key);
+                let max_wait = [0, 100][self.rng.random_range(0..2)];
                 self.submit_call(
                     name,
                     OperatorCall::AcquireUnit {
-                        budget: def.name.clone(),
+                        budget: definition.name.clone(),
                         token,
                         hold_timeout: 1 << 40,
-                        max_wait: wait,
+                        max_wait,
                     },
                 );
             }
-            // Half a second or so each.
+            // A client keeps its unit for half a second on average.
             let units = &self.hosts[name].units;
-            let ends = units.iter().filter(|(budget, _)| *budget == def.name);
-            let ends: Vec<_> = ends
+            let released = units
+                .iter()
+                .filter(|(budget, _)| *budget == definition.name);
+            let released: Vec<_> = released
                 .filter(|_| self.rng.random_bool(0.01))
                 .cloned()
                 .collect();
-            for (budget, token) in ends {
+            for (budget, token) in released {
                 self.hosts
                     .get_mut(name)
                     .unwrap()
@@ -682,19 +732,24 @@
         }
     }
 
-    fn unit(&mut self, name: &str, (budget, token): (Name, Name)) {
+    fn record_unit_taken(&mut self, name: &str, (budget, token): (Name, Name)) {
         self.units_taken += 1;
-        let extra =
+        let takes_extra_unit =
             self.injected_bug == InjectedBug::ExtraUnit && self.units_taken.is_multiple_of(50);
-        let Some(def) = self.budgets.iter().find(|def| def.name == budget).cloned() else {
+        let Some(definition) = self
+            .budgets
+            .iter()
+            .find(|definition| definition.name == budget)
+            .cloned()
+        else {
             return;
         };
         let now = self.now;
-        let count = match def.kind {
+        let count = match definition.kind {
             BudgetKind::Concurrent => {
                 let host = self.hosts.get_mut(name).unwrap();
                 host.units.insert((budget.clone(), token.clone()));
-                if extra {
+                if takes_extra_unit {
                     host.units
                         .insert((budget.clone(), format!("{token}, unasked")));
                 }
@@ -702,33 +757,37 @@
                 units.filter(|(of, _)| *of == budget).count() as u64
             }
             BudgetKind::Rate => {
-                let used = self.used.entry(budget.clone()).or_default();
+                let used = self.rate_usage_times.entry(budget.clone()).or_default();
                 used.push_back(now);
-                if extra {
+                if takes_extra_unit {
                     used.push_back(now);
                 }
-                while used.front().is_some_and(|at| *at + def.window <= now) {
+                while used
+                    .front()
+                    .is_some_and(|at| *at + definition.window <= now)
+                {
                     used.pop_front();
                 }
                 used.len() as u64
             }
         };
-        let most = self.peak_use.entry(budget.clone()).or_default();
-        *most = count.max(*most);
-        if count > def.total {
+        let peak = self.peak_use.entry(budget.clone()).or_default();
+        *peak = count.max(*peak);
+        if count > definition.total {
             self.record_violation(format!(
                 "Never More Than The Whole: {count} of {} of {budget}, the last at {name}",
-                def.total
+                definition.total
             ));
         }
     }
 
-    /// In use now, over all members.
+    /// Number of units of a budget that are in use, over all members.
     pub fn units_in_use(&self, budget: &str) -> u64 {
         let units = self.hosts.values().flat_map(|host| &host.units);
         units.filter(|(of, _)| of == budget).count() as u64
     }
 
+    /// Submits an operator's call at a member and returns the number of the call.
     pub fn submit_call(&mut self, name: &str, call: OperatorCall) -> Number {
         self.last_number += 1;
         let number = self.last_number;
@@ -736,24 +795,31 @@
         number
     }
 
-    pub fn submit_order(&mut self, name: &str, order: FleetAction) -> Number {
-        self.submit_call(name, OperatorCall::FleetAction(order))
+    /// Submits an operator's action at a member and returns the number of the call.
+    pub fn submit_order(&mut self, name: &str, action: FleetAction) -> Number {
+        self.submit_call(name, OperatorCall::FleetAction(action))
     }
 
+    /// Shuts the process down in an orderly way (SIGTERM).
     pub fn shut_down_process(&mut self, name: &str) {
         self.handle_input(name, Input::Quit);
     }
 
-    fn fly(&mut self, due: Millis, from: &str, to: Name, peer: PeerMessage) {
-        self.sent += 1;
-        self.flying.insert(self.sent, peer);
-        self.queue
-            .push(Reverse((due, self.sent, from.to_string(), to)));
+    fn enqueue_message(&mut self, due: Millis, from: &str, to: Name, message: PeerMessage) {
+        self.last_message_number += 1;
+        self.in_flight.insert(self.last_message_number, message);
+        self.queue.push(Reverse((
+            due,
+            self.last_message_number,
+            from.to_string(),
+            to,
+        )));
     }
 
+    /// Passes an input to a member and carries out the resulting outputs.
     pub fn handle_input(&mut self, name: &str, input: Input) {
         let now = self.now;
-        let planted = self.injected_bug;
+        let injected_bug = self.injected_bug;
         let host = self.hosts.get_mut(name).unwrap();
         let Some(member) = host.member.as_mut() else {
             return;
@@ -761,45 +827,51 @@
         let mut acknowledged = None;
         for output in member.handle(host.clock.local_time(now), input) {
             match output {
-                Output::Send(to, peer) => {
+                Output::Send(to, message) => {
                     self.frames_sent += 1;
-                    let lost = self.cut_links.contains(&(name.to_string(), to.clone()))
+                    let is_lost = self.cut_links.contains(&(name.to_string(), to.clone()))
                         || self.rng.random_bool(self.loss_rate);
-                    if !lost && self.hosts.contains_key(&to) {
+                    if !is_lost && self.hosts.contains_key(&to) {
                         let due = now
                             + self
                                 .rng
                                 .random_range(self.delay_range.0..=self.delay_range.1);
                         if self.duplicate_rate > 0.0 && self.rng.random_bool(self.duplicate_rate) {
-                            let again = due + self.rng.random_range(0..200);
-                            self.fly(again, name, to.clone(), peer.clone());
+                            let duplicate_due = due + self.rng.random_range(0..200);
+                            self.enqueue_message(duplicate_due, name, to.clone(), message.clone());
                         }
-                        self.fly(due, name, to, peer);
+                        self.enqueue_message(due, name, to, message);
                     }
                 }
                 Output::SaveRecord(number, record) => {
                     let host = self.hosts.get_mut(name).unwrap();
-                    let lies = planted == InjectedBug::AckBeforeSync;
-                    let due = now + if lies { 300 } else { host.sync_latency };
+                    let acknowledges_early = injected_bug == InjectedBug::AckBeforeSync;
+                    let due = now
+                        + if acknowledges_early {
+                            300
+                        } else {
+                            host.sync_latency
+                        };
                     host.unsynced.push_back((due, number, record));
-                    if lies {
+                    if acknowledges_early {
                         acknowledged = Some(number);
                     }
                 }
-                Output::Answer(number, answer) => self.answered(name, number, answer),
+                Output::Answer(number, answer) => self.handle_answer(name, number, answer),
                 Output::Part(budget, number, part) => {
-                    // It comes to the counter at once, and the counter's word some time later.
-                    let late = self.rng.random_range(0..60);
+                    // The counter receives the part at once, and its usage report follows some time later.
+                    let report_delay = self.rng.random_range(0..60);
                     let host = self.hosts.get_mut(name).unwrap();
-                    host.parts.insert(budget.clone(), part);
-                    host.words.push_back((now + late, budget, number));
+                    host.external_parts.insert(budget.clone(), part);
+                    host.usage_reports
+                        .push_back((now + report_delay, budget, number));
                 }
                 Output::MachineList(version, list) => self.queue_list_write(name, version, list),
-                Output::Event(event) => self.event(name, event),
+                Output::Event(event) => self.record_event(name, event),
                 Output::Ended => {
                     let host = self.hosts.get_mut(name).unwrap();
                     (host.member, host.has_shut_down) = (None, true);
-                    host.asked.clear();
+                    host.pending_acquires.clear();
                     host.units.clear();
                     return;
                 }
@@ -810,31 +882,25 @@
         }
     }
 
-    fn answered(&mut self, name: &str, number: Number, answer: OperatorAnswer) {
-        if let Some(asked) = self.pending_operator_calls.remove(&number) {
-            return self.record_answer(asked, &answer);
+    fn handle_answer(&mut self, name: &str, number: Number, answer: OperatorAnswer) {
+        if let Some(pending_call) = self.pending_operator_calls.remove(&number) {
+            return self.record_answer(pending_call, &answer);
         }
         let host = self.hosts.get_mut(name).unwrap();
-        if let Some(key) = host.asked.remove(&number) {
+        if let Some(key) = host.pending_acquires.remove(&number) {
             match answer {
-                OperatorAnswer::UnitAcquired => self.unit(name, key),
+                OperatorAnswer::UnitAcquired => self.record_unit_taken(name, key),
                 _ => self.units_refused += 1,
             }
             return;
         }
-        match (host.calls.remove(&number), answer) {
-            (
-                Some((asked, duty)),
-                OperatorAnswer::Held {
-                    fence,
-                    remaining: left,
-                },
-            ) => {
-                let until = asked + host.clock.span(left);
+        match (host.pending_holds.remove(&number), answer) {
+            (Some((called_at, duty)), OperatorAnswer::Held { fence, remaining }) => {
+                let until = called_at + host.clock.simulated_duration(remaining);
                 let program = Program {
                     fence,
                     until,
-                    ends: None,
+                    stops_at: None,
                 };
                 let known = host.programs.entry(duty).or_insert(program.clone());
                 if known.fence == fence {
@@ -842,13 +908,13 @@
                 }
             }
             (Some((_, duty)), OperatorAnswer::NotHeld(_)) => {
-                let (now, slow) = (self.now, self.rng.random_range(0..100));
-                let deaf = self.injected_bug == InjectedBug::DeafProgram;
+                let (now, stop_delay) = (self.now, self.rng.random_range(0..100));
+                let ignores_stop = self.injected_bug == InjectedBug::DeafProgram;
                 if let Some(program) = self.hosts.get_mut(name).unwrap().programs.get_mut(&duty) {
-                    program.ends.get_or_insert(now + slow);
-                    if deaf {
+                    program.stops_at.get_or_insert(now + stop_delay);
+                    if ignores_stop {
                         program.until += 1000;
-                        program.ends = None;
+                        program.stops_at = None;
                     }
                 }
             }
@@ -858,31 +924,32 @@
         }
     }
 
-    fn event(&mut self, name: &str, event: Event) {
+    fn record_event(&mut self, name: &str, event: Event) {
         self.event_log
             .push(format!("{} {name}: {event:?}", self.now));
         match event {
             Event::Gained { duty, fence } => {
                 self.duties_gained += 1;
-                let newest = self.newest.entry(duty.clone()).or_default();
-                if fence <= *newest {
-                    let what = format!("Fencing: {name} gains {duty} with {fence} after {newest}");
+                let newest_fence = self.newest_fences.entry(duty.clone()).or_default();
+                if fence <= *newest_fence {
+                    let what =
+                        format!("Fencing: {name} gains {duty} with {fence} after {newest_fence}");
                     self.record_violation(what);
                 } else {
-                    *newest = fence;
+                    *newest_fence = fence;
                 }
             }
             Event::Lost { why, .. } => {
                 self.duties_lost += 1;
                 if matches!(why, LossReason::HandedOn | LossReason::Ending) {
-                    // Asked at once, as the program's caller would.
+                    // Call again at once, as `violetwind hold` does.
                     for duty in self.duties.clone() {
                         let number = self.last_number + 1;
                         let now = self.now;
                         self.hosts
                             .get_mut(name)
                             .unwrap()
-                            .calls
+                            .pending_holds
                             .insert(number, (now, duty.clone()));
                         self.submit_call(
                             name,
@@ -900,6 +967,7 @@
         }
     }
 
+    /// The member that holds a duty, if there is one.
     pub fn holder(&self, duty: &str) -> Option<Name> {
         self.holders(duty).into_iter().next().map(|(name, _)| name)
     }
@@ -915,7 +983,7 @@
         self.hosts.iter().filter_map(holds).collect()
     }
 
-    fn check(&mut self) {
+    fn check_duties(&mut self) {
         for duty in self.duties.clone() {
             let mut holders = self.holders(&duty);
             for (name, host) in &self.hosts {
@@ -932,25 +1000,27 @@
             }
             match holders.is_empty() {
                 true => {
-                    let since = *self.free.entry(duty).or_insert(self.now);
+                    let since = *self.unheld_since.entry(duty).or_insert(self.now);
                     self.longest_unheld = self.longest_unheld.max(self.now - since);
                 }
                 false => {
-                    self.free.remove(&duty);
+                    self.unheld_since.remove(&duty);
                 }
             }
         }
     }
 
+    /// Records the violation of an invariant, unless there has been one before.
     pub fn record_violation(&mut self, what: String) {
         let at = self.now;
         self.violation.get_or_insert(format!("{at} ms: {what}"));
     }
 
+    /// The running leader of the newest term that is ready to serve.
     pub fn leader(&self) -> Option<Name> {
-        let leads = |(_, host): &(&Name, &Host)| {
-            let leads = host.member.as_ref().is_some_and(Member::is_ready_leader);
-            leads && host.stopped_until <= self.now
+        let is_leader = |(_, host): &(&Name, &Host)| {
+            let is_ready = host.member.as_ref().is_some_and(Member::is_ready_leader);
+            is_ready && host.stopped_until <= self.now
         };
         let term = |host: &Host| {
             host.member
@@ -958,11 +1028,11 @@
                 .and_then(|m| m.consensus_status())
                 .map(|log| log.term)
         };
-        let best = self
+        let newest = self
             .hosts
             .iter()
-            .filter(leads)
+            .filter(is_leader)
             .max_by_key(|(_, host)| term(host));
-        best.map(|(name, _)| name.clone())
+        newest.map(|(name, _)| name.clone())
     }
 }
--- a/crates/storm/src/fleet/faults.rs
+++ b/crates/storm/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with whole members: drawn by chance, or struck as a script says.
+//! Fault injection into a simulated fleet: random faults, and faults listed in a script.
 
 use rand::Rng;
 use rand_pcg::Pcg32;
@@ -9,66 +9,44 @@
 use super::{Host, World};
 use crate::script::TimelineSample;
 
-/// One fault, as scripts name it. Spans are in milliseconds of true time.
+/// One fault, as written in scripts. Durations are in milliseconds of simulated time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Fault {
-    /// SIGKILL; a new process on the same directory after so long.
-    Kill {
-        node: Name,
-        back: Millis,
-    },
-    /// SIGSTOP for so long.
-    Stop {
-        node: Name,
-        lasts: Millis,
-    },
-    /// Frames from some to others are lost, or both ways.
+    /// SIGKILL; a new process starts on the same directory after `back`.
+    Kill { node: Name, back: Millis },
+    /// SIGSTOP for the duration `lasts`.
+    Stop { node: Name, lasts: Millis },
+    /// Frames from each member in `from` to each in `to` are lost; with `both`, in both directions.
     Cut {
         from: Vec<Name>,
         to: Vec<Name>,
         both: bool,
     },
-    /// All links are up again.
+    /// Restores all links.
     Heal,
-    /// A sync of this disk takes so long from now on.
-    Slow {
-        node: Name,
-        sync: Millis,
-    },
-    /// Operators want a duty handed on.
+    /// From now on a sync of this member's disk takes `sync`.
+    Slow { node: Name, sync: Millis },
+    /// An operator at member `by` requests the handoff of a duty, to the member `to` if one is given.
     HandOn {
         by: Name,
         duty: Name,
         to: Option<Name>,
     },
-    /// SIGTERM; a new process after so long.
-    Quit {
-        node: Name,
-        back: Millis,
-    },
-    /// A machine dies, or comes back.
-    Machine {
-        number: usize,
-    },
-    /// Operators put a member out, and let it in again.
-    PutOut {
-        by: Name,
-        node: Name,
-    },
-    LetIn {
-        by: Name,
-        node: Name,
-    },
-    /// Clients press one member, or all of them evenly.
-    Press {
-        hot: Name,
-        even: bool,
-    },
+    /// SIGTERM; a new process starts after `back`.
+    Quit { node: Name, back: Millis },
+    /// A machine goes down, or comes back up if it is down.
+    Machine { number: usize },
+    /// An operator at member `by` puts a member out of the fleet.
+    PutOut { by: Name, node: Name },
+    /// An operator at member `by` lets a member in again.
+    LetIn { by: Name, node: Name },
+    /// Clients request units mostly at the member `hot`, or with `even` at all members equally.
+    Press { hot: Name, even: bool },
 }
 
 impl Fault {
-    /// The members that it names.
+    /// The members named in the fault.
     pub fn nodes(&self) -> Vec<&Name> {
         match self {
             Self::Kill { node, .. }
@@ -84,26 +62,27 @@
     }
 }
 
-/// The next fault among these members, if there is one: the same from the same chance.
+/// Generates the next random fault among these members, or none. The result depends only on the state of `rng`.
 pub(crate) fn generate_fault(
     rng: &mut Pcg32,
     names: &[Name],
     duty: &Name,
     machines: usize,
 ) -> Option<Fault> {
-    let any = |rng: &mut Pcg32| names[rng.random_range(0..names.len())].clone();
+    let random_node = |rng: &mut Pcg32| names[rng.random_range(0..names.len())].clone();
     Some(match rng.random_range(0..100) {
         0..3 => {
-            let (node, back) = (any(rng), rng.random_range(1..3000));
+            let (node, back) = (random_node(rng), rng.random_range(1..3000));
             Fault::Kill { node, back }
         }
         3..7 => {
-            let (node, lasts) = (any(rng), rng.random_range(100..7000));
+            let (node, lasts) = (random_node(rng), rng.random_range(100..7000));
             Fault::Stop { node, lasts }
         }
         7..11 => {
-            let (a, b, both) = (any(rng), any(rng), rng.random_bool(0.5));
-            let (from, to) = (vec![a], vec![b]);
+            let (sender, receiver, both) =
+                (random_node(rng), random_node(rng), rng.random_bool(0.5));
+            let (from, to) = (vec![sender], vec![receiver]);
             Fault::Cut { from, to, both }
         }
         11..14 => {
@@ -113,24 +92,28 @@
             Fault::Cut { from, to, both }
         }
         14..16 => {
-            let (one, both) = (any(rng), rng.random_bool(0.5));
-            let to = names.iter().filter(|name| **name != one).cloned().collect();
-            let from = vec![one];
+            let (isolated, both) = (random_node(rng), rng.random_bool(0.5));
+            let to = names
+                .iter()
+                .filter(|name| **name != isolated)
+                .cloned()
+                .collect();
+            let from = vec![isolated];
             Fault::Cut { from, to, both }
         }
         16..24 => Fault::Heal,
         24..26 => {
-            let (node, sync) = (any(rng), rng.random_range(1..600));
+            let (node, sync) = (random_node(rng), rng.random_range(1..600));
             Fault::Slow { node, sync }
         }
         26..29 => {
-            let by = any(rng);
-            let to = rng.random_bool(0.5).then(|| any(rng));
+            let by = random_node(rng);
+            let to = rng.random_bool(0.5).then(|| random_node(rng));
             let duty = duty.clone();
             Fault::HandOn { by, duty, to }
         }
         29..31 => {
-            let node = any(rng);
+            let node = random_node(rng);
             let back = 2500 + rng.random_range(1..2000);
             Fault::Quit { node, back }
         }
@@ -142,22 +125,22 @@
 }
 
 impl World {
-    /// Cuts a member off from some, in one direction or both.
+    /// Cuts the links from each member in `from` to each in `to`, in one direction or both.
     pub fn cut_links(&mut self, from: &[Name], to: &[Name], both: bool) {
-        for a in from {
-            for b in to {
-                self.cut_links.insert((a.clone(), b.clone()));
+        for sender in from {
+            for receiver in to {
+                self.cut_links.insert((sender.clone(), receiver.clone()));
                 if both {
-                    self.cut_links.insert((b.clone(), a.clone()));
+                    self.cut_links.insert((receiver.clone(), sender.clone()));
                 }
             }
         }
     }
 
-    /// Lets it happen now. What names nobody who is there does nothing.
+    /// Injects a fault now. A fault that names an unknown member is ignored.
     pub fn inject_fault(&mut self, fault: &Fault) {
-        let there = |name: &Name| self.hosts.contains_key(name);
-        if !fault.nodes().into_iter().all(there) {
+        let exists = |name: &Name| self.hosts.contains_key(name);
+        if !fault.nodes().into_iter().all(exists) {
             return;
         }
         let now = self.now;
@@ -190,54 +173,54 @@
             Fault::LetIn { by, node } => self.submit_membership_order(by, node, false),
             Fault::Machine { number } => self.toggle_machine(*number),
             Fault::Press { hot, even } => {
-                let press =
+                let demand_rate =
                     |name: &Name| (name.clone(), if *even || name == hot { 0.3 } else { 0.01 });
-                self.demand = self.hosts.keys().map(press).collect();
+                self.demand = self.hosts.keys().map(demand_rate).collect();
             }
         }
     }
 
-    /// Everybody as they are now, for a time line that begins at `start`.
+    /// Samples the state of all members, for a timeline that begins at `start`.
     pub fn sample_timeline(&self, start: Millis) -> TimelineSample {
         let leader = self.leader();
-        let cut = |name: &Name| self.cut_links.iter().any(|(a, b)| a == name || b == name);
-        let holds = |host: &Host| {
+        let is_cut_off = |name: &Name| self.cut_links.iter().any(|(a, b)| a == name || b == name);
+        let holds_any_duty = |host: &Host| {
             let member = host.member.as_ref();
             let at = host.clock.local_time(self.now);
-            let holds =
+            let holds_duty =
                 |duty: &Name| member.is_some_and(|member| member.held_fence(duty, at).is_some());
-            self.duties.iter().any(holds)
+            self.duties.iter().any(holds_duty)
         };
-        let each = self.hosts.iter().map(|(name, host)| {
+        let member_states = self.hosts.iter().map(|(name, host)| {
             let state = match () {
                 () if host.member.is_none() => 'x',
                 () if host.stopped_until > self.now => 's',
                 () if leader.as_ref() == Some(name) => 'L',
-                () if cut(name) => 'c',
-                () if holds(host) => 'h',
+                () if is_cut_off(name) => 'c',
+                () if holds_any_duty(host) => 'h',
                 () => '.',
             };
             (name.clone(), state)
         });
-        let held = self.budgets.first().map(|def| def.name.clone());
+        let first_budget = self.budgets.first().map(|def| def.name.clone());
         TimelineSample {
             at: self.now - start,
-            member_states: each.collect(),
-            units_in_use: held.map_or(0, |name| self.units_in_use(&name)),
+            member_states: member_states.collect(),
+            units_in_use: first_budget.map_or(0, |name| self.units_in_use(&name)),
             machines_out: self
                 .work_state()
                 .map_or(0, |work| work.orders.machines_out().len()),
         }
     }
 
-    /// Whether an order has ended and none is left.
+    /// Whether at least one work order has ended and none is left.
     pub fn work_ended(&self) -> bool {
         self.work_state().is_some_and(|work| {
             work.orders.orders().is_empty() && !work.orders.ended_orders().is_empty()
         })
     }
 
-    /// A day of trouble, drawn by the seed, and then quiet: everything has to be held again.
+    /// Injects random faults for the given time, then heals all of them and checks that every duty is held again.
     pub fn run_random_faults(&mut self, millis: Millis) {
         let until = self.now + millis;
         let names: Vec<Name> = self.hosts.keys().cloned().collect();
@@ -256,13 +239,14 @@
             }
             let steps = self.rng.random_range(5..60);
             for _ in 0..steps {
-                // Who has ended, or was to, comes back as a new process.
+                // A process that was shut down or killed is restarted by `step` at its time.
                 self.step();
             }
         }
         self.heal_and_check();
     }
 
+    /// Ends all faults, waits for the fleet to recover and checks Held Again.
     pub fn heal_and_check(&mut self) {
         self.cut_links.clear();
         self.restore_machines();
@@ -270,12 +254,12 @@
         let now = self.now;
         for host in self.hosts.values_mut() {
             (host.stopped_until, host.sync_latency) = (0, 2);
-            // Who was to come back later has done so; the last fault is over.
+            // Processes due for a later restart are restarted now, so that the last fault is over.
             if host.member.is_none() || host.restart_at.is_some() {
                 host.restart_at = Some(now + 10);
             }
         }
-        // An election, leases of those that died, and a session for whoever had none.
+        // Enough time for an election, for the leases of dead processes to expire and for new sessions.
         self.run_for(
             2 * self.limits.consensus.election_timeout
                 + 2 * self.limits.granted_lease_duration()
@@ -283,7 +267,7 @@
         );
         for duty in self.duties.clone() {
             if self.violation.is_none() && self.holder(&duty).is_none() {
-                self.record_violation(format!("Held Again: nobody holds {duty}"));
+                self.record_violation(format!("Held Again: {duty} has no holder"));
             }
         }
     }
--- a/crates/storm/src/fleet/proxies.rs
+++ b/crates/storm/src/fleet/proxies.rs
@@ -1,5 +1,6 @@
-//! What a member's proxy does about work on machines: it goes by the list once that is on disk, serves clients at what is
-//! not out, and reports. Staff plan orders and say what is done. The books are kept from what proxies do.
+//! Simulates the proxies of a fleet during maintenance of machines. A proxy applies a machine list once it is on disk,
+//! serves clients on machines that are not out, and reports to its member. Staff plan orders and mark work as done. The
+//! invariants are checked against the actions of the proxies.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,48 +14,55 @@
 
 use super::{InjectedBug, World};
 
-/// One proxy. What is on disk outlives its process.
+/// One proxy. Its stored state outlives the process.
 #[derive(Clone, Debug, Default)]
 pub struct Proxy {
-    kept: MachineAvailability,
-    belief: MachineAvailability,
+    /// Availability of machines as stored on disk.
+    stored: MachineAvailability,
+    /// Availability of machines as applied by the running process.
+    applied: MachineAvailability,
+    /// Number of clients on each machine.
     clients: BTreeMap<Name, u64>,
-    /// Lists on their way to the disk.
+    /// Machine lists being written to disk: due time, version, list.
     writes: VecDeque<(Millis, Number, MachineList)>,
 }
 
-/// Machines, staff, and the books.
+/// The simulated maintenance: machines, staff, proxies and the records for the invariant checks.
 #[derive(Clone, Debug, Default)]
 pub struct Maintenance {
     pub machines: BTreeMap<Name, Machine>,
     pub max_machines_out: u32,
-    /// What staff want; they say it again until it is planned.
-    wanted: Option<WorkOrder>,
+    /// The order that staff request, repeated until it is planned.
+    requested_order: Option<WorkOrder>,
     proxies: BTreeMap<Name, Proxy>,
-    /// Machines that are down, and those that are back and cold until then.
+    /// Machines that are down.
     down: BTreeSet<Name>,
+    /// Machines that are warming up after their return, and the end of the warm-up.
     cold: BTreeMap<Name, Millis>,
+    /// Version and phase of each machine at the last check.
     phases: BTreeMap<Name, (Number, Phase)>,
-    emptied: BTreeMap<Name, u32>,
-    /// How far the orders were when they were last looked at: who starts anew reads them from the beginning.
-    seen: (Number, Number),
+    /// How many times each machine was reported as drained.
+    times_drained: BTreeMap<Name, u32>,
+    /// Versions of the orders and of the machine list at the last check. Older states are skipped: a restarted member
+    /// reads the orders from the beginning.
+    checked_versions: (Number, Number),
     pub machines_done: usize,
     pub machine_steps: usize,
 }
 
 impl Proxy {
-    /// A new process on the same disk.
+    /// Starts a new process on the same disk.
     fn restart(&mut self) {
         *self = Self {
-            belief: self.kept.clone(),
-            kept: self.kept.clone(),
+            applied: self.stored.clone(),
+            stored: self.stored.clone(),
             ..Self::default()
         };
     }
 }
 
 impl World {
-    /// The same with machines, a few to a zone, and one order for all of them.
+    /// Adds machines in three zones; restarts all processes. `bounds.max_out` is the bound that is checked.
     pub fn with_machines(mut self, count: usize, bounds: Bounds) -> Self {
         let machine = |at: usize| Machine {
             zone: format!("z-{}", at % 3),
@@ -87,12 +95,12 @@
         self
     }
 
-    /// Staff call for work on all machines at some member.
+    /// Staff plan an order for work on all machines, in a call at member `at`.
     pub fn plan_work(&mut self, at: &str, name: &str, bounds: Bounds) {
         let machines = self
             .maintenance
             .iter()
-            .flat_map(|shift| shift.machines.keys());
+            .flat_map(|maintenance| maintenance.machines.keys());
         let order = WorkOrder {
             name: name.into(),
             machines: machines.cloned().collect(),
@@ -107,33 +115,35 @@
             paused: false,
             cancelled: false,
         };
-        if let Some(shift) = &mut self.maintenance {
-            shift.wanted = Some(order.clone());
+        if let Some(maintenance) = &mut self.maintenance {
+            maintenance.requested_order = Some(order.clone());
         }
         self.submit_call(at, OperatorCall::WorkAction(WorkAction::Plan(order)));
     }
 
-    /// The orders as whoever has applied the most has them.
+    /// The work orders of the member that has applied the most.
     pub fn work_state(&self) -> Option<&WorkState> {
         let members = self.hosts.values().filter_map(|host| host.member.as_ref());
         let states = members.filter_map(|member| Some(member.state()?.work()));
         states.max_by_key(|work| (work.version, work.roster_version))
     }
 
+    /// Restarts the proxy of a host on its stored state.
     pub(super) fn restart_proxy(&mut self, name: &str) {
-        let forgets = self.injected_bug == InjectedBug::ServesUnlisted;
+        let loses_list = self.injected_bug == InjectedBug::ServesUnlisted;
         if let Some(proxy) = self
             .maintenance
             .as_mut()
             .and_then(|s| s.proxies.get_mut(name))
         {
-            if forgets {
-                proxy.kept = MachineAvailability::default();
+            if loses_list {
+                proxy.stored = MachineAvailability::default();
             }
             proxy.restart();
         }
     }
 
+    /// Starts the write of a machine list to the disk of a host.
     pub(super) fn queue_list_write(&mut self, name: &str, version: Number, list: MachineList) {
         let sync = self.hosts[name].sync_latency;
         let due = self.now + sync;
@@ -146,59 +156,69 @@
         }
     }
 
-    /// A step of one proxy that runs.
+    /// Advances a proxy by one step: finished writes, clients, a report to the member.
     pub(super) fn step_proxy(&mut self, name: &str) {
-        let Some(mut shift) = self.maintenance.take() else {
+        let Some(mut maintenance) = self.maintenance.take() else {
             return;
         };
         let runs = self.hosts[name].member.is_some();
-        let proxy = shift.proxies.get_mut(name).expect("one of each member");
-        let hasty = self.injected_bug == InjectedBug::HastyProxy;
+        let proxy = maintenance
+            .proxies
+            .get_mut(name)
+            .expect("each member has a proxy");
+        let confirms_early = self.injected_bug == InjectedBug::HastyProxy;
         while runs
             && proxy
                 .writes
                 .front()
                 .is_some_and(|(due, ..)| *due <= self.now)
         {
-            let (_, version, list) = proxy.writes.pop_front().expect("just seen");
-            let forgets =
-                self.injected_bug == InjectedBug::ForgetfulProxy && proxy.kept.list_version() > 0;
-            if !forgets {
-                proxy.kept.apply_list(version, list.clone());
+            let (_, version, list) = proxy.writes.pop_front().expect("the queue has a due write");
+            let skips_write =
+                self.injected_bug == InjectedBug::ForgetfulProxy && proxy.stored.list_version() > 0;
+            if !skips_write {
+                proxy.stored.apply_list(version, list.clone());
             }
-            // One that confirms first and closes some time later.
-            if !hasty || self.rng.random_bool(0.05) {
-                proxy.belief.apply_list(version, list);
+            // With the bug injected, the proxy confirms first and closes some time later.
+            if !confirms_early || self.rng.random_bool(0.05) {
+                proxy.applied.apply_list(version, list);
             }
         }
-        // One that knows no list serves nobody yet.
-        let listed =
-            proxy.belief.list_version() > 0 || self.injected_bug == InjectedBug::ServesUnlisted;
-        if runs && listed && self.rng.random_bool(0.2) {
-            let at = self.rng.random_range(0..shift.machines.len());
-            let to = shift.machines.keys().nth(at).expect("in range").clone();
-            if !proxy.belief.is_closed(&to) && !shift.down.contains(&to) {
+        // A proxy without a machine list does not serve yet.
+        let may_serve =
+            proxy.applied.list_version() > 0 || self.injected_bug == InjectedBug::ServesUnlisted;
+        if runs && may_serve && self.rng.random_bool(0.2) {
+            let at = self.rng.random_range(0..maintenance.machines.len());
+            let to = maintenance
+                .machines
+                .keys()
+                .nth(at)
+                .expect("in range")
+                .clone();
+            if !proxy.applied.is_closed(&to) && !maintenance.down.contains(&to) {
                 *proxy.clients.entry(to).or_default() += 1;
             }
         }
         for (machine, clients) in &mut proxy.clients {
-            let leaves = proxy.belief.is_closed(machine) || *clients > 3;
-            if leaves && self.rng.random_bool(0.1) {
+            let is_leaving = proxy.applied.is_closed(machine) || *clients > 3;
+            if is_leaving && self.rng.random_bool(0.1) {
                 *clients = clients.saturating_sub(1);
             }
         }
-        let report = runs && self.rng.random_bool(0.1);
-        let local = report.then(|| shift.local(name, self.now, hasty));
-        shift.cold.retain(|_, until| *until > self.now);
-        self.maintenance = Some(shift);
-        if let Some(local) = local {
-            self.handle_input(name, Input::LocalWorkStatus(local));
+        let sends_report = runs && self.rng.random_bool(0.1);
+        let status =
+            sends_report.then(|| maintenance.local_work_status(name, self.now, confirms_early));
+        maintenance.cold.retain(|_, until| *until > self.now);
+        self.maintenance = Some(maintenance);
+        if let Some(status) = status {
+            self.handle_input(name, Input::LocalWorkStatus(status));
         }
     }
 
-    /// Staff at some member: what is empty is worked on, what has failed is looked after.
+    /// Staff mark drained machines as done and recall failed ones, in a call at a random member at random times. The order
+    /// is planned again if it is not known.
     pub(super) fn issue_work_commands(&mut self) {
-        let Some(shift) = &self.maintenance else {
+        let Some(maintenance) = &self.maintenance else {
             return;
         };
         if !self.rng.random_bool(0.02) {
@@ -208,74 +228,84 @@
             return;
         };
         let places = work.orders.orders().values().flat_map(|(_, places)| places);
-        let words = places.filter_map(|(name, place)| match place.phase {
+        let commands = places.filter_map(|(name, place)| match place.phase {
             Phase::Drained => Some(WorkAction::MarkDone(name.clone())),
             Phase::Failed(_) => Some(WorkAction::Recall(name.clone())),
             _ => None,
         });
-        let mut words: Vec<WorkAction> = words.collect();
+        let mut commands: Vec<WorkAction> = commands.collect();
         if work.orders.orders().is_empty() && work.orders.ended_orders().is_empty() {
-            words.extend(shift.wanted.clone().map(WorkAction::Plan));
+            commands.extend(maintenance.requested_order.clone().map(WorkAction::Plan));
         }
-        let at: Vec<Name> = shift.proxies.keys().cloned().collect();
-        let at = at[self.rng.random_range(0..at.len())].clone();
-        if !words.is_empty() {
-            let word = words[self.rng.random_range(0..words.len())].clone();
-            self.submit_call(&at, OperatorCall::WorkAction(word));
+        let nodes: Vec<Name> = maintenance.proxies.keys().cloned().collect();
+        let at = nodes[self.rng.random_range(0..nodes.len())].clone();
+        if !commands.is_empty() {
+            let command = commands[self.rng.random_range(0..commands.len())].clone();
+            self.submit_call(&at, OperatorCall::WorkAction(command));
         }
     }
 
-    /// Machines die and come back.
+    /// Brings a machine down, or up again if it is down. At most one machine is down at a time.
     pub(super) fn toggle_machine(&mut self, number: usize) {
-        let Some(shift) = &mut self.maintenance else {
+        let Some(maintenance) = &mut self.maintenance else {
             return;
         };
-        let at = number % shift.machines.len();
-        let name = shift.machines.keys().nth(at).expect("in range").clone();
-        if !shift.down.remove(&name) && shift.down.is_empty() {
-            for proxy in shift.proxies.values_mut() {
+        let at = number % maintenance.machines.len();
+        let name = maintenance
+            .machines
+            .keys()
+            .nth(at)
+            .expect("in range")
+            .clone();
+        if !maintenance.down.remove(&name) && maintenance.down.is_empty() {
+            for proxy in maintenance.proxies.values_mut() {
                 proxy.clients.remove(&name);
             }
-            shift.down.insert(name);
+            maintenance.down.insert(name);
         }
     }
 
     pub(super) fn machine_count(&self) -> usize {
         self.maintenance
             .as_ref()
-            .map_or(0, |shift| shift.machines.len())
+            .map_or(0, |maintenance| maintenance.machines.len())
     }
 
     pub(super) fn restore_machines(&mut self) {
-        if let Some(shift) = &mut self.maintenance {
-            shift.down.clear();
+        if let Some(maintenance) = &mut self.maintenance {
+            maintenance.down.clear();
         }
     }
 
+    /// Checks the invariants of maintenance.
     pub(super) fn check_work(&mut self) {
-        let Some(mut shift) = self.maintenance.take() else {
+        let Some(mut maintenance) = self.maintenance.take() else {
             return;
         };
-        let wrong = match self.work_state() {
-            Some(work) => shift.check(work, self.now, &self.hosts),
+        let violation = match self.work_state() {
+            Some(work) => maintenance.check_invariants(work, self.now, &self.hosts),
             None => None,
         };
-        self.maintenance = Some(shift);
-        if let Some(what) = wrong {
-            self.record_violation(what);
+        self.maintenance = Some(maintenance);
+        if let Some(violation) = violation {
+            self.record_violation(violation);
         }
     }
 }
 
 impl Maintenance {
-    fn local(&self, name: &str, now: Millis, hasty: bool) -> LocalWorkStatus {
+    fn local_work_status(&self, name: &str, now: Millis, confirms_early: bool) -> LocalWorkStatus {
         let proxy = &self.proxies[name];
-        let belief = if hasty { &proxy.kept } else { &proxy.belief };
-        let reports = belief.machines().filter_map(|machine| {
+        let availability = if confirms_early {
+            &proxy.stored
+        } else {
+            &proxy.applied
+        };
+        let reports = availability.machines().filter_map(|machine| {
             let clients = proxy.clients.get(machine).copied().unwrap_or(0);
-            let warm = !self.down.contains(machine) && !self.cold.contains_key(machine);
+            let is_warm = !self.down.contains(machine) && !self.cold.contains_key(machine);
             let report: MachineReport =
-                belief.report(machine, if hasty { 0 } else { clients }, warm)?;
+                availability.report(machine, if confirms_early { 0 } else { clients }, is_warm)?;
             Some((machine.clone(), report))
         });
         let up = self
@@ -283,7 +313,7 @@
             .keys()
             .filter(|name| !self.down.contains(*name));
         LocalWorkStatus {
-            list_version: belief.list_version(),
+            list_version: availability.list_version(),
             reports: reports.collect(),
             machines: self.machines.clone(),
             up_machines: up.cloned().collect(),
@@ -293,22 +323,22 @@
         }
     }
 
-    /// The books against what whoever knows most has.
-    fn check(
+    /// Checks the invariants against the newest known state of the orders.
+    fn check_invariants(
         &mut self,
         work: &WorkState,
         now: Millis,
         hosts: &BTreeMap<Name, super::Host>,
     ) -> Option<String> {
-        if (work.version, work.roster_version) < self.seen {
+        if (work.version, work.roster_version) < self.checked_versions {
             return None;
         }
-        self.seen = (work.version, work.roster_version);
+        self.checked_versions = (work.version, work.roster_version);
         let mut out: BTreeSet<&Name> = work.orders.machines_out().into_keys().collect();
         for (name, proxy) in &self.proxies {
             if hosts[name].member.is_some() {
-                let closed = proxy.belief.machines();
-                out.extend(closed.filter(|machine| proxy.belief.is_closed(machine)));
+                let closed = proxy.applied.machines();
+                out.extend(closed.filter(|machine| proxy.applied.is_closed(machine)));
             }
         }
         if out.len() > self.max_machines_out as usize {
@@ -319,27 +349,31 @@
         }
         for (_, places) in work.orders.orders().values() {
             for (name, place) in places {
-                let known = (place.version, place.phase.clone());
-                let before = self.phases.insert(name.clone(), known.clone());
+                let current = (place.version, place.phase.clone());
+                let previous = self.phases.insert(name.clone(), current.clone());
                 if place.phase == Phase::Drained {
-                    let at = self.proxies.iter().filter(|(_, proxy)| {
+                    let occupied = self.proxies.iter().filter(|(_, proxy)| {
                         proxy.clients.get(name).is_some_and(|clients| *clients > 0)
                     });
-                    let at: Vec<&Name> = at.map(|(name, _)| name).collect();
-                    if !at.is_empty() {
-                        return Some(format!("Empty Means Empty: {name} has clients of {at:?}"));
+                    let occupied: Vec<&Name> = occupied.map(|(name, _)| name).collect();
+                    if !occupied.is_empty() {
+                        return Some(format!(
+                            "Empty Means Empty: {name} has clients of {occupied:?}"
+                        ));
                     }
                 }
-                if before == Some(known) {
+                if previous == Some(current) {
                     continue;
                 }
                 self.machine_steps += 1;
                 match place.phase {
                     Phase::Drained => {
-                        let times = self.emptied.entry(name.clone()).or_default();
+                        let times = self.times_drained.entry(name.clone()).or_default();
                         *times += 1;
                         if *times > 1 {
-                            return Some(format!("Once: {name} was told as empty again"));
+                            return Some(format!(
+                                "Once: {name} was reported as drained more than once"
+                            ));
                         }
                     }
                     Phase::Returning { .. } => {
--- a/crates/storm/src/linearizability.rs
+++ b/crates/storm/src/linearizability.rs
@@ -1,24 +1,26 @@
-//! Whether a history of calls could have happened one at a time: each at some moment between its call and its answer
-//! (Herlihy and Wing, 1990; the search is Wing and Gong's, 1993, with the states that were seen remembered). For one
-//! register; registers that do not touch each other are checked one by one.
+//! Linearizability checker: whether a history of calls is equivalent to a sequential one in which each call takes effect
+//! at some moment between its invocation and its response (Herlihy and Wing, 1990; the search is Wing and Gong's, 1993,
+//! with visited states memoized). It checks one register; independent registers are checked separately.
 
 use std::collections::HashSet;
 
+/// An operation on a register of one boolean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
-    /// It was set; if the answer was none, or no word of success, maybe not.
+    /// A write of the value. Without an answer, or with one other than success, it may not have taken effect.
     Write(bool, Certainty),
-    /// It was seen to be so.
+    /// A read that returned the value.
     Read(bool),
 }
 
+/// Whether a write is known to have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Certainty {
     Yes,
     Maybe,
 }
 
-/// One call: when it was made, and when its answer came; an answer that never came is one at the end of time.
+/// One call with the times of its invocation and its response. A call without a response ends at `u64::MAX`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
     pub what: Operation,
@@ -26,46 +28,48 @@
     pub until: u64,
 }
 
-/// Calls of one register that are looked at together; of a longer history so many first ones are.
+/// The most calls of one register that are checked; of a longer history, the first ones are.
 pub const MAX_CHECKED_CALLS: usize = 60;
 
-/// Whether there is an order of the calls, from a register that begins as `false`.
+/// Whether the history of a register that begins as `false` is linearizable.
 pub fn is_linearizable(history: &[Call]) -> bool {
     let mut calls: Vec<Call> = history.to_vec();
     calls.sort_by_key(|call| (call.from, call.until));
     if let Some(cut) = calls.get(MAX_CHECKED_CALLS).map(|call| call.from) {
         calls.truncate(MAX_CHECKED_CALLS);
-        // What was answered later may have seen something of the rest.
+        // Reads answered after the cut may have observed a write that was cut off.
         calls.retain(|call| call.until < cut || matches!(call.what, Operation::Write(..)));
     }
-    let mut seen = HashSet::new();
-    search(&calls, 0, false, &mut seen)
+    let mut visited = HashSet::new();
+    search(&calls, 0, false, &mut visited)
 }
 
-fn search(calls: &[Call], done: u64, value: bool, seen: &mut HashSet<(u64, bool)>) -> bool {
-    if !seen.insert((done, value)) {
+fn search(calls: &[Call], done: u64, value: bool, visited: &mut HashSet<(u64, bool)>) -> bool {
+    if !visited.insert((done, value)) {
         return false;
     }
-    let left = || (0..calls.len()).filter(|at| done & (1 << at) == 0);
-    // What may be left out at the end, as nobody was told that it happened.
-    let maybe = |call: &Call| matches!(call.what, Operation::Write(_, Certainty::Maybe));
-    if left().all(|at| maybe(&calls[at])) {
+    let remaining = || (0..calls.len()).filter(|at| done & (1 << at) == 0);
+    // Writes that may be omitted at the end, because no response confirmed them.
+    let is_optional = |call: &Call| matches!(call.what, Operation::Write(_, Certainty::Maybe));
+    if remaining().all(|at| is_optional(&calls[at])) {
         return true;
     }
-    // Whatever comes next was called before any of the rest was answered.
-    let first = left()
-        .filter(|at| !maybe(&calls[*at]))
+    // The next call in the order must have been invoked before any remaining call was answered.
+    let first_response = remaining()
+        .filter(|at| !is_optional(&calls[*at]))
         .map(|at| calls[at].until)
         .min()
         .unwrap_or(u64::MAX);
-    left().any(|at| {
+    remaining().any(|at| {
         let call = &calls[at];
-        if call.from > first {
+        if call.from > first_response {
             return false;
         }
         match call.what {
-            Operation::Read(saw) => saw == value && search(calls, done | 1 << at, value, seen),
-            Operation::Write(to, _) => search(calls, done | 1 << at, to, seen),
+            Operation::Read(observed) => {
+                observed == value && search(calls, done | 1 << at, value, visited)
+            }
+            Operation::Write(to, _) => search(calls, done | 1 << at, to, visited),
         }
     })
 }
@@ -79,7 +83,7 @@
     }
 
     #[test]
-    fn histories_that_could_have_been_and_others_are_told_apart() {
+    fn distinguishes_linearizable_from_other_histories() {
         let write = |to| Operation::Write(to, Certainty::Yes);
         let overlapping = [
             call(write(true), 0, 10),
@@ -87,20 +91,20 @@
             call(Operation::Read(true), 5, 9),
         ];
         assert!(is_linearizable(&overlapping));
-        // The old value after the new one was seen.
-        let back = [
+        // The old value is read after the new one was read.
+        let reversed = [
             call(write(true), 0, 10),
             call(Operation::Read(true), 2, 4),
             call(Operation::Read(false), 5, 9),
         ];
-        assert!(!is_linearizable(&back));
-        // The old value after the write was answered.
+        assert!(!is_linearizable(&reversed));
+        // The old value is read after the write was answered.
         let stale = [
             call(write(true), 0, 10),
             call(Operation::Read(false), 11, 12),
         ];
         assert!(!is_linearizable(&stale));
-        // One that nobody answered may come late, or never.
+        // A write without a response may take effect late, or never.
         let maybe = call(Operation::Write(true, Certainty::Maybe), 0, u64::MAX);
         assert!(is_linearizable(&[
             maybe,
--- a/crates/storm/src/replicated_log.rs
+++ b/crates/storm/src/replicated_log.rs
@@ -1,4 +1,5 @@
-//! The replicated log alone: Election Safety, State Machine Safety, reads, and an end to every trouble.
+//! Simulates the replicated log alone, and checks Election Safety, State Machine Safety, the read index, and that the log
+//! recovers once the faults have ended (Liveness).
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
@@ -9,65 +10,77 @@
     Message, MessageBody, Millis, Node, NodeId, Output, Payload, Rejection, Role, Term,
 };
 
+/// Simulated time of one step, in milliseconds.
 pub const STEP_INTERVAL: Millis = 5;
 
-/// What is wrong with a host on purpose, so that the books can be shown to find it.
+/// A bug that is injected into hosts, to show that a check detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum InjectedBug {
     #[default]
     Nothing,
     /// Writes are acknowledged before they are synced.
     AckBeforeSync,
-    /// The state machine leaves entries out.
+    /// The state machine skips entries.
     SkipsEntry,
-    /// An emptied directory comes back under its old id.
+    /// A killed node restarts with an emptied directory under its old id.
     EmptiedUnderItsName,
 }
 
+/// A simulated process with its disk and its state machine.
 pub struct Host {
     pub node: Option<Node>,
     pub disk: DurableState,
+    /// Writes that are not synced yet, each with the time of its sync.
     pub unsynced: VecDeque<(Millis, DurableWrite)>,
     pub stopped_until: Millis,
     pub restart_at: Option<Millis>,
     pub sync_latency: Millis,
     pub applied_index: Index,
+    /// The commands applied so far.
     pub state: Vec<u64>,
+    /// Whether the node has reported that its disk is stale.
     pub stale: bool,
 }
 
+/// A simulated group of nodes with its network and the records that invariants are checked against.
 pub struct World {
     pub now: Millis,
     pub rng: Pcg32,
     pub limits: Limits,
     pub hosts: BTreeMap<NodeId, Host>,
+    /// Messages in flight by due time: the message's number, the sender, the receiver.
     queue: BinaryHeap<std::cmp::Reverse<(Millis, u64, NodeId, NodeId)>>,
-    flying: BTreeMap<u64, Message>,
-    sent: u64,
+    in_flight: BTreeMap<u64, Message>,
+    last_message_number: u64,
+    /// Cut links, each as sender and receiver.
     pub cut_links: BTreeSet<(NodeId, NodeId)>,
     pub loss_rate: f64,
     pub duplicate_rate: f64,
     pub delay_range: (Millis, Millis),
     pub injected_bug: InjectedBug,
-    /// How often a node is killed at a write it asks for, or at a vote it gives.
+    /// Probability that a node is killed when it requests a write.
     pub kill_on_write_rate: f64,
+    /// Probability that a node is killed when it grants a vote.
     pub kill_on_vote_rate: f64,
-    // The books.
+    // Records for the invariant checks.
     pub leaders: BTreeMap<Term, NodeId>,
     pub committed: BTreeMap<Index, Entry>,
     pub elections_won: usize,
     pub commits: u64,
+    /// Pending reads by token, with the index that was committed when the read was requested.
     reads: BTreeMap<u64, Index>,
     next_command: u64,
     pub reads_completed: usize,
     pub violation: Option<String>,
 }
 
+/// The ids 1 to `count`.
 pub fn node_ids(count: u64) -> Vec<NodeId> {
     (1..=count).map(NodeId).collect()
 }
 
 impl World {
+    /// Creates a group of `voters` voters and starts them.
     pub fn new(seed: u64, voters: u64) -> Self {
         let member = |id: NodeId| {
             (
@@ -89,8 +102,8 @@
             },
             hosts: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            flying: BTreeMap::new(),
-            sent: 0,
+            in_flight: BTreeMap::new(),
+            last_message_number: 0,
             cut_links: BTreeSet::new(),
             loss_rate: 0.0,
             duplicate_rate: 0.0,
@@ -113,6 +126,7 @@
         world
     }
 
+    /// Adds a host with the given disk and starts its process.
     pub fn add_host(&mut self, id: NodeId, disk: DurableState) {
         let host = Host {
             node: None,
@@ -129,6 +143,7 @@
         self.start_process(id);
     }
 
+    /// Starts a process on the host's disk.
     pub fn start_process(&mut self, id: NodeId) {
         let seed = self.rng.random();
         let host = self.hosts.get_mut(&id).unwrap();
@@ -138,18 +153,18 @@
         self.process_outputs(id);
     }
 
-    /// SIGKILL: what is not synced is lost, or a part of it is not.
+    /// Kills the process (SIGKILL). Of the unsynced writes at most the first two survive.
     pub fn kill_process(&mut self, id: NodeId) {
-        let kept = self.rng.random_range(0..=2);
-        let planted = self.injected_bug;
+        let surviving_writes = self.rng.random_range(0..=2);
+        let injected_bug = self.injected_bug;
         let host = self.hosts.get_mut(&id).unwrap();
         host.node = None;
-        for (_, write) in host.unsynced.drain(..).take(kept) {
-            if planted != InjectedBug::AckBeforeSync {
+        for (_, write) in host.unsynced.drain(..).take(surviving_writes) {
+            if injected_bug != InjectedBug::AckBeforeSync {
                 host.disk.apply(write).unwrap();
             }
         }
-        if planted == InjectedBug::EmptiedUnderItsName {
+        if injected_bug == InjectedBug::EmptiedUnderItsName {
             let snapshot = host
                 .disk
                 .snapshot
@@ -163,6 +178,7 @@
         host.unsynced.clear();
     }
 
+    /// Runs for the given time, or until an invariant is violated.
     pub fn run_for(&mut self, millis: Millis) {
         let until = self.now + millis;
         while self.now < until && self.violation.is_none() {
@@ -170,6 +186,7 @@
         }
     }
 
+    /// Advances the simulation by [`STEP_INTERVAL`].
     pub fn step(&mut self) {
         self.now += STEP_INTERVAL;
         let ids: Vec<NodeId> = self.hosts.keys().copied().collect();
@@ -179,18 +196,18 @@
                 self.start_process(*id);
             }
         }
-        // What was due while a process was stopped comes after it goes on.
+        // Messages due while a process is stopped are delivered after it resumes.
         while let Some(std::cmp::Reverse((due, number, from, to))) = self.queue.peek().copied() {
             if due > self.now {
                 break;
             }
             self.queue.pop();
-            let message = self.flying.remove(&number).unwrap();
+            let message = self.in_flight.remove(&number).unwrap();
             let Some(host) = self.hosts.get(&to) else {
                 continue;
             };
             if host.stopped_until > self.now && host.node.is_some() {
-                self.fly(host.stopped_until, from, to, message);
+                self.enqueue_message(host.stopped_until, from, to, message);
                 continue;
             }
             self.handle_input(to, Input::Message(from, message));
@@ -217,13 +234,14 @@
         }
     }
 
-    fn fly(&mut self, due: Millis, from: NodeId, to: NodeId, message: Message) {
-        self.sent += 1;
-        self.flying.insert(self.sent, message);
+    fn enqueue_message(&mut self, due: Millis, from: NodeId, to: NodeId, message: Message) {
+        self.last_message_number += 1;
+        self.in_flight.insert(self.last_message_number, message);
         self.queue
-            .push(std::cmp::Reverse((due, self.sent, from, to)));
+            .push(std::cmp::Reverse((due, self.last_message_number, from, to)));
     }
 
+    /// Passes an input to a node and carries out the resulting outputs.
     pub fn handle_input(&mut self, id: NodeId, input: Input) {
         let now = self.now;
         if let Some(node) = self.hosts.get_mut(&id).and_then(|host| host.node.as_mut()) {
@@ -241,29 +259,30 @@
                 + self
                     .rng
                     .random_range(self.delay_range.0..=4 * self.delay_range.1);
-            self.fly(due, from, to, message.clone());
+            self.enqueue_message(due, from, to, message.clone());
         }
         let due = self.now
             + self
                 .rng
                 .random_range(self.delay_range.0..=self.delay_range.1);
-        self.fly(due, from, to, message);
+        self.enqueue_message(due, from, to, message);
     }
 
+    /// Carries out the pending outputs of a node and checks the invariants on them.
     pub fn process_outputs(&mut self, id: NodeId) {
         let node = self.hosts.get_mut(&id).and_then(|host| host.node.as_mut());
         let Some(node) = node else { return };
         let (term, role) = (node.status().term, node.status().role);
-        let mut dies = false;
+        let mut is_killed = false;
         for output in node.take_outputs() {
             match output {
                 Output::Send(to, message) => {
-                    let voted = message.body == MessageBody::VoteResponse { granted: true };
-                    dies |= voted && self.rng.random_bool(self.kill_on_vote_rate);
+                    let granted_vote = message.body == MessageBody::VoteResponse { granted: true };
+                    is_killed |= granted_vote && self.rng.random_bool(self.kill_on_vote_rate);
                     self.send(id, to, message);
                 }
                 Output::Write(write) => {
-                    dies |= self.rng.random_bool(self.kill_on_write_rate);
+                    is_killed |= self.rng.random_bool(self.kill_on_write_rate);
                     let host = self.hosts.get_mut(&id).unwrap();
                     let due = self.now + host.sync_latency;
                     let seq = write.seq;
@@ -279,7 +298,7 @@
                 }
                 Output::Committed(entries) => entries
                     .into_iter()
-                    .for_each(|entry| self.committed(id, entry)),
+                    .for_each(|entry| self.apply_committed(id, entry)),
                 Output::SnapshotInstalled(snapshot) => {
                     let host = self.hosts.get_mut(&id).unwrap();
                     host.state = snapshot
@@ -289,20 +308,20 @@
                         .collect();
                     host.applied_index = snapshot.index;
                     let state = self.hosts[&id].state.clone();
-                    if state != self.expected(snapshot.index) {
+                    if state != self.expected_state(snapshot.index) {
                         self.record_violation(format!(
-                            "State Machine Safety: {id:?} is restored to what was never"
+                            "State Machine Safety: {id:?} is restored to a state that never existed"
                         ));
                     }
                 }
                 Output::LeaderReady(_) => self.elections_won += 1,
                 Output::ReadReady(token, index) => {
                     self.reads_completed += 1;
-                    if let Some(least) = self.reads.remove(&token)
-                        && index < least
+                    if let Some(min_index) = self.reads.remove(&token)
+                        && index < min_index
                     {
                         self.record_violation(format!(
-                            "Read Index: {id:?} reads at {index}, {least} was committed before"
+                            "Read Index: {id:?} reads at {index}, {min_index} was committed before"
                         ));
                     }
                 }
@@ -310,21 +329,22 @@
                 Output::SteppedDown(_) | Output::ReadFailed(_) => {}
             }
         }
-        if dies {
+        if is_killed {
             self.kill_process(id);
             self.hosts.get_mut(&id).unwrap().restart_at = Some(self.now + STEP_INTERVAL);
         }
         if role == Role::Leader {
-            let first = *self.leaders.entry(term).or_insert(id);
-            if first != id {
+            let known_leader = *self.leaders.entry(term).or_insert(id);
+            if known_leader != id {
                 self.record_violation(format!(
-                    "Election Safety: {first:?} and {id:?} lead in term {term}"
+                    "Election Safety: {known_leader:?} and {id:?} lead in term {term}"
                 ));
             }
         }
     }
 
-    fn expected(&self, index: Index) -> Vec<u64> {
+    /// The state that results from the committed commands up to an index.
+    fn expected_state(&self, index: Index) -> Vec<u64> {
         let commands =
             self.committed
                 .range(..=index)
@@ -337,9 +357,10 @@
         commands.collect()
     }
 
-    fn committed(&mut self, id: NodeId, entry: Entry) {
+    fn apply_committed(&mut self, id: NodeId, entry: Entry) {
         let host = self.hosts.get_mut(&id).unwrap();
-        let skips = self.injected_bug == InjectedBug::SkipsEntry && entry.index.is_multiple_of(50);
+        let skips_entry =
+            self.injected_bug == InjectedBug::SkipsEntry && entry.index.is_multiple_of(50);
         if entry.index != host.applied_index + 1 {
             let applied = host.applied_index;
             self.record_violation(format!("{id:?} applies {} after {applied}", entry.index));
@@ -347,7 +368,7 @@
         }
         host.applied_index = entry.index;
         if let Payload::Command(bytes) = &entry.payload
-            && !skips
+            && !skips_entry
         {
             host.state
                 .push(u64::from_le_bytes(bytes[..8].try_into().unwrap()));
@@ -356,7 +377,7 @@
             Some(known) if *known != entry => {
                 let index = entry.index;
                 self.record_violation(format!(
-                    "State Machine Safety: {id:?} commits another entry at {index}"
+                    "State Machine Safety: {id:?} commits a different entry at {index}"
                 ));
             }
             Some(_) => {}
@@ -367,20 +388,30 @@
         }
     }
 
+    /// Records the violation of an invariant, unless there has been one before.
     pub fn record_violation(&mut self, what: String) {
         let at = self.now;
         self.violation.get_or_insert(format!("{at} ms: {what}"));
     }
 
+    /// The running leader of the newest term that is ready to serve.
     pub fn leader(&self) -> Option<NodeId> {
-        let leads = |(id, host): (&NodeId, &Host)| {
+        let ready_leader = |(id, host): (&NodeId, &Host)| {
             let node = host.node.as_ref()?;
             (node.is_ready_leader() && host.stopped_until <= self.now)
                 .then_some((node.status().term, *id))
         };
-        self.hosts.iter().filter_map(leads).max().map(|(_, id)| id)
+        self.hosts
+            .iter()
+            .filter_map(ready_leader)
+            .max()
+            .map(|(_, id)| id)
     }
 
+    /// Proposes the next command at a node.
+    ///
+    /// # Errors
+    /// The node's rejection, or `NotLeader` if it is not running.
     pub fn propose(&mut self, id: NodeId) -> Result<(Term, Index), Rejection> {
         self.next_command += 1;
         let mut command = self.next_command.to_le_bytes().to_vec();
@@ -393,17 +424,19 @@
         result
     }
 
+    /// Requests a read at a node; the index of the read is checked when it is ready.
     pub fn request_read(&mut self, id: NodeId) {
-        let least = self.committed.keys().last().copied().unwrap_or(0);
+        let min_index = self.committed.keys().last().copied().unwrap_or(0);
         self.next_command += 1;
         let token = self.next_command;
         let node = self.hosts.get_mut(&id).and_then(|host| host.node.as_mut());
         if node.is_some_and(|node| node.request_read(token).is_ok()) {
-            self.reads.insert(token, least);
+            self.reads.insert(token, min_index);
         }
         self.process_outputs(id);
     }
 
+    /// Replaces the applied part of a node's log with a snapshot.
     pub fn compact_log(&mut self, id: NodeId) {
         let host = self.hosts.get_mut(&id).unwrap();
         let (applied, state) = (host.applied_index, host.state.clone());
@@ -414,6 +447,10 @@
         self.process_outputs(id);
     }
 
+    /// Requests a membership change at a node.
+    ///
+    /// # Errors
+    /// The node's rejection, or `NotLeader` if it is not running.
     pub fn change_membership(
         &mut self,
         id: NodeId,
@@ -427,11 +464,11 @@
         result
     }
 
-    /// A day of trouble, drawn by the seed, and then quiet: all has to be in agreement again.
+    /// Injects random faults for the given time, then heals all of them and checks that all nodes agree again.
     pub fn run_random_faults(&mut self, millis: Millis) {
         let until = self.now + millis;
         let ids: Vec<NodeId> = self.hosts.keys().copied().collect();
-        let any = |rng: &mut Pcg32| ids[rng.random_range(0..ids.len())];
+        let random_node = |rng: &mut Pcg32| ids[rng.random_range(0..ids.len())];
         self.loss_rate = [0.0, 0.0, 0.05, 0.2][self.rng.random_range(0..4)];
         self.duplicate_rate = [0.0, 0.1][self.rng.random_range(0..2)];
         self.delay_range = [(0, 5), (0, 20), (10, 150)][self.rng.random_range(0..3)];
@@ -440,17 +477,20 @@
         while self.now < until && self.violation.is_none() {
             match self.rng.random_range(0..100) {
                 0..2 => {
-                    let (id, away) = (any(&mut self.rng), self.rng.random_range(1..2000));
+                    let (id, duration) =
+                        (random_node(&mut self.rng), self.rng.random_range(1..2000));
                     self.kill_process(id);
-                    self.hosts.get_mut(&id).unwrap().restart_at = Some(self.now + away);
+                    self.hosts.get_mut(&id).unwrap().restart_at = Some(self.now + duration);
                 }
                 2..4 => {
-                    let (id, away) = (any(&mut self.rng), self.rng.random_range(100..2500));
-                    self.hosts.get_mut(&id).unwrap().stopped_until = self.now + away;
+                    let (id, duration) =
+                        (random_node(&mut self.rng), self.rng.random_range(100..2500));
+                    self.hosts.get_mut(&id).unwrap().stopped_until = self.now + duration;
                 }
                 4..8 => {
-                    let (a, b) = (any(&mut self.rng), any(&mut self.rng));
-                    self.cut_links.insert((a, b));
+                    let (sender, receiver) =
+                        (random_node(&mut self.rng), random_node(&mut self.rng));
+                    self.cut_links.insert((sender, receiver));
                 }
                 8..10 => {
                     let side: BTreeSet<NodeId> = ids
@@ -468,11 +508,11 @@
                 }
                 10..16 => self.cut_links.clear(),
                 16..18 => {
-                    let (id, sync) = (any(&mut self.rng), self.rng.random_range(1..800));
+                    let (id, sync) = (random_node(&mut self.rng), self.rng.random_range(1..800));
                     self.hosts.get_mut(&id).unwrap().sync_latency = sync;
                 }
                 18..20 => {
-                    let id = any(&mut self.rng);
+                    let id = random_node(&mut self.rng);
                     self.compact_log(id);
                 }
                 20..21 => {
@@ -482,7 +522,7 @@
                     }
                 }
                 21..23 => {
-                    let to = any(&mut self.rng);
+                    let to = random_node(&mut self.rng);
                     if let Some(node) = self
                         .leader()
                         .and_then(|id| self.hosts.get_mut(&id)?.node.as_mut())
@@ -493,7 +533,7 @@
                 _ => {}
             }
             for _ in 0..self.rng.random_range(1..20) {
-                let id = any(&mut self.rng);
+                let id = random_node(&mut self.rng);
                 if self.rng.random_bool(0.3) {
                     let _ = self.propose(id);
                 }
@@ -507,6 +547,7 @@
         self.heal_and_check();
     }
 
+    /// Ends all faults, waits for recovery, and checks that a leader accepts a command that every node applies.
     pub fn heal_and_check(&mut self) {
         self.cut_links.clear();
         (self.loss_rate, self.duplicate_rate, self.delay_range) = (0.0, 0.0, (0, 10));
@@ -520,10 +561,10 @@
             return;
         }
         let Some(leader) = self.leader() else {
-            return self.record_violation("Liveness: nobody leads 6 s after the last fault".into());
+            return self.record_violation("Liveness: no leader 6 s after the last fault".into());
         };
         if self.propose(leader).is_err() {
-            return self.record_violation("Liveness: the leader takes nothing".into());
+            return self.record_violation("Liveness: the leader rejects a proposal".into());
         }
         self.run_for(1000);
         let last = self.committed.keys().last().copied().unwrap_or(0);
@@ -538,13 +579,13 @@
             );
             return self.record_violation(what);
         }
-        let expected = self.expected(last);
+        let expected = self.expected_state(last);
         if let Some((id, _)) = self
             .hosts
             .iter()
             .find(|(_, host)| !host.stale && host.state != expected)
         {
-            let what = format!("State Machine Safety: {id:?} holds another state");
+            let what = format!("State Machine Safety: {id:?} has a different state");
             self.record_violation(what);
         }
     }
--- a/crates/storm/src/work_orders.rs
+++ b/crates/storm/src/work_orders.rs
@@ -1,5 +1,6 @@
-//! Nights of work over random fleets: the real orders and planner, with proxies that hear late, are cut off or start anew,
-//! machines that die, and conductors that stall with steps in hand. Its books are kept from what proxies do.
+//! Simulates maintenance of random fleets with the real work orders and planner: proxies receive lists late, are cut off or
+//! restart, machines die, and conductors stall with planned steps that are not yet applied. The invariants are checked
+//! against the actions of the proxies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,52 +8,61 @@
 use rand_pcg::Pcg64Mcg;
 use violetwind_workorders::*;
 
+/// A bug that is injected to show that a check detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum InjectedBug {
     Nothing,
-    /// A proxy that confirms before it has closed.
+    /// A proxy confirms that a machine is closed before it is.
     Hasty,
-    /// The log takes one machine more than the order of the books says.
+    /// The log accepts one machine more out of service than the bound that is checked.
     OneTooMany,
 }
 
-/// What a proxy goes by: the places that it has heard of.
+/// A proxy: the availability of machines that it has received, and its clients on each machine.
 #[derive(Clone, Default)]
 struct Proxy {
-    belief: MachineAvailability,
+    availability: MachineAvailability,
     clients: BTreeMap<Name, u64>,
-    cut: bool,
+    is_cut_off: bool,
 }
 
+/// A member that can conduct the work orders.
 #[derive(Clone, Default)]
 struct Conductor {
-    facts: PlannerInput,
-    in_hand: Vec<(Number, Name, Number, Step)>,
+    planner_input: PlannerInput,
+    /// Planned steps not yet applied: order, machine, version of the machine's place, step.
+    pending_steps: Vec<(Number, Name, Number, Step)>,
     fence: Number,
-    stalled: bool,
+    is_stalled: bool,
 }
 
-/// One fleet, its proxies and its orders. What goes wrong stops after a while, so that it can come to its end.
+/// A simulated fleet with its proxies and work orders. Faults stop after a while, so that the orders can end.
 pub struct World {
     rng: Pcg64Mcg,
-    planted: InjectedBug,
+    injected_bug: InjectedBug,
     bounds: Bounds,
     pub orders: WorkOrders,
     proxies: BTreeMap<Name, Proxy>,
     conductors: Vec<Conductor>,
-    leads: usize,
+    /// Index of the conductor that holds the duty.
+    conducting_index: usize,
+    /// Fencing number of the current conductor.
     fence: Number,
-    dead: BTreeSet<Name>,
-    cold: BTreeMap<Name, u32>,
-    since: BTreeMap<Number, Millis>,
+    dead_machines: BTreeSet<Name>,
+    /// Ticks until a returned machine is warm.
+    warm_up_ticks: BTreeMap<Name, u32>,
+    /// Tick at which a version of a machine's place began.
+    version_started: BTreeMap<Number, Millis>,
+    /// How many times each machine was reported as drained.
     pub times_emptied: BTreeMap<Name, u32>,
     pub violation: Option<String>,
-    calm: bool,
+    faults_ended: bool,
+    /// The most machines out of service at the same time.
     pub peak_machines_out: usize,
     pub tick: Millis,
-    /// Clients moved off machines that leave.
+    /// Number of clients moved off machines that are being drained.
     pub clients_moved: u64,
-    /// How often somebody has planned.
+    /// Number of runs of the planner.
     pub plan_count: u32,
 }
 
@@ -65,8 +75,8 @@
     }
 }
 
-/// The same with phases that last longer than a stalled conductor.
-fn kernel(machines: &[Name], bounds: Bounds) -> WorkOrder {
+/// Like [`build_order`], with phase timeouts longer than a conductor is stalled.
+fn build_order_with_long_phases(machines: &[Name], bounds: Bounds) -> WorkOrder {
     let names: Vec<&str> = machines.iter().map(String::as_str).collect();
     let mut order = build_order(&names, bounds);
     (
@@ -78,19 +88,20 @@
 }
 
 impl World {
-    pub fn new(seed: u64, planted: InjectedBug) -> Self {
+    /// Creates a random fleet and two orders, each for half of its machines.
+    pub fn new(seed: u64, injected_bug: InjectedBug) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (count, zones, kinds) = (
+        let (machine_count, zone_count, kind_count) = (
             rng.random_range(4..14),
             rng.random_range(1..4),
             rng.random_range(1..4),
         );
         let mut machines = BTreeMap::new();
-        for at in 0..count {
+        for at in 0..machine_count {
             let servers = (0..rng.random_range(1..3))
-                .map(|_| server(at, rng.random_range(0..kinds), rng.random_range(1..10)));
+                .map(|_| server(at, rng.random_range(0..kind_count), rng.random_range(1..10)));
             let machine = Machine {
-                zone: format!("z-{}", at % zones),
+                zone: format!("z-{}", at % zone_count),
                 servers: servers.collect(),
                 proxy: None,
             };
@@ -110,33 +121,36 @@
         orders
             .apply(WorkOrderChange::SetMachines(machines.clone()))
             .unwrap();
-        let loose = Bounds {
-            max_out: bounds.max_out + u32::from(planted == InjectedBug::OneTooMany),
+        let order_bounds = Bounds {
+            max_out: bounds.max_out + u32::from(injected_bug == InjectedBug::OneTooMany),
             ..bounds
         };
         let all: Vec<Name> = machines.keys().cloned().collect();
         let half = all.len() / 2;
         for part in [&all[..half], &all[half..]] {
             orders
-                .apply(WorkOrderChange::AddOrder(kernel(part, loose)))
-                .expect("sound");
+                .apply(WorkOrderChange::AddOrder(build_order_with_long_phases(
+                    part,
+                    order_bounds,
+                )))
+                .expect("the change is valid");
         }
         let proxies = (0..rng.random_range(2..6)).map(|at| (format!("p-{at}"), Proxy::default()));
         Self {
             proxies: proxies.collect(),
             conductors: vec![Conductor::default(); 3],
-            leads: 0,
+            conducting_index: 0,
             fence: 1,
             rng,
-            planted,
+            injected_bug,
             bounds,
             orders,
-            dead: BTreeSet::new(),
-            cold: BTreeMap::new(),
-            since: BTreeMap::new(),
+            dead_machines: BTreeSet::new(),
+            warm_up_ticks: BTreeMap::new(),
+            version_started: BTreeMap::new(),
             times_emptied: BTreeMap::new(),
             violation: None,
-            calm: false,
+            faults_ended: false,
             peak_machines_out: 0,
             tick: 0,
             clients_moved: 0,
@@ -144,21 +158,23 @@
         }
     }
 
+    /// Version and phase of each machine that is in an order.
     pub fn machine_phases(&self) -> BTreeMap<Name, (Number, Phase)> {
-        let each = self.orders.orders().values().flat_map(|(_, places)| places);
-        each.map(|(name, place)| (name.clone(), (place.version, place.phase.clone())))
+        let places = self.orders.orders().values().flat_map(|(_, places)| places);
+        places
+            .map(|(name, place)| (name.clone(), (place.version, place.phase.clone())))
             .collect()
     }
 
-    /// Machines of one kind in three zones, all of them to be worked on in orders of so many each, and nothing goes wrong.
+    /// Machines of one kind in three zones, with orders for all of them of `machines_per_order` each, and no faults.
     pub fn with_uniform_machines(
         seed: u64,
         machines: usize,
         proxies: usize,
         bounds: Bounds,
-        each: usize,
+        machines_per_order: usize,
     ) -> Self {
-        let mut night = Self::new(seed, InjectedBug::Nothing);
+        let mut world = Self::new(seed, InjectedBug::Nothing);
         let machine = |at: usize| Machine {
             zone: format!("z-{}", at % 3),
             servers: vec![server(at, 0, 10)],
@@ -171,108 +187,121 @@
         let mut orders = WorkOrders::default();
         orders
             .apply(WorkOrderChange::SetMachines(all))
-            .expect("sound");
-        for part in names.chunks(each) {
+            .expect("the change is valid");
+        for part in names.chunks(machines_per_order) {
             orders
-                .apply(WorkOrderChange::AddOrder(kernel(part, bounds)))
-                .expect("sound");
+                .apply(WorkOrderChange::AddOrder(build_order_with_long_phases(
+                    part, bounds,
+                )))
+                .expect("the change is valid");
         }
-        (night.orders, night.bounds, night.calm) = (orders, bounds, true);
-        night.proxies = (0..proxies)
+        (world.orders, world.bounds, world.faults_ended) = (orders, bounds, true);
+        world.proxies = (0..proxies)
             .map(|at| (format!("p-{at}"), Proxy::default()))
             .collect();
-        night
+        world
     }
 
-    /// Until every order has ended.
+    /// Runs until every order has ended, for at most a million ticks.
     pub fn run_to_completion(&mut self) {
         while !self.orders.orders().is_empty() && self.tick < 1_000_000 {
             self.step();
         }
     }
 
-    /// A proxy hears what the log has; what is in no order is in.
-    fn hear(&mut self, proxy: &Name) {
+    /// A proxy receives the machine list of the log. Machines that are in no order are in service.
+    fn receive_list(&mut self, proxy: &Name) {
         let list = MachineAvailability::list_machines(&self.orders);
-        let own = self.proxies.get_mut(proxy).unwrap();
-        own.belief.apply_list(self.tick, list);
+        let proxy = self.proxies.get_mut(proxy).unwrap();
+        proxy.availability.apply_list(self.tick, list);
     }
 
-    fn serve(&mut self, proxy: &Name) {
-        let hasty = self.planted == InjectedBug::Hasty && proxy == "p-0";
+    /// Adds a client of a proxy on a random machine and moves clients off closed machines.
+    fn step_clients(&mut self, proxy: &Name) {
+        let confirms_early = self.injected_bug == InjectedBug::Hasty && proxy == "p-0";
         let machines: Vec<Name> = self.orders.machines().keys().cloned().collect();
         let to = machines[self.rng.random_range(0..machines.len())].clone();
-        let leave = self.rng.random_bool(0.7);
-        let own = self.proxies.get_mut(proxy).unwrap();
-        let closed = |name: &Name| !hasty && own.belief.is_closed(name);
-        if !closed(&to) {
-            *own.clients.entry(to).or_default() += 1;
+        let clients_leave = self.rng.random_bool(0.7);
+        let proxy = self.proxies.get_mut(proxy).unwrap();
+        let is_closed = |name: &Name| !confirms_early && proxy.availability.is_closed(name);
+        if !is_closed(&to) {
+            *proxy.clients.entry(to).or_default() += 1;
         }
-        let shut: Vec<Name> = own
+        let closed_machines: Vec<Name> = proxy
             .clients
             .keys()
-            .filter(|name| closed(name))
+            .filter(|name| is_closed(name))
             .cloned()
             .collect();
-        for name in shut {
-            let here = own.clients.get_mut(&name).unwrap();
-            let moved = (*here).min(if leave { 2 } else { 0 });
-            *here -= moved;
+        for name in closed_machines {
+            let clients = proxy.clients.get_mut(&name).unwrap();
+            let moved = (*clients).min(if clients_leave { 2 } else { 0 });
+            *clients -= moved;
             self.clients_moved += moved;
         }
-        // Others end by themselves.
-        own.clients
+        // Other clients end their connections.
+        proxy
+            .clients
             .values_mut()
             .for_each(|clients| *clients = (*clients).min(4));
     }
 
+    /// The report of a proxy about the machines that it knows.
     fn report(&self, proxy: &Name) -> BTreeMap<Name, MachineReport> {
-        let own = &self.proxies[proxy];
-        let hasty = self.planted == InjectedBug::Hasty && proxy == "p-0";
-        let each = own.belief.machines().filter_map(|name| {
-            let up = !self.dead.contains(name) && !self.cold.contains_key(name);
-            let clients = own.clients.get(name).copied().unwrap_or(0);
-            let report = own
-                .belief
-                .report(name, if hasty { 0 } else { clients }, up)?;
+        let proxy_state = &self.proxies[proxy];
+        let confirms_early = self.injected_bug == InjectedBug::Hasty && proxy == "p-0";
+        let reports = proxy_state.availability.machines().filter_map(|name| {
+            let is_up =
+                !self.dead_machines.contains(name) && !self.warm_up_ticks.contains_key(name);
+            let clients = proxy_state.clients.get(name).copied().unwrap_or(0);
+            let report = proxy_state.availability.report(
+                name,
+                if confirms_early { 0 } else { clients },
+                is_up,
+            )?;
             Some((name.clone(), report))
         });
-        each.collect()
+        reports.collect()
     }
 
-    /// Who conducts hears some proxies, proposes, and may be slow to act.
+    /// Advances a conductor: it receives reports of some proxies, plans if it holds the duty, and applies its planned steps
+    /// now or later.
     fn conduct(&mut self, at: usize) {
         let mut conductor = std::mem::take(&mut self.conductors[at]);
-        if !conductor.stalled {
+        if !conductor.is_stalled {
             for (name, proxy) in &self.proxies {
-                let heard = !proxy.cut && self.rng.random_bool(0.7);
-                let known = conductor.facts.members.entry(name.clone()).or_default();
-                known.live = !proxy.cut;
-                if heard {
-                    known.reports = self.report(name);
+                let receives_report = !proxy.is_cut_off && self.rng.random_bool(0.7);
+                let member = conductor
+                    .planner_input
+                    .members
+                    .entry(name.clone())
+                    .or_default();
+                member.live = !proxy.is_cut_off;
+                if receives_report {
+                    member.reports = self.report(name);
                 }
             }
             if self.rng.random_bool(0.5) {
-                conductor.facts.unavailable = self.dead.clone();
+                conductor.planner_input.unavailable = self.dead_machines.clone();
             }
-            conductor.facts.version_ages = self
-                .since
+            conductor.planner_input.version_ages = self
+                .version_started
                 .iter()
                 .map(|(version, at)| (*version, self.tick - at))
                 .collect();
-            if at == self.leads {
+            if at == self.conducting_index {
                 conductor.fence = self.fence;
                 self.plan_count += 1;
                 conductor
-                    .in_hand
-                    .extend(plan_steps(&self.orders, &conductor.facts).steps);
+                    .pending_steps
+                    .extend(plan_steps(&self.orders, &conductor.planner_input).steps);
             }
         }
-        let act = !conductor.stalled && self.rng.random_bool(0.7);
+        let applies_steps = !conductor.is_stalled && self.rng.random_bool(0.7);
         for (order, machine, version, step) in conductor
-            .in_hand
+            .pending_steps
             .drain(..)
-            .filter(|_| act)
+            .filter(|_| applies_steps)
             .collect::<Vec<_>>()
         {
             let step = WorkOrderChange::Step {
@@ -287,6 +316,7 @@
         self.conductors[at] = conductor;
     }
 
+    /// Applies a change to the orders and records the phase that the machine enters.
     fn apply(&mut self, change: WorkOrderChange, machine: &Name) {
         let before = self.machine_phases().get(machine).cloned();
         let _ = self.orders.apply(change);
@@ -294,17 +324,18 @@
         if let Some((version, phase)) = &after
             && before.as_ref().map(|(version, _)| version) != Some(version)
         {
-            self.since.insert(*version, self.tick);
+            self.version_started.insert(*version, self.tick);
             if *phase == Phase::Drained {
                 *self.times_emptied.entry(machine.clone()).or_default() += 1;
             }
             if matches!(phase, Phase::Returning { .. }) {
-                self.cold.insert(machine.clone(), 10);
+                self.warm_up_ticks.insert(machine.clone(), 10);
             }
         }
     }
 
-    fn staff(&mut self) {
+    /// Staff complete work on drained machines, report failures and recall failed machines.
+    fn step_staff(&mut self) {
         for (name, (version, phase)) in self.machine_phases() {
             let order = self
                 .orders
@@ -329,25 +360,25 @@
         }
     }
 
-    fn fault(&mut self) {
+    fn inject_random_fault(&mut self) {
         let names: Vec<Name> = self.proxies.keys().cloned().collect();
         let proxy = names[self.rng.random_range(0..names.len())].clone();
         let machines: Vec<Name> = self.orders.machines().keys().cloned().collect();
         let machine = machines[self.rng.random_range(0..machines.len())].clone();
         match self.rng.random_range(0..7) {
-            0 => self.proxies.get_mut(&proxy).unwrap().cut = true,
-            1 => self.proxies.get_mut(&proxy).unwrap().cut = false,
-            // A new process on the same file of what is out; its clients are gone.
+            0 => self.proxies.get_mut(&proxy).unwrap().is_cut_off = true,
+            1 => self.proxies.get_mut(&proxy).unwrap().is_cut_off = false,
+            // The proxy restarts with its stored machine list; its clients are gone.
             2 => self.proxies.get_mut(&proxy).unwrap().clients.clear(),
-            3 => drop(self.dead.insert(machine)),
-            4 => self.dead.clear(),
+            3 => drop(self.dead_machines.insert(machine)),
+            4 => self.dead_machines.clear(),
             5 => {
-                let stalled = self.rng.random_bool(0.5);
-                self.conductors[self.leads].stalled = stalled;
+                let is_stalled = self.rng.random_bool(0.5);
+                self.conductors[self.conducting_index].is_stalled = is_stalled;
             }
-            // The duty is handed on; who had it may not know yet.
+            // The duty is handed off; the previous conductor may not know yet.
             _ => {
-                self.leads = self.rng.random_range(0..self.conductors.len());
+                self.conducting_index = self.rng.random_range(0..self.conductors.len());
                 self.fence += 1;
             }
         }
@@ -355,49 +386,49 @@
 
     fn step(&mut self) {
         self.tick += 1;
-        if !self.calm && self.rng.random_bool(0.1) {
-            self.fault();
+        if !self.faults_ended && self.rng.random_bool(0.1) {
+            self.inject_random_fault();
         }
         for name in self.proxies.keys().cloned().collect::<Vec<_>>() {
-            let hears = !self.proxies[&name].cut && self.rng.random_bool(0.5);
-            if hears {
-                self.hear(&name);
+            let receives_list = !self.proxies[&name].is_cut_off && self.rng.random_bool(0.5);
+            if receives_list {
+                self.receive_list(&name);
             }
-            self.serve(&name);
+            self.step_clients(&name);
         }
-        self.staff();
+        self.step_staff();
         (0..self.conductors.len()).for_each(|at| self.conduct(at));
-        self.cold
+        self.warm_up_ticks
             .values_mut()
             .for_each(|left| *left = left.saturating_sub(1));
-        self.cold.retain(|_, left| *left > 0);
-        self.check();
+        self.warm_up_ticks.retain(|_, left| *left > 0);
+        self.check_invariants();
     }
 
-    fn check(&mut self) {
+    fn check_invariants(&mut self) {
         let mut out: BTreeSet<&Name> = self.orders.machines_out().into_keys().collect();
         for proxy in self.proxies.values() {
             out.extend(
                 proxy
-                    .belief
+                    .availability
                     .machines()
-                    .filter(|name| proxy.belief.is_closed(name)),
+                    .filter(|name| proxy.availability.is_closed(name)),
             );
         }
         self.peak_machines_out = self.peak_machines_out.max(out.len());
-        let mut wrong = None;
+        let mut violation = None;
         if out.len() > self.bounds.max_out as usize {
-            wrong = Some(format!(
+            violation = Some(format!(
                 "Never Too Many Out: {out:?} of {}",
                 self.bounds.max_out
             ));
         }
         let machines = self.orders.machines();
         let total: u64 = machines.values().map(Machine::capacity).sum();
-        let left = machines.iter().filter(|(name, _)| !out.contains(name));
-        let left: u64 = left.map(|(_, machine)| machine.capacity()).sum();
-        if left * 1000 < total * u64::from(self.bounds.min_capacity_permille) {
-            wrong = Some(format!("Floor Held: {left} of {total}"));
+        let remaining = machines.iter().filter(|(name, _)| !out.contains(name));
+        let remaining: u64 = remaining.map(|(_, machine)| machine.capacity()).sum();
+        if remaining * 1000 < total * u64::from(self.bounds.min_capacity_permille) {
+            violation = Some(format!("Floor Held: {remaining} of {total}"));
         }
         for (name, (_, phase)) in self.machine_phases() {
             let clients: u64 = self
@@ -406,30 +437,32 @@
                 .filter_map(|p| p.clients.get(&name))
                 .sum();
             if phase == Phase::Drained && clients > 0 {
-                wrong = Some(format!("Empty Means Empty: {clients} clients at {name}"));
+                violation = Some(format!("Empty Means Empty: {clients} clients at {name}"));
             }
         }
         if let Some((name, _)) = self.times_emptied.iter().find(|(_, times)| **times > 1) {
-            wrong = Some(format!("Once: {name} was told as empty again"));
+            violation = Some(format!(
+                "Once: {name} was reported as drained more than once"
+            ));
         }
         if self.violation.is_none() {
-            self.violation = wrong.map(|what| format!("tick {}: {what}", self.tick));
+            self.violation = violation.map(|what| format!("tick {}: {what}", self.tick));
         }
     }
 
-    /// A night of faults, and then calm until all is done that can be.
+    /// Runs 400 ticks with faults, then without faults until every order has ended, for at most 1500 ticks.
     pub fn run_with_faults(&mut self) {
         for _ in 0..400 {
             self.step();
         }
-        self.calm = true;
-        self.dead.clear();
+        self.faults_ended = true;
+        self.dead_machines.clear();
         self.proxies
             .values_mut()
-            .for_each(|proxy| proxy.cut = false);
+            .for_each(|proxy| proxy.is_cut_off = false);
         self.conductors
             .iter_mut()
-            .for_each(|conductor| conductor.stalled = false);
+            .for_each(|conductor| conductor.is_stalled = false);
         for _ in 0..1500 {
             if self.orders.orders().is_empty() {
                 break;
@@ -439,7 +472,7 @@
     }
 }
 
-/// Work on these machines, with time enough for each phase.
+/// An order for work on these machines, with a timeout of 100 for each phase.
 pub fn build_order(machines: &[&str], bounds: Bounds) -> WorkOrder {
     WorkOrder {
         name: "kernel".into(),
@@ -457,7 +490,7 @@
     }
 }
 
-/// Bounds that keep nothing in.
+/// Bounds that allow nine machines out and require no capacity to stay.
 pub const PERMISSIVE_BOUNDS: Bounds = Bounds {
     max_out: 9,
     max_out_per_zone: 9,
@@ -465,7 +498,8 @@
     failure_tolerance: FailureTolerance::Nothing,
 };
 
-/// Machines `m-0` on, each of a zone, a kind, a room, and maybe a voter's.
+/// Work orders for machines named from `m-0`, each given as its zone, its kind, its room, and whether it carries the proxy
+/// of a voter.
 pub fn orders_with_machines(machines: &[(&str, usize, u64, bool)]) -> WorkOrders {
     let machines = machines
         .iter()
@@ -486,19 +520,22 @@
 }
 
 /// The order, the version and the phase of a machine.
+///
+/// # Panics
+/// If the machine is in no order.
 pub fn machine_status(orders: &WorkOrders, name: &str) -> (Number, Number, Phase) {
-    let each = orders.orders().iter().find_map(|(number, (_, places))| {
+    let status = orders.orders().iter().find_map(|(number, (_, places))| {
         places
             .get(name)
             .map(|place| (*number, place.version, place.phase.clone()))
     });
-    each.expect("in an order")
+    status.expect("the machine is in an order")
 }
 
-/// A step of a machine upon the version that it has.
+/// Applies a step to a machine at its current version.
 ///
 /// # Errors
-/// What the log says against it.
+/// The refusal of the log.
 pub fn apply_step(
     orders: &mut WorkOrders,
     name: &str,
--- a/crates/storm/tests/scripts.rs
+++ b/crates/storm/tests/scripts.rs
@@ -1,9 +1,9 @@
-//! Scripts of faults: drawn, written, read and played alike; planted errors are found and cut to a few faults.
+//! Fault scripts: generation, serialization and reproducible runs; injected bugs are detected and their scripts shrunk.
 
 use violetwind_storm::fleet::{Fault, InjectedBug};
 use violetwind_storm::script::{Script, ScriptParameters};
 
-const ALL: ScriptParameters = ScriptParameters {
+const ALL_FEATURES: ScriptParameters = ScriptParameters {
     voters: 3,
     non_voters: 2,
     machines: 6,
@@ -12,76 +12,77 @@
 };
 
 #[test]
-fn a_script_is_read_as_written_and_plays_alike_on_any_thread() {
-    let script = Script::generate(11, ALL);
+fn a_script_round_trips_and_runs_identically_on_any_thread() {
+    let script = Script::generate(11, ALL_FEATURES);
     assert!(script.faults.len() > 20);
-    let read = Script::parse(&script.to_toml()).expect("as written");
+    let read = Script::parse(&script.to_toml()).expect("a written script is valid");
     assert_eq!(read, script);
-    let outcome = |script: &Script| {
-        let played = script.run(InjectedBug::Nothing, 0);
+    let run = |script: &Script| {
+        let outcome = script.run(InjectedBug::Nothing, 0);
         (
-            played.violation,
-            played.simulated_ms,
-            played.frames_sent,
-            played.event_log,
+            outcome.violation,
+            outcome.simulated_ms,
+            outcome.frames_sent,
+            outcome.event_log,
         )
     };
-    let here = outcome(&script);
-    let there: Vec<_> = (0..2)
+    let expected = run(&script);
+    let from_threads: Vec<_> = (0..2)
         .map(|_| {
             let read = read.clone();
-            std::thread::spawn(move || outcome(&read)).join().unwrap()
+            std::thread::spawn(move || run(&read)).join().unwrap()
         })
         .collect();
-    assert_eq!(there, [here.clone(), here]);
+    assert_eq!(from_threads, [expected.clone(), expected]);
 }
 
 #[test]
-fn what_makes_no_sense_in_a_script_is_refused_with_its_place() {
-    let good = "seed = 1\nvoters = 3\nlasts = 5000\n";
-    assert!(Script::parse(good).is_ok());
-    let fault = |text: &str| Script::parse(&format!("{good}{text}")).unwrap_err();
+fn rejects_an_invalid_script_and_names_the_fault() {
+    let valid = "seed = 1\nvoters = 3\nlasts = 5000\n";
+    assert!(Script::parse(valid).is_ok());
+    let error = |text: &str| Script::parse(&format!("{valid}{text}")).unwrap_err();
     assert!(
         Script::parse("seed = 1\nvoters = 2\nlasts = 1")
             .unwrap_err()
             .contains("`voters`")
     );
-    assert!(fault("width = 3").contains("unknown field `width`"));
-    assert!(fault("loss = 1.5").contains("`loss`"));
-    let stranger = fault("[[fault]]\nat = 9\nkind = \"kill\"\nnode = \"node-9\"\nback = 1");
-    assert_eq!(stranger, "the fault at 9: there is no node-9");
-    assert!(fault("[[fault]]\nat = 9\nkind = \"melt\"").contains("melt"));
+    assert!(error("width = 3").contains("unknown field `width`"));
+    assert!(error("loss = 1.5").contains("`loss`"));
+    let unknown_node = error("[[fault]]\nat = 9\nkind = \"kill\"\nnode = \"node-9\"\nback = 1");
+    assert_eq!(unknown_node, "the fault at 9: there is no node-9");
+    assert!(error("[[fault]]\nat = 9\nkind = \"melt\"").contains("melt"));
 }
 
-/// A handful for CI; the campaign is `violetwind-lab storm`.
+/// A few seeds for CI; `violetwind-lab storm` runs many.
 #[test]
-fn a_handful_of_scripts_breaks_no_promise() {
+fn generated_scripts_violate_no_invariant() {
     for (voters, others, machines) in [(3, 2, 6), (5, 0, 4), (1, 2, 3), (7, 0, 0)] {
-        let shape = ScriptParameters {
+        let parameters = ScriptParameters {
             voters,
             non_voters: others,
             machines,
-            ..ALL
+            ..ALL_FEATURES
         };
         for seed in 0..2 {
-            let played = Script::generate(seed, shape).run(InjectedBug::Nothing, 0);
-            assert_eq!(played.violation, None, "{voters} voters, seed {seed}");
+            let outcome = Script::generate(seed, parameters).run(InjectedBug::Nothing, 0);
+            assert_eq!(outcome.violation, None, "{voters} voters, seed {seed}");
         }
     }
 }
 
-/// Seed 728: a leader that others had followed said at once that a member was let in, which stayed out.
+/// Guards against a stale answer: with seed 728, a leader that had already been replaced confirmed at once that a member was
+/// let in, although it stayed out.
 #[test]
-fn scripts_that_have_found_something_stay_clean() {
-    let played = Script::generate(728, ALL).run(InjectedBug::Nothing, 0);
-    assert_eq!(played.violation, None);
+fn scripts_that_found_bugs_violate_no_invariant() {
+    let outcome = Script::generate(728, ALL_FEATURES).run(InjectedBug::Nothing, 0);
+    assert_eq!(outcome.violation, None);
 }
 
-/// Each error at a seed that finds it, under the promise that it breaks; some are cut to the faults that matter. `overstays-part` is
-/// found by the fleet's `budgets: a_part_ends_with_its_lease_though_the_members_thread_is_stalled` on each seed.
+/// Each injected bug is run at a seed that detects it, and has to violate the expected invariant; some scripts are also
+/// shrunk to fewer than half of their faults. `overstays-part` is detected on every seed by the fleet's `budgets: a_part_ends_with_its_lease_though_the_members_thread_is_stalled` on each seed.
 #[test]
-fn a_dozen_planted_errors_are_found_each_by_its_promise() {
-    let promises = [
+fn each_injected_bug_violates_its_invariant() {
+    let cases = [
         ("longer-lease", 0, "One Holder", true),
         ("wild-clocks", 0, "One Holder", false),
         ("deaf-program", 0, "One Holder", false),
@@ -96,20 +97,22 @@
         ),
         ("stale-views", 1, "One At A Time", false),
     ];
-    let found = promises.map(|(name, seed, promise, cut)| {
-        let planted = InjectedBug::NAMES.iter().find(|(known, _)| *known == name);
-        let planted = planted.expect("a name").1;
+    let threads = cases.map(|(name, seed, invariant, shrinks)| {
+        let injected_bug = InjectedBug::NAMES.iter().find(|(known, _)| *known == name);
+        let injected_bug = injected_bug.expect("a known bug").1;
         std::thread::spawn(move || {
-            let script = Script::generate(seed, ALL);
-            let wrong = script.run(planted, 0).violation;
+            let script = Script::generate(seed, ALL_FEATURES);
+            let violation = script.run(injected_bug, 0).violation;
             assert!(
-                wrong.as_ref().is_some_and(|wrong| wrong.contains(promise)),
-                "{name}: {wrong:?}"
+                violation
+                    .as_ref()
+                    .is_some_and(|text| text.contains(invariant)),
+                "{name}: {violation:?}"
             );
-            if cut {
-                let (least, _) = script.shrink(planted, 25);
-                assert!(least.run(planted, 0).violation.is_some(), "{name}");
-                let (before, after) = (script.faults.len(), least.faults.len());
+            if shrinks {
+                let (shrunk, _) = script.shrink(injected_bug, 25);
+                assert!(shrunk.run(injected_bug, 0).violation.is_some(), "{name}");
+                let (before, after) = (script.faults.len(), shrunk.faults.len());
                 assert!(
                     after * 2 < before,
                     "{name}: {after} of {before} faults are left"
@@ -117,16 +120,16 @@
             }
         })
     });
-    for thread in found {
-        thread.join().expect("found");
+    for thread in threads {
+        thread.join().expect("the bug is detected");
     }
 }
 
-/// A fault that is struck does what it says: a member that is cut off is not live, one that is killed comes back.
+/// An injected fault takes effect: a member whose links are cut is shown as cut off, and a killed member restarts.
 #[test]
-fn faults_of_a_script_do_what_they_say() {
-    let mut script = Script::generate(1, ALL);
-    let rest = vec![
+fn injected_faults_take_effect() {
+    let mut script = Script::generate(1, ALL_FEATURES);
+    let other_nodes = vec![
         "node-0".into(),
         "node-1".into(),
         "node-3".into(),
@@ -134,7 +137,7 @@
     ];
     let cut = Fault::Cut {
         from: vec!["node-2".into()],
-        to: rest,
+        to: other_nodes,
         both: true,
     };
     let kill = Fault::Kill {
@@ -146,10 +149,13 @@
     (script.faults[0].at, script.faults[0].fault) = (5000, cut);
     (script.faults[1].at, script.faults[1].fault) = (6000, kill);
     script.lasts = 9000;
-    let line = script.run(InjectedBug::Nothing, 100).timeline;
+    let timeline = script.run(InjectedBug::Nothing, 100).timeline;
     let state = |at: u64, node: usize| {
-        let moment = line.iter().find(|moment| moment.at == at).expect("sampled");
-        moment.member_states[node].1
+        let sample = timeline
+            .iter()
+            .find(|sample| sample.at == at)
+            .expect("a sample at this time");
+        sample.member_states[node].1
     };
     assert_eq!((state(4900, 2) == 'c', state(5500, 2)), (false, 'c'));
     assert_eq!((state(6100, 1), state(7000, 1) == 'x'), ('x', false));
