--- a/crates/faults/src/calls.rs
+++ b/crates/faults/src/calls.rs
@@ -41,8 +41,8 @@
     rules::current()?.select_effect(call, || descriptor_path(fd))
 }
 
-/// Defines a wrapper from the name, the arguments and a closure that receives the C library's own function. The closure may
-/// return early instead of calling it.
+/// Defines a wrapper from the name, the arguments and a closure that receives the C library's own function. The closure
+/// may return early instead of calling it.
 macro_rules! wrap {
     ($name:ident($($arg:ident: $type:ty),*) -> $result:ty, $body:expr) => {
         /// Wraps the C library's function of this name.
--- a/crates/faults/src/watch.rs
+++ b/crates/faults/src/watch.rs
@@ -27,8 +27,8 @@
     });
 }
 
-/// Installs the file's rules if its text has changed, and confirms it by writing the first line to `PATH.seen`. Aborts the
-/// process if the file is invalid.
+/// Installs the file's rules if its text has changed, and confirms it by writing the first line to `PATH.seen`. Aborts
+/// the process if the file is invalid.
 fn reload(path: &PathBuf, installed_text: &mut Option<String>) {
     let Ok(text) = std::fs::read_to_string(path) else {
         return;
--- a/crates/simhost/src/codec.rs
+++ b/crates/simhost/src/codec.rs
@@ -1,4 +1,5 @@
-//! The wire's words, both ways. Nothing outside this file knows them.
+//! Parses and writes the lines of the simulator's protocol. The names of events, actions and their fields occur only in
+//! this file; the host names the lines for batches, server lists and instances.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -14,14 +15,18 @@
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Fields<'a> {
+    /// Parses the part of a line after its name.
+    ///
+    /// # Errors
+    /// A message naming the part that is not a `name=value` pair.
     pub fn parse(rest: &'a str) -> Result<Self, String> {
-        let pair = |part: &'a str| {
+        let parse_pair = |part: &'a str| {
             part.split_once('=')
                 .ok_or_else(|| format!("`{part}`: expected name=value"))
         };
         rest.split(' ')
             .filter(|part| !part.is_empty())
-            .map(pair)
+            .map(parse_pair)
             .collect::<Result<_, _>>()
             .map(Self)
     }
@@ -51,6 +56,10 @@
     }
 }
 
+/// Parses a `SERVER` line.
+///
+/// # Errors
+/// A message naming the missing or invalid field.
 pub fn parse_row(fields: &Fields) -> Result<ServerRow, String> {
     Ok(ServerRow {
         server: fields.server()?,
@@ -68,7 +77,10 @@
     })
 }
 
-/// The event of a line, unless it means nothing to the module.
+/// Parses an event; `None` if the balancer has no use for it.
+///
+/// # Errors
+/// A message naming the unknown event, or the missing or invalid field.
 pub fn parse_event(
     name: &str,
     fields: &Fields,
@@ -76,16 +88,16 @@
     lists: &BTreeMap<u64, Vec<ServerRow>>,
 ) -> Result<Option<Event>, String> {
     let event = match name {
-        "DISCOVERY" => servers(fields, names, lists)?,
-        "ORDER" => Event::Request(request(fields, names)?),
-        "ADOPTED" => Event::Open(request(fields, names)?, fields.server()?),
+        "DISCOVERY" => parse_servers(fields, names, lists)?,
+        "ORDER" => Event::Request(parse_request(fields, names)?),
+        "ADOPTED" => Event::Open(parse_request(fields, names)?, fields.server()?),
         "FIRST" => Event::Begun(fields.id()?, fields.server()?),
         "SETTLED" => Event::Outcome(AttemptEnd {
             id: fields.id()?,
             server: fields.server()?,
-            outcome: outcome(fields)?,
+            outcome: parse_outcome(fields)?,
             is_final: fields.flag("last")?,
-            report: report(fields)?,
+            report: parse_report(fields)?,
         }),
         "ABORTED" => Event::Gone(fields.id()?),
         "NOTE" => {
@@ -97,7 +109,11 @@
                 _ => return Ok(None),
             }
         }
-        "CHECK_RESULT" => Event::Probed(fields.server()?, outcome(fields)?, report(fields)?),
+        "CHECK_RESULT" => Event::Probed(
+            fields.server()?,
+            parse_outcome(fields)?,
+            parse_report(fields)?,
+        ),
         "ELAPSED" => Event::Timer(fields.require_int("nonce")?),
         "MAIL" => return Ok(None),
         _ => return Err(format!("{name}: expected the name of an event")),
@@ -105,7 +121,7 @@
     Ok(Some(event))
 }
 
-fn servers(
+fn parse_servers(
     fields: &Fields,
     names: &NameTable,
     lists: &BTreeMap<u64, Vec<ServerRow>>,
@@ -123,15 +139,15 @@
             ));
         }
     };
-    let list = fields.require_int("ref")?;
+    let list_number = fields.require_int("ref")?;
     let rows = lists
-        .get(&list)
-        .ok_or_else(|| format!("ref={list}: expected a list named before"))?;
-    let entry = |row: &ServerRow| row.to_entry(names);
-    Ok(Event::Servers(kind, rows.iter().map(entry).collect()))
+        .get(&list_number)
+        .ok_or_else(|| format!("ref={list_number}: expected a list named before"))?;
+    let to_entry = |row: &ServerRow| row.to_entry(names);
+    Ok(Event::Servers(kind, rows.iter().map(to_entry).collect()))
 }
 
-fn request(fields: &Fields, names: &NameTable) -> Result<Request, String> {
+fn parse_request(fields: &Fields, names: &NameTable) -> Result<Request, String> {
     let class = fields.require("priority")?;
     Ok(Request {
         id: fields.id()?,
@@ -146,7 +162,7 @@
     })
 }
 
-fn outcome(fields: &Fields) -> Result<Outcome, String> {
+fn parse_outcome(fields: &Fields) -> Result<Outcome, String> {
     Ok(match fields.require_int("how")? {
         0 => Outcome::Ok,
         5 => Outcome::Error,
@@ -160,7 +176,7 @@
     })
 }
 
-fn report(fields: &Fields) -> Result<Report, String> {
+fn parse_report(fields: &Fields) -> Result<Report, String> {
     let mut report = Report::default();
     for pair in fields.list("gauge") {
         let (name, value) = pair
@@ -174,6 +190,10 @@
     Ok(report)
 }
 
+/// Writes the line of an action.
+///
+/// # Errors
+/// The error of the output.
 pub fn write_action(out: &mut impl Write, action: &Action) -> io::Result<()> {
     match action {
         Action::Send(id, server, timeout, _) => {
@@ -190,7 +210,10 @@
     }
 }
 
-/// Tells that the decision code has broken.
+/// Reports that the decision code has panicked, in one line.
+///
+/// # Errors
+/// The error of the output.
 pub fn write_panic(out: &mut impl Write, text: &str) -> io::Result<()> {
     writeln!(out, "GIVE_IN message={}", text.replace(['\n', '\r'], " "))
 }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,4 +1,4 @@
-//! Reads batches of events, hands them to the instances they are for, and writes the replies.
+//! Reads batches of events, passes each to the instance that it is addressed to, and writes the replies.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,20 +10,21 @@
 
 use crate::codec::{self, Fields, NameTable, NamedValues, ServerRow};
 
-/// Why the host stopped before the end of its input.
+/// The error that ended the host before the end of its input.
 #[derive(Debug)]
 pub enum Error {
-    Malformed { line: usize, message: String },
+    /// A line that can't be parsed, or that is not expected at its place.
+    Malformed {
+        line: usize,
+        message: String,
+    },
     Io(io::Error),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Malformed {
-                line,
-                message: what,
-            } => write!(f, "line {line}: {what}"),
+            Self::Malformed { line, message } => write!(f, "line {line}: {message}"),
             Self::Io(error) => write!(f, "{error}"),
         }
     }
@@ -37,6 +38,7 @@
     }
 }
 
+/// A balancer and the names of its settings.
 struct Instance {
     balancer: Balancer,
     names: NameTable,
@@ -47,61 +49,70 @@
     instances: BTreeMap<u64, Instance>,
     /// The numbered server lists, shared by all instances of the process.
     lists: BTreeMap<u64, Vec<ServerRow>>,
-    /// The list being read and how many of its rows are still to come.
-    reading: Option<(u64, u64)>,
+    /// The number of the list being read, and how many of its rows are still missing.
+    partial_list: Option<(u64, u64)>,
+    /// The time of the current batch; `None` between batches.
     now: Option<Seconds>,
-    current: Option<u64>,
+    /// The instance that the next events are addressed to.
+    current_instance: Option<u64>,
     replies: Vec<Reply>,
 }
 
+/// The actions of one instance in the current batch.
 struct Reply {
     instance: u64,
     actions: Vec<Action>,
+    /// The message of a panic in the decision code; the instance handles no more events of the batch.
     panic: Option<String>,
 }
 
-/// Serves the wire until the end of input.
+/// Serves the simulator's protocol until the end of input.
+///
+/// # Errors
+/// An error of the input or the output, or a malformed line with its number.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), Error> {
     let mut host = Host::default();
-    let mut number = 0;
+    let mut line_number = 0;
     for line in input.lines() {
         let line = line?;
-        number += 1;
-        let done = host.line(&line).map_err(|what| Error::Malformed {
-            line: number,
-            message: what,
-        })?;
-        if done {
-            host.reply(&mut output)?;
+        line_number += 1;
+        let batch_ended = host
+            .handle_line(&line)
+            .map_err(|message| Error::Malformed {
+                line: line_number,
+                message,
+            })?;
+        if batch_ended {
+            host.write_replies(&mut output)?;
         }
     }
     if host.now.is_some() {
-        let what = "input ends within a batch; expected EOB".to_string();
+        let message = "input ends within a batch; expected EOB".to_string();
         return Err(Error::Malformed {
-            line: number,
-            message: what,
+            line: line_number,
+            message,
         });
     }
     Ok(())
 }
 
 impl Host {
-    /// Takes one line; true at the end of a batch.
-    fn line(&mut self, line: &str) -> Result<bool, String> {
+    /// Handles one line; returns true at the end of a batch.
+    fn handle_line(&mut self, line: &str) -> Result<bool, String> {
         if line.is_empty() {
             return Ok(false);
         }
         let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
         let fields = Fields::parse(rest)?;
-        if let Some((list, left)) = self.reading {
+        if let Some((list, missing)) = self.partial_list {
             if name != "SERVER" {
-                return Err(format!("{name}: expected {left} more SERVER lines"));
+                return Err(format!("{name}: expected {missing} more SERVER lines"));
             }
             self.lists
                 .entry(list)
                 .or_default()
                 .push(codec::parse_row(&fields)?);
-            self.reading = (left > 1).then(|| (list, left - 1));
+            self.partial_list = (missing > 1).then(|| (list, missing - 1));
             return Ok(false);
         }
         if name == "FRAME" {
@@ -109,7 +120,7 @@
                 return Err("FRAME within a batch; expected EOB".into());
             }
             self.now = Some(fields.require_seconds("clock-s")?);
-            self.current = None;
+            self.current_instance = None;
             return Ok(false);
         }
         let Some(now) = self.now else {
@@ -120,33 +131,39 @@
                 self.now = None;
                 return Ok(true);
             }
-            "INSTANCE" => self.current = Some(fields.require_int("proxy-id")?),
+            "INSTANCE" => self.current_instance = Some(fields.require_int("proxy-id")?),
             "SNAPSHOT_ROWS" => {
                 let (list, rows) = (fields.require_int("ref")?, fields.require_int("records")?);
                 self.lists.insert(list, Vec::new());
-                self.reading = (rows > 0).then_some((list, rows));
+                self.partial_list = (rows > 0).then_some((list, rows));
             }
             _ => {
                 let id = self
-                    .current
+                    .current_instance
                     .ok_or_else(|| format!("{name}: expected an INSTANCE line before it"))?;
-                self.event(now, id, name, &fields)?;
+                self.handle_event_line(now, id, name, &fields)?;
             }
         }
         Ok(false)
     }
 
-    fn event(&mut self, now: Seconds, id: u64, name: &str, fields: &Fields) -> Result<(), String> {
+    fn handle_event_line(
+        &mut self,
+        now: Seconds,
+        id: u64,
+        name: &str,
+        fields: &Fields,
+    ) -> Result<(), String> {
         match name {
             "LAUNCH" => {
                 let (settings, names) = codec::read_settings(fields)?;
                 let balancer = Balancer::new(settings, fields.require_int("random-seed")?);
                 self.instances.insert(id, Instance { balancer, names });
-                self.hand(now, id, Event::Start);
+                self.dispatch(now, id, Event::Start);
             }
             "DOWN" => {
                 self.instances.remove(&id);
-                // What the killed instance has just said names requests that are void now.
+                // The killed instance's actions of this batch refer to requests that no longer exist.
                 self.replies.retain(|reply| reply.instance != id);
             }
             _ => {
@@ -157,18 +174,19 @@
                 };
                 if let Some(event) = codec::parse_event(name, fields, &instance.names, &self.lists)?
                 {
-                    self.hand(now, id, event);
+                    self.dispatch(now, id, event);
                 }
             }
         }
         Ok(())
     }
 
-    fn hand(&mut self, now: Seconds, id: u64, event: Event) {
+    /// Passes an event to an instance and collects its actions. A panic is caught and kept for the reply.
+    fn dispatch(&mut self, now: Seconds, id: u64, event: Event) {
         let Some(instance) = self.instances.get_mut(&id) else {
             return;
         };
-        let at = self
+        let index = self
             .replies
             .iter()
             .position(|reply| reply.instance == id)
@@ -180,7 +198,7 @@
                 });
                 self.replies.len() - 1
             });
-        let reply = &mut self.replies[at];
+        let reply = &mut self.replies[index];
         if reply.panic.is_some() {
             return;
         }
@@ -194,7 +212,7 @@
         }
     }
 
-    fn reply(&mut self, output: &mut impl Write) -> io::Result<()> {
+    fn write_replies(&mut self, output: &mut impl Write) -> io::Result<()> {
         for reply in self.replies.drain(..) {
             if reply.actions.is_empty() && reply.panic.is_none() {
                 continue;
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,4 +1,5 @@
-//! The simulator's wire: the codec and the host that runs balancers behind it. No decisions.
+//! Connects balancers to the simulator: the codec of its line protocol, and the host that runs balancer instances. It
+//! makes no decisions of its own.
 
 pub mod codec;
 pub mod host;
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -4,7 +4,7 @@
 use violetwind_simhost::host;
 
 fn main() -> ExitCode {
-    // A panic is told on the wire; its place goes to standard error by the default hook.
+    // A panic is reported over the protocol; the default hook writes its location to standard error.
     match host::run(
         BufReader::new(io::stdin().lock()),
         BufWriter::new(io::stdout().lock()),
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire through the host, and through the real binary.
+//! The simulator's protocol, served by the host in process and by the real binary.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -17,12 +17,13 @@
 
 fn serve(input: &str) -> Result<String, String> {
     let mut output = Vec::new();
-    let served = host::run(input.as_bytes(), &mut output).map_err(|error| error.to_string());
-    served.map(|()| String::from_utf8(output).expect("replies are text"))
+    let result = host::run(input.as_bytes(), &mut output).map_err(|error| error.to_string());
+    result.map(|()| String::from_utf8(output).expect("replies are text"))
 }
 
-/// One instance with servers 11 (north) and 12 (south), then these lines in a second batch.
-fn session(events: &str) -> Result<String, String> {
+/// Launches an instance with servers 11 (north) and 12 (south) in a first batch, and returns the reply to the given
+/// lines in a second batch.
+fn serve_second_batch(events: &str) -> Result<String, String> {
     let reply = serve(&format!(
         "FRAME clock-s=1.5\nINSTANCE proxy-id=3\n{LAUNCH}\nSNAPSHOT_ROWS ref=0 records=2\n\
          SERVER server=11 cluster=0 status=U sku=big campus=north rating=1\n\
@@ -63,20 +64,23 @@
 }
 
 #[test]
-fn a_request_runs_from_order_to_end() {
-    let reply = session(ORDER).expect("served");
+fn routes_a_request_retries_it_once_and_then_rejects_it() {
+    let reply = serve_second_batch(ORDER).expect("served");
     assert!(
         reply.contains("ROUTE id=00000000000000a1 server=11 cap-s="),
         "{reply}"
     );
-    let failed = "SETTLED id=00000000000000a1 how=111 hop=0 last=0 cost-time-s=0.1 server=11\n";
-    let reply = session(&format!("{ORDER}{failed}")).expect("served");
+    let first_failure =
+        "SETTLED id=00000000000000a1 how=111 hop=0 last=0 cost-time-s=0.1 server=11\n";
+    let reply = serve_second_batch(&format!("{ORDER}{first_failure}")).expect("served");
     assert!(
         reply.contains("ROUTE id=00000000000000a1 server=12"),
         "{reply}"
     );
-    let twice = "SETTLED id=00000000000000a1 how=5 hop=1 last=0 cost-time-s=0.1 server=12\n";
-    let reply = session(&format!("{ORDER}{failed}{twice}")).expect("served");
+    let second_failure =
+        "SETTLED id=00000000000000a1 how=5 hop=1 last=0 cost-time-s=0.1 server=12\n";
+    let reply =
+        serve_second_batch(&format!("{ORDER}{first_failure}{second_failure}")).expect("served");
     assert!(
         reply.contains("PUSH_BACK id=00000000000000a1 backoff-s="),
         "{reply}"
@@ -84,8 +88,8 @@
 }
 
 #[test]
-fn every_event_is_understood() {
-    let reply = session(
+fn handles_every_kind_of_event() {
+    let reply = serve_second_batch(
         "ORDER id=00000000000000a2 priority=order patience-left-s=2 estimate-s=0.01\n\
          SETTLED id=00000000000000a2 how=104 hop=0 last=0 cost-time-s=0.1 server=11\n\
          ADOPTED id=00000000000000a3 priority=chat server=12 patience-left-s=2\n\
@@ -108,16 +112,16 @@
 }
 
 #[test]
-fn what_a_killed_instance_said_in_the_batch_is_void() {
-    let reply = session(&format!("{ORDER}DOWN\n")).expect("served");
+fn discards_the_actions_of_an_instance_killed_in_the_same_batch() {
+    let reply = serve_second_batch(&format!("{ORDER}DOWN\n")).expect("served");
     assert_eq!(reply, "READY\n");
-    let error = session("DOWN\nELAPSED nonce=1\n").expect_err("nobody is there");
+    let error = serve_second_batch("DOWN\nELAPSED nonce=1\n").expect_err("the instance is gone");
     assert!(error.contains("expected LAUNCH"), "{error}");
 }
 
 #[test]
-fn lists_may_take_over_a_number_within_a_batch() {
-    let reply = session(
+fn a_server_list_may_reuse_a_number_within_a_batch() {
+    let reply = serve_second_batch(
         "SNAPSHOT_ROWS ref=0 records=1\nSERVER server=11 status=L\n\
          DISCOVERY generation=5 ref=0 kind=update\n\
          SNAPSHOT_ROWS ref=0 records=0\nDISCOVERY generation=6 ref=0 kind=update\n\
@@ -131,7 +135,7 @@
 }
 
 #[test]
-fn malformed_lines_are_named_with_what_was_expected() {
+fn reports_a_malformed_line_with_its_number_and_the_expected_form() {
     for (line, expected) in [
         ("NONSENSE x=1", "NONSENSE: expected the name of an event"),
         ("ORDER id=00000000000000a1", "expected the field priority"),
@@ -183,19 +187,19 @@
         ),
         ("FRAME clock-s=3", "FRAME within a batch; expected EOB"),
     ] {
-        let error = session(&format!("{line}\n")).expect_err(line);
+        let error = serve_second_batch(&format!("{line}\n")).expect_err(line);
         assert!(error.contains(expected), "{line}: {error}");
         assert!(error.starts_with("line 1"), "{line}: {error}");
     }
     let outside = serve("ELAPSED nonce=1\n").expect_err("outside a batch");
     assert_eq!(outside, "line 1: ELAPSED outside a batch; expected FRAME");
-    let nobody = serve("FRAME clock-s=1\nELAPSED nonce=1\n").expect_err("no instance");
+    let no_instance = serve("FRAME clock-s=1\nELAPSED nonce=1\n").expect_err("no instance");
     assert_eq!(
-        nobody,
+        no_instance,
         "line 2: ELAPSED: expected an INSTANCE line before it"
     );
-    let cut = serve("FRAME clock-s=1\n").expect_err("cut short");
-    assert_eq!(cut, "line 1: input ends within a batch; expected EOB");
+    let truncated = serve("FRAME clock-s=1\n").expect_err("the input is truncated");
+    assert_eq!(truncated, "line 1: input ends within a batch; expected EOB");
 }
 
 fn run_binary(input: &str) -> Output {
@@ -208,14 +212,14 @@
     child
         .stdin
         .take()
-        .expect("piped")
+        .expect("standard input is piped")
         .write_all(input.as_bytes())
-        .expect("it reads");
-    child.wait_with_output().expect("it ends")
+        .expect("the binary reads its input");
+    child.wait_with_output().expect("the binary exits")
 }
 
 #[test]
-fn the_binary_replies_and_ends_cleanly_with_its_input() {
+fn the_binary_replies_and_exits_cleanly_at_the_end_of_input() {
     let output = run_binary("FRAME clock-s=8.41225\nEOB\nFRAME clock-s=8.5\nEOB\n");
     assert!(output.status.success());
     assert_eq!(output.stdout, b"READY\nREADY\n");
@@ -223,11 +227,11 @@
 }
 
 #[test]
-fn the_binary_ends_on_a_malformed_line_with_a_message_and_nothing_on_the_wire() {
+fn the_binary_fails_on_a_malformed_line_with_a_message_and_no_output() {
     let output = run_binary("FRAME clock-s=1\nBANANA\n");
     assert!(!output.status.success());
     assert!(output.stdout.is_empty());
-    let message = String::from_utf8(output.stderr).expect("text");
+    let message = String::from_utf8(output.stderr).expect("the message is UTF-8");
     assert_eq!(
         message,
         "violetwind-simhost: line 2: BANANA: expected an INSTANCE line before it\n"
@@ -235,7 +239,7 @@
 }
 
 #[test]
-fn broken_decision_code_is_told_in_one_line() {
+fn reports_a_panic_of_the_decision_code_in_one_line() {
     let mut output = Vec::new();
     violetwind_simhost::codec::write_panic(&mut output, "index out of range\nat 7")
         .expect("written");
--- a/crates/storm/examples/budgets.rs
+++ b/crates/storm/examples/budgets.rs
@@ -1,6 +1,6 @@
 //! Utilization of a budget under even, skewed and moving load: divided dynamically by the fleet, divided evenly and
-//! statically, and managed by one member that receives all load. Also the cost of the division in frames and in CPU time
-//! of the real code. Everything except the CPU time is simulated.
+//! statically, and managed by one member that receives all load. Also the cost of the division in frames and in CPU
+//! time of the real code. Everything except the CPU time is simulated.
 //! Run with `cargo run --release -p violetwind-storm --example budgets`.
 
 use std::time::Instant;
@@ -32,8 +32,8 @@
     world
 }
 
-/// Sets the load for one second: `even` over all members, `skewed` with nine tenths at one member, or `moving` to the next
-/// member each second.
+/// Sets the load for one second: `even` over all members, `skewed` with nine tenths at one member, or `moving` to the
+/// next member each second.
 fn set_load(world: &mut World, pattern: &str, members: usize, second: usize, total_load: f64) {
     let share = |at: usize| match pattern {
         "even" => 1.0 / members as f64,
@@ -66,7 +66,7 @@
 }
 
 fn main() {
-    println!("fraction of {TOTAL} in use, 5 members:   static   divided   single member");
+    println!("part of {TOTAL} in use, 5 members:   static   divided   single member");
     for pattern in ["even", "skewed", "moving"] {
         let static_division = mean_utilization(&mut new_world(3, 5, TOTAL, TOTAL / 5), pattern, 5);
         let divided = mean_utilization(&mut new_world(3, 5, TOTAL, 1), pattern, 5);
@@ -89,7 +89,7 @@
         println!("  moving, links of 0 to {delay} ms: {divided:.3}");
     }
     println!(
-        "members: frames per second and member (idle, moving), CPU of a member's code, time from load to half of the pool"
+        "members: frames per second and member (idle, moving), CPU of a member's code, time to use half of the pool"
     );
     for members in [5, 50, 300] {
         let mut world = new_world(3, members, 10 * members as u64, 1);
--- a/crates/storm/examples/nights.rs
+++ b/crates/storm/examples/nights.rs
@@ -1,6 +1,6 @@
-//! Duration of maintenance of all machines of a fleet, and the number of clients moved: planned, one machine at a time, and
-//! in fixed batches of as many machines as were out at the same time; also the cost of the planner. Simulated in steps,
-//! without faults. Run with `cargo run --release -p violetwind-storm --example nights`.
+//! Duration of maintenance of all machines of a fleet, and the number of clients moved: planned, one machine at a time,
+//! and in fixed batches of as many machines as were out at the same time; also the cost of the planner. Simulated in
+//! steps, without faults. Run with `cargo run --release -p violetwind-storm --example nights`.
 
 use std::time::Instant;
 
@@ -35,8 +35,8 @@
         let (sequential, planned) = (run(1, machines), run(machines, machines));
         let batches = run(planned.2, planned.2);
         println!(
-            "  {machines:3}, {proxies:3}: {:2}; {:5} {:5}, {:5} {:5}, {:5} {:5}; time per run of the planner, simulator \
-             included, {:?}",
+            "  {machines:3}, {proxies:3}: {:2}; {:5} {:5}, {:5} {:5}, {:5} {:5}; time per run of the planner, \
+             simulator included, {:?}",
             planned.2,
             sequential.0,
             sequential.1,
--- a/crates/storm/src/explorer.rs
+++ b/crates/storm/src/explorer.rs
@@ -32,6 +32,7 @@
     hosts: Vec<Host>,
     in_flight: Vec<(NodeId, NodeId, Message)>,
     now: u64,
+    /// How many elections, crashes and commands may still happen.
     elections: u8,
     crashes: u8,
     commands: u8,
@@ -122,6 +123,7 @@
         state
     }
 
+    /// The actions that are possible in this state.
     fn actions(&self) -> Vec<Action> {
         let mut actions: Vec<Action> = (0..self.in_flight.len()).map(Action::Deliver).collect();
         for (at, host) in self.hosts.iter().enumerate() {
@@ -155,7 +157,8 @@
                 (at, Input::Persisted(seq))
             }
             Action::Elect(at) => {
-                // Beyond the election timeout of this node, and of the heartbeats that the other nodes remember.
+                // Beyond the election timeout of this node, and beyond the time for which other nodes remember a
+                // leader.
                 self.now += 10_000;
                 self.elections -= 1;
                 (at, Input::Tick)
@@ -180,6 +183,7 @@
         self.process_outputs(at, injected_bug)
     }
 
+    /// Carries out the outputs of a node; returns the violated invariant, if there is one.
     fn process_outputs(&mut self, at: usize, injected_bug: InjectedBug) -> Option<String> {
         let id = self.hosts[at].node.id();
         for output in self.hosts[at].node.take_outputs() {
@@ -208,7 +212,8 @@
         }
         let host = &self.hosts[at];
         if injected_bug == InjectedBug::AckBeforeSync && host.node.status().awaits_staleness_check {
-            // With the bug injected, the disk also misleads the nodes that answer the staleness check.
+            // With the bug injected, the disk also misleads the nodes that answer the staleness check, so the check
+            // passes.
             let staleness_response = Message {
                 term: 0,
                 durable_seq: 0,
@@ -226,6 +231,7 @@
         None
     }
 
+    /// A hash of everything that affects the further course.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for host in &self.hosts {
--- a/crates/storm/src/fleet.rs
+++ b/crates/storm/src/fleet.rs
@@ -38,7 +38,7 @@
     WildClocks,
     /// Records are acknowledged before they are synced, and kills lose them.
     AckBeforeSync,
-    /// Programs continue for a second after they were told to stop.
+    /// Programs continue for a second after they were notified to stop.
     DeafProgram,
     /// Every fiftieth unit taken is accompanied by one that was never requested.
     ExtraUnit,
@@ -52,7 +52,7 @@
     ServesUnlisted,
     /// The external budget counter of a process ignores the end of its part.
     OverstaysPart,
-    /// Connections at servers outlive their killed process.
+    /// Connections at servers outlive their killed process by seconds.
     ConnectionsOutlive,
     /// Operators are shown an outdated view.
     StaleViews,
@@ -102,6 +102,7 @@
 #[derive(Clone, Debug)]
 struct Program {
     fence: Number,
+    /// End of the lease in simulated time.
     until: Millis,
     /// Set once the program was notified that the duty is lost: the time at which it stops.
     stops_at: Option<Millis>,
@@ -109,7 +110,9 @@
 
 /// A simulated process with its disk, its clock and the programs and clients that use it.
 pub struct Host {
+    /// The running process; `None` while it is down.
     pub member: Option<Member>,
+    /// The data directory, if the member has one.
     pub persisted_state: Option<SavedState>,
     /// Records written but not yet synced: the time of the sync, the record's number, the record.
     unsynced: VecDeque<(Millis, Number, MemberRecord)>,
@@ -134,6 +137,7 @@
     usage_reports: VecDeque<(Millis, Name, Number)>,
     /// Times at which externally counted units were taken, by this process's clock.
     external_usage_times: BTreeMap<Name, VecDeque<Millis>>,
+    /// Whether the member has reported that its data directory is stale.
     pub stale: bool,
     pub has_shut_down: bool,
 }
@@ -144,6 +148,7 @@
     pub rng: Pcg32,
     pub limits: Limits,
     pub hosts: BTreeMap<Name, Host>,
+    /// All members, and whether each is a voter.
     peers: BTreeMap<Name, bool>,
     pub duties: Vec<Name>,
     /// Messages in flight by due time: the message's number, the sender, the receiver.
@@ -162,23 +167,27 @@
     pending_operator_calls: BTreeMap<Number, operators::PendingCall>,
     /// Whether operators request a view of the fleet from time to time.
     pub views_enabled: bool,
+    /// Least and greatest delay of a frame.
     pub delay_range: (Millis, Millis),
     pub injected_bug: InjectedBug,
+    /// The last number used for a call or a token.
     last_number: Number,
     // Records for the invariant checks.
     /// The newest fencing number of each duty.
     newest_fences: BTreeMap<Name, Number>,
     /// Time since which a duty has no holder.
     unheld_since: BTreeMap<Name, Millis>,
+    /// The longest time for which a duty had no holder.
     pub longest_unheld: Millis,
     pub duties_gained: usize,
     pub duties_lost: usize,
     pub elections_won: usize,
+    /// Answers to calls that are neither holds nor requests for units, by the number of the call.
     pub answers: BTreeMap<Number, OperatorAnswer>,
     /// The simulated maintenance of machines, if there are any.
     pub maintenance: Option<Maintenance>,
     pub budgets: Vec<BudgetDefinition>,
-    /// Budgets counted by an external counter instead of the member, as the proxy does for its balancer.
+    /// Budgets counted by an external counter instead of the member, as the proxy's decision module counts them.
     pub external_budgets: BTreeSet<Name>,
     /// Clients request units only of this many budgets, the first ones.
     pub demanded_budget_count: usize,
@@ -192,7 +201,9 @@
     pub units_refused: usize,
     /// The most units of a budget in use at the same time, or taken within a window.
     pub peak_use: BTreeMap<Name, u64>,
+    /// The first violation of an invariant, with its time.
     pub violation: Option<String>,
+    /// Events reported by members, each with its time.
     pub event_log: Vec<String>,
 }
 
@@ -369,7 +380,7 @@
                 self.handle_input(name, Input::PeerConnected(other.clone(), *id));
             }
         }
-        let own = self.hosts[name]
+        let own_id = self.hosts[name]
             .persisted_state
             .as_ref()
             .map(|saved| saved.id);
@@ -380,7 +391,7 @@
             .cloned()
             .collect();
         for other in others {
-            self.handle_input(&other, Input::PeerConnected(name.to_string(), own));
+            self.handle_input(&other, Input::PeerConnected(name.to_string(), own_id));
         }
     }
 
@@ -563,7 +574,7 @@
             }
             self.hosts.get_mut(name).unwrap().usage_reports.pop_front();
             let in_use = self.external_usage(name, &budget);
-            let external_denied = self.hosts[name]
+            let denied = self.hosts[name]
                 .external_denied
                 .get(&budget)
                 .copied()
@@ -574,14 +585,14 @@
                     budget,
                     part_number: number,
                     in_use,
-                    denied: external_denied,
+                    denied,
                 },
             );
         }
         if self.rng.random_bool(0.1) {
             for budget in self.external_budgets.clone() {
                 let in_use = self.external_usage(name, &budget);
-                let external_denied = self.hosts[name]
+                let denied = self.hosts[name]
                     .external_denied
                     .get(&budget)
                     .copied()
@@ -592,13 +603,14 @@
                         budget,
                         part_number: 0,
                         in_use,
-                        denied: external_denied,
+                        denied,
                     },
                 );
             }
         }
     }
 
+    /// Units of a budget in use at the external counter; of a rate, the units taken within the span of its part.
     fn external_usage(&mut self, name: &str, budget: &str) -> u64 {
         let now = self.now;
         let host = self.hosts.get_mut(name).unwrap();
@@ -620,10 +632,11 @@
                 }
                 used.len() as u64
             }
-            _ => host.units.iter().filter(|(of, _)| of == budget).count() as u64,
+            _ => host.units.iter().filter(|(name, _)| name == budget).count() as u64,
         }
     }
 
+    /// Takes a unit at the external counter, unless its part is used up.
     fn take_external_unit(&mut self, name: &str, budget: &str, token: Name) {
         let in_use = self.external_usage(name, budget);
         let now = self.now;
@@ -732,6 +745,7 @@
         }
     }
 
+    /// Records a unit as in use and checks Never More Than The Whole.
     fn record_unit_taken(&mut self, name: &str, (budget, token): (Name, Name)) {
         self.units_taken += 1;
         let takes_extra_unit =
@@ -754,7 +768,7 @@
                         .insert((budget.clone(), format!("{token}, unasked")));
                 }
                 let units = self.hosts.values().flat_map(|host| &host.units);
-                units.filter(|(of, _)| *of == budget).count() as u64
+                units.filter(|(name, _)| *name == budget).count() as u64
             }
             BudgetKind::Rate => {
                 let used = self.rate_usage_times.entry(budget.clone()).or_default();
@@ -784,7 +798,7 @@
     /// Number of units of a budget that are in use, over all members.
     pub fn units_in_use(&self, budget: &str) -> u64 {
         let units = self.hosts.values().flat_map(|host| &host.units);
-        units.filter(|(of, _)| of == budget).count() as u64
+        units.filter(|(name, _)| name == budget).count() as u64
     }
 
     /// Submits an operator's call at a member and returns the number of the call.
@@ -805,6 +819,7 @@
         self.handle_input(name, Input::Quit);
     }
 
+    /// Puts a message in flight, to be delivered at `due`.
     fn enqueue_message(&mut self, due: Millis, from: &str, to: Name, message: PeerMessage) {
         self.last_message_number += 1;
         self.in_flight.insert(self.last_message_number, message);
@@ -882,6 +897,7 @@
         }
     }
 
+    /// Handles a member's answer to a call of an operator, a client or a program.
     fn handle_answer(&mut self, name: &str, number: Number, answer: OperatorAnswer) {
         if let Some(pending_call) = self.pending_operator_calls.remove(&number) {
             return self.record_answer(pending_call, &answer);
@@ -924,6 +940,7 @@
         }
     }
 
+    /// Records a member's event and checks Fencing.
     fn record_event(&mut self, name: &str, event: Event) {
         self.event_log
             .push(format!("{} {name}: {event:?}", self.now));
@@ -942,7 +959,7 @@
             Event::Lost { why, .. } => {
                 self.duties_lost += 1;
                 if matches!(why, LossReason::HandedOn | LossReason::Ending) {
-                    // Call again at once, as `violetwind hold` does.
+                    // The hold is requested again at once, as the caller of a program would do.
                     for duty in self.duties.clone() {
                         let number = self.last_number + 1;
                         let now = self.now;
@@ -972,17 +989,19 @@
         self.holders(duty).into_iter().next().map(|(name, _)| name)
     }
 
+    /// The members that hold a duty, each with its fencing number.
     fn holders(&self, duty: &str) -> Vec<(Name, Number)> {
-        let holds = |(name, host): (&Name, &Host)| {
+        let held_fence = |(name, host): (&Name, &Host)| {
             let fence = host
                 .member
                 .as_ref()?
                 .held_fence(duty, host.clock.local_time(self.now))?;
             Some((name.clone(), fence))
         };
-        self.hosts.iter().filter_map(holds).collect()
+        self.hosts.iter().filter_map(held_fence).collect()
     }
 
+    /// Checks One Holder for each duty and measures how long duties have no holder.
     fn check_duties(&mut self) {
         for duty in self.duties.clone() {
             let mut holders = self.holders(&duty);
--- a/crates/storm/src/fleet/faults.rs
+++ b/crates/storm/src/fleet/faults.rs
@@ -202,7 +202,10 @@
             };
             (name.clone(), state)
         });
-        let first_budget = self.budgets.first().map(|def| def.name.clone());
+        let first_budget = self
+            .budgets
+            .first()
+            .map(|definition| definition.name.clone());
         TimelineSample {
             at: self.now - start,
             member_states: member_states.collect(),
--- a/crates/storm/src/fleet/operators.rs
+++ b/crates/storm/src/fleet/operators.rs
@@ -1,5 +1,5 @@
-//! Simulates operators that put members out, let them in and request views of the fleet. Their calls and the answers have
-//! to be linearizable (One At A Time).
+//! Simulates operators that put members out, let them in and request views of the fleet. Their calls and the answers
+//! have to be linearizable (One At A Time).
 
 use rand::Rng;
 use violetwind_consensus::Millis;
@@ -64,13 +64,13 @@
             (None, OperatorAnswer::FleetView(view)) if view.majority => {
                 let observed = Self::observed_states(view);
                 for (node, put_out) in observed {
-                    let stale =
+                    let is_stale =
                         self.injected_bug == InjectedBug::StaleViews && self.rng.random_bool(0.5);
-                    let from = if stale { from + 400 } else { from };
+                    let from = if is_stale { from + 400 } else { from };
                     let call = linearizability::Call {
                         what: Operation::Read(put_out),
                         from,
-                        until: until.max(from) + if stale { 1 } else { 0 },
+                        until: until.max(from) + if is_stale { 1 } else { 0 },
                     };
                     self.call_history.entry(node).or_default().push(call);
                 }
--- a/crates/storm/src/fleet/proxies.rs
+++ b/crates/storm/src/fleet/proxies.rs
@@ -31,14 +31,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Maintenance {
     pub machines: BTreeMap<Name, Machine>,
+    /// The most machines that may be out of service at the same time.
     pub max_machines_out: u32,
     /// The order that staff request, repeated until it is planned.
     requested_order: Option<WorkOrder>,
     proxies: BTreeMap<Name, Proxy>,
-    /// Machines that are down.
-    down: BTreeSet<Name>,
-    /// Machines that are warming up after their return, and the end of the warm-up.
-    cold: BTreeMap<Name, Millis>,
+    down_machines: BTreeSet<Name>,
+    /// Returned machines that are still warming up, and the time at which each is warm.
+    warm_until: BTreeMap<Name, Millis>,
     /// Version and phase of each machine at the last check.
     phases: BTreeMap<Name, (Number, Phase)>,
     /// How many times each machine was reported as drained.
@@ -47,6 +47,7 @@
     /// reads the orders from the beginning.
     checked_versions: (Number, Number),
     pub machines_done: usize,
+    /// Number of phase changes of machines.
     pub machine_steps: usize,
 }
 
@@ -145,8 +146,8 @@
 
     /// Starts the write of a machine list to the disk of a host.
     pub(super) fn queue_list_write(&mut self, name: &str, version: Number, list: MachineList) {
-        let sync = self.hosts[name].sync_latency;
-        let due = self.now + sync;
+        let sync_latency = self.hosts[name].sync_latency;
+        let due = self.now + sync_latency;
         if let Some(proxy) = self
             .maintenance
             .as_mut()
@@ -161,13 +162,13 @@
         let Some(mut maintenance) = self.maintenance.take() else {
             return;
         };
-        let runs = self.hosts[name].member.is_some();
+        let is_running = self.hosts[name].member.is_some();
         let proxy = maintenance
             .proxies
             .get_mut(name)
             .expect("each member has a proxy");
         let confirms_early = self.injected_bug == InjectedBug::HastyProxy;
-        while runs
+        while is_running
             && proxy
                 .writes
                 .front()
@@ -187,15 +188,15 @@
         // A proxy without a machine list does not serve yet.
         let may_serve =
             proxy.applied.list_version() > 0 || self.injected_bug == InjectedBug::ServesUnlisted;
-        if runs && may_serve && self.rng.random_bool(0.2) {
+        if is_running && may_serve && self.rng.random_bool(0.2) {
             let at = self.rng.random_range(0..maintenance.machines.len());
             let to = maintenance
                 .machines
                 .keys()
                 .nth(at)
-                .expect("in range")
+                .expect("the index is in range")
                 .clone();
-            if !proxy.applied.is_closed(&to) && !maintenance.down.contains(&to) {
+            if !proxy.applied.is_closed(&to) && !maintenance.down_machines.contains(&to) {
                 *proxy.clients.entry(to).or_default() += 1;
             }
         }
@@ -205,18 +206,18 @@
                 *clients = clients.saturating_sub(1);
             }
         }
-        let sends_report = runs && self.rng.random_bool(0.1);
+        let sends_report = is_running && self.rng.random_bool(0.1);
         let status =
             sends_report.then(|| maintenance.local_work_status(name, self.now, confirms_early));
-        maintenance.cold.retain(|_, until| *until > self.now);
+        maintenance.warm_until.retain(|_, until| *until > self.now);
         self.maintenance = Some(maintenance);
         if let Some(status) = status {
             self.handle_input(name, Input::LocalWorkStatus(status));
         }
     }
 
-    /// Staff mark drained machines as done and recall failed ones, in a call at a random member at random times. The order
-    /// is planned again if it is not known.
+    /// Staff mark drained machines as done and recall failed ones, in a call at a random member at random times. The
+    /// order is planned again if it is not known.
     pub(super) fn issue_work_commands(&mut self) {
         let Some(maintenance) = &self.maintenance else {
             return;
@@ -255,13 +256,13 @@
             .machines
             .keys()
             .nth(at)
-            .expect("in range")
+            .expect("the index is in range")
             .clone();
-        if !maintenance.down.remove(&name) && maintenance.down.is_empty() {
+        if !maintenance.down_machines.remove(&name) && maintenance.down_machines.is_empty() {
             for proxy in maintenance.proxies.values_mut() {
                 proxy.clients.remove(&name);
             }
-            maintenance.down.insert(name);
+            maintenance.down_machines.insert(name);
         }
     }
 
@@ -273,7 +274,7 @@
 
     pub(super) fn restore_machines(&mut self) {
         if let Some(maintenance) = &mut self.maintenance {
-            maintenance.down.clear();
+            maintenance.down_machines.clear();
         }
     }
 
@@ -294,6 +295,7 @@
 }
 
 impl Maintenance {
+    /// The status that a proxy reports to its member.
     fn local_work_status(&self, name: &str, now: Millis, confirms_early: bool) -> LocalWorkStatus {
         let proxy = &self.proxies[name];
         let availability = if confirms_early {
@@ -303,27 +305,28 @@
         };
         let reports = availability.machines().filter_map(|machine| {
             let clients = proxy.clients.get(machine).copied().unwrap_or(0);
-            let is_warm = !self.down.contains(machine) && !self.cold.contains_key(machine);
+            let is_warm =
+                !self.down_machines.contains(machine) && !self.warm_until.contains_key(machine);
             let report: MachineReport =
                 availability.report(machine, if confirms_early { 0 } else { clients }, is_warm)?;
             Some((machine.clone(), report))
         });
-        let up = self
+        let up_machines = self
             .machines
             .keys()
-            .filter(|name| !self.down.contains(*name));
+            .filter(|name| !self.down_machines.contains(*name));
         LocalWorkStatus {
             list_version: availability.list_version(),
             reports: reports.collect(),
             machines: self.machines.clone(),
-            up_machines: up.cloned().collect(),
+            up_machines: up_machines.cloned().collect(),
             closed_machines: BTreeSet::new(),
             has_stopped_serving: false,
             unix_time_ms: now,
         }
     }
 
-    /// Checks the invariants against the newest known state of the orders.
+    /// Checks the invariants against the newest known state of the orders; returns a description of a violation.
     fn check_invariants(
         &mut self,
         work: &WorkState,
@@ -377,7 +380,7 @@
                         }
                     }
                     Phase::Returning { .. } => {
-                        self.cold.insert(name.clone(), now + 300);
+                        self.warm_until.insert(name.clone(), now + 300);
                     }
                     Phase::Done => self.machines_done += 1,
                     _ => {}
--- a/crates/storm/src/linearizability.rs
+++ b/crates/storm/src/linearizability.rs
@@ -1,6 +1,6 @@
-//! Linearizability checker: whether a history of calls is equivalent to a sequential one in which each call takes effect
-//! at some moment between its invocation and its response (Herlihy and Wing, 1990; the search is Wing and Gong's, 1993,
-//! with visited states memoized). It checks one register; independent registers are checked separately.
+//! Linearizability checker: whether a history of calls is equivalent to a sequential one in which each call takes
+//! effect at some moment between its invocation and its response (Herlihy and Wing, 1990; the search is Wing and
+//! Gong's, 1993, with visited states memoized). It checks one register; independent registers are checked separately.
 
 use std::collections::HashSet;
 
@@ -44,6 +44,7 @@
     search(&calls, 0, false, &mut visited)
 }
 
+/// Searches for an order of the calls that are not in the bit set `done`, from a register that holds `value`.
 fn search(calls: &[Call], done: u64, value: bool, visited: &mut HashSet<(u64, bool)>) -> bool {
     if !visited.insert((done, value)) {
         return false;
--- a/crates/storm/src/replicated_log.rs
+++ b/crates/storm/src/replicated_log.rs
@@ -1,5 +1,5 @@
-//! Simulates the replicated log alone, and checks Election Safety, State Machine Safety, the read index, and that the log
-//! recovers once the faults have ended (Liveness).
+//! Simulates the replicated log alone, and checks Election Safety, State Machine Safety, the read index, and that the
+//! log recovers once the faults have ended (Liveness).
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
@@ -54,8 +54,11 @@
     last_message_number: u64,
     /// Cut links, each as sender and receiver.
     pub cut_links: BTreeSet<(NodeId, NodeId)>,
+    /// Fraction of all messages that is lost.
     pub loss_rate: f64,
+    /// Fraction of all messages that is duplicated.
     pub duplicate_rate: f64,
+    /// Least and greatest delay of a message.
     pub delay_range: (Millis, Millis),
     pub injected_bug: InjectedBug,
     /// Probability that a node is killed when it requests a write.
@@ -63,7 +66,9 @@
     /// Probability that a node is killed when it grants a vote.
     pub kill_on_vote_rate: f64,
     // Records for the invariant checks.
+    /// The leader of each term.
     pub leaders: BTreeMap<Term, NodeId>,
+    /// The committed entries of all nodes.
     pub committed: BTreeMap<Index, Entry>,
     pub elections_won: usize,
     pub commits: u64,
@@ -71,6 +76,7 @@
     reads: BTreeMap<u64, Index>,
     next_command: u64,
     pub reads_completed: usize,
+    /// The first violation of an invariant, with its time.
     pub violation: Option<String>,
 }
 
@@ -234,6 +240,7 @@
         }
     }
 
+    /// Puts a message in flight, to be delivered at `due`.
     fn enqueue_message(&mut self, due: Millis, from: NodeId, to: NodeId, message: Message) {
         self.last_message_number += 1;
         self.in_flight.insert(self.last_message_number, message);
@@ -250,6 +257,7 @@
         }
     }
 
+    /// Sends a message over a link that may lose, duplicate or delay it.
     fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
         if self.cut_links.contains(&(from, to)) || self.rng.random_bool(self.loss_rate) {
             return;
@@ -357,6 +365,7 @@
         commands.collect()
     }
 
+    /// Applies a committed entry to a node's state machine and checks it against the other nodes' entries.
     fn apply_committed(&mut self, id: NodeId, entry: Entry) {
         let host = self.hosts.get_mut(&id).unwrap();
         let skips_entry =
--- a/crates/storm/src/script.rs
+++ b/crates/storm/src/script.rs
@@ -180,8 +180,8 @@
     /// Parses a script file.
     ///
     /// # Errors
-    /// A message with the position of a syntax error, of a value out of its range, or of a fault that names an unknown
-    /// member.
+    /// A message that describes a syntax error with its position, a value out of range, or a fault that names an
+    /// unknown member.
     pub fn parse(text: &str) -> Result<Self, String> {
         let script: Self = toml::from_str(text).map_err(|error| error.to_string())?;
         if !matches!(script.voters, 1 | 3 | 5 | 7) || script.others > 1000 || script.machines > 1000
@@ -296,7 +296,7 @@
 
     /// Shrinks the script to one that still violates the same invariant: removes faults in ever smaller chunks, then
     /// machines, budgets and members, then shortens the duration. Runs scripts at most `max_runs` times. Returns the
-    /// shrunk script and the number of runs.
+    /// shrunk script and the number of attempted runs.
     pub fn shrink(&self, injected_bug: InjectedBug, max_runs: usize) -> (Self, usize) {
         let violated_invariant = |outcome: &ScriptOutcome| {
             let violation = outcome.violation.as_deref()?;
@@ -361,7 +361,7 @@
                 best = candidate;
             }
         }
-        // The shortest duration that still fails.
+        // Shortens the run to the first of these durations that still fails.
         let last = best.faults.last().map_or(FORMATION_TIME, |timed| timed.at);
         for lasts in [last, last + 500, last + 2000, last + 8000] {
             let candidate = Self {
--- a/crates/storm/src/work_orders.rs
+++ b/crates/storm/src/work_orders.rs
@@ -1,6 +1,6 @@
-//! Simulates maintenance of random fleets with the real work orders and planner: proxies receive lists late, are cut off or
-//! restart, machines die, and conductors stall with planned steps that are not yet applied. The invariants are checked
-//! against the actions of the proxies.
+//! Simulates maintenance of random fleets with the real work orders and planner: proxies receive lists late, are cut
+//! off or restart, machines die, and conductors stall with planned steps that are not yet applied. The invariants are
+//! checked against the actions of the proxies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -56,6 +56,7 @@
     /// How many times each machine was reported as drained.
     pub times_emptied: BTreeMap<Name, u32>,
     pub violation: Option<String>,
+    /// Whether random faults are no longer injected.
     faults_ended: bool,
     /// The most machines out of service at the same time.
     pub peak_machines_out: usize,
@@ -75,7 +76,7 @@
     }
 }
 
-/// Like [`build_order`], with phase timeouts longer than a conductor is stalled.
+/// Like [`build_order`], with phase timeouts that outlast a stalled conductor.
 fn build_order_with_long_phases(machines: &[Name], bounds: Bounds) -> WorkOrder {
     let names: Vec<&str> = machines.iter().map(String::as_str).collect();
     let mut order = build_order(&names, bounds);
@@ -264,8 +265,8 @@
         reports.collect()
     }
 
-    /// Advances a conductor: it receives reports of some proxies, plans if it holds the duty, and applies its planned steps
-    /// now or later.
+    /// Advances a conductor: it receives reports of some proxies, plans if it holds the duty, and applies its planned
+    /// steps now or later.
     fn conduct(&mut self, at: usize) {
         let mut conductor = std::mem::take(&mut self.conductors[at]);
         if !conductor.is_stalled {
@@ -498,8 +499,8 @@
     failure_tolerance: FailureTolerance::Nothing,
 };
 
-/// Work orders for machines named from `m-0`, each given as its zone, its kind, its room, and whether it carries the proxy
-/// of a voter.
+/// Work orders for machines named from `m-0`, each given as its zone, its kind, its room, and whether it carries the
+/// proxy of a voter.
 pub fn orders_with_machines(machines: &[(&str, usize, u64, bool)]) -> WorkOrders {
     let machines = machines
         .iter()
--- a/crates/storm/tests/scripts.rs
+++ b/crates/storm/tests/scripts.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Guards against a stale answer: with seed 728, a leader that had already been replaced confirmed at once that a member was
-/// let in, although it stayed out.
+/// Guards against a stale answer: with seed 728, a leader that had already been replaced confirmed at once that a
+/// member was let in, although it stayed out.
 #[test]
 fn scripts_that_found_bugs_violate_no_invariant() {
     let outcome = Script::generate(728, ALL_FEATURES).run(InjectedBug::Nothing, 0);
@@ -79,7 +79,8 @@
 }
 
 /// Each injected bug is run at a seed that detects it, and has to violate the expected invariant; some scripts are also
-/// shrunk to fewer than half of their faults. `overstays-part` is detected on every seed by the fleet's `budgets: a_part_ends_with_its_lease_though_the_members_thread_is_stalled` on each seed.
+/// shrunk to fewer than half of their faults. `overstays-part` is detected on every seed by the fleet's test
+/// `budgets: a_part_ends_with_its_lease_though_the_members_thread_is_stalled`.
 #[test]
 fn each_injected_bug_violates_its_invariant() {
     let cases = [
