--- a/crates/simhost/src/codec.rs
+++ b/crates/simhost/src/codec.rs
@@ -1,5 +1,5 @@
 //! Parses and writes the lines of the simulator's protocol. The names of events, actions and their fields occur only in
-//! this file; the host names the lines for batches, server lists and instances.
+//! this file; the host handles the lines for batches, server lists and instances.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -44,6 +44,7 @@
     names: NameTable,
 }
 
+/// All balancer instances, and the state of reading the current batch.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u64, Instance>,
@@ -147,6 +148,7 @@
         Ok(false)
     }
 
+    /// Handles a line addressed to an instance: its start, its end or an event.
     fn handle_event_line(
         &mut self,
         now: Seconds,
@@ -212,6 +214,7 @@
         }
     }
 
+    /// Writes the replies of the batch that has ended.
     fn write_replies(&mut self, output: &mut impl Write) -> io::Result<()> {
         for reply in self.replies.drain(..) {
             if reply.actions.is_empty() && reply.panic.is_none() {
--- a/crates/storm/src/explorer.rs
+++ b/crates/storm/src/explorer.rs
@@ -231,7 +231,7 @@
         None
     }
 
-    /// A hash of everything that affects the further course.
+    /// Hashes the parts of the state that determine its further behavior.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for host in &self.hosts {
--- a/crates/storm/src/fleet.rs
+++ b/crates/storm/src/fleet.rs
@@ -1,6 +1,6 @@
-//! Simulates a fleet of complete members. One Holder and Fencing are checked from outside the members while it runs,
-//! including the programs that run under a duty; Held Again is checked once the faults have ended. Each process has a
-//! clock of its own with a random offset and drift.
+//! Simulates a fleet of complete members. One Holder and Fencing are checked from outside the members at every
+//! step, including the programs that run under a duty; Held Again is checked once the faults have ended. Each process
+//! has a clock of its own with a random offset and drift.
 
 mod faults;
 mod operators;
--- a/crates/storm/tests/scripts.rs
+++ b/crates/storm/tests/scripts.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn rejects_an_invalid_script_and_names_the_fault() {
+fn rejects_an_invalid_script_and_names_the_cause() {
     let valid = "seed = 1\nvoters = 3\nlasts = 5000\n";
     assert!(Script::parse(valid).is_ok());
     let error = |text: &str| Script::parse(&format!("{valid}{text}")).unwrap_err();
