--- a/crates/standins/src/bin/violetwind-standin-consul.rs
+++ b/crates/standins/src/bin/violetwind-standin-consul.rs
@@ -1,4 +1,4 @@
-//! The stand-in Consul by hand: instances from the command line, commands from standard input.
+//! Runs the stand-in Consul by hand, with instances from the command line and commands from standard input.
 
 use std::io::BufRead;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use clap::Parser;
 use violetwind_standins::consul::{Check, Consul, ConsulMode, Instance, Maintenance};
 
-/// A Consul that answers /v1/health/service/NAME and /v1/catalog/service/NAME, and lies on command.
+/// A Consul agent that answers /v1/health/service/NAME and /v1/catalog/service/NAME, and injects faults on command.
 #[derive(Debug, Parser)]
 #[command(
     version,
@@ -62,31 +62,32 @@
     println!("listening on {}", consul.addr);
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
         let words: Vec<&str> = line.split_whitespace().collect();
-        if !obey(&consul, &mut ids, &words) {
+        if !run_command(&consul, &mut ids, &words) {
             println!("unknown: {line}");
         }
     }
     ExitCode::SUCCESS
 }
 
-fn obey(consul: &Consul, ids: &mut Vec<String>, words: &[&str]) -> bool {
-    let chosen = |id: &str| -> Vec<String> {
+/// Runs one command; returns false if it is unknown.
+fn run_command(consul: &Consul, ids: &mut Vec<String>, words: &[&str]) -> bool {
+    let ids_of = |id: &str| -> Vec<String> {
         match id {
             "half" => ids[..ids.len() / 2].to_vec(),
             _ => vec![id.to_string()],
         }
     };
-    let with = |id: &str, alter: &dyn Fn(&mut Instance)| {
-        let chosen = chosen(id);
-        let chosen: Vec<&str> = chosen.iter().map(String::as_str).collect();
-        consul.update_instances(&chosen, alter);
+    let update = |id: &str, alter: &dyn Fn(&mut Instance)| {
+        let selected = ids_of(id);
+        let selected: Vec<&str> = selected.iter().map(String::as_str).collect();
+        consul.update_instances(&selected, alter);
     };
     match words {
-        ["pass", id] => with(id, &|i| i.check = Check::Passing),
-        ["warn", id] => with(id, &|i| i.check = Check::Warning),
-        ["fail", id] => with(id, &|i| i.check = Check::Critical),
-        ["drain", id] => with(id, &|i| i.maintenance = Maintenance::Service),
-        ["undrain", id] => with(id, &|i| i.maintenance = Maintenance::None),
+        ["pass", id] => update(id, &|i| i.check = Check::Passing),
+        ["warn", id] => update(id, &|i| i.check = Check::Warning),
+        ["fail", id] => update(id, &|i| i.check = Check::Critical),
+        ["drain", id] => update(id, &|i| i.maintenance = Maintenance::Service),
+        ["undrain", id] => update(id, &|i| i.maintenance = Maintenance::None),
         ["drop", id] => consul.deregister(&[id]),
         ["add", id, at] => match at.parse() {
             Ok(at) => {
--- a/crates/standins/src/bin/violetwind-standin-receiver.rs
+++ b/crates/standins/src/bin/violetwind-standin-receiver.rs
@@ -1,5 +1,6 @@
-//! A receiver of a duty's work by hand, and with `--work` a program that does such work: it sends a piece every
-//! few milliseconds under the number that `violetwind hold` gave it, and ends when it is not wanted any more.
+//! Runs the receiver of a duty's work by hand; with `--work` it is a program that does such work instead: it sends an
+//! item every few milliseconds with the fencing number that `violetwind hold` passed to it, and exits when the receiver
+//! rejects one.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -10,16 +11,16 @@
 use violetwind_standins::LineConnection;
 use violetwind_standins::receiver::Receiver;
 
-/// Takes work with fencing numbers, or does it.
+/// Receives work items with fencing numbers, or sends them.
 #[derive(Debug, Parser)]
 struct Options {
-    /// Where to listen.
+    /// Listen on this address.
     #[arg(long, required_unless_present = "work")]
     listen: Option<SocketAddr>,
-    /// Work for the receiver at this address instead.
+    /// Send work items to the receiver at this address instead.
     #[arg(long)]
     work: Option<SocketAddr>,
-    /// Between two pieces of work.
+    /// Milliseconds between two work items.
     #[arg(long, default_value_t = 10)]
     every_ms: u64,
 }
@@ -27,12 +28,12 @@
 fn main() -> ExitCode {
     let options = Options::parse();
     if let Some(at) = options.work {
-        let word = |name: &str| std::env::var(name).unwrap_or_default();
-        let (duty, fence) = (word("VIOLETWIND_DUTY"), word("VIOLETWIND_FENCE"));
-        let mut peer = LineConnection::connect(at);
+        let variable = |name: &str| std::env::var(name).unwrap_or_default();
+        let (duty, fence) = (variable("VIOLETWIND_DUTY"), variable("VIOLETWIND_FENCE"));
+        let mut connection = LineConnection::connect(at);
         loop {
-            peer.send_line(&format!("WORK {duty} {fence} {}", std::process::id()));
-            match peer.try_read_line() {
+            connection.send_line(&format!("WORK {duty} {fence} {}", std::process::id()));
+            match connection.try_read_line() {
                 Ok(answer) if answer == "TAKEN" => sleep(Duration::from_millis(options.every_ms)),
                 answer => {
                     eprintln!("{answer:?}");
@@ -45,13 +46,13 @@
         return ExitCode::FAILURE;
     };
     println!("{}", receiver.addr);
-    let mut shown = 0;
+    let mut printed = 0;
     loop {
-        let works = receiver.received_work();
-        for work in &works[shown..] {
-            println!("{work:?}");
+        let items = receiver.received_work();
+        for item in &items[printed..] {
+            println!("{item:?}");
         }
-        shown = works.len();
+        printed = items.len();
         sleep(Duration::from_millis(200));
     }
 }
--- a/crates/standins/src/bin/violetwind-standin-relay.rs
+++ b/crates/standins/src/bin/violetwind-standin-relay.rs
@@ -1,5 +1,5 @@
-//! A relay by hand. Commands come on standard input, one a line: `there WAY` or `back WAY`, where WAY is pass,
-//! delay=MS, trickle=BYTES, hold, swallow, cut or cut-inside.
+//! Runs a relay by hand. Commands are read from standard input, one per line: `there WAY` for the forward and
+//! `back WAY` for the reverse direction, where WAY is pass, delay=MS, trickle=BYTES, hold, swallow, cut or cut-inside.
 
 use std::io::BufRead;
 use std::net::SocketAddr;
@@ -8,11 +8,13 @@
 use clap::Parser;
 use violetwind_standins::relay::{Direction, Relay};
 
-/// Relays TCP connections, faulty on command.
+/// Relays TCP connections, with faults on command.
 #[derive(Debug, Parser)]
 struct Options {
+    /// Listen on this address.
     #[arg(long)]
     listen: SocketAddr,
+    /// Forward connections to this address.
     #[arg(long)]
     to: SocketAddr,
 }
@@ -28,13 +30,13 @@
     };
     println!("{} to {}", relay.addr, options.to);
     for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-        let direction = match line.split_once(' ') {
-            Some(("there", way)) => way.parse().map(|way| (Direction::Forward, way)),
-            Some(("back", way)) => way.parse().map(|way| (Direction::Reverse, way)),
+        let command = match line.split_once(' ') {
+            Some(("there", mode)) => mode.parse().map(|mode| (Direction::Forward, mode)),
+            Some(("back", mode)) => mode.parse().map(|mode| (Direction::Reverse, mode)),
             _ => Err("there WAY or back WAY".to_string()),
         };
-        match direction {
-            Ok((direction, way)) => relay.set_mode(direction, way),
+        match command {
+            Ok((direction, mode)) => relay.set_mode(direction, mode),
             Err(error) => eprintln!("{error}"),
         }
     }
--- a/crates/standins/src/budget_workload.rs
+++ b/crates/standins/src/budget_workload.rs
@@ -1,4 +1,4 @@
-//! Programs that take units of a fleet's budgets at its members and give them back, with books of what they saw.
+//! Load on a fleet's budgets: workers that take units at its members and give them back, with statistics.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -10,72 +10,76 @@
 
 use crate::fleet_harness::FleetHarness;
 
-/// What callers saw.
+/// Statistics of all workers.
 #[derive(Default)]
 pub struct WorkloadStats {
     /// Units in use by member and token.
     pub held_units: BTreeMap<usize, BTreeSet<u64>>,
+    /// The highest number of units in use at a time.
     pub max_in_use: usize,
-    /// When a unit of a rate was asked for, and when the answer had come: it was used in between.
+    /// For each unit of a rate, the times of the request and of its answer: the unit was used in between.
     pub rate_uses: Vec<(Instant, Instant)>,
     pub refused: u64,
-    /// Calls for a unit that had no answer in time: it may have been taken all the same.
+    /// Requests for a unit without an answer in time; the unit may have been taken nevertheless.
     pub unanswered: u64,
-    /// Calls to give a unit back that were answered with something else than that it was.
+    /// Releases of a unit that were answered with a status other than 200.
     pub failed_releases: u64,
 }
 
 impl WorkloadStats {
+    /// The number of units in use at all members.
     pub fn units_in_use(&self) -> usize {
         self.held_units.values().map(BTreeSet::len).sum()
     }
 
+    /// Records that the unit of `token` was taken at member `at`.
     pub fn record_acquired(&mut self, at: usize, token: u64) {
         self.held_units.entry(at).or_default().insert(token);
         self.max_in_use = self.max_in_use.max(self.units_in_use());
     }
 
-    /// The most uses of a rate that surely were within one window.
+    /// The highest number of uses of a rate that certainly fell within one window.
     pub fn max_uses_within(&self, window: Duration) -> usize {
-        let mut used = self.rate_uses.clone();
-        used.sort();
+        let mut uses = self.rate_uses.clone();
+        uses.sort();
         let within = |from: Instant| {
-            used.iter()
-                .filter(|(asked, told)| *asked >= from && *told <= from + window)
+            uses.iter()
+                .filter(|(requested, answered)| *requested >= from && *answered <= from + window)
                 .count()
         };
-        used.iter()
-            .map(|(asked, _)| within(*asked))
+        uses.iter()
+            .map(|(requested, _)| within(*requested))
             .max()
             .unwrap_or(0)
     }
 }
 
-/// What they take.
+/// The load that the workers generate.
 #[derive(Clone, Debug)]
 pub struct WorkloadSpec {
-    /// Callers of each member at the most.
+    /// Workers of each member; [`BudgetWorkload::set_active_workers`] sets how many of them are active.
     pub workers_per_member: u32,
-    /// A held budget, and how long each of its units is held.
+    /// Name of a held budget, and how long each of its units is held.
     pub held_budget: String,
     pub hold_time: Duration,
-    /// All but the first of a member ask for the next unit while they hold one: they want whatever there is.
+    /// All workers of a member except the first request the next unit while they hold one, so as to use up the budget.
     pub greedy: bool,
-    /// A rate, of which each takes a unit after every held one.
+    /// Name of a rate budget, of which a worker takes a unit after each unit of the held budget.
     pub rate_budget: Option<String>,
 }
 
+/// A running load.
 pub struct BudgetWorkload {
     pub stats: Arc<Mutex<WorkloadStats>>,
-    /// Callers that press each member.
-    press: Arc<Vec<AtomicU32>>,
-    over: Arc<AtomicBool>,
+    /// The number of active workers of each member.
+    active_workers: Arc<Vec<AtomicU32>>,
+    stopping: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
-/// The answer to a call of operators, if one comes in time.
+/// Sends a line to a management address; returns the answer, or none without an answer in time.
 pub(crate) fn call_management(at: SocketAddr, line: &str) -> Option<String> {
-    let call = || -> std::io::Result<String> {
+    let send = || -> std::io::Result<String> {
         let mut stream = TcpStream::connect_timeout(&at, Duration::from_millis(300))?;
         stream.set_read_timeout(Some(Duration::from_millis(1200)))?;
         stream.write_all(format!("{line}\n").as_bytes())?;
@@ -83,67 +87,69 @@
         stream.read_to_string(&mut answer)?;
         Ok(answer.trim_end().to_string())
     };
-    call().ok()
+    send().ok()
 }
 
-static TOKEN: AtomicU64 = AtomicU64::new(1);
+static NEXT_TOKEN: AtomicU64 = AtomicU64::new(1);
 
 #[derive(Clone)]
-struct Caller {
+struct Worker {
     at: usize,
     greedy: bool,
     addr: SocketAddr,
-    wants: WorkloadSpec,
-    books: Arc<Mutex<WorkloadStats>>,
-    over: Arc<AtomicBool>,
+    spec: WorkloadSpec,
+    stats: Arc<Mutex<WorkloadStats>>,
+    stopping: Arc<AtomicBool>,
 }
 
-impl Caller {
-    fn ends(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+impl Worker {
+    fn is_stopping(&self) -> bool {
+        self.stopping.load(Ordering::Relaxed)
     }
 
-    fn take(&self, budget: &str, token: u64) -> bool {
-        // Longer than any test: nothing comes back by itself.
+    fn take_unit(&self, budget: &str, token: u64) -> bool {
+        // A lease of 10 minutes, longer than any test: no unit expires.
         let line = format!("FLEET TAKE {budget} {token} 600000");
         let answer = call_management(self.addr, &line);
         if answer.is_none() {
-            self.books.lock().unwrap().unanswered += 1;
+            self.stats.lock().unwrap().unanswered += 1;
         }
         answer.as_deref() == Some("200 taken")
     }
 
-    /// One unit taken, held and given back; where that goes on behind, what to wait for in the end.
-    fn hold(&self, token: u64) -> Option<thread::JoinHandle<()>> {
-        if !self.take(&self.wants.held_budget, token) {
-            self.books.lock().unwrap().refused += 1;
+    /// Takes a unit of the held budget, holds it and gives it back. A greedy worker does the latter two in a thread,
+    /// whose handle is returned.
+    fn take_and_hold(&self, token: u64) -> Option<thread::JoinHandle<()>> {
+        if !self.take_unit(&self.spec.held_budget, token) {
+            self.stats.lock().unwrap().refused += 1;
             return None;
         }
-        self.books.lock().unwrap().record_acquired(self.at, token);
+        self.stats.lock().unwrap().record_acquired(self.at, token);
         if !self.greedy {
-            self.give(token);
+            self.hold_and_release(token);
             return None;
         }
-        let own = self.clone();
-        Some(thread::spawn(move || own.give(token)))
+        let worker = self.clone();
+        Some(thread::spawn(move || worker.hold_and_release(token)))
     }
 
-    fn give(&self, token: u64) {
-        thread::sleep(self.wants.hold_time);
-        let mut books = self.books.lock().unwrap();
-        let there = books
+    /// Holds a unit for `hold_time`, then gives it back, with retries while no answer arrives.
+    fn hold_and_release(&self, token: u64) {
+        thread::sleep(self.spec.hold_time);
+        let mut stats = self.stats.lock().unwrap();
+        let was_held = stats
             .held_units
             .get_mut(&self.at)
-            .is_some_and(|of| of.remove(&token));
-        drop(books);
-        // Whoever was killed needs no unit back; one that is stopped gets it when it goes on.
-        let line = format!("FLEET GIVE {} {token}", self.wants.held_budget);
-        while there && !self.ends() {
+            .is_some_and(|tokens| tokens.remove(&token));
+        drop(stats);
+        // A member that was killed needs no release. A stopped member receives it once it continues.
+        let line = format!("FLEET GIVE {} {token}", self.spec.held_budget);
+        while was_held && !self.is_stopping() {
             let answer = call_management(self.addr, &line);
             if let Some(answer) = &answer
                 && !answer.starts_with("200 ")
             {
-                self.books.lock().unwrap().failed_releases += 1;
+                self.stats.lock().unwrap().failed_releases += 1;
             }
             if answer.is_some() {
                 break;
@@ -152,70 +158,74 @@
         }
     }
 
-    fn turn(&self, holds: &mut Vec<thread::JoinHandle<()>>) {
-        let token = TOKEN.fetch_add(1, Ordering::Relaxed);
-        holds.extend(self.hold(token));
-        holds.retain(|hold| !hold.is_finished());
-        let asked = Instant::now();
-        if let Some(rate) = &self.wants.rate_budget
-            && self.take(rate, token)
+    /// Takes a unit of the held budget, and one of the rate budget if there is one.
+    fn run_once(&self, pending_releases: &mut Vec<thread::JoinHandle<()>>) {
+        let token = NEXT_TOKEN.fetch_add(1, Ordering::Relaxed);
+        pending_releases.extend(self.take_and_hold(token));
+        pending_releases.retain(|release| !release.is_finished());
+        let requested = Instant::now();
+        if let Some(rate) = &self.spec.rate_budget
+            && self.take_unit(rate, token)
         {
-            self.books
+            self.stats
                 .lock()
                 .unwrap()
                 .rate_uses
-                .push((asked, Instant::now()));
+                .push((requested, Instant::now()));
         }
     }
 }
 
 impl BudgetWorkload {
-    /// Callers at each member; none presses until it is told to.
-    pub fn start(members: &FleetHarness, wants: &WorkloadSpec) -> Self {
+    /// Starts the workers of all members, all of them inactive.
+    pub fn start(members: &FleetHarness, spec: &WorkloadSpec) -> Self {
         let stats = Arc::new(Mutex::new(WorkloadStats::default()));
-        let press = (0..members.member_count()).map(|_| AtomicU32::new(0));
-        let press: Arc<Vec<AtomicU32>> = Arc::new(press.collect());
-        let over = Arc::new(AtomicBool::new(false));
+        let active_workers = (0..members.member_count()).map(|_| AtomicU32::new(0));
+        let active_workers: Arc<Vec<AtomicU32>> = Arc::new(active_workers.collect());
+        let stopping = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
         for at in 0..members.member_count() {
-            for number in 0..wants.workers_per_member {
-                let caller = Caller {
+            for number in 0..spec.workers_per_member {
+                let worker = Worker {
                     at,
-                    greedy: wants.greedy && number > 0,
+                    greedy: spec.greedy && number > 0,
                     addr: members.management_addr(at),
-                    wants: wants.clone(),
-                    books: stats.clone(),
-                    over: over.clone(),
+                    spec: spec.clone(),
+                    stats: stats.clone(),
+                    stopping: stopping.clone(),
                 };
-                let press = press.clone();
+                let active_workers = active_workers.clone();
                 threads.push(thread::spawn(move || {
-                    let mut holds = Vec::new();
-                    while !caller.ends() {
-                        match number < press[at].load(Ordering::Relaxed) {
-                            true => caller.turn(&mut holds),
+                    let mut pending_releases = Vec::new();
+                    while !worker.is_stopping() {
+                        match number < active_workers[at].load(Ordering::Relaxed) {
+                            true => worker.run_once(&mut pending_releases),
                             false => thread::sleep(Duration::from_millis(5)),
                         }
                     }
-                    holds.into_iter().for_each(|hold| hold.join().unwrap());
+                    pending_releases
+                        .into_iter()
+                        .for_each(|release| release.join().unwrap());
                 }));
             }
         }
         Self {
             stats,
-            press,
-            over,
+            active_workers,
+            stopping,
             threads,
         }
     }
 
-    pub fn set_active_workers(&self, at: usize, callers: u32) {
-        self.press[at].store(callers, Ordering::Relaxed);
+    /// Sets how many workers of member `at` are active.
+    pub fn set_active_workers(&self, at: usize, count: u32) {
+        self.active_workers[at].store(count, Ordering::Relaxed);
     }
 
-    /// The mean use of the held budget over a time.
+    /// The mean number of units of the held budget in use over `span`.
     pub fn mean_units_in_use(&self, span: Duration) -> f64 {
-        let (begun, mut sum, mut count) = (Instant::now(), 0, 0u32);
-        while begun.elapsed() < span {
+        let (started, mut sum, mut count) = (Instant::now(), 0, 0u32);
+        while started.elapsed() < span {
             sum += self.stats.lock().unwrap().units_in_use();
             count += 1;
             thread::sleep(Duration::from_millis(2));
@@ -223,14 +233,15 @@
         sum as f64 / f64::from(count)
     }
 
+    /// Waits for the workers to end, and returns the statistics.
     pub fn stop(self) -> WorkloadStats {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopping.store(true, Ordering::Relaxed);
         self.threads
             .into_iter()
             .for_each(|thread| thread.join().unwrap());
         Arc::try_unwrap(self.stats)
             .ok()
-            .expect("all callers have ended")
+            .expect("a worker still holds the statistics")
             .into_inner()
             .unwrap()
     }
--- a/crates/standins/src/duty_history.rs
+++ b/crates/standins/src/duty_history.rs
@@ -1,4 +1,5 @@
-//! What several processes and a receiver say of duties, merged by the machine's monotonic clock, and checked.
+//! Duty events of several processes and work items of a receiver, merged according to the machine's monotonic clock
+//! and checked against the invariants of duties.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +7,17 @@
 
 use crate::receiver::Work;
 
+/// The kind of a duty event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DutyEventKind {
     Gained,
-    /// Since when, in truth: a process that was stopped tells it late.
+    /// The event's time is that of the actual loss: a process that was stopped logs it late.
     Lost,
-    /// The process was killed.
+    /// The process was killed, and with it all its holdings ended.
     Killed,
 }
 
+/// A change of a duty's holder, at a time in milliseconds of CLOCK_BOOTTIME.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DutyEvent {
     pub mono_ms: u64,
@@ -24,32 +27,32 @@
     pub kind: DutyEventKind,
 }
 
-/// A log line in JSON as a record, if it is about a duty.
+/// Parses a JSON log line; returns none if it is not an event of a duty.
 pub fn parse_log_line(node: &str, line: &str) -> Option<DutyEvent> {
     let line: Value = serde_json::from_str(line).ok()?;
-    let what = match line["message"].as_str()? {
+    let kind = match line["message"].as_str()? {
         "duty gained" => DutyEventKind::Gained,
         "duty lost" => DutyEventKind::Lost,
         _ => return None,
     };
     let mut mono_ms = line["mono_ms"].as_u64()?;
-    if what == DutyEventKind::Lost
-        && let Some(by) = line["why"]
+    if kind == DutyEventKind::Lost
+        && let Some(stopped_ms) = line["why"]
             .as_str()
             .and_then(|why| why.strip_prefix("stopped for "))
     {
-        mono_ms -= by.split(' ').next()?.parse::<u64>().ok()?;
+        mono_ms -= stopped_ms.split(' ').next()?.parse::<u64>().ok()?;
     }
     Some(DutyEvent {
         mono_ms,
         node: node.to_string(),
         duty: line["duty"].as_str()?.to_string(),
         fence: line["fence"].as_u64()?,
-        kind: what,
+        kind,
     })
 }
 
-/// One holding: from when to when, by the holder's own words.
+/// The period in milliseconds of CLOCK_BOOTTIME in which a node held a duty according to its own log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holding {
     pub node: String,
@@ -59,83 +62,85 @@
     pub until: u64,
 }
 
-/// The holdings of all nodes in the order in which they began. Kills end what their node held.
-pub fn reconstruct_holdings(records: &[DutyEvent]) -> Vec<Holding> {
-    let mut records = records.to_vec();
-    // Within a millisecond numbers tell the order; a holding may be no longer than that. Kills come last.
-    let order = |record: &DutyEvent| match record.kind {
-        DutyEventKind::Gained => (record.fence, 0),
-        DutyEventKind::Lost => (record.fence, 1),
+/// Returns the holdings of all nodes in the order of their starts. A kill ends all holdings of its node.
+pub fn reconstruct_holdings(events: &[DutyEvent]) -> Vec<Holding> {
+    let mut events = events.to_vec();
+    // Within a millisecond the fencing numbers give the order: a holding may begin and end in it. Kills sort last.
+    let order = |event: &DutyEvent| match event.kind {
+        DutyEventKind::Gained => (event.fence, 0),
+        DutyEventKind::Lost => (event.fence, 1),
         DutyEventKind::Killed => (u64::MAX, 2),
     };
-    records.sort_by_key(|record| (record.mono_ms, order(record)));
-    let mut open: BTreeMap<(String, String), Holding> = BTreeMap::new();
-    let mut all = Vec::new();
-    for record in records {
-        let key = (record.node.clone(), record.duty.clone());
-        match record.kind {
+    events.sort_by_key(|event| (event.mono_ms, order(event)));
+    let mut open_holdings: BTreeMap<(String, String), Holding> = BTreeMap::new();
+    let mut holdings = Vec::new();
+    for event in events {
+        let key = (event.node.clone(), event.duty.clone());
+        match event.kind {
             DutyEventKind::Gained => {
                 let holding = Holding {
-                    node: record.node,
-                    duty: record.duty,
-                    fence: record.fence,
-                    from: record.mono_ms,
+                    node: event.node,
+                    duty: event.duty,
+                    fence: event.fence,
+                    from: event.mono_ms,
                     until: u64::MAX,
                 };
-                all.extend(open.insert(key, holding));
+                holdings.extend(open_holdings.insert(key, holding));
+            }
+            DutyEventKind::Lost => {
+                holdings.extend(open_holdings.remove(&key).map(|mut holding| {
+                    holding.until = event.mono_ms;
+                    holding
+                }))
             }
-            DutyEventKind::Lost => all.extend(open.remove(&key).map(|mut holding| {
-                holding.until = record.mono_ms;
-                holding
-            })),
             DutyEventKind::Killed => {
-                let of = open.extract_if(.., |(node, _), _| *node == record.node);
-                all.extend(of.map(|(_, mut holding)| {
-                    holding.until = record.mono_ms;
+                let ended = open_holdings.extract_if(.., |(node, _), _| *node == event.node);
+                holdings.extend(ended.map(|(_, mut holding)| {
+                    holding.until = event.mono_ms;
                     holding
                 }));
             }
         }
     }
-    all.extend(open.into_values());
-    all.sort_by_key(|holding| (holding.from, holding.fence));
-    all
+    holdings.extend(open_holdings.into_values());
+    holdings.sort_by_key(|holding| (holding.from, holding.fence));
+    holdings
 }
 
-/// Every invariant that is broken, by name.
-pub fn find_duty_violations(records: &[DutyEvent], works: &[Work]) -> Vec<String> {
-    let mut broken = Vec::new();
-    let mut last: BTreeMap<String, Holding> = BTreeMap::new();
-    for holding in reconstruct_holdings(records) {
-        if let Some(before) = last.get(&holding.duty) {
-            if holding.from < before.until {
-                broken.push(format!("One Holder: {before:?} and {holding:?}"));
+/// Returns a line for each violation, headed by the name of the invariant.
+pub fn find_duty_violations(events: &[DutyEvent], items: &[Work]) -> Vec<String> {
+    let mut violations = Vec::new();
+    let mut last_holdings: BTreeMap<String, Holding> = BTreeMap::new();
+    for holding in reconstruct_holdings(events) {
+        if let Some(previous) = last_holdings.get(&holding.duty) {
+            if holding.from < previous.until {
+                violations.push(format!("One Holder: {previous:?} and {holding:?}"));
             }
-            if holding.fence <= before.fence {
-                broken.push(format!("Fencing: {before:?}, then {holding:?}"));
+            if holding.fence <= previous.fence {
+                violations.push(format!("Fencing: {previous:?}, then {holding:?}"));
             }
         }
-        last.insert(holding.duty.clone(), holding);
+        last_holdings.insert(holding.duty.clone(), holding);
     }
-    let mut newest: BTreeMap<&str, &Work> = BTreeMap::new();
-    for work in works.iter().filter(|work| work.taken) {
-        match newest.get(work.duty.as_str()) {
-            Some(before) if work.fence < before.fence => {
-                broken.push(format!(
-                    "Fencing: the receiver took {work:?} after {before:?}"
+    let mut newest_items: BTreeMap<&str, &Work> = BTreeMap::new();
+    for item in items.iter().filter(|item| item.taken) {
+        match newest_items.get(item.duty.as_str()) {
+            Some(previous) if item.fence < previous.fence => {
+                violations.push(format!(
+                    "Fencing: the receiver took {item:?} after {previous:?}"
                 ));
             }
             _ => {
-                newest.insert(&work.duty, work);
+                newest_items.insert(&item.duty, item);
             }
         }
     }
-    broken
+    violations
 }
 
-/// For how long a duty was held by nobody at most, between its first holding and `until`.
-pub fn longest_unheld_ms(records: &[DutyEvent], duty: &str, from: u64, until: u64) -> u64 {
-    let holdings = reconstruct_holdings(records);
+/// The longest time in milliseconds between `from` and `until` during which no node held the duty.
+pub fn longest_unheld_ms(events: &[DutyEvent], duty: &str, from: u64, until: u64) -> u64 {
+    let holdings = reconstruct_holdings(events);
     let (mut held_until, mut longest) = (from, 0);
     for holding in holdings.iter().filter(|holding| holding.duty == duty) {
         if holding.until <= from || holding.from >= until {
--- a/crates/standins/src/echo_server.rs
+++ b/crates/standins/src/echo_server.rs
@@ -1,5 +1,5 @@
-//! A server of lines that serves by itself: it takes every `OPEN` it has room for, answers each line and
-//! each probe, and goes wrong on command.
+//! A server of the line protocol that runs without the test's help: it accepts every `OPEN` within its capacity,
+//! answers each line and each probe, and injects faults when a test selects them.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,20 +9,21 @@
 
 use crate::boottime_ms;
 
-/// How it goes wrong.
+/// A fault of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
+    /// Works without a fault.
     None,
-    /// Takes connections and says nothing.
+    /// Accepts connections and sends nothing.
     Silent,
     /// Answers each `OPEN` with `ERR`.
     Failing,
-    /// Answers each line this much later.
+    /// Answers each line after this delay.
     Slow(Duration),
 }
 
-/// A client's connection here, by the clock that all processes of the machine share; it lasts until `u64::MAX` for as
-/// long as it is open.
+/// A client connection that the server accepted. Times are milliseconds of the clock that all processes of the
+/// machine share; `until` is `u64::MAX` while the connection is open.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Visit {
     pub id: String,
@@ -33,15 +34,16 @@
 #[derive(Debug)]
 struct State {
     fault: Fault,
-    room: usize,
-    open: usize,
-    /// When each `OPEN` came.
-    opened: Vec<Instant>,
-    /// Each connection that was taken.
+    capacity: usize,
+    open_count: usize,
+    /// Arrival time of each `OPEN`.
+    open_times: Vec<Instant>,
+    /// All accepted connections, open and ended.
     visits: Vec<Visit>,
     streams: Vec<TcpStream>,
 }
 
+/// A running server; clones control the same one.
 #[derive(Clone, Debug)]
 pub struct EchoServer {
     pub addr: SocketAddr,
@@ -50,117 +52,129 @@
 }
 
 impl EchoServer {
-    /// Starts one with room for so many connections.
-    pub fn start(uid: &str, room: usize) -> std::io::Result<Self> {
+    /// Starts a server on a free loopback port that accepts up to `capacity` connections at a time.
+    ///
+    /// # Errors
+    /// The port cannot be bound.
+    pub fn start(uid: &str, capacity: usize) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let state = State {
             fault: Fault::None,
-            room,
-            open: 0,
-            opened: Vec::new(),
+            capacity,
+            open_count: 0,
+            open_times: Vec::new(),
             visits: Vec::new(),
             streams: Vec::new(),
         };
-        let worker = Self {
+        let server = Self {
             addr: listener.local_addr()?,
             uid: uid.to_string(),
             state: Arc::new(Mutex::new(state)),
         };
-        let of_thread = worker.clone();
+        let accepting = server.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let worker = of_thread.clone();
-                thread::spawn(move || worker.talk(stream));
+                let server = accepting.clone();
+                thread::spawn(move || server.serve_connection(stream));
             }
         });
-        Ok(worker)
+        Ok(server)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic")
+        self.state.lock().expect("a thread of the server panicked")
     }
 
+    /// Replaces the fault, also for open connections.
     pub fn set_fault(&self, fault: Fault) {
         self.state().fault = fault;
     }
 
-    /// Resets every connection that it has, as a process that is killed.
+    /// Shuts down all connections, as if the server's process had been killed.
     pub fn reset_connections(&self) {
         for stream in self.state().streams.drain(..) {
-            // One that has ended already needs no end.
+            // Fails for a connection that has ended already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
+    /// The number of accepted connections that are open.
     pub fn open_connections(&self) -> usize {
-        self.state().open
+        self.state().open_count
     }
 
-    /// Every connection that it has taken, in their order.
+    /// All accepted connections so far, in the order of their acceptance.
     pub fn visits(&self) -> Vec<Visit> {
         self.state().visits.clone()
     }
 
-    /// How many `OPEN` lines have come after a moment.
+    /// The number of `OPEN` lines received after `moment`.
     pub fn count_opens_after(&self, moment: Instant) -> usize {
         let state = self.state();
-        state.opened.iter().filter(|at| **at > moment).count()
+        state.open_times.iter().filter(|at| **at > moment).count()
     }
 
-    fn talk(&self, stream: TcpStream) {
+    fn serve_connection(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let Ok(mut out) = stream.try_clone() else {
+        let Ok(mut writer) = stream.try_clone() else {
             return;
         };
         let mut reader = BufReader::new(stream);
-        let mut up = None;
+        let mut visit_index = None;
         let mut line = String::new();
         while reader.read_line(&mut line).unwrap_or(0) > 0 {
             let fault = self.state().fault;
-            if let Fault::Slow(by) = fault {
-                thread::sleep(by);
+            if let Fault::Slow(delay) = fault {
+                thread::sleep(delay);
             }
             let answer = match line.split(' ').next().map(str::trim) {
                 _ if fault == Fault::Silent => None,
-                Some("OPEN") => Some(self.take(&out, fault, &line, &mut up)),
+                Some("OPEN") => Some(self.answer_open(&writer, fault, &line, &mut visit_index)),
                 Some("PING" | "STATS") => {
                     let state = self.state();
-                    let load = state.open as f64 / state.room.max(1) as f64;
+                    let load = state.open_count as f64 / state.capacity.max(1) as f64;
                     Some(format!("PONG x0={load:.3}"))
                 }
                 _ => Some(format!("OK {}", line.trim_end())),
             };
             line.clear();
-            let written = answer.map(|answer| out.write_all(format!("{answer}\r\n").as_bytes()));
+            let written = answer.map(|answer| writer.write_all(format!("{answer}\r\n").as_bytes()));
             if matches!(written, Some(Err(_))) {
                 break;
             }
         }
-        if let Some(visit) = up {
+        if let Some(index) = visit_index {
             let mut state = self.state();
-            state.open -= 1;
-            state.visits[visit].until = boottime_ms();
+            state.open_count -= 1;
+            state.visits[index].until = boottime_ms();
         }
     }
 
-    fn take(&self, stream: &TcpStream, fault: Fault, line: &str, up: &mut Option<usize>) -> String {
+    /// Answers an `OPEN`; `visit_index` becomes the index of the visit if the connection is accepted.
+    fn answer_open(
+        &self,
+        stream: &TcpStream,
+        fault: Fault,
+        line: &str,
+        visit_index: &mut Option<usize>,
+    ) -> String {
         let mut state = self.state();
-        state.opened.push(Instant::now());
+        state.open_times.push(Instant::now());
         if fault == Fault::Failing {
             return "ERR".into();
         }
-        if state.open >= state.room {
+        if state.open_count >= state.capacity {
             return "BUSY".into();
         }
-        state.open += 1;
-        *up = Some(state.visits.len());
+        state.open_count += 1;
+        *visit_index = Some(state.visits.len());
         state.visits.push(Visit {
             id: line.split_whitespace().nth(1).unwrap_or_default().into(),
             from: boottime_ms(),
             until: u64::MAX,
         });
-        let receipt = state.opened.len();
+        let open_number = state.open_times.len();
         state.streams.extend(stream.try_clone());
-        format!("UP {}-{receipt}", self.uid)
+        format!("UP {}-{open_number}", self.uid)
     }
 }
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! System call faults in one process under test, by way of `violetwind-faults`, which is preloaded into it.
+//! System call faults in a process under test, injected by `violetwind-faults`, which is preloaded into it.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -8,7 +8,7 @@
 
 use crate::WAIT_TIMEOUT;
 
-/// The rules of one process, and the file that holds them.
+/// The fault rules of one process, and the file that holds them.
 #[derive(Debug)]
 pub struct FaultInjector {
     file: PathBuf,
@@ -16,7 +16,7 @@
 }
 
 impl FaultInjector {
-    /// Rules that hold from the first call of a process that is started with [`Faults::preload`].
+    /// Writes rules that apply from the first system call of a process started with [`FaultInjector::preload`].
     pub fn new(dir: &Path, rules: &str) -> Self {
         let faults = Self {
             file: dir.join("faults"),
@@ -26,44 +26,46 @@
         faults
     }
 
-    /// Has a process that is about to be started meet the faults.
+    /// Sets up a command so that its process loads the fault library.
     pub fn preload(&self, command: &mut Command) {
         command
-            .env("LD_PRELOAD", library())
+            .env("LD_PRELOAD", library_path())
             .env("VIOLETWIND_FAULTS", &self.file);
     }
 
-    /// Other rules; they are in force in the process once this returns.
+    /// Replaces the rules; they are in force in the process once this returns.
     ///
     /// # Panics
-    /// The process does not take them.
+    /// The process does not apply the rules in time.
     pub fn set_rules(&self, rules: &str) {
-        let first = self.write(rules);
+        let version_line = self.write(rules);
         let seen = self.file.with_extension("seen");
-        let until = Instant::now() + WAIT_TIMEOUT;
-        while std::fs::read_to_string(&seen).ok().as_deref() != Some(&first) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while std::fs::read_to_string(&seen).ok().as_deref() != Some(&version_line) {
             assert!(
-                Instant::now() < until,
-                "the process does not take `{rules}`"
+                Instant::now() < deadline,
+                "the process has not applied `{rules}` in time"
             );
             thread::sleep(Duration::from_millis(1));
         }
     }
 
+    /// Replaces the file in one step; returns its first line, which identifies the version.
     fn write(&self, rules: &str) -> String {
-        let first = format!("# {}", self.version.fetch_add(1, Ordering::Relaxed));
-        let new = self.file.with_extension("next");
-        std::fs::write(&new, format!("{first}\n{rules}\n")).expect("a writable directory");
-        std::fs::rename(&new, &self.file).expect("a writable directory");
-        first
+        let version_line = format!("# {}", self.version.fetch_add(1, Ordering::Relaxed));
+        let next = self.file.with_extension("next");
+        std::fs::write(&next, format!("{version_line}\n{rules}\n"))
+            .expect("fault rules cannot be written");
+        std::fs::rename(&next, &self.file).expect("fault rules cannot be written");
+        version_line
     }
 }
 
-/// The shared object, which cargo builds beside the tests or in the folder above.
-fn library() -> PathBuf {
-    let test = std::env::current_exe().expect("a running program has a path");
-    let beside = test.ancestors().skip(1).take(3);
-    let found = beside
+/// The path of the shared library, which cargo builds in the directory of the test or one above.
+fn library_path() -> PathBuf {
+    let executable = std::env::current_exe().expect("the path of the running program is unknown");
+    let directories = executable.ancestors().skip(1).take(3);
+    let found = directories
         .flat_map(|dir| {
             [
                 dir.join("libvioletwind_faults.so"),
@@ -71,5 +73,5 @@
             ]
         })
         .find(|path| path.exists());
-    found.expect("violetwind-faults is built with the tests")
+    found.expect("libvioletwind_faults.so was not found beside the tests")
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for what surrounds a proxy: clients, servers, discovery and Consul, on free ports of
-//! the loopback network, faulty on command. They decide nothing about whether a test passes; a thread
-//! a connection keeps each of them plain. Some can be run by hand (`src/bin`).
+//! Small stand-ins for the systems around a proxy: clients, servers, discovery and Consul, on free ports of
+//! the loopback network, with faults that a test can switch on. They don't decide whether a test passes. Each
+//! uses one thread per connection to stay simple. Some can be run by hand (`src/bin`).
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -27,11 +27,12 @@
 pub use server::{Arrival, Pingable, Server, target_row};
 pub use unresponsive_host::UnresponsiveHost;
 
-/// Far longer than anything should take: a wait that long is a failure.
+/// Upper bound of every wait, far above any expected duration: reaching it is a failure.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// An address that nothing listens on, and that nobody else is given: no other test has its host,
-/// and the system gives no such port to connections. A port that was free a moment ago may not be now.
+/// Returns a loopback address that nothing listens on and that no other caller receives: the host is derived from
+/// the process id, and the port is outside the ephemeral range. Binding to port 0 and releasing it would not be
+/// enough, since a port that was free a moment ago may be taken by now.
 pub fn unused_addr() -> SocketAddr {
     static COUNT: AtomicU32 = AtomicU32::new(1);
     let id = std::process::id();
@@ -40,14 +41,14 @@
     (host, 3000 + (count >> 8) as u16).into()
 }
 
-/// Milliseconds of the machine's clock that does not go back, the same for all its processes: the one that the
-/// program writes into its log.
+/// Milliseconds of CLOCK_BOOTTIME: monotonic, the same for all processes of the machine, and the clock that the
+/// program under test writes into its log.
 pub fn boottime_ms() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     now.tv_sec as u64 * 1000 + now.tv_nsec as u64 / 1_000_000
 }
 
-/// Microseconds of CLOCK_MONOTONIC, as the program's log lines of attempts have them.
+/// Microseconds of CLOCK_MONOTONIC, the clock of the log lines that the program under test writes for attempts.
 pub fn monotonic_us() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec as u64 * 1_000_000 + now.tv_nsec as u64 / 1000
--- a/crates/standins/src/line_connection.rs
+++ b/crates/standins/src/line_connection.rs
@@ -1,4 +1,4 @@
-//! One side of a conversation in lines, for clients and for servers played by hand.
+//! One side of a connection in the line protocol, for clients and servers that a test plays itself.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -11,17 +11,20 @@
 /// How a connection ended.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
+    /// End of stream.
     Closed,
     Reset,
 }
 
-/// One side of a conversation in lines.
+/// One side of a connection in the line protocol. Unless documented otherwise, methods panic on an I/O error and when
+/// nothing arrives within `WAIT_TIMEOUT`.
 #[derive(Debug)]
 pub struct LineConnection {
     pub(crate) reader: BufReader<TcpStream>,
 }
 
 impl LineConnection {
+    /// Wraps a connected stream, with `TCP_NODELAY` and a read timeout set.
     pub fn new(stream: TcpStream) -> Self {
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -30,15 +33,19 @@
         }
     }
 
-    pub fn connect(to: SocketAddr) -> Self {
-        Self::new(TcpStream::connect(to).unwrap())
+    pub fn connect(addr: SocketAddr) -> Self {
+        Self::new(TcpStream::connect(addr).unwrap())
     }
 
+    /// Sends a line, adding CRLF.
     pub fn send_line(&mut self, line: &str) {
         self.send_bytes(format!("{line}\r\n").as_bytes());
     }
 
-    /// The same, where the other side may have gone.
+    /// Sends a line, adding CRLF, to a peer that may have closed the connection.
+    ///
+    /// # Errors
+    /// The write failed.
     pub fn try_send_line(&mut self, line: &str) -> std::io::Result<()> {
         self.reader
             .get_mut()
@@ -49,47 +56,55 @@
         self.reader.get_mut().write_all(bytes).unwrap();
     }
 
-    /// The next line without its end, or how the connection ended.
+    /// Reads the next line without its CRLF.
+    ///
+    /// # Errors
+    /// The connection ended before the line.
     pub fn try_read_line(&mut self) -> Result<String, ConnectionEnd> {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(0) => Err(ConnectionEnd::Closed),
             Ok(_) => {
                 let text = line.strip_suffix("\r\n");
-                Ok(text.unwrap_or_else(|| panic!("no CRLF: {line:?}")).into())
+                Ok(text
+                    .unwrap_or_else(|| panic!("line without CRLF: {line:?}"))
+                    .into())
             }
             Err(error) if error.kind() == ErrorKind::ConnectionReset => Err(ConnectionEnd::Reset),
-            Err(error) => panic!("nothing came: {error}"),
+            Err(error) => panic!("no line was read: {error}"),
         }
     }
 
+    /// Reads the next line without its CRLF.
     pub fn read_line(&mut self) -> String {
-        self.try_read_line().expect("a line")
+        self.try_read_line()
+            .expect("the connection ended before a line")
     }
 
-    /// The next so many bytes.
+    /// Reads exactly `count` bytes.
     pub fn read_bytes(&mut self, count: usize) -> Vec<u8> {
         let mut bytes = vec![0; count];
         self.reader.read_exact(&mut bytes).unwrap();
         bytes
     }
 
-    /// How the connection ends, with nothing more before that.
+    /// Waits for the end of the connection, before which no line may arrive.
     pub fn expect_end(&mut self) -> ConnectionEnd {
-        self.try_read_line().expect_err("the end")
+        self.try_read_line()
+            .expect_err("a line arrived in place of the end")
     }
 
-    /// Whether something comes within such a time.
+    /// Whether the connection stays open without any byte arriving for `time`.
     pub fn is_quiet_for(&mut self, time: Duration) -> bool {
         let stream = self.reader.get_ref();
         stream.set_read_timeout(Some(time)).unwrap();
-        let got = self.reader.fill_buf().map(<[u8]>::len);
+        let buffered = self.reader.fill_buf().map(<[u8]>::len);
         let stream = self.reader.get_ref();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-        matches!(got, Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut))
+        matches!(buffered, Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut))
     }
 
-    /// Whether something has come, or the connection has ended.
+    /// Whether a byte is waiting to be read, or the connection has ended.
     pub fn has_unread(&self) -> bool {
         let stream = self.reader.get_ref();
         stream.set_nonblocking(true).unwrap();
@@ -98,21 +113,22 @@
         !matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Waits until something has come, and leaves it unread.
+    /// Waits until a byte has arrived, and leaves it unread.
     pub fn wait_readable(&self) {
         assert!(self.reader.get_ref().peek(&mut [0]).unwrap() > 0);
     }
 
-    /// Ends the connection with a reset, behind whatever was said before.
+    /// Resets the connection after the bytes sent so far.
     pub fn reset(self) {
         let _ = SockRef::from(self.reader.get_ref()).set_linger(Some(Duration::ZERO));
     }
 
+    /// Closes the sending direction only.
     pub fn half_close(&self) {
         self.reader.get_ref().shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Sends bytes until the other side takes no more, or so many are through.
+    /// Sends bytes until all are written or a write blocks for `within`; returns the number of bytes written.
     pub fn send_until_blocked(&mut self, bytes: &[u8], within: Duration) -> usize {
         let stream = self.reader.get_mut();
         stream.set_write_timeout(Some(within)).unwrap();
--- a/crates/standins/src/receiver.rs
+++ b/crates/standins/src/receiver.rs
@@ -1,5 +1,6 @@
-//! A receiver of a duty's work: each piece comes with the holding's fencing number, and is taken only in the
-//! order of holdings. It keeps what it took, in order, with the machine's monotonic clock.
+//! A receiver of a duty's work items. Each item carries the fencing number of the holding it was done under, and is
+//! rejected if a higher number has been seen. All items are recorded in order of arrival, with a monotonic clock that
+//! all processes of the machine share.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -9,6 +10,7 @@
 use crate::boottime_ms;
 use crate::line_connection::LineConnection;
 
+/// A work item as received; `by` names the sender, and `taken` is false for a rejected item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Work {
     pub mono_ms: u64,
@@ -19,36 +21,41 @@
 }
 
 #[derive(Debug, Default)]
-struct Taken {
-    newest: BTreeMap<String, u64>,
-    works: Vec<Work>,
-    /// The planted error: numbers are not looked at.
+struct Received {
+    /// The highest fencing number seen, by duty.
+    highest_fences: BTreeMap<String, u64>,
+    items: Vec<Work>,
+    /// A deliberate error for tests: fencing numbers are ignored.
     unfenced: bool,
 }
 
+/// A running receiver; clones share its records.
 #[derive(Clone, Debug)]
 pub struct Receiver {
     pub addr: SocketAddr,
-    taken: Arc<Mutex<Taken>>,
+    received: Arc<Mutex<Received>>,
 }
 
 impl Receiver {
-    /// Listens at `at`, on a free port where that is 0. Lines are `WORK DUTY FENCE BY`; the answers `TAKEN`,
+    /// Listens at `at` (port 0 picks a free one). Request lines are `WORK DUTY FENCE BY`; the answers are `TAKEN`,
     /// `STALE NEWEST` or `ERR`.
+    ///
+    /// # Errors
+    /// The address cannot be bound.
     pub fn start(at: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(at)?;
         let receiver = Self {
             addr: listener.local_addr()?,
-            taken: Arc::default(),
+            received: Arc::default(),
         };
-        let own = receiver.clone();
+        let receiver_clone = receiver.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let own = own.clone();
+                let receiver_clone = receiver_clone.clone();
                 thread::spawn(move || {
-                    let mut peer = LineConnection::new(stream);
-                    while let Ok(line) = peer.try_read_line() {
-                        peer.send_line(&own.take(&line));
+                    let mut connection = LineConnection::new(stream);
+                    while let Ok(line) = connection.try_read_line() {
+                        connection.send_line(&receiver_clone.record_work(&line));
                     }
                 });
             }
@@ -56,22 +63,22 @@
         Ok(receiver)
     }
 
-    fn take(&self, line: &str) -> String {
-        let words: Vec<&str> = line.split(' ').collect();
-        let ["WORK", duty, fence, by] = words[..] else {
+    fn record_work(&self, line: &str) -> String {
+        let fields: Vec<&str> = line.split(' ').collect();
+        let ["WORK", duty, fence, by] = fields[..] else {
             return "ERR".into();
         };
         let Ok(fence) = fence.parse::<u64>() else {
             return "ERR".into();
         };
-        let mut all = self.taken.lock().unwrap();
-        let unfenced = all.unfenced;
-        let newest = all.newest.entry(duty.to_string()).or_default();
-        let taken = unfenced || fence >= *newest;
-        *newest = fence.max(*newest);
-        let newest = *newest;
+        let mut received = self.received.lock().unwrap();
+        let unfenced = received.unfenced;
+        let highest = received.highest_fences.entry(duty.to_string()).or_default();
+        let taken = unfenced || fence >= *highest;
+        *highest = fence.max(*highest);
+        let highest = *highest;
         let (duty, by) = (duty.to_string(), by.to_string());
-        all.works.push(Work {
+        received.items.push(Work {
             mono_ms: boottime_ms(),
             duty,
             fence,
@@ -80,16 +87,17 @@
         });
         match taken {
             true => "TAKEN".into(),
-            false => format!("STALE {newest}"),
+            false => format!("STALE {highest}"),
         }
     }
 
-    /// Takes whatever comes from now on.
+    /// Accepts every item from now on, whatever its fencing number.
     pub fn disable_fencing(&self) {
-        self.taken.lock().unwrap().unfenced = true;
+        self.received.lock().unwrap().unfenced = true;
     }
 
+    /// All items received so far, rejected ones included.
     pub fn received_work(&self) -> Vec<Work> {
-        self.taken.lock().unwrap().works.clone()
+        self.received.lock().unwrap().items.clone()
     }
 }
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two that speak over TCP, faulty on command, each direction for itself.
+//! A TCP relay between two peers that can inject faults, separately for each direction.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,18 +12,19 @@
 /// What happens to the bytes of one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkMode {
+    /// Bytes are forwarded unchanged.
     Pass,
-    /// Each piece comes so much later.
+    /// Each chunk is forwarded after this delay.
     Delay(Duration),
-    /// So many bytes a second.
+    /// Forwards at most this many bytes per second.
     Throttle(u32),
-    /// Nothing is read: the sender's own buffers fill.
+    /// Nothing is read, so that the sender's buffers fill up.
     Stall,
-    /// Read, and thrown away.
+    /// Bytes are read and discarded.
     Blackhole,
-    /// Connections are reset, and new ones too.
+    /// Existing and new connections are reset.
     Reset,
-    /// Half of the next piece is passed on, then the connection is reset; after that it passes.
+    /// Forwards half of the next chunk, then resets the connection and returns to `Pass`.
     ResetMidWrite,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// From who dials to who is dialled, and back.
+/// A direction of a relayed connection: from the connecting to the accepting side, or back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     Forward,
@@ -62,105 +63,115 @@
 #[derive(Debug)]
 struct Shared {
     to: SocketAddr,
-    /// There, back.
-    ways: Mutex<[LinkMode; 2]>,
+    /// Modes of the forward and the reverse direction, indexed by `Direction`.
+    modes: Mutex<[LinkMode; 2]>,
 }
 
 impl Shared {
-    fn way(&self, direction: Direction) -> LinkMode {
-        self.ways.lock().unwrap()[direction as usize]
+    fn mode(&self, direction: Direction) -> LinkMode {
+        self.modes.lock().unwrap()[direction as usize]
     }
 }
 
+/// A running relay; clones control the same one.
 #[derive(Clone, Debug)]
 pub struct Relay {
     pub addr: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// How long a direction waits before it looks for another command.
-const LOOK: Duration = Duration::from_millis(2);
+/// Interval at which each direction checks for a mode change.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 impl Relay {
-    /// From `at` (port 0: a free one) to `to`, which need not be there yet.
+    /// Starts a relay from `at` (port 0 picks a free one) to `to`, where nothing has to listen yet.
     pub fn start(at: SocketAddr, to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(at)?;
         let addr = listener.local_addr()?;
         let shared = Arc::new(Shared {
             to,
-            ways: Mutex::new([LinkMode::Pass; 2]),
+            modes: Mutex::new([LinkMode::Pass; 2]),
         });
-        let own = shared.clone();
+        let shared_clone = shared.clone();
         thread::spawn(move || {
             for from in listener.incoming().flatten() {
-                let shared = own.clone();
-                thread::spawn(move || carry(from, &shared));
+                let shared = shared_clone.clone();
+                thread::spawn(move || relay_connection(from, &shared));
             }
         });
         Ok(Self { addr, shared })
     }
 
-    pub fn set_mode(&self, direction: Direction, way: LinkMode) {
-        self.shared.ways.lock().unwrap()[direction as usize] = way;
+    /// Changes the mode of one direction, for existing and new connections.
+    pub fn set_mode(&self, direction: Direction, mode: LinkMode) {
+        self.shared.modes.lock().unwrap()[direction as usize] = mode;
     }
 
-    pub fn set_both_modes(&self, way: LinkMode) {
-        *self.shared.ways.lock().unwrap() = [way; 2];
+    /// Changes the mode of both directions.
+    pub fn set_both_modes(&self, mode: LinkMode) {
+        *self.shared.modes.lock().unwrap() = [mode; 2];
     }
 }
 
 fn reset(stream: &TcpStream) {
-    // With no time to linger the close is a reset.
+    // A linger time of zero turns the close into a reset.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-fn carry(from: TcpStream, shared: &Arc<Shared>) {
-    let cut = |direction| shared.way(direction) == LinkMode::Reset;
-    if cut(Direction::Forward) || cut(Direction::Reverse) {
+fn relay_connection(from: TcpStream, shared: &Arc<Shared>) {
+    let is_reset = |direction| shared.mode(direction) == LinkMode::Reset;
+    if is_reset(Direction::Forward) || is_reset(Direction::Reverse) {
         return reset(&from);
     }
     let Ok(to) = TcpStream::connect_timeout(&shared.to, Duration::from_secs(1)) else {
         return reset(&from);
     };
-    let (Ok(from_too), Ok(to_too)) = (from.try_clone(), to.try_clone()) else {
+    let (Ok(from_clone), Ok(to_clone)) = (from.try_clone(), to.try_clone()) else {
         return;
     };
-    let own = shared.clone();
-    let back = thread::spawn(move || pass(to_too, from_too, &own, Direction::Reverse));
-    pass(from, to, shared, Direction::Forward);
-    let _ = back.join();
+    let shared_clone = shared.clone();
+    let reverse = thread::spawn(move || {
+        forward_direction(to_clone, from_clone, &shared_clone, Direction::Reverse)
+    });
+    forward_direction(from, to, shared, Direction::Forward);
+    let _ = reverse.join();
 }
 
-/// One direction of a connection, until it ends or is cut.
-fn pass(mut from: TcpStream, mut to: TcpStream, shared: &Shared, direction: Direction) {
-    let _ = from.set_read_timeout(Some(LOOK));
+/// Forwards one direction of a connection until it ends or is reset.
+fn forward_direction(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    shared: &Shared,
+    direction: Direction,
+) {
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let _ = from.set_nodelay(true);
     let _ = to.set_nodelay(true);
-    let mut piece = [0; 16 << 10];
-    let mut swallowed = false;
-    let end = |from: &TcpStream, to: &TcpStream| {
+    let mut chunk = [0; 16 << 10];
+    let mut discarded = false;
+    let reset_both = |from: &TcpStream, to: &TcpStream| {
         reset(from);
         reset(to);
     };
     loop {
-        let way = shared.way(direction);
-        match way {
-            LinkMode::Reset => return end(&from, &to),
+        let mode = shared.mode(direction);
+        match mode {
+            LinkMode::Reset => return reset_both(&from, &to),
             LinkMode::Stall => {
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
-            // What follows something that was thrown away makes no sense.
-            _ if swallowed && way != LinkMode::Blackhole => return end(&from, &to),
+            // Bytes after discarded ones would corrupt the stream.
+            _ if discarded && mode != LinkMode::Blackhole => return reset_both(&from, &to),
             _ => {}
         }
-        let got = match from.read(&mut piece) {
+        let read = match from.read(&mut chunk) {
             Ok(0) => {
                 let _ = to.shutdown(std::net::Shutdown::Write);
                 return;
             }
-            Ok(got) => got,
+            Ok(read) => read,
             Err(error)
                 if matches!(
                     error.kind(),
@@ -169,54 +180,57 @@
             {
                 continue;
             }
-            Err(_) => return end(&from, &to),
+            Err(_) => return reset_both(&from, &to),
         };
-        let sent = match shared.way(direction) {
-            LinkMode::Pass => to.write_all(&piece[..got]),
+        let sent = match shared.mode(direction) {
+            LinkMode::Pass => to.write_all(&chunk[..read]),
             LinkMode::Delay(by) => {
                 thread::sleep(by);
-                to.write_all(&piece[..got])
+                to.write_all(&chunk[..read])
+            }
+            LinkMode::Throttle(bytes) => {
+                write_throttled(&mut to, &chunk[..read], bytes, shared, direction)
             }
-            LinkMode::Throttle(bytes) => trickle(&mut to, &piece[..got], bytes, shared, direction),
             LinkMode::Blackhole => {
-                swallowed = true;
+                discarded = true;
                 Ok(())
             }
             LinkMode::Stall => {
-                // It came in between: nothing of it goes on before the direction does.
-                while shared.way(direction) == LinkMode::Stall {
-                    thread::sleep(LOOK);
+                // This chunk was read just before the stall began: it is held back until the stall ends.
+                while shared.mode(direction) == LinkMode::Stall {
+                    thread::sleep(POLL_INTERVAL);
                 }
-                to.write_all(&piece[..got])
+                to.write_all(&chunk[..read])
             }
-            LinkMode::Reset => return end(&from, &to),
+            LinkMode::Reset => return reset_both(&from, &to),
             LinkMode::ResetMidWrite => {
-                let _ = to.write_all(&piece[..got / 2]);
-                shared.ways.lock().unwrap()[direction as usize] = LinkMode::Pass;
-                return end(&from, &to);
+                let _ = to.write_all(&chunk[..read / 2]);
+                shared.modes.lock().unwrap()[direction as usize] = LinkMode::Pass;
+                return reset_both(&from, &to);
             }
         };
         if sent.is_err() {
-            return end(&from, &to);
+            return reset_both(&from, &to);
         }
     }
 }
 
-fn trickle(
+/// Writes bytes one by one at a rate; once the mode changes, the rest follows at once.
+fn write_throttled(
     to: &mut TcpStream,
     bytes: &[u8],
-    a_second: u32,
+    bytes_per_s: u32,
     shared: &Shared,
     direction: Direction,
 ) -> std::io::Result<()> {
-    let begun = Instant::now();
-    for (at, byte) in bytes.iter().enumerate() {
-        let due = Duration::from_secs_f64(at as f64 / f64::from(a_second));
-        while begun.elapsed() < due {
-            if shared.way(direction) != LinkMode::Throttle(a_second) {
-                return to.write_all(&bytes[at..]);
+    let started = Instant::now();
+    for (index, byte) in bytes.iter().enumerate() {
+        let due = Duration::from_secs_f64(index as f64 / f64::from(bytes_per_s));
+        while started.elapsed() < due {
+            if shared.mode(direction) != LinkMode::Throttle(bytes_per_s) {
+                return to.write_all(&bytes[index..]);
             }
-            thread::sleep(LOOK.min(due));
+            thread::sleep(POLL_INTERVAL.min(due));
         }
         to.write_all(&[*byte])?;
     }
