--- a/crates/standins/src/consul.rs
+++ b/crates/standins/src/consul.rs
@@ -1,6 +1,6 @@
-//! A Consul agent as its public HTTP API describes it: `/v1/health/service/NAME` and
-//! `/v1/catalog/service/NAME` with blocking queries, whose index rises with each change. It can lie,
-//! stall and break off on command.
+//! A stand-in for a Consul agent, according to its public HTTP API: `/v1/health/service/NAME` and
+//! `/v1/catalog/service/NAME` with blocking queries, whose index rises with each change. It can answer wrongly,
+//! stall and break off an answer on command.
 
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
@@ -14,35 +14,38 @@
 use crate::WAIT_TIMEOUT;
 use crate::http::HttpRequest;
 
-/// How calls are dealt with.
+/// How requests are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConsulMode {
+    /// Answers as the API describes it.
     Works,
-    /// Takes calls and says nothing, with the connection open.
+    /// Accepts requests and sends nothing, with the connection open.
     Silent,
     /// Ends the connection without an answer.
     Resets,
+    /// Answers 429.
     TooMany,
+    /// Answers 500.
     Fails,
-    /// `X-Consul-KnownLeader: false`.
+    /// Answers with `X-Consul-KnownLeader: false`.
     NoLeader,
-    /// Ends half-way through the body.
+    /// Closes the connection halfway through the body.
     HalfBody,
-    /// Rows without end.
+    /// Sends rows without end.
     Endless,
-    /// Some of the body, and then nothing more.
+    /// Sends half of the body and then nothing more, with the connection open.
     Stalls,
-    /// What was true when the mood began, with the age in `X-Consul-LastContact`.
+    /// Answers with the state at the time when this mode was set, and with this age in `X-Consul-LastContact`.
     Old(u64),
-    /// An index of zero.
+    /// Answers with an index of zero.
     IndexZero,
-    /// No index at all.
+    /// Answers without an index.
     NoIndex,
-    /// A body that is no JSON.
+    /// Answers with a body that is not valid JSON.
     Garbles,
 }
 
-/// The worst of an instance's checks.
+/// The worst status of an instance's checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Check {
     Passing,
@@ -50,6 +53,7 @@
     Critical,
 }
 
+/// The maintenance mode of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Maintenance {
     None,
@@ -63,11 +67,12 @@
     pub id: String,
     pub node: String,
     pub node_address: String,
-    /// Empty: the node's counts.
+    /// If empty, the node's address applies.
     pub address: String,
     pub port: u16,
     pub tags: Vec<String>,
     pub meta: BTreeMap<String, String>,
+    /// Weights while passing and while warning.
     pub weights: (u64, u64),
     pub check: Check,
     pub maintenance: Maintenance,
@@ -77,6 +82,7 @@
 }
 
 impl Instance {
+    /// A passing instance in datacenter `dc1`, on a node of its own.
     pub fn new(id: &str, at: SocketAddr) -> Self {
         Self {
             id: id.to_string(),
@@ -148,8 +154,9 @@
     }
 }
 
+/// An instance with its serialized rows.
 #[derive(Debug)]
-struct Rows {
+struct InstanceRows {
     instance: Instance,
     health: String,
     catalog: String,
@@ -159,19 +166,19 @@
 struct State {
     service: String,
     index: u64,
-    rows: BTreeMap<String, Rows>,
-    mood: ConsulMode,
-    /// What an old answer holds.
+    rows: BTreeMap<String, InstanceRows>,
+    mode: ConsulMode,
+    /// Index, health body and catalog body of answers in mode `Old`.
     frozen: Option<(u64, String, String)>,
     token: Option<String>,
-    calls: Vec<(Instant, HttpRequest)>,
+    requests: Vec<(Instant, HttpRequest)>,
     /// The index of the last answer.
-    told: u64,
-    open: usize,
-    most_open: usize,
+    last_answered_index: u64,
+    open_count: usize,
+    max_open_count: usize,
 }
 
-/// Dropping it leaves its threads to the end of the process.
+/// A running Consul stand-in; clones control the same one. Its threads run until the process ends.
 #[derive(Clone, Debug)]
 pub struct Consul {
     pub addr: SocketAddr,
@@ -179,12 +186,13 @@
 }
 
 impl State {
+    /// The JSON array of a datacenter's health or catalog rows.
     fn body(&self, dc: &str, health: bool) -> String {
         let rows = self
             .rows
             .values()
             .filter(|row| row.instance.datacenter == dc);
-        let text = |row: &Rows| {
+        let row_length = |row: &InstanceRows| {
             if health {
                 row.health.len()
             } else {
@@ -192,7 +200,7 @@
             }
         };
         let mut body =
-            String::with_capacity(2 + rows.clone().map(|row| text(row) + 1).sum::<usize>());
+            String::with_capacity(2 + rows.clone().map(|row| row_length(row) + 1).sum::<usize>());
         body.push('[');
         for row in rows {
             if body.len() > 1 {
@@ -204,12 +212,13 @@
         body
     }
 
-    fn put(&mut self, mut instance: Instance) {
+    /// Inserts or replaces an instance, with a new index.
+    fn upsert(&mut self, mut instance: Instance) {
         self.index += 1;
         let old = self.rows.get(&instance.id);
         instance.create_index = old.map_or(self.index, |row| row.instance.create_index);
         instance.modify_index = self.index;
-        let row = Rows {
+        let row = InstanceRows {
             health: instance.health_row(&self.service).to_string(),
             catalog: instance.catalog_row(&self.service).to_string(),
             instance,
@@ -219,35 +228,40 @@
 }
 
 impl Consul {
+    /// Starts on a free loopback port.
     pub fn start(service: &str) -> Self {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        Self::listen(any, service).expect("a free port of the loopback network")
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        Self::listen(any_port, service).expect("no loopback port could be bound")
     }
 
+    /// Starts at an address.
+    ///
+    /// # Errors
+    /// The address cannot be bound.
     pub fn listen(at: SocketAddr, service: &str) -> std::io::Result<Self> {
         let listener = TcpListener::bind(at)?;
         let state = State {
             service: service.to_string(),
             index: 10,
             rows: BTreeMap::new(),
-            mood: ConsulMode::Works,
+            mode: ConsulMode::Works,
             frozen: None,
             token: None,
-            calls: Vec::new(),
-            told: 0,
-            open: 0,
-            most_open: 0,
+            requests: Vec::new(),
+            last_answered_index: 0,
+            open_count: 0,
+            max_open_count: 0,
         };
         let consul = Self {
             addr: listener.local_addr()?,
             state: Arc::new((Mutex::new(state), Condvar::new())),
         };
-        let of_thread = consul.clone();
+        let accepting = consul.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let _ = stream.set_nodelay(true);
-                let consul = of_thread.clone();
-                thread::spawn(move || consul.talk(stream));
+                let consul = accepting.clone();
+                thread::spawn(move || consul.serve_connection(stream));
             }
         });
         Ok(consul)
@@ -257,20 +271,23 @@
         self.state.0.lock().unwrap()
     }
 
+    /// Changes the state, and wakes blocked requests.
     fn change(&self, change: impl FnOnce(&mut State)) {
         change(&mut self.state());
         self.state.1.notify_all();
     }
 
-    /// Registers an instance, or changes it.
+    /// Registers an instance, or replaces the one with the same id.
     pub fn register(&self, instance: Instance) {
-        self.change(|state| state.put(instance));
+        self.change(|state| state.upsert(instance));
     }
 
+    /// Registers instances, each with an index of its own.
     pub fn register_all(&self, instances: impl IntoIterator<Item = Instance>) {
-        self.change(|state| instances.into_iter().for_each(|i| state.put(i)));
+        self.change(|state| instances.into_iter().for_each(|i| state.upsert(i)));
     }
 
+    /// Removes instances in one step of the index.
     pub fn deregister(&self, ids: &[&str]) {
         self.change(|state| {
             state.index += 1;
@@ -278,152 +295,168 @@
         });
     }
 
-    /// Changes instances in one step of the index.
+    /// Changes instances under one lock, so that no answer has only some of the changes.
     pub fn update_instances(&self, ids: &[&str], alter: impl Fn(&mut Instance)) {
         self.change(|state| {
             for id in ids {
                 if let Some(row) = state.rows.get(*id) {
                     let mut instance = row.instance.clone();
                     alter(&mut instance);
-                    state.put(instance);
+                    state.upsert(instance);
                 }
             }
         });
     }
 
+    /// Sets the check status of instances.
     pub fn set_check(&self, ids: &[&str], check: Check) {
         self.update_instances(ids, |instance| instance.check = check);
     }
 
-    pub fn set_mode(&self, mood: ConsulMode) {
+    /// Changes the mode; `Old` takes its copy of the state here.
+    pub fn set_mode(&self, mode: ConsulMode) {
         self.change(|state| {
-            if let ConsulMode::Old(_) = mood {
+            if let ConsulMode::Old(_) = mode {
                 let (health, catalog) = (state.body("dc1", true), state.body("dc1", false));
                 state.frozen = Some((state.index, health, catalog));
             }
-            state.mood = mood;
+            state.mode = mode;
         });
     }
 
-    /// Starts to count from a low index again, as after a lost state.
+    /// Resets the index to 1, as after a loss of Consul's state.
     pub fn reset_index(&self) {
         self.change(|state| state.index = 1);
     }
 
-    /// Calls without this token are turned away with 403.
+    /// Requests without this token are answered with 403.
     pub fn require_token(&self, token: Option<&str>) {
         self.change(|state| state.token = token.map(str::to_string));
     }
 
-    /// Waits until so many calls have come, and returns them.
+    /// Waits until `count` requests have arrived, and returns all requests so far with their times.
     pub fn wait_for_requests(&self, count: usize) -> Vec<(Instant, HttpRequest)> {
-        let wait = self
+        let waited = self
             .state
             .1
-            .wait_timeout_while(self.state(), WAIT_TIMEOUT, |s| s.calls.len() < count);
-        let (state, timeout) = wait.unwrap();
+            .wait_timeout_while(self.state(), WAIT_TIMEOUT, |state| {
+                state.requests.len() < count
+            });
+        let (state, timeout) = waited.unwrap();
         assert!(
             !timeout.timed_out(),
-            "{} calls of {count}",
-            state.calls.len()
+            "received {} of {count} requests",
+            state.requests.len()
         );
-        state.calls.clone()
+        state.requests.clone()
     }
 
+    /// The number of requests so far.
     pub fn request_count(&self) -> usize {
-        self.state().calls.len()
+        self.state().requests.len()
     }
 
-    /// Waits until an answer holds all that was changed before.
+    /// Waits until an answer with the present index has been sent.
     pub fn wait_until_changes_served(&self) {
-        let behind = |s: &mut State| s.told < s.index;
-        let wait = self
+        let is_behind = |state: &mut State| state.last_answered_index < state.index;
+        let waited = self
             .state
             .1
-            .wait_timeout_while(self.state(), WAIT_TIMEOUT, behind);
-        assert!(!wait.unwrap().1.timed_out(), "no answer");
+            .wait_timeout_while(self.state(), WAIT_TIMEOUT, is_behind);
+        assert!(
+            !waited.unwrap().1.timed_out(),
+            "no answer with the present index in time"
+        );
     }
 
-    /// The most connections that were open at a time.
+    /// The highest number of connections that were open at a time.
     pub fn max_open_connections(&self) -> usize {
-        self.state().most_open
+        self.state().max_open_count
     }
 
-    fn talk(&self, stream: TcpStream) {
+    fn serve_connection(&self, stream: TcpStream) {
         self.change(|state| {
-            state.open += 1;
-            state.most_open = state.most_open.max(state.open);
+            state.open_count += 1;
+            state.max_open_count = state.max_open_count.max(state.open_count);
         });
         let mut reader = BufReader::new(stream);
-        while let Some(call) = HttpRequest::read(&mut reader) {
-            if !self.answer(call, reader.get_mut()) {
+        while let Some(request) = HttpRequest::read(&mut reader) {
+            if !self.answer_request(request, reader.get_mut()) {
                 break;
             }
         }
-        self.change(|state| state.open -= 1);
+        self.change(|state| state.open_count -= 1);
     }
 
-    /// Answers one call; false ends the connection.
-    fn answer(&self, call: HttpRequest, stream: &mut TcpStream) -> bool {
-        let index: Option<u64> = call
+    /// Answers one request. Returns false if the connection is to be closed.
+    fn answer_request(&self, request: HttpRequest, stream: &mut TcpStream) -> bool {
+        let index: Option<u64> = request
             .query_param("index")
             .and_then(|index| index.parse().ok());
-        let wait = call
+        let wait = request
             .query_param("wait")
-            .and_then(span)
+            .and_then(parse_duration)
             .unwrap_or(Duration::from_secs(300));
-        let dc = call.query_param("dc").unwrap_or("dc1").to_string();
-        let resource = call.path().to_string();
+        let dc = request.query_param("dc").unwrap_or("dc1").to_string();
+        let path = request.path().to_string();
         let mut state = self.state();
-        state.calls.push((Instant::now(), call.clone()));
+        state.requests.push((Instant::now(), request.clone()));
         self.state.1.notify_all();
-        let health = resource == format!("/v1/health/service/{}", state.service);
-        if !health && resource != format!("/v1/catalog/service/{}", state.service) {
+        let health = path == format!("/v1/health/service/{}", state.service);
+        if !health && path != format!("/v1/catalog/service/{}", state.service) {
             return respond(stream, "404 Not Found", &[], "unknown");
         }
-        let wanted = state.token.clone();
-        if wanted.is_some() && wanted.as_deref() != call.header("x-consul-token") {
+        let required_token = state.token.clone();
+        if required_token.is_some() && required_token.as_deref() != request.header("x-consul-token")
+        {
             return respond(stream, "403 Forbidden", &[], "Permission denied");
         }
-        // An index of zero never blocks; a longer wait than asked for is the API's own jitter.
+        // An index of zero never blocks. The API adds up to 1/16 of the requested wait as jitter.
         if let Some(index) = index.filter(|index| *index > 0) {
-            let idle = |s: &mut State| matches!(s.mood, ConsulMode::Works) && s.index <= index;
-            let most = wait + wait / 16;
+            let is_unchanged =
+                |state: &mut State| matches!(state.mode, ConsulMode::Works) && state.index <= index;
+            let max_wait = wait + wait / 16;
             state = self
                 .state
                 .1
-                .wait_timeout_while(state, most, idle)
+                .wait_timeout_while(state, max_wait, is_unchanged)
                 .unwrap()
                 .0;
         }
-        let mood = state.mood;
+        let mode = state.mode;
         let (index, body) = match &state.frozen {
-            Some((index, health_body, catalog)) if matches!(mood, ConsulMode::Old(_)) => {
+            Some((index, health_body, catalog)) if matches!(mode, ConsulMode::Old(_)) => {
                 (*index, if health { health_body } else { catalog }.clone())
             }
             _ => (state.index, state.body(&dc, health)),
         };
-        state.told = index;
+        state.last_answered_index = index;
         drop(state);
         self.state.1.notify_all();
         let index_header = ("X-Consul-Index", index.to_string());
-        let leader = |known: &str| ("X-Consul-KnownLeader", known.to_string());
-        let contact = |age: u64| ("X-Consul-LastContact", age.to_string());
-        let whole = |index, known, age, body: &str, stream: &mut TcpStream| {
+        let leader_header = |known: &str| ("X-Consul-KnownLeader", known.to_string());
+        let last_contact_header = |age: u64| ("X-Consul-LastContact", age.to_string());
+        let respond_full = |index, known, age, body: &str, stream: &mut TcpStream| {
             respond(
                 stream,
                 "200 OK",
-                &[("X-Consul-Index", index), leader(known), contact(age)],
+                &[
+                    ("X-Consul-Index", index),
+                    leader_header(known),
+                    last_contact_header(age),
+                ],
                 body,
             )
         };
-        match mood {
-            ConsulMode::Works => whole(index.to_string(), "true", 0, &body, stream),
-            ConsulMode::Old(age) => whole(index.to_string(), "true", age, &body, stream),
-            ConsulMode::NoLeader => whole(index.to_string(), "false", 0, &body, stream),
-            ConsulMode::IndexZero => whole("0".into(), "true", 0, &body, stream),
-            ConsulMode::NoIndex => respond(stream, "200 OK", &[leader("true")], &body),
-            ConsulMode::Garbles => whole(index.to_string(), "true", 0, "[{\"Node\":7]", stream),
+        match mode {
+            ConsulMode::Works => respond_full(index.to_string(), "true", 0, &body, stream),
+            ConsulMode::Old(age) => respond_full(index.to_string(), "true", age, &body, stream),
+            ConsulMode::NoLeader => respond_full(index.to_string(), "false", 0, &body, stream),
+            ConsulMode::IndexZero => respond_full("0".into(), "true", 0, &body, stream),
+            ConsulMode::NoIndex => respond(stream, "200 OK", &[leader_header("true")], &body),
+            ConsulMode::Garbles => {
+                respond_full(index.to_string(), "true", 0, "[{\"Node\":7]", stream)
+            }
             ConsulMode::TooMany => respond(stream, "429 Too Many Requests", &[], "rate limited"),
             ConsulMode::Fails => respond(
                 stream,
@@ -433,21 +466,25 @@
             ),
             ConsulMode::Resets => false,
             ConsulMode::Silent => {
-                self.while_mood(mood);
+                self.wait_while_mode(mode);
                 false
             }
             ConsulMode::HalfBody | ConsulMode::Stalls => {
-                let head = head("200 OK", &[index_header, leader("true")], Some(body.len()));
+                let head = response_head(
+                    "200 OK",
+                    &[index_header, leader_header("true")],
+                    Some(body.len()),
+                );
                 let half = &body.as_bytes()[..body.len() / 2];
                 let _ = stream.write_all(head.as_bytes());
                 let _ = stream.write_all(half);
-                if mood == ConsulMode::Stalls {
-                    self.while_mood(mood);
+                if mode == ConsulMode::Stalls {
+                    self.wait_while_mode(mode);
                 }
                 false
             }
             ConsulMode::Endless => {
-                let head = head("200 OK", &[index_header, leader("true")], None);
+                let head = response_head("200 OK", &[index_header, leader_header("true")], None);
                 let _ = stream.write_all(head.as_bytes());
                 let row = body.trim_matches(['[', ']']).as_bytes();
                 let mut first = true;
@@ -456,7 +493,7 @@
                     first = false;
                     let size = format!("{:x}\r\n", chunk.len());
                     let parts = [size.as_bytes(), &chunk, b"\r\n"].concat();
-                    if stream.write_all(&parts).is_err() || self.state().mood != mood {
+                    if stream.write_all(&parts).is_err() || self.state().mode != mode {
                         return false;
                     }
                 }
@@ -464,13 +501,14 @@
         }
     }
 
-    fn while_mood(&self, mood: ConsulMode) {
-        let same = |state: &mut State| state.mood == mood;
-        drop(self.state.1.wait_while(self.state(), same).unwrap());
+    /// Blocks while the mode is `mode`.
+    fn wait_while_mode(&self, mode: ConsulMode) {
+        let is_same_mode = |state: &mut State| state.mode == mode;
+        drop(self.state.1.wait_while(self.state(), is_same_mode).unwrap());
     }
 }
 
-fn head(status: &str, headers: &[(&str, String)], length: Option<usize>) -> String {
+fn response_head(status: &str, headers: &[(&str, String)], length: Option<usize>) -> String {
     let mut head = format!("HTTP/1.1 {status}\r\ncontent-type: application/json\r\n");
     for (name, value) in headers {
         head += &format!("{name}: {value}\r\n");
@@ -483,14 +521,14 @@
 }
 
 fn respond(stream: &mut TcpStream, status: &str, headers: &[(&str, String)], body: &str) -> bool {
-    let head = head(status, headers, Some(body.len()));
+    let head = response_head(status, headers, Some(body.len()));
     stream
         .write_all(&[head.as_bytes(), body.as_bytes()].concat())
         .is_ok()
 }
 
-/// A span as the API writes it: `10s`, `5m`, `300ms`.
-fn span(text: &str) -> Option<Duration> {
+/// Parses a duration in the API's notation: `10s`, `5m`, `300ms`.
+fn parse_duration(text: &str) -> Option<Duration> {
     let split = text.find(|c: char| !c.is_ascii_digit())?;
     let (number, unit) = (text[..split].parse().ok()?, &text[split..]);
     Some(match unit {
@@ -506,10 +544,10 @@
     use super::*;
 
     #[test]
-    fn spans_are_read_as_the_api_writes_them() {
-        assert_eq!(span("55s"), Some(Duration::from_secs(55)));
-        assert_eq!(span("300ms"), Some(Duration::from_millis(300)));
-        assert_eq!(span("s"), None);
-        assert_eq!(span("5"), None);
+    fn parses_durations_in_the_notation_of_the_api() {
+        assert_eq!(parse_duration("55s"), Some(Duration::from_secs(55)));
+        assert_eq!(parse_duration("300ms"), Some(Duration::from_millis(300)));
+        assert_eq!(parse_duration("s"), None);
+        assert_eq!(parse_duration("5"), None);
     }
 }
--- a/crates/standins/src/fleet_harness.rs
+++ b/crates/standins/src/fleet_harness.rs
@@ -1,4 +1,4 @@
-//! Several processes of the proxy as one fleet on loopback, with a relay for each way between two of them.
+//! Several processes of the proxy as one fleet on loopback, with a relay for the connections between each two members.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -16,48 +16,53 @@
 use crate::relay::{Direction, LinkMode, Relay};
 use crate::{Discovery, Server, WAIT_TIMEOUT, boottime_ms, unused_addr};
 
+/// Size and settings of the fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSpec {
+    /// The proxy's executable.
     pub program: PathBuf,
     pub voters: usize,
-    /// Members that never vote.
+    /// The number of members without a vote.
     pub non_voters: usize,
     pub lease_ms: u64,
     pub election_timeout_ms: u64,
     pub duties: Vec<String>,
-    /// How long a server that was started is cold.
+    /// Duration of slow start after a server's start.
     pub slow_start_window_s: f64,
-    /// How much the proxies log: at "debug" each attempt's decision and the writing of its line.
+    /// The proxies' log level; `debug` includes the decision on each attempt and the write of its line.
     pub log_level: &'static str,
-    /// More lines for everybody's `[fleet]` section, and behind all of the file.
+    /// Additional lines for the `[fleet]` section of all members, and for the end of the file.
     pub fleet_toml: String,
     pub extra_toml: String,
 }
 
+/// A member's process and its addresses.
 struct Process {
     child: Option<Child>,
-    addr: SocketAddr,
-    management: SocketAddr,
-    listen: SocketAddr,
+    client_addr: SocketAddr,
+    management_addr: SocketAddr,
+    peer_addr: SocketAddr,
     dir: PathBuf,
-    /// The system call faults that its process meets.
+    /// System call faults injected into the process.
     faults: Option<FaultInjector>,
 }
 
-/// Ends all it has started when it is dropped.
+/// A fleet of proxy processes. Dropping it kills the processes and deletes their files.
 pub struct FleetHarness {
     spec: FleetSpec,
     dir: PathBuf,
     processes: Vec<Process>,
-    /// By who dials and who is dialled.
+    /// Relays by the indices of the connecting and the accepting member.
     relays: BTreeMap<(usize, usize), Relay>,
+    /// Log lines with the index of the member that wrote them.
     logs: Arc<Mutex<Vec<(usize, String)>>>,
-    /// One server for all, and who lists it.
+    /// A server that is listed for all members.
     pub server: Server,
     discovery: Discovery,
     kills: Vec<DutyEvent>,
 }
 
+/// The node name of the member with this index: `node-a` to `node-z`, then `node-a1` and so on.
 pub fn node_name(at: usize) -> String {
     format!("node-{}", (b'a' + (at % 26) as u8) as char)
         + &if at < 26 {
@@ -67,14 +72,14 @@
         }
 }
 
-/// How many members a view calls live.
+/// The number of members that a `FLEET` view shows as live.
 pub fn count_live_members(view: &Value) -> Option<usize> {
     let members = view["members"].as_array()?.iter();
     Some(members.filter(|member| member["state"] == "live").count())
 }
 
 impl FleetHarness {
-    /// All of them started; nothing is waited for.
+    /// Starts all members, and returns without waiting for them to be ready.
     pub fn start(spec: FleetSpec) -> Self {
         static COUNT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let count = COUNT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -83,23 +88,26 @@
         let _ = std::fs::remove_dir_all(&dir);
         std::fs::create_dir_all(&dir).unwrap();
         let server = Server::start("s-1");
-        let process = |at: usize| Process {
+        let new_process = |at: usize| Process {
             child: None,
-            addr: unused_addr(),
-            management: unused_addr(),
-            listen: unused_addr(),
+            client_addr: unused_addr(),
+            management_addr: unused_addr(),
+            peer_addr: unused_addr(),
             dir: dir.join(node_name(at)),
             faults: None,
         };
-        let processes: Vec<Process> = (0..spec.voters + spec.non_voters).map(process).collect();
+        let processes: Vec<Process> = (0..spec.voters + spec.non_voters)
+            .map(new_process)
+            .collect();
         let mut relays = BTreeMap::new();
         for from in 0..processes.len() {
             for to in (0..spec.voters).filter(|to| *to != from) {
-                let relay = Relay::start(([127, 0, 0, 1], 0).into(), processes[to].listen).unwrap();
+                let relay =
+                    Relay::start(([127, 0, 0, 1], 0).into(), processes[to].peer_addr).unwrap();
                 relays.insert((from, to), relay);
             }
         }
-        let mut members = Self {
+        let mut harness = Self {
             spec,
             dir,
             processes,
@@ -109,14 +117,14 @@
             server,
             kills: Vec::new(),
         };
-        for at in 0..members.processes.len() {
-            members.write_files(at);
-            members.start_member(at);
+        for at in 0..harness.processes.len() {
+            harness.write_files(at);
+            harness.start_member(at);
         }
-        members
+        harness
     }
 
-    /// The server's process is listed as started just now: it is cold.
+    /// Lists the server as started just now, so that it is in slow start.
     pub fn mark_server_restarted(&self) {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let mut row = self.server.target_row("ready");
@@ -124,12 +132,12 @@
         self.discovery.upsert_target(row);
     }
 
-    /// Lists another server, or the same with other words, for all.
+    /// Adds a server to the list of all members, or replaces its row.
     pub fn upsert_target(&self, target: Value) {
         self.discovery.upsert_target(target);
     }
 
-    /// The proxies' log lines with a message, as the node and the line.
+    /// The proxies' JSON log lines that contain a text, each with the index of its member.
     pub fn log_lines_containing(&self, message: &str) -> Vec<(usize, Value)> {
         let logs = self.logs.lock().unwrap();
         let lines = logs.iter().filter(|(_, line)| line.contains(message));
@@ -138,37 +146,43 @@
             .collect()
     }
 
+    /// The number of members.
     pub fn member_count(&self) -> usize {
         self.processes.len()
     }
 
+    /// The member's address for clients.
     pub fn client_addr(&self, at: usize) -> SocketAddr {
-        self.processes[at].addr
+        self.processes[at].client_addr
     }
 
+    /// The member's address for operators.
     pub fn management_addr(&self, at: usize) -> SocketAddr {
-        self.processes[at].management
+        self.processes[at].management_addr
     }
 
+    /// The member's address for its peers.
     pub fn peer_addr(&self, at: usize) -> SocketAddr {
-        self.processes[at].listen
+        self.processes[at].peer_addr
     }
 
-    /// The directory of its log.
+    /// The directory of the member's replicated log.
     pub fn fleet_dir(&self, at: usize) -> PathBuf {
         self.processes[at].dir.join("fleet")
     }
 
+    /// The directory of the files of all members.
     pub fn dir(&self) -> &Path {
         &self.dir
     }
 
+    /// Writes the configuration files of a member.
     fn write_files(&self, at: usize) {
         let process = &self.processes[at];
         std::fs::create_dir_all(&process.dir).unwrap();
         let config = json!({
-            "name": node_name(at), "listen": process.addr.to_string(),
-            "management": process.management.to_string(),
+            "name": node_name(at), "listen": process.client_addr.to_string(),
+            "management": process.management_addr.to_string(),
             "discovery": self.discovery.addr.to_string(), "seed": format!("{:016x}", 0x51b7 + at),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"rev": 0, "all": true, "targets": []},
@@ -187,50 +201,50 @@
         });
         std::fs::write(process.dir.join("config.json"), config.to_string()).unwrap();
         let spec = &self.spec;
-        let mut file = format!(
+        let mut toml = format!(
             "[log]\nformat = \"json\"\nlevel = \"{}\"\n[fleet]\nname = \"turnos\"\nlisten = \"{}\"\nlease = \"{}ms\"\n\
              election = \"{}ms\"\n{}\n",
             spec.log_level,
-            process.listen,
+            process.peer_addr,
             spec.lease_ms,
             spec.election_timeout_ms,
             spec.fleet_toml
         );
         if at < spec.voters {
-            file += &format!("dir = \"{}\"\n", self.fleet_dir(at).display());
+            toml += &format!("dir = \"{}\"\n", self.fleet_dir(at).display());
         }
         for peer in (0..spec.voters).chain((at >= spec.voters).then_some(at)) {
             let address = match self.relays.get(&(at, peer)) {
                 Some(relay) => relay.addr,
-                None => process.listen,
+                None => process.peer_addr,
             };
             let votes = peer < spec.voters;
-            file += &format!(
+            toml += &format!(
                 "[[fleet.peer]]\nnode = \"{}\"\naddress = \"{address}\"\nvotes = {votes}\n",
                 node_name(peer)
             );
         }
         for duty in &spec.duties {
-            file += &format!("[[fleet.duty]]\nname = \"{duty}\"\n");
+            toml += &format!("[[fleet.duty]]\nname = \"{duty}\"\n");
         }
-        // Whatever each member keeps for itself.
-        let own = process.dir.join("work.out").display().to_string();
-        let lines = spec.extra_toml.replace("FILE", &own);
-        std::fs::write(process.dir.join("operator.toml"), file + &lines).unwrap();
+        // `FILE` stands for a path of this member's own.
+        let own_file = process.dir.join("work.out").display().to_string();
+        let extra_toml = spec.extra_toml.replace("FILE", &own_file);
+        std::fs::write(process.dir.join("operator.toml"), toml + &extra_toml).unwrap();
     }
 
-    /// Gives a member a file with other last lines, for its next process.
-    pub fn set_extra_toml(&mut self, at: usize, lines: &str) {
-        self.spec.extra_toml = lines.into();
+    /// Replaces the additional lines at the end of a member's file, which its next process reads.
+    pub fn set_extra_toml(&mut self, at: usize, extra_toml: &str) {
+        self.spec.extra_toml = extra_toml.into();
         self.write_files(at);
     }
 
-    /// The program of all processes that are started from now on.
+    /// Sets the executable of all processes started from now on.
     pub fn set_program(&mut self, program: PathBuf) {
         self.spec.program = program;
     }
 
-    /// Starts the process of a member on the files that it has.
+    /// Starts the process of a member with its present files.
     pub fn start_member(&mut self, at: usize) {
         let child = self.spawn(at, &mut self.command(at));
         self.processes[at].child = Some(child);
@@ -252,7 +266,7 @@
         command
     }
 
-    /// Starts a process whose lines go into the log under a member's name.
+    /// Starts a process whose log lines are recorded for a member.
     fn spawn(&self, at: usize, command: &mut Command) -> Child {
         let mut child = command.spawn().unwrap();
         let (stderr, logs) = (child.stderr.take().unwrap(), self.logs.clone());
@@ -264,7 +278,7 @@
         child
     }
 
-    /// The same for a process that meets system call faults from its first call on.
+    /// Starts the process of a member with system call faults from its first call on.
     pub fn start_member_with_faults(&mut self, at: usize, rules: &str) {
         let faults = FaultInjector::new(&self.processes[at].dir, rules);
         let mut command = self.command(at);
@@ -274,19 +288,21 @@
         self.processes[at].faults = Some(faults);
     }
 
-    /// Other system call faults for it; they hold once this returns.
+    /// Replaces the system call faults of a member's process; they are in force once this returns.
     pub fn set_faults(&self, at: usize, rules: &str) {
         let faults = self.processes[at].faults.as_ref();
-        faults.expect("started with faults").set_rules(rules);
+        faults
+            .expect("the member was started without faults")
+            .set_rules(rules);
     }
 
-    /// The same for a process that may write files of so many blocks of 512 bytes; a write beyond fails.
+    /// Starts the process of a member with a file size limit of `blocks` blocks of 512 bytes; a write beyond it fails.
     pub fn start_member_with_file_limit(&mut self, at: usize, blocks: u32) {
-        let own = self.command(at);
+        let original = self.command(at);
         let mut command = Command::new("sh");
         let script = format!("trap '' XFSZ; ulimit -S -f {blocks}; exec \"$0\"");
-        command.arg("-c").arg(script).arg(own.get_program());
-        for (key, value) in own.get_envs() {
+        command.arg("-c").arg(script).arg(original.get_program());
+        for (key, value) in original.get_envs() {
             match value {
                 Some(value) => command.env(key, value),
                 None => command.env_remove(key),
@@ -296,7 +312,7 @@
         self.processes[at].child = Some(self.spawn(at, &mut command));
     }
 
-    /// A second process of a member, with another address for operators and all else the same.
+    /// Starts a second process of a member that differs only in its address for operators.
     pub fn start_successor(&self, at: usize) -> ExtraProcess {
         let management = unused_addr();
         let child = self.spawn(
@@ -306,20 +322,20 @@
         );
         ExtraProcess {
             child,
-            client_addr: self.processes[at].addr,
+            client_addr: self.processes[at].client_addr,
             management_addr: management,
         }
     }
 
-    /// That process is the member's from now on.
-    pub fn adopt_process(&mut self, at: usize, next: &mut ExtraProcess) {
-        // The new one's handle, against one of something that has ended.
+    /// Makes a process started by [`Self::start_successor`] the member's own.
+    pub fn adopt_process(&mut self, at: usize, successor: &mut ExtraProcess) {
+        // Leaves the handle of a process that has ended in place of the successor's.
         let ended = Command::new("true").spawn().unwrap();
-        self.processes[at].child = Some(std::mem::replace(&mut next.child, ended));
-        self.processes[at].management = next.management_addr;
+        self.processes[at].child = Some(std::mem::replace(&mut successor.child, ended));
+        self.processes[at].management_addr = successor.management_addr;
     }
 
-    /// The same program on the configuration of a member, at addresses of its own, without an operator's file.
+    /// Starts the program with the configuration of a member, but at other addresses and without an operator's file.
     pub fn start_standalone_process(&self, at: usize) -> ExtraProcess {
         let (addr, management, dir) = (unused_addr(), unused_addr(), self.dir.join("plain"));
         std::fs::create_dir_all(&dir).unwrap();
@@ -336,21 +352,23 @@
         }
     }
 
+    /// Sends a signal, as `kill` names it (`-TERM`), to a member's process.
     pub fn send_signal(&self, at: usize, signal: &str) {
         if let Some(child) = &self.processes[at].child {
-            let sent = Command::new("kill")
+            let status = Command::new("kill")
                 .args([signal, &child.id().to_string()])
                 .status()
                 .unwrap();
-            assert!(sent.success(), "kill {signal} {}", node_name(at));
+            assert!(status.success(), "kill {signal} {}", node_name(at));
         }
     }
 
+    /// The process id of a member, if it has a process.
     pub fn pid(&self, at: usize) -> Option<u32> {
         self.processes[at].child.as_ref().map(Child::id)
     }
 
-    /// SIGKILL.
+    /// Kills a member's process with SIGKILL, and records the kill as a duty event.
     pub fn kill_member(&mut self, at: usize) {
         if let Some(mut child) = self.processes[at].child.take() {
             let _ = child.kill();
@@ -365,55 +383,61 @@
         }
     }
 
-    /// SIGTERM, and the wait for its end.
+    /// Sends SIGTERM to a member's process, and waits for its end.
     pub fn terminate_member(&mut self, at: usize) -> Option<ExitStatus> {
         self.send_signal(at, "-TERM");
         self.wait_for_exit(at)
     }
 
+    /// Waits for the end of a member's process.
     pub fn wait_for_exit(&mut self, at: usize) -> Option<ExitStatus> {
-        let until = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let child = self.processes[at].child.as_mut()?;
             if let Some(status) = child.try_wait().unwrap() {
                 self.processes[at].child = None;
                 return Some(status);
             }
-            assert!(Instant::now() < until, "{} does not end", node_name(at));
+            assert!(
+                Instant::now() < deadline,
+                "{} did not exit in time",
+                node_name(at)
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// What becomes of frames from one member to another, on whichever connection.
-    pub fn set_link(&self, from: usize, to: usize, way: LinkMode) {
+    /// Sets the mode of all bytes from one member to another, whichever of them opened the connection.
+    pub fn set_link(&self, from: usize, to: usize, mode: LinkMode) {
         if let Some(relay) = self.relays.get(&(from, to)) {
-            relay.set_mode(Direction::Forward, way);
+            relay.set_mode(Direction::Forward, mode);
         }
         if let Some(relay) = self.relays.get(&(to, from)) {
-            relay.set_mode(Direction::Reverse, way);
+            relay.set_mode(Direction::Reverse, mode);
         }
     }
 
-    /// All ways between two groups.
-    pub fn set_links_between(&self, some: &[usize], others: &[usize], way: LinkMode) {
-        for (a, b) in some
+    /// Sets the mode of all links between two groups, in both directions.
+    pub fn set_links_between(&self, group: &[usize], other_group: &[usize], mode: LinkMode) {
+        for (a, b) in group
             .iter()
-            .flat_map(|a| others.iter().map(move |b| (*a, *b)))
+            .flat_map(|a| other_group.iter().map(move |b| (*a, *b)))
         {
-            self.set_link(a, b, way);
-            self.set_link(b, a, way);
+            self.set_link(a, b, mode);
+            self.set_link(b, a, mode);
         }
     }
 
+    /// Lets all links pass again.
     pub fn heal_links(&self) {
         self.relays
             .values()
             .for_each(|relay| relay.set_both_modes(LinkMode::Pass));
     }
 
-    /// An operator's call; none if nobody answers in time.
+    /// Sends an operator's call to a member; returns none if no answer arrives in time.
     pub fn call_member(&self, at: usize, line: &str) -> Option<String> {
-        let call = || -> std::io::Result<String> {
+        let send = || -> std::io::Result<String> {
             let mut stream =
                 TcpStream::connect_timeout(&self.management_addr(at), Duration::from_secs(1))?;
             stream.set_read_timeout(Some(Duration::from_millis(1500)))?;
@@ -422,15 +446,15 @@
             stream.read_to_string(&mut answer)?;
             Ok(answer.trim_end().to_string())
         };
-        call().ok()
+        send().ok()
     }
 
-    /// What a member says of the fleet.
+    /// Fetches a member's `FLEET` view.
     pub fn fetch_view(&self, at: usize) -> Option<Value> {
         serde_json::from_str(self.call_member(at, "FLEET")?.strip_prefix("200 ")?).ok()
     }
 
-    /// Who says that it holds a duty, by a member that has a leader's word.
+    /// The holder of a duty according to member `at`; none if that member's view is not confirmed by a majority.
     pub fn duty_holder(&self, at: usize, duty: &str) -> Option<usize> {
         let view = self
             .fetch_view(at)
@@ -438,44 +462,47 @@
         let duty = view["duties"]
             .as_array()?
             .iter()
-            .find(|known| known["name"] == duty)?;
+            .find(|entry| entry["name"] == duty)?;
         (0..self.member_count()).find(|at| duty["holder"] == node_name(*at).as_str())
     }
 
-    /// Waits until something is so.
-    pub fn wait_until<T>(&self, what: &str, mut so: impl FnMut(&Self) -> Option<T>) -> T {
-        let until = Instant::now() + WAIT_TIMEOUT;
+    /// Waits until `condition` returns a value; `what` names it in the panic message.
+    pub fn wait_until<T>(&self, what: &str, mut condition: impl FnMut(&Self) -> Option<T>) -> T {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(found) = so(self) {
+            if let Some(found) = condition(self) {
                 return found;
             }
             assert!(
-                Instant::now() < until,
-                "{what}: never\n{}",
+                Instant::now() < deadline,
+                "timed out: {what}\n{}",
                 self.merged_log()
             );
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Waits until a member holds a duty by its own words: it gained it after `since` and has not lost it.
+    /// Waits until a member holds a duty according to its own log: gained at or after `since`, and not lost.
+    /// Returns the member and the time of the gain in milliseconds.
     pub fn wait_for_holder(&self, duty: &str, since: u64) -> (usize, u64) {
-        self.wait_until(duty, |members| {
-            let holdings = duty_history::reconstruct_holdings(&members.duty_events());
+        self.wait_until(duty, |harness| {
+            let holdings = duty_history::reconstruct_holdings(&harness.duty_events());
             let last = holdings.iter().rfind(|holding| holding.duty == duty)?;
-            let node = (0..members.member_count()).find(|at| node_name(*at) == last.node)?;
+            let node = (0..harness.member_count()).find(|at| node_name(*at) == last.node)?;
             (last.until == u64::MAX && last.from >= since).then_some((node, last.from))
         })
     }
 
+    /// All duty events in the members' logs, and the kills.
     pub fn duty_events(&self) -> Vec<DutyEvent> {
         let logs = self.logs.lock().unwrap();
-        let told = logs
+        let events = logs
             .iter()
             .filter_map(|(at, line)| duty_history::parse_log_line(&node_name(*at), line));
-        told.chain(self.kills.iter().cloned()).collect()
+        events.chain(self.kills.iter().cloned()).collect()
     }
 
+    /// All log lines in the order of their arrival, each headed by its node's name.
     pub fn merged_log(&self) -> String {
         let logs = self.logs.lock().unwrap();
         logs.iter()
@@ -483,16 +510,17 @@
             .collect()
     }
 
+    /// Whether a member has logged a line that contains `text`.
     pub fn log_contains(&self, at: usize, text: &str) -> bool {
         self.logs
             .lock()
             .unwrap()
             .iter()
-            .any(|(by, line)| *by == at && line.contains(text))
+            .any(|(member, line)| *member == at && line.contains(text))
     }
 }
 
-/// A process beside those of the members.
+/// A process in addition to those of the members. Dropping it kills the process.
 pub struct ExtraProcess {
     pub child: Child,
     pub client_addr: SocketAddr,
