--- a/crates/standins/src/soak/client.rs
+++ b/crates/standins/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! A client that asks once, talks while it is served, and writes down what it saw.
+//! A client that sends one request, exchanges messages while its connection is up, and records the outcome.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -11,18 +11,18 @@
 #[derive(Clone, Debug)]
 pub struct ClientBehaviour {
     pub class: String,
-    /// How long it waits for `UP`.
+    /// How long the client waits for `UP`.
     pub deadline: Duration,
-    /// It leaves so long after its line, if it has no answer by then.
+    /// The client disconnects this long after its `OPEN`, unless it has an answer by then.
     pub disconnect_after: Option<(Duration, DisconnectKind)>,
-    /// How long it talks once it is served, and how often.
+    /// How long the client exchanges messages once its connection is up, and the pause between two of them.
     pub session_duration: Duration,
     pub message_interval: Duration,
-    /// It says `PING` first and rests for so long before its line.
+    /// The client first sends `PING`, and pauses for this long before its `OPEN`.
     pub pause_before_open: Option<Duration>,
 }
 
-/// How it leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectKind {
     Close,
@@ -30,44 +30,46 @@
     Reset,
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The proxy could not be reached, or turned it away before its line was written.
+    /// The proxy could not be reached, or closed the connection before the `OPEN` was written.
     NotTaken,
     Up,
     Bye,
     Busy,
+    /// Any other answer line.
     Failed(String),
     /// The connection was closed or reset without an answer.
     Closed,
     Reset,
-    /// Nothing came long after its time.
+    /// No answer arrived until long after the deadline.
     Silence,
-    /// It left first.
+    /// The client disconnected before an answer.
     Left,
 }
 
-/// How a connection that was up ended.
+/// The end of a connection that was up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectionOutcome {
-    /// By the client itself, its last line answered.
+    /// The client ended it, with its last line answered.
     ByClient,
     Moved,
     /// Closed or reset without `MOVE`.
     Cut,
-    /// A line of the client was not answered for so long.
+    /// A line of the client was not answered for this long.
     Held(Duration),
-    /// Something else than an answer came.
+    /// A line arrived that is not the expected answer.
     Spoilt(String),
 }
 
+/// A client's record of its request.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     pub id: String,
     pub class: String,
     pub deadline: Duration,
-    /// When its last byte was written.
+    /// When the last byte of its `OPEN` was written.
     pub sent_at: Instant,
     pub outcome: RequestOutcome,
     pub answered_at: Instant,
@@ -76,15 +78,15 @@
     pub ended_at: Instant,
 }
 
-/// Far past any time: what has not come by then never comes.
-const NEVER: Duration = Duration::from_secs(3);
-/// A server that brings nothing back is to be left within this.
-const SILENT: Duration = Duration::from_secs(7);
+/// Added to a time limit: an answer that has not arrived by then is taken as never arriving.
+const NO_ANSWER_MARGIN: Duration = Duration::from_secs(3);
+/// The proxy has to leave a server that sends nothing back within this time.
+const SILENT_SERVER_LIMIT: Duration = Duration::from_secs(7);
 
-/// Asks at a proxy and stays until the end.
+/// Sends a request to a proxy, and follows the connection to its end.
 pub fn run_client(proxy: SocketAddr, id: &str, behaviour: &ClientBehaviour) -> RequestRecord {
     let now = Instant::now();
-    let mut account = RequestRecord {
+    let mut record = RequestRecord {
         id: id.to_string(),
         class: behaviour.class.clone(),
         deadline: behaviour.deadline,
@@ -96,64 +98,66 @@
         ended_at: now,
     };
     let Ok(mut stream) = TcpStream::connect(proxy) else {
-        return account;
+        return record;
     };
     let _ = stream.set_nodelay(true);
-    if let Some(rest) = behaviour.pause_before_open {
-        let pong = stream.write_all(b"PING\r\n").is_ok() && read_line(&mut stream, NEVER).is_ok();
-        thread::sleep(rest);
-        if !pong || ended(&stream) {
-            return account;
+    if let Some(pause) = behaviour.pause_before_open {
+        let is_answered = stream.write_all(b"PING\r\n").is_ok()
+            && read_line(&mut stream, NO_ANSWER_MARGIN).is_ok();
+        thread::sleep(pause);
+        if !is_answered || has_ended(&stream) {
+            return record;
         }
     }
-    let ms = behaviour.deadline.as_millis();
+    let deadline_ms = behaviour.deadline.as_millis();
     let line = format!(
-        "OPEN {id} 7f3a9c21e0b4d655 c={},d={ms}\r\n",
+        "OPEN {id} 7f3a9c21e0b4d655 c={},d={deadline_ms}\r\n",
         behaviour.class
     );
     if stream.write_all(line.as_bytes()).is_err() {
-        return account;
+        return record;
     }
-    account.sent_at = Instant::now();
-    account.outcome = first_answer(&mut stream, behaviour, &mut account.disconnected_at);
-    account.answered_at = Instant::now();
-    if account.outcome == RequestOutcome::Up {
-        account.connection_outcome = Some(talk(&mut stream, behaviour));
+    record.sent_at = Instant::now();
+    record.outcome = read_first_answer(&mut stream, behaviour, &mut record.disconnected_at);
+    record.answered_at = Instant::now();
+    if record.outcome == RequestOutcome::Up {
+        record.connection_outcome = Some(exchange_messages(&mut stream, behaviour));
     }
-    account.ended_at = Instant::now();
-    account
+    record.ended_at = Instant::now();
+    record
 }
 
-/// Whether the proxy has ended a connection or said a last line on it: nothing is sent there any more.
-fn ended(stream: &TcpStream) -> bool {
+/// Whether the proxy has closed a connection or sent a final line on it, so that no request is to be sent on it.
+fn has_ended(stream: &TcpStream) -> bool {
     let _ = stream.set_nonblocking(true);
     let peeked = stream.peek(&mut [0]);
     let _ = stream.set_nonblocking(false);
     !matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
-fn first_answer(
+/// Waits for the answer to the `OPEN`, and disconnects if the behaviour says so.
+fn read_first_answer(
     stream: &mut TcpStream,
     behaviour: &ClientBehaviour,
-    left: &mut Option<Instant>,
+    disconnected_at: &mut Option<Instant>,
 ) -> RequestOutcome {
-    let patience = behaviour.deadline + NEVER;
-    let within = behaviour
+    let timeout = behaviour.deadline + NO_ANSWER_MARGIN;
+    let time_limit = behaviour
         .disconnect_after
-        .map_or(patience, |(after, _)| after.min(patience));
-    let line = match read_line(stream, within) {
+        .map_or(timeout, |(after, _)| after.min(timeout));
+    let line = match read_line(stream, time_limit) {
         Ok(line) => line,
         Err(error) if is_timeout(&error) => {
-            let Some((_, how)) = behaviour.disconnect_after else {
+            let Some((_, kind)) = behaviour.disconnect_after else {
                 return RequestOutcome::Silence;
             };
-            *left = Some(Instant::now());
-            match how {
+            *disconnected_at = Some(Instant::now());
+            match kind {
                 DisconnectKind::Close => {}
                 DisconnectKind::HalfClose => {
                     let _ = stream.shutdown(Shutdown::Write);
-                    // It reads on: whatever comes, it has left.
-                    let _ = read_line(stream, NEVER);
+                    // The client still reads, but it counts as disconnected whatever arrives.
+                    let _ = read_line(stream, NO_ANSWER_MARGIN);
                 }
                 DisconnectKind::Reset => {
                     drop(SockRef::from(&*stream).set_linger(Some(Duration::ZERO)))
@@ -172,44 +176,45 @@
     }
 }
 
-/// Talks on a connection that is up until its own end or another's.
-fn talk(stream: &mut TcpStream, behaviour: &ClientBehaviour) -> ConnectionOutcome {
-    let until = Instant::now() + behaviour.session_duration;
+/// Exchanges messages on a connection that is up until either side ends it.
+fn exchange_messages(stream: &mut TcpStream, behaviour: &ClientBehaviour) -> ConnectionOutcome {
+    let session_end = Instant::now() + behaviour.session_duration;
     let mut number = 0;
-    while Instant::now() < until {
+    while Instant::now() < session_end {
         number += 1;
-        let said = Instant::now();
+        let sent_at = Instant::now();
         if stream
             .write_all(format!("SAY {number}\r\n").as_bytes())
             .is_err()
         {
-            // What the other side said before it ended is still to be read.
-            return last_words(stream, number);
+            // Lines that the peer sent before it ended the connection are still to be read.
+            return read_remaining_lines(stream, number);
         }
-        match read_line(stream, SILENT + NEVER) {
+        match read_line(stream, SILENT_SERVER_LIMIT + NO_ANSWER_MARGIN) {
             Ok(line) if line == format!("OK SAY {number}") => {
-                let took = said.elapsed();
-                if took > Duration::from_secs(1) {
-                    return ConnectionOutcome::Held(took);
+                let elapsed = sent_at.elapsed();
+                if elapsed > Duration::from_secs(1) {
+                    return ConnectionOutcome::Held(elapsed);
                 }
             }
             Ok(line) if line == "MOVE" => return ConnectionOutcome::Moved,
             Ok(line) => return ConnectionOutcome::Spoilt(line),
-            Err(error) if is_timeout(&error) => return ConnectionOutcome::Held(said.elapsed()),
+            Err(error) if is_timeout(&error) => return ConnectionOutcome::Held(sent_at.elapsed()),
             Err(_) => return ConnectionOutcome::Cut,
         }
         thread::sleep(
             behaviour
                 .message_interval
-                .min(until.saturating_duration_since(Instant::now())),
+                .min(session_end.saturating_duration_since(Instant::now())),
         );
     }
     ConnectionOutcome::ByClient
 }
 
-fn last_words(stream: &mut TcpStream, number: usize) -> ConnectionOutcome {
+/// Reads the lines left on a connection whose peer has ended it.
+fn read_remaining_lines(stream: &mut TcpStream, number: usize) -> ConnectionOutcome {
     loop {
-        match read_line(stream, NEVER) {
+        match read_line(stream, NO_ANSWER_MARGIN) {
             Ok(line) if line == "MOVE" => return ConnectionOutcome::Moved,
             Ok(line) if line == format!("OK SAY {number}") => {}
             Ok(line) => return ConnectionOutcome::Spoilt(line),
@@ -222,16 +227,16 @@
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
 
-/// The next line without its end. Byte by byte: what follows it stays in the socket.
-fn read_line(stream: &mut TcpStream, within: Duration) -> io::Result<String> {
-    let until = Instant::now() + within;
+/// Reads the next line without its end. Reads byte by byte, so that the bytes after it stay in the socket.
+fn read_line(stream: &mut TcpStream, time_limit: Duration) -> io::Result<String> {
+    let deadline = Instant::now() + time_limit;
     let mut line = Vec::new();
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err(ErrorKind::TimedOut.into());
         }
-        stream.set_read_timeout(Some(left))?;
+        stream.set_read_timeout(Some(remaining))?;
         let mut byte = [0];
         if stream.read(&mut byte)? == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
--- a/crates/standins/src/soak/mod.rs
+++ b/crates/standins/src/soak/mod.rs
@@ -1,4 +1,5 @@
-//! Traffic whose every request is judged, by its client and by the servers that it reached.
+//! Soak runs: seeded traffic and troubles, where each request is checked against the records of its client and of the
+//! servers that it reached.
 
 mod checker;
 mod client;
@@ -22,16 +23,16 @@
 pub use script::Script;
 pub use server::{AttemptRecord, ServerMode, SoakServer};
 
-/// Clients that come at a steady rate until they are stopped.
+/// Clients that start at a constant rate until the traffic is stopped.
 pub struct Traffic {
     ids: Arc<AtomicU64>,
-    accounts: Arc<Mutex<Vec<RequestRecord>>>,
+    records: Arc<Mutex<Vec<RequestRecord>>>,
     running: Arc<AtomicBool>,
-    source: Option<JoinHandle<Vec<JoinHandle<()>>>>,
+    spawner: Option<JoinHandle<Vec<JoinHandle<()>>>>,
 }
 
 impl Traffic {
-    /// The clients' behaviour is asked for anew for each of them, by its number.
+    /// Starts a client of `proxy` every `each`. `behaviour` gives the behaviour of each client for its number.
     pub fn start(
         proxy: SocketAddr,
         each: Duration,
@@ -39,64 +40,66 @@
         behaviour: impl Fn(u64) -> ClientBehaviour + Send + 'static,
     ) -> Self {
         let ids = Arc::new(AtomicU64::new(0));
-        let accounts: Arc<Mutex<Vec<RequestRecord>>> = Arc::default();
+        let records: Arc<Mutex<Vec<RequestRecord>>> = Arc::default();
         let running = Arc::new(AtomicBool::new(true));
-        let (own_ids, own_accounts, own_running) = (ids.clone(), accounts.clone(), running.clone());
-        let source = thread::spawn(move || {
+        let (ids_clone, records_clone, running_clone) =
+            (ids.clone(), records.clone(), running.clone());
+        let spawner = thread::spawn(move || {
             let mut clients = Vec::new();
-            let mut next = Instant::now();
-            while own_running.load(Ordering::Relaxed) {
-                let number = own_ids.fetch_add(1, Ordering::Relaxed);
+            let mut next_start = Instant::now();
+            while running_clone.load(Ordering::Relaxed) {
+                let number = ids_clone.fetch_add(1, Ordering::Relaxed);
                 let behaviour = behaviour(number);
                 let id = format!("{:08x}{number:08x}", seed as u32);
-                let accounts = own_accounts.clone();
+                let records = records_clone.clone();
                 let client = thread::Builder::new().stack_size(128 << 10).spawn(move || {
-                    let account = client::run_client(proxy, &id, &behaviour);
-                    accounts.lock().unwrap().push(account);
+                    let record = client::run_client(proxy, &id, &behaviour);
+                    records.lock().unwrap().push(record);
                 });
-                clients.push(client.expect("a thread"));
-                next += each;
-                thread::sleep(next.saturating_duration_since(Instant::now()));
+                clients.push(client.expect("no thread could be started"));
+                next_start += each;
+                thread::sleep(next_start.saturating_duration_since(Instant::now()));
             }
             clients
         });
         Self {
             ids,
-            accounts,
+            records,
             running,
-            source: Some(source),
+            spawner: Some(spawner),
         }
     }
 
-    /// No new clients from now on.
+    /// Starts no new clients from now on.
     pub fn stop(&self) {
         self.running.store(false, Ordering::Relaxed);
     }
 
+    /// The number of clients started so far, each of which sends one request.
     pub fn request_count(&self) -> u64 {
         self.ids.load(Ordering::Relaxed)
     }
 
-    /// The accounts so far; clients that still talk are left to themselves.
+    /// Stops the traffic, and returns the records so far without waiting for clients that are still running.
     pub fn finish_without_waiting(mut self) -> Vec<RequestRecord> {
         self.stop();
-        if let Some(source) = self.source.take() {
-            drop(source.join().unwrap());
+        if let Some(spawner) = self.spawner.take() {
+            drop(spawner.join().unwrap());
         }
-        std::mem::take(&mut *self.accounts.lock().unwrap())
+        std::mem::take(&mut *self.records.lock().unwrap())
     }
 
-    /// All accounts, once the last client has ended.
+    /// Stops the traffic, waits for the last client, and returns all records.
     pub fn finish(mut self) -> Vec<RequestRecord> {
         self.stop();
         for client in self
-            .source
+            .spawner
             .take()
             .into_iter()
-            .flat_map(|source| source.join().unwrap())
+            .flat_map(|spawner| spawner.join().unwrap())
         {
             client.join().unwrap();
         }
-        std::mem::take(&mut *self.accounts.lock().unwrap())
+        std::mem::take(&mut *self.records.lock().unwrap())
     }
 }
--- a/crates/standins/src/soak/runner.rs
+++ b/crates/standins/src/soak/runner.rs
@@ -1,4 +1,4 @@
-//! Plays a script on one process of the program, and has the judge look at what everybody wrote down.
+//! Runs a script on one process of the program, and checks the records of clients and servers.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -22,21 +22,26 @@
 use crate::faults::FaultInjector;
 use crate::{Discovery, DiscoveryMode, unused_addr};
 
-const GRACE: Duration = Duration::from_millis(300);
-const COLD_FOR: Duration = Duration::from_secs(4);
-const FALL_FOR: Duration = Duration::from_millis(1500);
-/// Such that an even share of the traffic is more than a newcomer takes.
-const COLD_FROM: f64 = 0.1;
-const FALL_MULTIPLE: f64 = 1.5;
-/// What discovery has to tell counts as told so long after it could be reached.
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
-/// After the kill, before clients give up waiting for what never comes.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// The class that a reload brings.
+/// Setting `drain-grace-s`.
+const DRAIN_GRACE: Duration = Duration::from_millis(300);
+/// Setting `cold-s`: the duration of slow start.
+const SLOW_START_WINDOW: Duration = Duration::from_secs(4);
+/// Setting `overload-for-s`.
+const OVERLOAD_DURATION: Duration = Duration::from_millis(1500);
+/// Setting `cold-from`: low enough that an even share of the traffic is more than a new server takes.
+const SLOW_START_MIN_SHARE: f64 = 0.1;
+/// Setting `fall-multiple`.
+const OVERLOAD_MULTIPLE: f64 = 1.5;
+/// A change of the list counts as announced this long after the end of an outage of discovery.
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_secs(6);
+/// How long the started program may take until it answers `PING`.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// The class that a reload adds.
 const NEW_CLASS: &str = "late";
+/// How long after a reload clients start to use the new class.
 const NEW_CLASS_AFTER: Duration = Duration::from_millis(1200);
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Report {
     pub seed: u64,
@@ -45,19 +50,20 @@
     pub refused: usize,
     pub failed: usize,
     pub violations: Vec<String>,
-    /// Where the proxy's log is kept.
+    /// Path of the proxy's log.
     pub log: PathBuf,
 }
 
-/// Plays one script; its files go into a folder below `dir`.
+/// Runs one script; its files go into a directory below `dir`.
 ///
 /// # Panics
-/// The program does not start, or never serves.
+/// The program does not start, or does not answer `PING` in time.
 pub fn run_script(program: &Path, dir: &Path, script: &Script) -> Report {
     let run = Run::start(program, dir, script);
-    run.play(script)
+    run.run_to_end(script)
 }
 
+/// A run in progress.
 struct Run {
     dir: PathBuf,
     site: Site,
@@ -67,37 +73,38 @@
     address: SocketAddr,
     discovery: Discovery,
     faults: FaultInjector,
-    /// The rules besides the step of the clock.
+    /// The fault rules except the step of the clock.
     rules: String,
     clock_step: i64,
     servers: Vec<SoakServer>,
-    /// The starts of their present processes, as they are listed.
-    boots_ms: Vec<u64>,
-    lateness: DelayMonitor,
+    /// The listed start times of the servers in milliseconds of Unix time; 0 for those that run from the start.
+    boot_times_ms: Vec<u64>,
+    delay_monitor: DelayMonitor,
     drains: Vec<Drain>,
     cold_starts: Vec<ColdStart>,
-    /// From when to when discovery did not work.
+    /// Start and end of the times in which discovery did not work.
     outages: Vec<(Instant, Option<Instant>)>,
-    /// When the class that is new came.
-    reloaded: Arc<Mutex<Option<Instant>>>,
-    ending: Arc<AtomicBool>,
-    crowd: Vec<TcpStream>,
+    /// When the new class was added.
+    reloaded_at: Arc<Mutex<Option<Instant>>>,
+    is_ending: Arc<AtomicBool>,
+    /// Connections that stay open until the end of the run.
+    extra_connections: Vec<TcpStream>,
 }
 
-/// What is undone later.
-enum Undo {
-    Mode(usize),
-    Back(usize),
+/// The action that ends a trouble.
+enum TroubleEnd {
+    RestoreMode(usize),
+    CancelDrain(usize),
     Restart(usize),
-    Discovery,
-    Calls,
+    RestoreDiscovery,
+    ClearCallFaults,
 }
 
 impl Run {
     fn start(program: &Path, dir: &Path, script: &Script) -> Self {
         let dir = dir.join(format!("seed-{}", script.seed));
         let _ = std::fs::remove_dir_all(&dir);
-        std::fs::create_dir_all(&dir).expect("a writable directory");
+        std::fs::create_dir_all(&dir).expect("the run's files cannot be written");
         let site = script.site.clone();
         let servers: Vec<SoakServer> = (1..=site.servers)
             .map(|number| SoakServer::start(&format!("s-{number}"), site.capacity))
@@ -116,7 +123,8 @@
         let address = unused_addr();
         write_config(&dir, &site, address, discovery.addr, false);
         let faults = FaultInjector::new(&dir, "");
-        let log = std::fs::File::create(dir.join("log")).expect("a writable directory");
+        let log =
+            std::fs::File::create(dir.join("log")).expect("the run's files cannot be written");
         let mut command = Command::new(program);
         faults.preload(&mut command);
         let proxy = command
@@ -126,7 +134,7 @@
             .stdin(Stdio::null())
             .stderr(log)
             .spawn()
-            .expect("the program starts");
+            .expect("the program cannot be started");
         let run = Self {
             dir,
             site,
@@ -138,41 +146,47 @@
             faults,
             rules: String::new(),
             clock_step: 0,
-            boots_ms: vec![0; servers.len()],
+            boot_times_ms: vec![0; servers.len()],
             servers,
-            lateness: DelayMonitor::start(),
+            delay_monitor: DelayMonitor::start(),
             drains: Vec::new(),
             cold_starts: Vec::new(),
             outages: Vec::new(),
-            reloaded: Arc::default(),
-            ending: Arc::default(),
-            crowd: Vec::new(),
+            reloaded_at: Arc::default(),
+            is_ending: Arc::default(),
+            extra_connections: Vec::new(),
         };
         run.wait_ready();
         run
     }
 
+    /// Waits until the proxy answers `PING`.
     fn wait_ready(&self) {
-        let until = Instant::now() + READY_WITHIN;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             if let Ok(mut stream) = TcpStream::connect(self.address) {
                 let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
                 let mut answer = [0; 4];
-                let asked = stream.write_all(b"PING\r\n");
-                let heard = std::io::Read::read_exact(&mut stream, &mut answer);
-                if asked.is_ok() && heard.is_ok() && &answer == b"PONG" {
+                let sent = stream.write_all(b"PING\r\n");
+                let received = std::io::Read::read_exact(&mut stream, &mut answer);
+                if sent.is_ok() && received.is_ok() && &answer == b"PONG" {
                     return;
                 }
             }
-            assert!(Instant::now() < until, "seed {}: never ready", self.seed);
+            assert!(
+                Instant::now() < deadline,
+                "seed {}: no PONG in time",
+                self.seed
+            );
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    fn play(mut self, script: &Script) -> Report {
+    /// Runs the script to its end, and checks the records.
+    fn run_to_end(mut self, script: &Script) -> Report {
         self.start = Instant::now();
-        let traffic = self.traffic();
-        let mut undo: Vec<(Instant, Undo)> = Vec::new();
+        let traffic = self.start_traffic();
+        let mut pending_ends: Vec<(Instant, TroubleEnd)> = Vec::new();
         let mut troubles = script.troubles.iter().peekable();
         let end = self.start + script.lasts;
         while Instant::now() < end {
@@ -180,51 +194,51 @@
             while let Some((_, trouble)) =
                 troubles.next_if(|(at, _)| self.start + Duration::from_millis(*at) <= now)
             {
-                self.strike(trouble, &mut undo);
+                self.start_trouble(trouble, &mut pending_ends);
             }
-            self.undo_due(&mut undo, now);
+            self.end_due_troubles(&mut pending_ends, now);
             thread::sleep(Duration::from_millis(2));
         }
         self.terminate(script, &traffic);
-        let accounts = traffic.finish();
-        self.crowd.clear();
-        let arrivals = self.servers.iter().flat_map(SoakServer::attempts).collect();
+        let requests = traffic.finish();
+        self.extra_connections.clear();
+        let attempts = self.servers.iter().flat_map(SoakServer::attempts).collect();
         let kills = vec![Kill {
             at: Instant::now(),
             without_sigterm: false,
         }];
-        let evidence = RunRecord {
-            requests: accounts,
-            attempts: arrivals,
+        let record = RunRecord {
+            requests,
+            attempts,
             drains: std::mem::take(&mut self.drains),
             cold_starts: std::mem::take(&mut self.cold_starts),
             kills,
-            scheduling_delays: self.lateness.stop(),
+            scheduling_delays: self.delay_monitor.stop(),
         };
-        let count = |of: fn(&RequestOutcome) -> bool| {
-            evidence
+        let count = |is_counted: fn(&RequestOutcome) -> bool| {
+            record
                 .requests
                 .iter()
-                .filter(|account| of(&account.outcome))
+                .filter(|request| is_counted(&request.outcome))
                 .count()
         };
-        let mut violations = check_run(&self.terms(), &evidence, self.start);
+        let mut violations = check_run(&self.check_settings(), &record, self.start);
         let log = std::fs::read_to_string(self.dir.join("log")).unwrap_or_default();
         if let Some(line) = log.lines().find(|line| line.contains("panicked")) {
             violations.push(format!("crash: {line}"));
         }
         Report {
             seed: self.seed,
-            asked: evidence.requests.len(),
-            served: count(|answer| matches!(answer, RequestOutcome::Up | RequestOutcome::Bye)),
-            refused: count(|answer| *answer == RequestOutcome::Busy),
-            failed: count(|answer| matches!(answer, RequestOutcome::Failed(_))),
+            asked: record.requests.len(),
+            served: count(|outcome| matches!(outcome, RequestOutcome::Up | RequestOutcome::Bye)),
+            refused: count(|outcome| *outcome == RequestOutcome::Busy),
+            failed: count(|outcome| matches!(outcome, RequestOutcome::Failed(_))),
             violations,
             log: self.dir.join("log"),
         }
     }
 
-    fn terms(&self) -> CheckSettings {
+    fn check_settings(&self) -> CheckSettings {
         CheckSettings {
             idempotency_by_class: BTreeMap::from([
                 ("watch".into(), Idempotency::Pure),
@@ -236,36 +250,37 @@
                 (NEW_CLASS.into(), Idempotency::SideEffect),
             ]),
             max_attempts: self.site.max_attempts,
-            drain_grace: GRACE,
-            slow_start_min_share: COLD_FROM,
-            slow_start_window: COLD_FOR,
-            overload_multiple: FALL_MULTIPLE,
-            overload_duration: FALL_FOR,
+            drain_grace: DRAIN_GRACE,
+            slow_start_min_share: SLOW_START_MIN_SHARE,
+            slow_start_window: SLOW_START_WINDOW,
+            overload_multiple: OVERLOAD_MULTIPLE,
+            overload_duration: OVERLOAD_DURATION,
         }
     }
 
-    fn traffic(&self) -> Traffic {
-        let (site, reloaded) = (self.site.clone(), self.reloaded.clone());
-        let (seed, ending) = (self.seed, self.ending.clone());
-        let each = Duration::from_millis(site.each_ms);
-        Traffic::start(self.address, each, seed, move |number| {
-            let new_class = reloaded
+    fn start_traffic(&self) -> Traffic {
+        let (site, reloaded_at) = (self.site.clone(), self.reloaded_at.clone());
+        let (seed, is_ending) = (self.seed, self.is_ending.clone());
+        let client_interval = Duration::from_millis(site.each_ms);
+        Traffic::start(self.address, client_interval, seed, move |number| {
+            let new_class = reloaded_at
                 .lock()
                 .unwrap()
                 .is_some_and(|at| at.elapsed() > NEW_CLASS_AFTER);
-            behaviour(
+            draw_behaviour(
                 &site,
                 seed,
                 number,
                 new_class,
-                ending.load(Ordering::Relaxed),
+                is_ending.load(Ordering::Relaxed),
             )
         })
     }
 
-    fn strike(&mut self, trouble: &Trouble, undo: &mut Vec<(Instant, Undo)>) {
+    /// Starts a trouble, and schedules its end.
+    fn start_trouble(&mut self, trouble: &Trouble, pending_ends: &mut Vec<(Instant, TroubleEnd)>) {
         let now = Instant::now();
-        let ms = Duration::from_millis;
+        let from_ms = Duration::from_millis;
         match trouble {
             Trouble::Server {
                 server,
@@ -273,23 +288,23 @@
                 lasts,
             } => {
                 self.servers[*server].set_mode(*mode);
-                undo.push((now + ms(*lasts), Undo::Mode(*server)));
+                pending_ends.push((now + from_ms(*lasts), TroubleEnd::RestoreMode(*server)));
             }
             Trouble::Drain { server, back_after } => {
-                self.tell(*server, "draining");
+                self.list_server(*server, "draining");
                 if let Some(after) = back_after {
-                    undo.push((now + ms(*after), Undo::Back(*server)));
+                    pending_ends.push((now + from_ms(*after), TroubleEnd::CancelDrain(*server)));
                 }
             }
             Trouble::Crash { server, back_after } => {
                 self.servers[*server].crash();
-                undo.push((now + ms(*back_after), Undo::Restart(*server)));
+                pending_ends.push((now + from_ms(*back_after), TroubleEnd::Restart(*server)));
             }
             Trouble::Join => {
                 let uid = format!("n-{}", self.servers.len() + 1);
                 self.servers
                     .push(SoakServer::start(&uid, self.site.capacity));
-                self.boots_ms.push(0);
+                self.boot_times_ms.push(0);
                 self.start_cold(self.servers.len() - 1);
             }
             Trouble::Discovery { mood, lasts } => {
@@ -297,7 +312,7 @@
                 if *mood != DiscoveryMode::Closes {
                     self.outages.push((now, None));
                 }
-                undo.push((now + ms(*lasts), Undo::Discovery));
+                pending_ends.push((now + from_ms(*lasts), TroubleEnd::RestoreDiscovery));
             }
             Trouble::Reload { times, apart } => {
                 write_config(
@@ -308,33 +323,34 @@
                     true,
                 );
                 for _ in 0..*times {
-                    self.signal("-HUP");
-                    thread::sleep(ms(*apart));
+                    self.send_signal("-HUP");
+                    thread::sleep(from_ms(*apart));
                 }
-                self.reloaded.lock().unwrap().get_or_insert(now);
+                self.reloaded_at.lock().unwrap().get_or_insert(now);
             }
             Trouble::Stalls { times } => {
                 for _ in 0..*times {
-                    self.signal("-STOP");
-                    thread::sleep(ms(145));
-                    self.signal("-CONT");
-                    thread::sleep(ms(60));
+                    self.send_signal("-STOP");
+                    thread::sleep(from_ms(145));
+                    self.send_signal("-CONT");
+                    thread::sleep(from_ms(60));
                 }
             }
             Trouble::Calls { rules, lasts } => {
                 self.rules = rules.to_string();
                 self.set_faults();
-                undo.push((now + ms(*lasts), Undo::Calls));
+                pending_ends.push((now + from_ms(*lasts), TroubleEnd::ClearCallFaults));
             }
             Trouble::Clock { step } => {
                 self.clock_step += step;
                 self.set_faults();
             }
             Trouble::Crowd { connections } => {
-                let come = (0..*connections).filter_map(|_| TcpStream::connect(self.address).ok());
-                self.crowd.extend(come);
+                let opened =
+                    (0..*connections).filter_map(|_| TcpStream::connect(self.address).ok());
+                self.extra_connections.extend(opened);
             }
-            Trouble::Rude { clients } => self.be_rude(*clients),
+            Trouble::Rude { clients } => self.open_rude_connections(*clients),
         }
     }
 
@@ -346,7 +362,8 @@
         self.faults.set_rules(&rules);
     }
 
-    fn be_rude(&mut self, clients: u64) {
+    /// Opens connections that send malformed or unusual lines.
+    fn open_rude_connections(&mut self, clients: u64) {
         let lines: [&[u8]; 6] = [
             b"OPEN 12",
             b"GET / HTTP/1.1\r\n\r\n",
@@ -358,34 +375,38 @@
         for number in 0..clients as usize {
             if let Ok(mut stream) = TcpStream::connect(self.address) {
                 let _ = stream.write_all(lines[number % lines.len()]);
-                self.crowd.push(stream);
+                self.extra_connections.push(stream);
             }
         }
     }
 
-    fn undo_due(&mut self, undo: &mut Vec<(Instant, Undo)>, now: Instant) {
-        let due: Vec<(Instant, Undo)> = undo.extract_if(.., |(at, _)| *at <= now).collect();
-        for (_, what) in due {
-            match what {
-                Undo::Mode(server) => self.servers[server].set_mode(ServerMode::Serve(0)),
-                Undo::Back(server) => {
+    /// Ends the troubles that are due.
+    fn end_due_troubles(&mut self, pending_ends: &mut Vec<(Instant, TroubleEnd)>, now: Instant) {
+        let due: Vec<(Instant, TroubleEnd)> =
+            pending_ends.extract_if(.., |(at, _)| *at <= now).collect();
+        for (_, end) in due {
+            match end {
+                TroubleEnd::RestoreMode(server) => {
+                    self.servers[server].set_mode(ServerMode::Serve(0))
+                }
+                TroubleEnd::CancelDrain(server) => {
                     let uid = self.servers[server].uid().to_string();
                     for drain in self.drains.iter_mut().filter(|drain| drain.server == uid) {
                         drain.cancelled_at.get_or_insert(now);
                     }
-                    self.tell(server, "ready");
+                    self.list_server(server, "ready");
                 }
-                Undo::Restart(server) => {
+                TroubleEnd::Restart(server) => {
                     self.servers[server].restart();
                     self.start_cold(server);
                 }
-                Undo::Discovery => {
+                TroubleEnd::RestoreDiscovery => {
                     self.discovery.set_mode(DiscoveryMode::Works);
                     for outage in &mut self.outages {
                         outage.1.get_or_insert(now);
                     }
                 }
-                Undo::Calls => {
+                TroubleEnd::ClearCallFaults => {
                     self.rules.clear();
                     self.set_faults();
                 }
@@ -393,104 +414,108 @@
         }
     }
 
-    /// Lists a server as started just now, by the clock of the proxy's machine.
+    /// Lists a server as started just now, according to the clock of the proxy.
     fn start_cold(&mut self, server: usize) {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .expect("after 1970");
+            .expect("the clock is before 1970");
         let boot_ms = (now.as_millis() as i64 + self.clock_step) as u64;
         let uid = self.servers[server].uid().to_string();
         for drain in self.drains.iter_mut().filter(|drain| drain.server == uid) {
             drain.cancelled_at.get_or_insert(Instant::now());
         }
-        // A warm server carries as many as load it fully, each for as long as they live.
-        let capacity = self.site.capacity as f64 / MEAN_LIFE.as_secs_f64();
+        // A warm server carries its capacity of connections, each for the mean duration of a session.
+        let warm_requests_per_s = self.site.capacity as f64 / MEAN_SESSION_DURATION.as_secs_f64();
         self.cold_starts.push(ColdStart {
             server: uid,
             started_at: Instant::now(),
-            warm_requests_per_s: capacity,
+            warm_requests_per_s,
         });
-        self.boots_ms[server] = boot_ms;
-        self.tell(server, "ready");
+        self.boot_times_ms[server] = boot_ms;
+        self.list_server(server, "ready");
     }
 
-    fn tell(&mut self, server: usize, state: &str) {
+    /// Lists a server in a state, and records a drain.
+    fn list_server(&mut self, server: usize, state: &str) {
         let now = Instant::now();
-        let target = self.servers[server].target_row(state, self.boots_ms[server]);
+        let target = self.servers[server].target_row(state, self.boot_times_ms[server]);
         let uid = self.servers[server].uid().to_string();
         self.discovery.upsert_target(target);
         if state == "draining" {
-            let told = match self.outages.last() {
-                // It works again, but no watch may be open yet; or it does not work now.
-                Some((_, Some(end))) if *end + TOLD_WITHIN > now => *end + TOLD_WITHIN,
+            let announced_at = match self.outages.last() {
+                // First case: discovery works again, but the proxy may not have a request open yet. Second: it does not work now.
+                Some((_, Some(end))) if *end + ANNOUNCEMENT_DELAY > now => {
+                    *end + ANNOUNCEMENT_DELAY
+                }
                 Some((_, None)) => now + Duration::from_secs(3600),
                 _ => now,
             };
             self.drains.push(Drain {
                 server: uid,
-                announced_at: told,
+                announced_at,
                 cancelled_at: None,
             });
         }
     }
 
-    fn signal(&self, name: &str) {
+    fn send_signal(&self, signal: &str) {
         let id = self.proxy.id().to_string();
-        let sent = Command::new("kill").args([name, &id]).status();
-        assert!(sent.is_ok_and(|status| status.success()), "kill {name}");
+        let sent = Command::new("kill").args([signal, &id]).status();
+        assert!(sent.is_ok_and(|status| status.success()), "kill {signal}");
     }
 
-    /// SIGTERM, clients that still come, and the kill at its earliest.
+    /// Sends SIGTERM while new clients still start, and SIGKILL as early as the proxy's page allows.
     fn terminate(&mut self, script: &Script, traffic: &Traffic) {
         let site = &self.site;
-        let longest = site
+        let max_deadline_ms = site
             .deadlines_ms
             .iter()
             .copied()
             .max()
             .unwrap_or(0)
             .min(3000);
-        let asked = Instant::now();
-        self.signal("-TERM");
-        self.ending.store(true, Ordering::Relaxed);
+        let signalled_at = Instant::now();
+        self.send_signal("-TERM");
+        self.is_ending.store(true, Ordering::Relaxed);
         if script.terminated_twice {
             thread::sleep(Duration::from_millis(script.seed % 7));
-            self.signal("-TERM");
+            self.send_signal("-TERM");
         }
         if script.reload_while_ending {
-            self.signal("-HUP");
+            self.send_signal("-HUP");
         }
-        let come_until = asked + Duration::from_millis(200 + script.seed % 200);
-        thread::sleep(come_until.saturating_duration_since(Instant::now()));
+        let traffic_until = signalled_at + Duration::from_millis(200 + script.seed % 200);
+        thread::sleep(traffic_until.saturating_duration_since(Instant::now()));
         traffic.stop();
-        let kill_at = asked + Duration::from_millis(longest + 700);
+        let kill_at = signalled_at + Duration::from_millis(max_deadline_ms + 700);
         thread::sleep(kill_at.saturating_duration_since(Instant::now()));
-        // It may have ended before.
+        // The process may have ended before.
         let _ = self.proxy.kill();
         let _ = self.proxy.wait();
     }
 }
 
-/// A client's mean time on a server.
-const MEAN_LIFE: Duration = Duration::from_millis(700);
+/// Mean duration of a client's session.
+const MEAN_SESSION_DURATION: Duration = Duration::from_millis(700);
 
-fn behaviour(
+/// Draws the behaviour of a client.
+fn draw_behaviour(
     site: &Site,
     seed: u64,
     number: u64,
     new_class: bool,
-    ending: bool,
+    is_ending: bool,
 ) -> ClientBehaviour {
     let mut rng = Rng::new(seed << 32 | number);
     let class = rng.range_inclusive(0, if new_class { 3 } else { 2 }) as usize;
     let names = ["watch", "hold", "book", NEW_CLASS];
-    let whole = site.deadlines_ms[class.min(2)];
+    let class_deadline = site.deadlines_ms[class.min(2)];
     let deadline = match rng.chance(8) {
         true => rng.range_inclusive(1, 40),
-        false => rng.range_inclusive(whole / 2, whole),
+        false => rng.range_inclusive(class_deadline / 2, class_deadline),
     };
-    let leaves = rng.chance(15).then(|| {
-        let after = Duration::from_millis(rng.range_inclusive(0, (whole / 2).min(300)));
+    let disconnect_after = rng.chance(15).then(|| {
+        let after = Duration::from_millis(rng.range_inclusive(0, (class_deadline / 2).min(300)));
         (
             after,
             rng.pick(&[
@@ -500,16 +525,16 @@
             ]),
         )
     });
-    // Who comes at the end, and some others, talk until they are moved.
-    let life = match ending || rng.chance(10) {
+    // Clients that start after SIGTERM, and some others, stay until they are moved.
+    let session_duration = match is_ending || rng.chance(10) {
         true => Duration::from_secs(30),
-        false => MEAN_LIFE.mul_f64(rng.range_inclusive(2, 18) as f64 / 10.0),
+        false => MEAN_SESSION_DURATION.mul_f64(rng.range_inclusive(2, 18) as f64 / 10.0),
     };
     ClientBehaviour {
         class: names[class].into(),
         deadline: Duration::from_millis(deadline),
-        disconnect_after: leaves,
-        session_duration: life,
+        disconnect_after,
+        session_duration,
         message_interval: Duration::from_millis(rng.range_inclusive(20, 120)),
         pause_before_open: rng
             .chance(5)
@@ -517,12 +542,13 @@
     }
 }
 
+/// Writes the platform's configuration file; `with_new_class` adds the new class.
 fn write_config(
     dir: &Path,
     site: &Site,
     listen: SocketAddr,
     discovery: SocketAddr,
-    reloaded: bool,
+    with_new_class: bool,
 ) {
     let seconds = |ms: u64| ms as f64 / 1e3;
     let class = |name: &str, idempotency: &str, deadline_ms: u64| {
@@ -538,7 +564,7 @@
         hold,
         class("book", "side_effect", book),
     ];
-    if reloaded {
+    if with_new_class {
         classes.push(class(NEW_CLASS, "side_effect", book));
     }
     let fields: &[&str] = if site.tells_loads { &["x0"] } else { &[] };
@@ -556,15 +582,15 @@
                             "max-attempts": site.max_attempts, "max-retry-after-s": 1.0,
                             "connect-timeout-s": seconds(site.connect_timeout_ms)},
             "membership-mode": mode,
-            "rules": {"ask-within-s": 5.0, "cold-from": COLD_FROM, "cold-s": COLD_FOR.as_secs_f64(),
-                      "fall-multiple": FALL_MULTIPLE, "overload-for-s": FALL_FOR.as_secs_f64(),
-                      "drain-grace-s": GRACE.as_secs_f64()},
+            "rules": {"ask-within-s": 5.0, "cold-from": SLOW_START_MIN_SHARE, "cold-s": SLOW_START_WINDOW.as_secs_f64(),
+                      "fall-multiple": OVERLOAD_MULTIPLE, "overload-for-s": OVERLOAD_DURATION.as_secs_f64(),
+                      "drain-grace-s": DRAIN_GRACE.as_secs_f64()},
             "weights": "none", "family-info": {"groups": false}},
     });
-    // In one step: a reload never reads half of it.
-    let new = dir.join("config.new");
-    let written = std::fs::write(&new, config.to_string());
+    // The rename replaces the file in one step: a reload never reads a partly written file.
+    let next = dir.join("config.new");
+    let written = std::fs::write(&next, config.to_string());
     written
-        .and_then(|()| std::fs::rename(&new, dir.join("config.json")))
-        .expect("a writable directory");
+        .and_then(|()| std::fs::rename(&next, dir.join("config.json")))
+        .expect("the run's files cannot be written");
 }
--- a/crates/standins/src/soak/scheduling_delay.rs
+++ b/crates/standins/src/soak/scheduling_delay.rs
@@ -1,22 +1,23 @@
-//! How late threads of this process run: what they write down may have happened that much earlier.
+//! Measures how late threads of this process run: an event may have happened this much earlier than recorded.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+/// Sleep between two measurements.
 const INTERVAL: Duration = Duration::from_millis(5);
-/// Less than this is not worth a note.
-const NOTED: Duration = Duration::from_millis(10);
+/// Delays up to this are not recorded.
+const MIN_RECORDED_DELAY: Duration = Duration::from_millis(10);
 
-/// A thread that should have run at a moment did so this much later.
+/// A delay of a thread that was due to run at a moment.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulingDelay {
     pub due_at: Instant,
     pub delay: Duration,
 }
 
-/// A thread that measures.
+/// A thread that measures scheduling delays until it is stopped.
 #[derive(Debug)]
 pub(crate) struct DelayMonitor {
     running: Arc<AtomicBool>,
@@ -24,23 +25,21 @@
 }
 
 impl DelayMonitor {
+    /// Starts measuring.
     pub fn start() -> Self {
         let running = Arc::new(AtomicBool::new(true));
-        let own = running.clone();
+        let running_clone = running.clone();
         let thread = thread::spawn(move || {
-            let mut found = Vec::new();
-            while own.load(Ordering::Relaxed) {
-                let due = Instant::now() + INTERVAL;
+            let mut delays = Vec::new();
+            while running_clone.load(Ordering::Relaxed) {
+                let due_at = Instant::now() + INTERVAL;
                 thread::sleep(INTERVAL);
-                let by = due.elapsed();
-                if by > NOTED {
-                    found.push(SchedulingDelay {
-                        due_at: due,
-                        delay: by,
-                    });
+                let delay = due_at.elapsed();
+                if delay > MIN_RECORDED_DELAY {
+                    delays.push(SchedulingDelay { due_at, delay });
                 }
             }
-            found
+            delays
         });
         Self {
             running,
@@ -48,10 +47,13 @@
         }
     }
 
+    /// Stops measuring, and returns the delays.
     pub fn stop(&mut self) -> Vec<SchedulingDelay> {
         self.running.store(false, Ordering::Relaxed);
-        self.thread
-            .take()
-            .map_or_else(Vec::new, |thread| thread.join().expect("it only sleeps"))
+        self.thread.take().map_or_else(Vec::new, |thread| {
+            thread
+                .join()
+                .expect("the thread of the delay monitor panicked")
+        })
     }
 }
--- a/crates/standins/src/soak/script.rs
+++ b/crates/standins/src/soak/script.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, by its seed.
+//! The script of a run: its settings and troubles, derived from a seed.
 
 use std::time::Duration;
 
@@ -10,88 +10,76 @@
 #[derive(Clone, Debug)]
 pub struct Site {
     pub servers: usize,
-    /// Connections that load a server fully.
+    /// The number of connections that load a server fully.
     pub capacity: usize,
-    /// By class: watch (pure), hold (token), book (side effect).
+    /// Deadlines by class: watch (pure), hold (token), book (side effect).
     pub deadlines_ms: [u64; 3],
+    /// Window in which servers drop repeats of class hold.
     pub window_ms: u64,
     pub max_attempts: usize,
+    /// Servers report their load.
     pub tells_loads: bool,
+    /// The proxy may probe servers.
     pub may_probe: bool,
+    /// Membership mode `pushed` instead of `on_request`.
     pub pushed: bool,
-    /// Some servers close each probe connection behind their answer.
+    /// Every second server closes each probe connection after its answer.
     pub closes_probes: bool,
     pub connect_timeout_ms: u64,
-    /// Milliseconds between two clients.
+    /// Milliseconds between the starts of two clients.
     pub each_ms: u64,
 }
 
-/// One trouble.
+/// A disturbance of the run. Durations are in milliseconds.
 #[derive(Clone, Debug)]
 pub enum Trouble {
-    /// A server behaves in another way for so many milliseconds.
+    /// A server changes its mode for the duration `lasts`.
     Server {
         server: usize,
         mode: ServerMode,
         lasts: u64,
     },
-    /// Its drain is told, and taken back after so long if that is given.
+    /// A server is listed as draining, and as ready again after `back_after`, if given.
     Drain {
         server: usize,
         back_after: Option<u64>,
     },
-    /// It crashes and comes back cold.
-    Crash {
-        server: usize,
-        back_after: u64,
-    },
+    /// A server crashes, and restarts after `back_after` with slow start.
+    Crash { server: usize, back_after: u64 },
+    /// A new server joins, with slow start.
     Join,
-    Discovery {
-        mood: DiscoveryMode,
-        lasts: u64,
-    },
-    /// SIGHUP so often, some milliseconds apart; a class is new from then on.
-    Reload {
-        times: u64,
-        apart: u64,
-    },
-    /// The proxy is stopped for 150 ms, so often.
-    Stalls {
-        times: u64,
-    },
-    /// System calls fail by these rules for a while.
-    Calls {
-        rules: &'static str,
-        lasts: u64,
-    },
-    /// The proxy's wall clock is stepped by so many milliseconds for good.
-    Clock {
-        step: i64,
-    },
-    /// Connections that say nothing.
-    Crowd {
-        connections: u64,
-    },
-    /// Clients that send what no usual client sends, and stay.
-    Rude {
-        clients: u64,
-    },
+    /// Discovery changes its mode for the duration `lasts`.
+    Discovery { mood: DiscoveryMode, lasts: u64 },
+    /// SIGHUP is sent `times` times, `apart` milliseconds apart; the configuration has one more class from then on.
+    Reload { times: u64, apart: u64 },
+    /// The proxy is stopped `times` times, for about 150 ms each.
+    Stalls { times: u64 },
+    /// System calls fail according to these rules for the duration `lasts`.
+    Calls { rules: &'static str, lasts: u64 },
+    /// The proxy's wall clock is stepped by this amount until the end of the run.
+    Clock { step: i64 },
+    /// Idle connections are opened, and stay open.
+    Crowd { connections: u64 },
+    /// Clients send malformed or unusual lines, and stay connected.
+    Rude { clients: u64 },
 }
 
-/// A run.
+/// The script of one run.
 #[derive(Clone, Debug)]
 pub struct Script {
     pub seed: u64,
     pub site: Site,
-    /// By milliseconds from the first client.
+    /// Troubles with their times in milliseconds from the start of the traffic.
     pub troubles: Vec<(u64, Trouble)>,
-    /// SIGTERM comes after this, twice where so drawn, and SIGHUP behind it.
+    /// SIGTERM is sent after this time; a second one follows if `terminated_twice`, and SIGHUP if
+    /// `reload_while_ending`.
     pub lasts: Duration,
     pub terminated_twice: bool,
     pub reload_while_ending: bool,
 }
 
-const CALLS: [&str; 9] = [
+/// Fault rules for system calls, one set of which is drawn for each [`Trouble::Calls`].
+const SYSTEM_CALL_RULES: [&str; 9] = [
     "fail recv EINTR 30",
     "fail send EINTR 30",
     "short send 7 500\nshort writev 7 500",
@@ -104,6 +92,7 @@
 ];
 
 impl Script {
+    /// Derives a script from a seed; SIGTERM comes after `lasts`.
     pub fn from_seed(seed: u64, lasts: Duration) -> Self {
         let mut rng = Rng::new(seed.wrapping_mul(0x5851_f42d_4c95_7f2d));
         let site = Site {
@@ -123,15 +112,15 @@
             connect_timeout_ms: rng.pick(&[100, 250, 1000]),
             each_ms: rng.range_inclusive(8, 16),
         };
-        let span = lasts.as_millis() as u64;
+        let duration_ms = lasts.as_millis() as u64;
         let count = rng.range_inclusive(8, 14);
         let mut troubles: Vec<(u64, Trouble)> = (0..count)
             .map(|_| {
-                let at = rng.range_inclusive(300, span - 300);
-                (at, trouble(&mut rng, &site))
+                let at = rng.range_inclusive(300, duration_ms - 300);
+                (at, draw_trouble(&mut rng, &site))
             })
             .collect();
-        // Some trouble is there when the end begins.
+        // In most runs a server hangs when SIGTERM arrives.
         if rng.chance(70) {
             let server = rng.range_inclusive(0, site.servers as u64 - 1) as usize;
             let hang = Trouble::Server {
@@ -139,7 +128,7 @@
                 mode: ServerMode::Hang,
                 lasts: 10_000,
             };
-            troubles.push((span - rng.range_inclusive(50, 600), hang));
+            troubles.push((duration_ms - rng.range_inclusive(50, 600), hang));
         }
         troubles.sort_by_key(|(at, _)| *at);
         Self {
@@ -153,7 +142,8 @@
     }
 }
 
-fn trouble(rng: &mut Rng, site: &Site) -> Trouble {
+/// Draws one trouble.
+fn draw_trouble(rng: &mut Rng, site: &Site) -> Trouble {
     let server = rng.range_inclusive(0, site.servers as u64 - 1) as usize;
     let lasts = rng.range_inclusive(300, 2500);
     match rng.range_inclusive(0, 12) {
@@ -200,7 +190,7 @@
             times: rng.range_inclusive(1, 4),
         },
         10 => Trouble::Calls {
-            rules: rng.pick(&CALLS),
+            rules: rng.pick(&SYSTEM_CALL_RULES),
             lasts,
         },
         11 => match rng.chance(50) {
