--- a/crates/standins/src/bin/violetwind-standin-consul.rs
+++ b/crates/standins/src/bin/violetwind-standin-consul.rs
@@ -97,8 +97,8 @@
             Err(_) => return false,
         },
         ["reset"] => consul.reset_index(),
-        ["mood", mood] => {
-            consul.set_mode(match *mood {
+        ["mood", mode] => {
+            consul.set_mode(match *mode {
                 "works" => ConsulMode::Works,
                 "silent" => ConsulMode::Silent,
                 "resets" => ConsulMode::Resets,
--- a/crates/standins/src/fleet_harness.rs
+++ b/crates/standins/src/fleet_harness.rs
@@ -1,4 +1,4 @@
-//! Several processes of the proxy as one fleet on loopback, with a relay for the connections between each two members.
+//! Several processes of the proxy as one fleet on loopback, with a relay from each member to each other voter.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -31,8 +31,9 @@
     pub slow_start_window_s: f64,
     /// The proxies' log level; `debug` includes the decision on each attempt and the write of its line.
     pub log_level: &'static str,
-    /// Additional lines for the `[fleet]` section of all members, and for the end of the file.
+    /// Additional lines for the `[fleet]` section of all members' files.
     pub fleet_toml: String,
+    /// Additional lines for the end of all members' files; `FILE` stands for a path of each member's own.
     pub extra_toml: String,
 }
 
@@ -128,7 +129,7 @@
     pub fn mark_server_restarted(&self) {
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let mut row = self.server.target_row("ready");
-        row["boot_ms"] = json!(now.expect("after 1970").as_millis() as u64);
+        row["boot_ms"] = json!(now.expect("the clock is before 1970").as_millis() as u64);
         self.discovery.upsert_target(row);
     }
 
@@ -227,7 +228,7 @@
         for duty in &spec.duties {
             toml += &format!("[[fleet.duty]]\nname = \"{duty}\"\n");
         }
-        // `FILE` stands for a path of this member's own.
+        // `FILE` in the additional lines becomes a path of this member's own.
         let own_file = process.dir.join("work.out").display().to_string();
         let extra_toml = spec.extra_toml.replace("FILE", &own_file);
         std::fs::write(process.dir.join("operator.toml"), toml + &extra_toml).unwrap();
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -85,6 +85,9 @@
 
 impl Relay {
     /// Starts a relay from `at` (port 0 picks a free one) to `to`, where nothing has to listen yet.
+    ///
+    /// # Errors
+    /// The address `at` cannot be bound.
     pub fn start(at: SocketAddr, to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(at)?;
         let addr = listener.local_addr()?;
@@ -119,6 +122,7 @@
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
+/// Relays one connection in both directions until it ends.
 fn relay_connection(from: TcpStream, shared: &Arc<Shared>) {
     let is_reset = |direction| shared.mode(direction) == LinkMode::Reset;
     if is_reset(Direction::Forward) || is_reset(Direction::Reverse) {
@@ -166,12 +170,12 @@
             _ if discarded && mode != LinkMode::Blackhole => return reset_both(&from, &to),
             _ => {}
         }
-        let read = match from.read(&mut chunk) {
+        let count = match from.read(&mut chunk) {
             Ok(0) => {
                 let _ = to.shutdown(std::net::Shutdown::Write);
                 return;
             }
-            Ok(read) => read,
+            Ok(count) => count,
             Err(error)
                 if matches!(
                     error.kind(),
@@ -183,13 +187,13 @@
             Err(_) => return reset_both(&from, &to),
         };
         let sent = match shared.mode(direction) {
-            LinkMode::Pass => to.write_all(&chunk[..read]),
-            LinkMode::Delay(by) => {
-                thread::sleep(by);
-                to.write_all(&chunk[..read])
+            LinkMode::Pass => to.write_all(&chunk[..count]),
+            LinkMode::Delay(delay) => {
+                thread::sleep(delay);
+                to.write_all(&chunk[..count])
             }
-            LinkMode::Throttle(bytes) => {
-                write_throttled(&mut to, &chunk[..read], bytes, shared, direction)
+            LinkMode::Throttle(bytes_per_s) => {
+                write_throttled(&mut to, &chunk[..count], bytes_per_s, shared, direction)
             }
             LinkMode::Blackhole => {
                 discarded = true;
@@ -200,11 +204,11 @@
                 while shared.mode(direction) == LinkMode::Stall {
                     thread::sleep(POLL_INTERVAL);
                 }
-                to.write_all(&chunk[..read])
+                to.write_all(&chunk[..count])
             }
             LinkMode::Reset => return reset_both(&from, &to),
             LinkMode::ResetMidWrite => {
-                let _ = to.write_all(&chunk[..read / 2]);
+                let _ = to.write_all(&chunk[..count / 2]);
                 shared.modes.lock().unwrap()[direction as usize] = LinkMode::Pass;
                 return reset_both(&from, &to);
             }
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -147,7 +147,7 @@
         self.probes.arrival_times.lock().unwrap().clone()
     }
 
-    /// Whether no `OPEN` is waiting to be taken by the test.
+    /// Whether no `OPEN` is waiting for the test; one that is waiting is discarded.
     pub fn no_pending_open(&self) -> bool {
         self.open_receiver.try_recv().is_err()
     }
--- a/crates/standins/src/soak/checker.rs
+++ b/crates/standins/src/soak/checker.rs
@@ -128,7 +128,7 @@
     }
     for (id, attempts) in by_id {
         violations.push(format!(
-            "unknown: servers got {id}, which no client asked for, {} times",
+            "unknown: servers got {id}, which no client sent, {} times",
             attempts.len()
         ));
     }
@@ -314,7 +314,7 @@
                 let late_ms = (attempt.received_at - drain.announced_at).as_millis();
                 let announced_ms = (drain.announced_at - start).as_millis();
                 violations.push(format!(
-                    "drain: {} got {} {late_ms} ms after its drain was told at {announced_ms}",
+                    "drain: {} got {} {late_ms} ms after its drain was announced at {announced_ms}",
                     drain.server, attempt.id
                 ));
             }
--- a/crates/standins/src/soak/client.rs
+++ b/crates/standins/src/soak/client.rs
@@ -135,7 +135,7 @@
     !matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
-/// Waits for the answer to the `OPEN`, and disconnects if the behaviour says so.
+/// Waits for the answer to the `OPEN`, and disconnects once `disconnect_after` has passed without one.
 fn read_first_answer(
     stream: &mut TcpStream,
     behaviour: &ClientBehaviour,
--- a/crates/standins/src/soak/runner.rs
+++ b/crates/standins/src/soak/runner.rs
@@ -45,9 +45,13 @@
 #[derive(Debug)]
 pub struct Report {
     pub seed: u64,
+    /// The number of requests.
     pub asked: usize,
+    /// Requests answered with `UP` or `BYE`.
     pub served: usize,
+    /// Requests answered with `BUSY`.
     pub refused: usize,
+    /// Requests answered with another line.
     pub failed: usize,
     pub violations: Vec<String>,
     /// Path of the proxy's log.
@@ -101,6 +105,7 @@
 }
 
 impl Run {
+    /// Starts the servers, discovery and the proxy, and waits until the proxy is ready.
     fn start(program: &Path, dir: &Path, script: &Script) -> Self {
         let dir = dir.join(format!("seed-{}", script.seed));
         let _ = std::fs::remove_dir_all(&dir);
@@ -305,7 +310,7 @@
                 self.servers
                     .push(SoakServer::start(&uid, self.site.capacity));
                 self.boot_times_ms.push(0);
-                self.start_cold(self.servers.len() - 1);
+                self.list_as_restarted(self.servers.len() - 1);
             }
             Trouble::Discovery { mood, lasts } => {
                 self.discovery.set_mode(*mood);
@@ -354,6 +359,7 @@
         }
     }
 
+    /// Writes the present fault rules and clock step, and waits until they are in force.
     fn set_faults(&self) {
         let rules = format!(
             "seed {}\nclock {}\n{}",
@@ -398,7 +404,7 @@
                 }
                 TroubleEnd::Restart(server) => {
                     self.servers[server].restart();
-                    self.start_cold(server);
+                    self.list_as_restarted(server);
                 }
                 TroubleEnd::RestoreDiscovery => {
                     self.discovery.set_mode(DiscoveryMode::Works);
@@ -415,7 +421,7 @@
     }
 
     /// Lists a server as started just now, according to the clock of the proxy.
-    fn start_cold(&mut self, server: usize) {
+    fn list_as_restarted(&mut self, server: usize) {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .expect("the clock is before 1970");
@@ -443,7 +449,7 @@
         self.discovery.upsert_target(target);
         if state == "draining" {
             let announced_at = match self.outages.last() {
-                // First case: discovery works again, but the proxy may not have a request open yet. Second: it does not work now.
+                // Discovery works again, but the proxy may have no request open yet; or it does not work now.
                 Some((_, Some(end))) if *end + ANNOUNCEMENT_DELAY > now => {
                     *end + ANNOUNCEMENT_DELAY
                 }
--- a/crates/standins/src/work_orders.rs
+++ b/crates/standins/src/work_orders.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// Sends one request, and talks on its connection until it is moved or ends.
+/// Sends one request, and exchanges messages on its connection until it is moved or ends.
 fn run_request(number: usize, attempt: usize, proxies: &[SocketAddr], stats: &ClientStats) {
     let proxy = attempt % proxies.len();
     let is_excused = || stats.excused_proxies.lock().unwrap().contains(&proxy);
@@ -143,8 +143,8 @@
     }
 }
 
-/// The index of the proxy that a connection came through, from the bits above 48 of its id; `usize::MAX` for another
-/// id.
+/// The index of the proxy that a connection came through, which the client put into its id from bit 48 up;
+/// `usize::MAX` for any other id.
 fn proxy_of_visit(visit: &Visit) -> usize {
     u64::from_str_radix(&visit.id, 16).map_or(usize::MAX, |id| (id >> 48) as usize)
 }
@@ -327,7 +327,7 @@
         let periods = emptied.iter().filter(|empty| empty.machine == machine);
         if periods.count() > 1 {
             violations.push(format!(
-                "Once: {machine} was told as empty again: {emptied:?}"
+                "Once: {machine} was reported as empty again: {emptied:?}"
             ));
         }
     }
