--- a/crates/catalogue/src/catalogue.rs
+++ b/crates/catalogue/src/catalogue.rs
@@ -284,7 +284,7 @@
             source_state.snapshot_number += 1;
             source_state.snapshot_started_at = Some(now);
         } else if source_state.snapshot_started_at.is_none() {
-            // The earlier parts were discarded, so the rest is no complete snapshot.
+            // The snapshot was aborted after its earlier parts, so the remaining parts are ignored.
             return;
         }
         for row in rows {
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -12,8 +12,8 @@
 //!   for servers that don't answer. So a flap of half the servers moves no connection.
 //! - **An unavailable source changes nothing.** The last view stays in use without a time limit.
 //!
-//! The crate reads no clock and no socket: each call passes the time, in Unix milliseconds, and returns the status
-//! changes. The view at a timestamp doesn't depend on the order of the updates with that timestamp, except
+//! The crate reads no clock and no socket: each call passes the time, in milliseconds of a clock that never goes
+//! back, and returns the status changes. The view at a timestamp doesn't depend on the order of the updates with that timestamp, except
 //! that the last report of one source on one server counts.
 
 mod catalogue;
--- a/crates/catalogue/src/limits.rs
+++ b/crates/catalogue/src/limits.rs
@@ -22,8 +22,9 @@
     pub distrust_ratio: f64,
     pub distrust_min_servers: usize,
     pub distrust_window: Millis,
-    /// A source is trusted again once at most half of `distrust_ratio`, or fewer than `distrust_min_servers`, have
-    /// been suspect for `trust_recovery_delay`, and at the latest after `max_distrust_time`.
+    /// A source is trusted again once the ratio of its suspect servers has been at most half of `distrust_ratio`, or
+    /// their number below `distrust_min_servers`, for `trust_recovery_delay`; at the latest after
+    /// `max_distrust_time`.
     pub trust_recovery_delay: Millis,
     pub max_distrust_time: Millis,
     /// Each transition of a server to suspect adds 1 to its penalty, which halves every `flap_half_life`. From
--- a/crates/catalogue/src/trust.rs
+++ b/crates/catalogue/src/trust.rs
@@ -15,7 +15,7 @@
     absent: BTreeMap<Millis, usize>,
     distrusted_since: Option<Millis>,
     /// While the source is distrusted: since when few enough servers are suspect for it to be trusted again.
-    calm_since: Option<Millis>,
+    recovering_since: Option<Millis>,
     /// Whether the source was distrusted when the servers were last evaluated.
     pub was_distrusted: bool,
 }
@@ -69,7 +69,7 @@
     pub fn update(&mut self, now: Millis, limits: &Limits) {
         let Some(distrusted_since) = self.distrusted_since else {
             self.distrusted_since = self.is_distrusted(now, limits).then_some(now);
-            self.calm_since = None;
+            self.recovering_since = None;
             return;
         };
         let since = distrusted_since.saturating_sub(limits.distrust_window);
@@ -78,13 +78,13 @@
             limits.distrust_ratio / 2.0,
             limits.distrust_min_servers,
         ) {
-            self.calm_since = None;
-        } else if self.calm_since.is_none() {
-            self.calm_since = Some(now);
+            self.recovering_since = None;
+        } else if self.recovering_since.is_none() {
+            self.recovering_since = Some(now);
         }
         let recovered = self
-            .calm_since
-            .is_some_and(|calm_since| now >= calm_since + limits.trust_recovery_delay);
+            .recovering_since
+            .is_some_and(|recovering_since| now >= recovering_since + limits.trust_recovery_delay);
         if recovered || now >= distrusted_since + limits.max_distrust_time {
             // Servers that were suspect all this time became so before the window, so their reports count again.
             self.distrusted_since = None;
--- a/crates/catalogue/src/types.rs
+++ b/crates/catalogue/src/types.rs
@@ -16,7 +16,8 @@
     pub cell: u64,
     /// The server's relative capacity, if the source reports one.
     pub weight: Option<f64>,
-    /// When the server's process started, if the source reports it.
+    /// When the server's process started, if the source reports it. Consul reports Unix time; the engine converts it to
+    /// the time of the catalogue's clock before it applies the update.
     pub born: Option<Millis>,
     /// Changes with each registration, if the source reports it (Consul's `CreateIndex`).
     pub epoch: u64,
@@ -134,7 +135,7 @@
 pub enum StatusReason {
     /// No trusted source that lists the server reports it as failing.
     AllReady,
-    /// Reported as failing or absent only by a distrusted source, one that lost too many servers at once.
+    /// Reported as failing or absent only by distrusted sources, which lost too many servers at once.
     SourceDistrusted,
     ReportedFailing,
     /// No source lists the server any more.
--- a/crates/catalogue/tests/effective_status.rs
+++ b/crates/catalogue/tests/effective_status.rs
@@ -160,7 +160,7 @@
     assert_eq!(catalogue.len(), 9);
 }
 
-/// The flap described in the issue: half of all health checks fail for two seconds.
+/// A flap must move no connection: half of all health checks fail for two seconds.
 #[test]
 fn half_the_servers_failing_for_two_seconds_changes_nothing() {
     let (mut catalogue, source, names) = catalogue_with_ready_servers(100);
@@ -472,7 +472,7 @@
         statuses(&changes),
         [(&*names[0], EffectiveStatus::Draining)]
     );
-    // Neither does a stale snapshot revoke a drain.
+    // A stale snapshot doesn't revoke a drain either.
     let rows = vec![row(&names[0], ReportedStatus::Ready)];
     assert!(
         catalogue
--- a/crates/catalogue/tests/properties.rs
+++ b/crates/catalogue/tests/properties.rs
@@ -219,8 +219,8 @@
             steps.iter().for_each(|step| drop(apply(&mut in_order, now, step)));
             // A different order, deterministic for the seed.
             let count = steps.len() as u64;
-            for at in 0..steps.len() {
-                steps.swap(at, (seed.wrapping_mul(at as u64 + 7) % count) as usize);
+            for index in 0..steps.len() {
+                steps.swap(index, (seed.wrapping_mul(index as u64 + 7) % count) as usize);
             }
             steps.iter().for_each(|step| drop(apply(&mut shuffled, now, step)));
             let statuses = |catalogue: &Catalogue| -> Vec<(String, EffectiveStatus)> {
--- a/crates/consul/src/query.rs
+++ b/crates/consul/src/query.rs
@@ -26,7 +26,7 @@
     Snapshot,
     /// The index is the requested one: the list has not changed since the last response.
     Unchanged,
-    /// A list that is too old, or from a Consul server that knows no leader: only its drains take effect.
+    /// A list that is too old, or from a Consul server without a known leader: only its drains take effect.
     StaleSnapshot,
     /// An error status without a list.
     Refused,
--- a/crates/consul/src/rows.rs
+++ b/crates/consul/src/rows.rs
@@ -1,6 +1,6 @@
 //! Splits response bodies into rows as they arrive, so that an array of 20,000 instances is never held in memory as
-//! a tree or as text. No library parses a JSON array from chunks that are pushed to it without a thread of its
-//! own, so the splitting is done here, and `serde_json` parses each row.
+//! a tree or as text. No library parses a JSON array from chunks as they are pushed to it without a separate thread,
+//! so the splitting is done here, and `serde_json` parses each row.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, HashSet};
@@ -18,7 +18,7 @@
 pub enum BodyError {
     /// The body is not an array of objects: unexpected input at this byte.
     NotAnArray(usize),
-    /// A row exceeds [`Limits::max_row_bytes`]; holds the byte offset of the chunk in which it does.
+    /// A row exceeds [`Limits::max_row_bytes`]; the value is the byte offset of the chunk in which this was detected.
     RowTooLong(usize),
     /// The body has more rows than this limit.
     TooManyRows(usize),
@@ -279,7 +279,7 @@
     pub rows: Vec<Row>,
     /// The number of invalid rows, including those that are kept without an address.
     pub invalid_rows: usize,
-    /// The error in the first of them.
+    /// The error in the first invalid row.
     pub first_error: Option<String>,
 }
 
@@ -296,8 +296,8 @@
         }
     }
 
-    /// Parses the text of one row and adds it to `rows`. An invalid row is counted and skipped; one whose only fault
-    /// is its address is counted and kept without an instance.
+    /// Parses the text of one row and adds it to `rows`. An invalid row is counted and skipped; a row with no
+    /// other error than an invalid address or port is counted and kept without an instance.
     pub fn parse_row(&mut self, text: &[u8]) {
         match self.parse(text) {
             Ok(row) => self.rows.push(row),
--- a/crates/faults/src/rules.rs
+++ b/crates/faults/src/rules.rs
@@ -54,8 +54,8 @@
 /// clock MILLISECONDS
 /// fail CALL ERRNO PER_MILLE [PATH]
 /// halfway CALL ERRNO PER_MILLE [PATH]
-/// short CALL MOST_BYTES PER_MILLE
-/// # anything
+/// short CALL MAX_BYTES PER_MILLE [PATH]
+/// # COMMENT
 /// ```
 pub fn parse(text: &str) -> Option<Rules> {
     let mut rules = Rules::default();
--- a/crates/record/src/writer.rs
+++ b/crates/record/src/writer.rs
@@ -17,7 +17,7 @@
 /// The limits of a [`Recorder`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The length from which on a file is closed and the next one started.
+    /// The length at which a file is closed and the next one is started.
     pub max_file_bytes: u64,
     /// The number of older files that are kept.
     pub max_old_files: usize,
--- a/crates/record/tests/recording.rs
+++ b/crates/record/tests/recording.rs
@@ -124,7 +124,7 @@
     (0..1000).for_each(|number| recorder.enqueue(request(number)));
     std::fs::create_dir_all(path.parent().unwrap()).unwrap();
     let mut number = 1000;
-    // Until the thread has tried again and written a record.
+    // Enqueues records until the thread has retried and written at least one.
     while std::fs::metadata(&path).map_or(0, |meta| meta.len()) < 100 {
         recorder.enqueue(request(number));
         number += 1;
--- a/crates/service/src/bans.rs
+++ b/crates/service/src/bans.rs
@@ -80,7 +80,7 @@
             return ChangeOutcome::Same;
         };
         if self.unbanned.len() >= limits.max_bans {
-            // The server that was unbanned first is also the first to complete its slow start, so its entry can go.
+            // The server that was unbanned first is also the first to complete its slow start, so its entry is removed.
             let oldest = self
                 .unbanned
                 .iter()
--- a/crates/service/src/command.rs
+++ b/crates/service/src/command.rs
@@ -41,7 +41,8 @@
         token: String,
     },
     DeclareMemberLost(String),
-    /// Acquire one unit of a budget. For a budget whose units are held, `lease_ms` is how long, in milliseconds.
+    /// Acquire one unit of a budget. For a budget whose units are held, `lease_ms` is how long the unit is held, in
+    /// milliseconds.
     AcquireUnit {
         budget: String,
         token: String,
@@ -202,8 +203,8 @@
         Some(id) if id.len() > limits.max_id_bytes => Err(CommandError::IdTooLong),
         Some(id) => Ok(OperatorCommand::Change(change(id.to_string()))),
     };
-    let without_id = |call: OperatorCommand| match id {
-        None => Ok(call),
+    let without_id = |command: OperatorCommand| match id {
+        None => Ok(command),
         Some(_) => Err(CommandError::TooManyWords),
     };
     match verb {
@@ -316,15 +317,15 @@
     };
     let mut seen_keys = BTreeSet::new();
     for bound in bounds {
-        let (key, number) = bound.split_once('=').ok_or(CommandError::InvalidBound)?;
+        let (key, value) = bound.split_once('=').ok_or(CommandError::InvalidBound)?;
         if key == "spare"
-            && ["nothing", "machine", "zone"].contains(&number)
+            && ["nothing", "machine", "zone"].contains(&value)
             && seen_keys.insert(key)
         {
-            order.failure_tolerance = number.into();
+            order.failure_tolerance = value.into();
             continue;
         }
-        let number: u64 = number.parse().map_err(|_| CommandError::InvalidBound)?;
+        let number: u64 = value.parse().map_err(|_| CommandError::InvalidBound)?;
         let number_within = |from: u64, to: u64| match (from..=to).contains(&number) {
             true => Ok(number as u32),
             false => Err(CommandError::InvalidBound),
--- a/crates/service/src/handover.rs
+++ b/crates/service/src/handover.rs
@@ -45,7 +45,7 @@
     ConnectionTransferred(u32),
 }
 
-/// An established connection between two lines; the process that offers it has no buffered data of it.
+/// An established connection, offered at a line boundary; the offering process has no buffered data of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Connection {
     /// The client's first line, without its line end.
--- a/crates/service/tests/service.rs
+++ b/crates/service/tests/service.rs
@@ -1,5 +1,5 @@
-//! Tests of commands, bans, machines and handover messages. Property tests check that input split into pieces of any
-//! size decodes alike, and that truncated or altered frames never decode to a message.
+//! Tests of commands, bans, machines and handover messages. Property tests check that input decodes to the same
+//! result for any split into pieces, and that truncated or altered frames never decode to a message.
 
 use std::time::Duration;
 
@@ -357,8 +357,8 @@
     }
 }
 
-/// Servers are out of service by their machine according to the operator's file or by the fleet's log, also if a list
-/// names them only later.
+/// Servers are out of service if their machine is out according to the operator's file or the fleet's log, even if a
+/// list names them only later.
 #[test]
 fn servers_of_machines_that_are_out_are_out_even_if_no_list_has_named_them() {
     use std::collections::BTreeSet;
@@ -408,7 +408,7 @@
     let mut bans = bans.with_times_clamped(1000);
     assert!(bans.is_banned("s-1") && !bans.is_banned("s-2"));
     assert_eq!(bans.started_at("s-2", Some(500)), Some(1000));
-    // A listed start after that is a newer one.
+    // A later listed start time is used.
     assert_eq!(bans.started_at("s-2", Some(1500)), Some(1500));
     bans.unban("s-1", 2000, &limits);
     assert_eq!(bans.started_at("s-1", Some(900)), Some(2000));
