--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -13,8 +13,8 @@
 //! - **An unavailable source changes nothing.** The last view stays in use without a time limit.
 //!
 //! The crate reads no clock and no socket: each call passes the time, in milliseconds of a clock that never goes
-//! back, and returns the status changes. The view at a timestamp doesn't depend on the order of the updates with that timestamp, except
-//! that the last report of one source on one server counts.
+//! back, and returns the status changes. The view at a timestamp doesn't depend on the order of the updates with that
+//! timestamp, except that the last report of one source on one server counts.
 
 mod catalogue;
 mod limits;
--- a/crates/catalogue/tests/properties.rs
+++ b/crates/catalogue/tests/properties.rs
@@ -161,7 +161,7 @@
             drains.apply(step);
             let known_uids: BTreeSet<String> = catalogue.servers().map(|view| view.uid.to_string()).collect();
             for (number, reporting_sources) in &drains.0 {
-                // A server that was removed from the catalogue starts afresh; it was gone before that.
+                // The reports on a server are removed together with it; its status was gone before that.
                 if reporting_sources.is_empty() || !known_uids.contains(&uid(*number)) {
                     continue;
                 }
--- a/crates/consul/src/limits.rs
+++ b/crates/consul/src/limits.rs
@@ -23,7 +23,7 @@
     pub connect_timeout: Duration,
     /// How long a query may block until the list changes; Consul adds up to a sixteenth.
     pub blocking_wait: Duration,
-    /// How much longer than that the head of the response may take.
+    /// How long the head of the response may take beyond the blocking wait.
     pub response_margin: Duration,
     /// The maximum time between two frames of a body.
     pub body_idle_timeout: Duration,
--- a/crates/consul/src/rules.rs
+++ b/crates/consul/src/rules.rs
@@ -73,7 +73,7 @@
 pub struct Settings {
     pub address: SocketAddr,
     pub service: String,
-    /// The data centres to query; if empty, that of the queried agent.
+    /// The data centres to query; if empty, the data centre of the queried agent.
     pub datacenters: Vec<String>,
     pub api: Api,
     /// Whether any Consul server may answer, not only the leader.
--- a/crates/faults/src/rules.rs
+++ b/crates/faults/src/rules.rs
@@ -7,9 +7,10 @@
 pub enum Effect {
     /// The call fails with this `errno` and has no effect.
     Fail(i32),
-    /// The call transfers half of its bytes, then fails with this `errno`.
+    /// The call transfers half of its bytes, then fails with this `errno`; `writev` fails without a transfer. Calls
+    /// that transfer no bytes ignore this effect.
     FailHalfway(i32),
-    /// The call transfers at most this number of bytes.
+    /// The call transfers at most this number of bytes. Calls that transfer no bytes ignore this effect.
     Short(usize),
 }
 
--- a/crates/service/tests/service.rs
+++ b/crates/service/tests/service.rs
@@ -183,13 +183,13 @@
     let bans = state().bans;
     let bytes = handover::encode_frame(&bans, &limits()).unwrap();
     assert_eq!(handover::decode_bans(&bytes, &limits()), Ok(bans));
-    for bad in [
+    for invalid in [
         &bytes[..bytes.len() - 1],
         b"",
         b"text",
         &[&bytes[..], b"x"].concat(),
     ] {
-        assert!(handover::decode_bans(bad, &limits()).is_err());
+        assert!(handover::decode_bans(invalid, &limits()).is_err());
     }
 }
 
