--- a/crates/catalogue/tests/properties.rs
+++ b/crates/catalogue/tests/properties.rs
@@ -161,7 +161,7 @@
             drains.apply(step);
             let known_uids: BTreeSet<String> = catalogue.servers().map(|view| view.uid.to_string()).collect();
             for (number, reporting_sources) in &drains.0 {
-                // A server that was removed from the catalogue starts afresh; it was gone before that.
+                // The reports on a server are removed together with it; its status was gone before that.
                 if reporting_sources.is_empty() || !known_uids.contains(&uid(*number)) {
                     continue;
                 }
@@ -219,8 +219,8 @@
             steps.iter().for_each(|step| drop(apply(&mut in_order, now, step)));
             // A different order, deterministic for the seed.
             let count = steps.len() as u64;
-            for at in 0..steps.len() {
-                steps.swap(at, (seed.wrapping_mul(at as u64 + 7) % count) as usize);
+            for index in 0..steps.len() {
+                steps.swap(index, (seed.wrapping_mul(index as u64 + 7) % count) as usize);
             }
             steps.iter().for_each(|step| drop(apply(&mut shuffled, now, step)));
             let statuses = |catalogue: &Catalogue| -> Vec<(String, EffectiveStatus)> {
