--- a/crates/lab/src/model/budgets.rs
+++ b/crates/lab/src/model/budgets.rs
@@ -1,5 +1,5 @@
-//! Budgets of the whole fleet in the model: the division, meters and shares that proxies use, and in place of the log
-//! and its links an exchange with all of them every so often. What one exchange asks for, the next has.
+//! Fleet-wide budgets in the simulation. Allocator, meters and shares are those that proxies use. A periodic exchange
+//! with all proxies replaces the replicated log and its links: a need reported in one exchange is met in the next.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,42 +11,46 @@
 
 use crate::scenario::{Budget, Scenario};
 
-/// A lease that does not end: nobody is cut off from this fleet.
-const FOR_EVER: u64 = 1 << 40;
+/// End in milliseconds of a lease that never ends, because no proxy is cut off from the simulated fleet.
+const NEVER_ENDING_LEASE: u64 = 1 << 40;
 
+/// Budget state of one proxy process.
 struct Member {
     session: SessionId,
     process: Number,
     meters: Meters,
-    /// The number of the word that is in force, by budget.
-    words: BTreeMap<Name, Number>,
-    /// The shares that it knows, and how often they have changed.
+    /// Number of the part in force, by budget.
+    part_numbers: BTreeMap<Name, Number>,
+    /// Number of changes of `known_shares` so far.
     version: Number,
-    known: Vec<(Name, violetwind_fleet::budget::Share)>,
+    /// Shares that the proxy knows.
+    known_shares: Vec<(Name, violetwind_fleet::budget::Share)>,
 }
 
+/// Budgets of the simulated fleet that are divided by need.
 pub struct BudgetModel {
     divided: Vec<(Budget, BudgetDefinition)>,
     limits: Limits,
     shares: BTreeMap<Name, BudgetShares>,
-    divider: ShareAllocator,
+    allocator: ShareAllocator,
     members: Vec<Member>,
-    next: Number,
-    /// When what sessions left behind may be given again.
-    due: Vec<(u64, Name, Number)>,
+    last_number: Number,
+    /// Time in milliseconds at which the stranded share of an ended session is released, its budget and its number.
+    releases: Vec<(u64, Name, Number)>,
 }
 
-/// What a proxy is told, by its number.
+/// New allowance of a proxy, given by the proxy's index.
 pub type AllowanceUpdate = (usize, QuotaKind, Allowance);
 
-fn ms(secs: Seconds) -> u64 {
-    (secs * 1e3) as u64
+fn ms(seconds: Seconds) -> u64 {
+    (seconds * 1e3) as u64
 }
 
 impl BudgetModel {
-    pub fn new(set: &Scenario) -> Self {
-        let members = set.proxies as u64;
-        let def = |budget: &Budget| BudgetDefinition {
+    /// Creates the shares of the scenario's budgets and a member for each proxy.
+    pub fn new(scenario: &Scenario) -> Self {
+        let members = scenario.proxies as u64;
+        let definition = |budget: &Budget| BudgetDefinition {
             name: format!("{:?}", budget.quota_kind),
             kind: BudgetKind::Rate,
             total: budget.total,
@@ -55,175 +59,218 @@
             max_members: members,
             version: 1,
         };
-        let divided = set.budgets.iter().filter(|budget| budget.divided_by_need);
+        let divided = scenario
+            .budgets
+            .iter()
+            .filter(|budget| budget.divided_by_need);
         let divided: Vec<_> = divided
-            .map(|budget| (budget.clone(), def(budget)))
+            .map(|budget| (budget.clone(), definition(budget)))
             .collect();
-        let shares = divided
-            .iter()
-            .map(|(_, def)| (def.name.clone(), BudgetShares::new(def.clone())));
+        let shares = divided.iter().map(|(_, definition)| {
+            (
+                definition.name.clone(),
+                BudgetShares::new(definition.clone()),
+            )
+        });
         let mut budgets = Self {
             shares: shares.collect(),
             divided,
             limits: Limits::default(),
-            divider: ShareAllocator::default(),
+            allocator: ShareAllocator::default(),
             members: Vec::new(),
-            next: 0,
-            due: Vec::new(),
+            last_number: 0,
+            releases: Vec::new(),
         };
-        for _ in 0..set.proxies {
-            let member = budgets.member(0.0);
+        for _ in 0..scenario.proxies {
+            let member = budgets.new_member(0.0);
             budgets.members.push(member);
         }
         budgets
     }
 
-    /// What proxies have from their start, before any exchange: fixed parts that sum to the whole, or floors.
-    pub fn initial_allowances(&self, set: &Scenario, proxy: usize) -> Vec<(QuotaKind, Allowance)> {
-        let fixed = |budget: &Budget| {
-            let (whole, proxies) = (budget.total, set.proxies as u64);
+    /// Allowances of a proxy at its start, before any exchange: a fixed part (the parts of all proxies sum to the
+    /// total), or none of a budget that is divided by need.
+    pub fn initial_allowances(
+        &self,
+        scenario: &Scenario,
+        proxy: usize,
+    ) -> Vec<(QuotaKind, Allowance)> {
+        let initial_allowance = |budget: &Budget| {
+            let (total, proxies) = (budget.total, scenario.proxies as u64);
             let units = match budget.divided_by_need {
                 true => 0,
-                false => whole / proxies + u64::from((proxy as u64) < whole % proxies),
+                false => total / proxies + u64::from((proxy as u64) < total % proxies),
             };
             let allowance = Allowance {
                 units,
                 lease_end: f64::INFINITY,
                 units_after_lease: units,
                 span: budget.window,
-                fleet_units: whole,
+                fleet_units: total,
                 max_wait: 0.0,
             };
             (budget.quota_kind, allowance)
         };
-        // Cold servers have the module's own division where no other is asked for.
-        let counted = set
+        // The limit on cold servers is divided by the balancer itself unless the scenario divides it by need.
+        let budgets = scenario
             .budgets
             .iter()
             .filter(|b| b.divided_by_need || b.quota_kind != QuotaKind::Cold);
-        counted.map(fixed).collect()
+        budgets.map(initial_allowance).collect()
     }
 
+    /// Whether no budget is divided by need.
     pub fn is_empty(&self) -> bool {
         self.divided.is_empty()
     }
 
-    fn member(&mut self, now: Seconds) -> Member {
-        self.next += 1;
-        let defs: Vec<BudgetDefinition> = self.divided.iter().map(|(_, def)| def.clone()).collect();
-        let outside: BTreeSet<Name> = defs.iter().map(|def| def.name.clone()).collect();
+    fn new_member(&mut self, now: Seconds) -> Member {
+        self.last_number += 1;
+        let definitions: Vec<BudgetDefinition> = self
+            .divided
+            .iter()
+            .map(|(_, definition)| definition.clone())
+            .collect();
+        let external: BTreeSet<Name> = definitions
+            .iter()
+            .map(|definition| definition.name.clone())
+            .collect();
         Member {
-            session: self.next,
-            process: self.next,
-            meters: Meters::new(&defs, &outside, ms(now), &self.limits),
-            words: BTreeMap::new(),
+            session: self.last_number,
+            process: self.last_number,
+            meters: Meters::new(&definitions, &external, ms(now), &self.limits),
+            part_numbers: BTreeMap::new(),
             version: 0,
-            known: Vec::new(),
+            known_shares: Vec::new(),
         }
     }
 
-    /// A proxy's process is gone: what it had stays aside for a window.
+    /// Replaces the member of a restarted proxy. The share of the old process stays stranded for a window, lengthened
+    /// by the possible clock drift.
     pub fn handle_proxy_restart(&mut self, now: Seconds, proxy: usize) {
         if self.is_empty() {
             return;
         }
-        let fresh = self.member(now);
-        let old = std::mem::replace(&mut self.members[proxy], fresh);
-        for (_, def) in &self.divided {
-            let shares = self.shares.get_mut(&def.name).expect("made for each");
-            self.next += 1;
+        let new_member = self.new_member(now);
+        let old_member = std::mem::replace(&mut self.members[proxy], new_member);
+        for (_, definition) in &self.divided {
+            let shares = self
+                .shares
+                .get_mut(&definition.name)
+                .expect("new() creates shares for each budget");
+            self.last_number += 1;
             shares.strand_share(
-                old.session,
-                (&proxy.to_string(), old.process),
+                old_member.session,
+                (&proxy.to_string(), old_member.process),
                 None,
-                self.next,
+                self.last_number,
             );
-            let window =
-                def.window + 2 * (def.window * self.limits.max_clock_drift_permille).div_ceil(1000);
-            self.due
-                .push((ms(now) + window + 1, def.name.clone(), self.next));
-            self.divider.mark_changed(&def.name);
+            let window = definition.window
+                + 2 * (definition.window * self.limits.max_clock_drift_permille).div_ceil(1000);
+            self.releases.push((
+                ms(now) + window + 1,
+                definition.name.clone(),
+                self.last_number,
+            ));
+            self.allocator.mark_changed(&definition.name);
         }
         let sessions: BTreeSet<SessionId> = self.members.iter().map(|m| m.session).collect();
-        self.divider
+        self.allocator
             .retain_sessions(|session| sessions.contains(&session));
     }
 
-    /// All tell what they use and need, and are told their parts.
+    /// Collects usage and needs of all proxies, reallocates the shares, and returns the changed allowances.
     pub fn run_exchange(
         &mut self,
         now: Seconds,
-        mut uses: impl FnMut(usize) -> Vec<QuotaUsage>,
+        mut usage_of: impl FnMut(usize) -> Vec<QuotaUsage>,
     ) -> Vec<AllowanceUpdate> {
         let (at, limits) = (ms(now), self.limits.clone());
-        let due = self.due.extract_if(.., |(due, ..)| *due <= at);
-        for (_, name, number) in due.collect::<Vec<_>>() {
+        let releases = self
+            .releases
+            .extract_if(.., |(release_at, ..)| *release_at <= at);
+        for (_, name, number) in releases.collect::<Vec<_>>() {
             if let Some(shares) = self.shares.get_mut(&name) {
                 shares.release_stranded(number);
-                self.divider.mark_changed(&name);
+                self.allocator.mark_changed(&name);
             }
         }
         for (proxy, member) in self.members.iter_mut().enumerate() {
-            for used in uses(proxy) {
-                let of = self
+            for usage in usage_of(proxy) {
+                let divided = self
                     .divided
                     .iter()
-                    .find(|(budget, _)| budget.quota_kind == used.quota);
-                if let Some((_, def)) = of {
-                    let word = member.words.get(&def.name).copied().unwrap_or(0);
+                    .find(|(budget, _)| budget.quota_kind == usage.quota);
+                if let Some((_, definition)) = divided {
+                    let part_number = member
+                        .part_numbers
+                        .get(&definition.name)
+                        .copied()
+                        .unwrap_or(0);
                     member.meters.record_external_usage(
-                        &def.name,
-                        word,
-                        used.in_use,
-                        used.denied,
+                        &definition.name,
+                        part_number,
+                        usage.in_use,
+                        usage.denied,
                         at,
                     );
                 }
             }
             let needs = member.meters.next_needs(at, 1, &limits);
-            self.divider.update_needs(member.session, &needs);
-            while let Some((need, to, version)) =
+            self.allocator.update_needs(member.session, &needs);
+            while let Some((need, target, version)) =
                 member.meters.next_share_to_lower(at, &limits, |_| false)
             {
                 let (session, name) = (member.session, need.budget.clone());
-                self.divider.update_needs(session, &[need]);
-                let shares = self.shares.get_mut(&name).expect("made for each");
-                if shares.lower_share(member.session, to, version) {
-                    self.divider.mark_changed(&name);
+                self.allocator.update_needs(session, &[need]);
+                let shares = self
+                    .shares
+                    .get_mut(&name)
+                    .expect("new() creates shares for each budget");
+                if shares.lower_share(member.session, target, version) {
+                    self.allocator.mark_changed(&name);
                 }
                 member
                     .meters
                     .update_share(&name, shares.share(member.session));
             }
         }
-        let (raises, _) = self.divider.allocate(&self.shares, |_| 1);
+        let (raises, _) = self.allocator.allocate(&self.shares, |_| 1);
         for (name, session, units, version) in raises {
-            let shares = self.shares.get_mut(&name).expect("made for each");
+            let shares = self
+                .shares
+                .get_mut(&name)
+                .expect("new() creates shares for each budget");
             shares.raise_share(session, units, version);
         }
-        let mut told = Vec::new();
+        let mut updates = Vec::new();
         for (proxy, member) in self.members.iter_mut().enumerate() {
-            let mine = self
+            let own_shares = self
                 .shares
                 .iter()
                 .map(|(name, s)| (name.clone(), s.share(member.session)));
-            let mine: Vec<_> = mine.collect();
-            if mine != member.known {
+            let own_shares: Vec<_> = own_shares.collect();
+            if own_shares != member.known_shares {
                 member.version += 1;
-                member.meters.set_shares(member.version, &mine);
-                member.known = mine;
+                member.meters.set_shares(member.version, &own_shares);
+                member.known_shares = own_shares;
             }
             member
                 .meters
-                .set_lower_targets(&self.divider.lower_targets(member.session));
-            for (name, word, part) in member.meters.changed_parts(at, FOR_EVER, &limits) {
-                let of = self.divided.iter().find(|(_, def)| def.name == name);
-                let Some((budget, _)) = of else { continue };
-                member.words.insert(name, word);
-                told.push((proxy, budget.quota_kind, allowance(budget, part)));
+                .set_lower_targets(&self.allocator.lower_targets(member.session));
+            for (name, part_number, part) in
+                member.meters.changed_parts(at, NEVER_ENDING_LEASE, &limits)
+            {
+                let divided = self
+                    .divided
+                    .iter()
+                    .find(|(_, definition)| definition.name == name);
+                let Some((budget, _)) = divided else { continue };
+                member.part_numbers.insert(name, part_number);
+                updates.push((proxy, budget.quota_kind, allowance(budget, part)));
             }
         }
-        told
+        updates
     }
 }
 
@@ -234,7 +281,7 @@
         units_after_lease: part.after,
         span: part.span as f64 / 1e3,
         fleet_units: budget.total,
-        // Nothing that a client would wait for is a budget here.
+        // No request waits for a budget in the simulation.
         max_wait: 0.0,
     }
 }
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in simulated time. Everything random comes from streams of the run's seed, one a purpose, so
-//! that two policies on one seed meet the same clients, loads and troubles.
+//! Simulation of a fleet in simulated time. Each purpose draws its random numbers from a separate stream derived from
+//! the run's seed, so that two policies run with the same seed see the same clients, loads and troubles.
 
 mod budgets;
 mod policy;
--- a/crates/lab/src/model/policy.rs
+++ b/crates/lab/src/model/policy.rs
@@ -1,4 +1,5 @@
-//! What decides: the module, baselines that it is held against, and one that sees the true state.
+//! Placement policies: the balancer under test, the baselines it is compared with, and an upper bound that reads the
+//! true state of the servers.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -6,32 +7,34 @@
 use violetwind_balancer::Balancer;
 use violetwind_balancer::api::*;
 
-/// The true state of the servers, for the bound.
+/// True state of the servers, read by the upper bound only.
 #[derive(Debug, Default)]
 pub struct GroundTruth {
-    /// The load over capacity at which a server serves most.
+    /// Utilisation at which a server serves the most worth.
     pub optimal_utilisation: f64,
-    /// Load over capacity, and the capacity; a server that takes nothing has no entry.
+    /// Utilisation and capacity by server number; `None` for a server that accepts no connections.
     pub servers: Vec<Option<(f64, f64)>>,
 }
 
+/// Policies that a run can be played with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
     Balancer,
-    /// The module, whose moves are not carried out.
+    /// The balancer, with its moves discarded.
     NoMoves,
     Random,
     RoundRobin,
     LeastConnections,
     TwoChoices,
-    /// Random, with a fault planted for tests of the lab itself: it goes on with what it had chosen for a
-    /// while, whatever list comes.
+    /// Random placement with a planted fault that tests of the lab have to find: updates of the server list are
+    /// ignored, so that drained or lost servers stay in use.
     IgnoresUpdates,
-    /// Sees the true state at no cost and without delay: an upper bound for placement.
+    /// Placement on the true state, without cost or delay: an upper bound for other policies.
     UpperBound,
 }
 
 impl PolicyKind {
+    /// Names on the command line and in reports.
     pub const NAMES: [(&'static str, Self); 8] = [
         ("module", Self::Balancer),
         ("no-moves", Self::NoMoves),
@@ -49,7 +52,7 @@
     }
 }
 
-/// One proxy's policy.
+/// Policy instance of one proxy. The flag of `Balancer` is whether its moves are carried out.
 #[derive(Debug)]
 pub enum Policy {
     Balancer(Box<Balancer>, bool),
@@ -60,14 +63,17 @@
     pub fn new(kind: PolicyKind, settings: &Settings, seed: u64) -> Self {
         match kind {
             PolicyKind::Balancer | PolicyKind::NoMoves => {
-                let moves = kind == PolicyKind::Balancer;
-                Self::Balancer(Box::new(Balancer::new(settings.clone(), seed)), moves)
+                let carries_out_moves = kind == PolicyKind::Balancer;
+                Self::Balancer(
+                    Box::new(Balancer::new(settings.clone(), seed)),
+                    carries_out_moves,
+                )
             }
             _ => Self::Baseline(Box::new(Baseline::new(kind, settings, seed))),
         }
     }
 
-    /// What is used of budgets; baselines know none.
+    /// Usage of the budgets at `now`; empty for baselines, which have no budgets.
     pub fn quota_usage(&mut self, now: f64) -> Vec<QuotaUsage> {
         match self {
             Self::Balancer(balancer, _) => balancer.quota_usage(now),
@@ -75,11 +81,12 @@
         }
     }
 
+    /// Handles `event` at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: f64, event: Event, truth: &GroundTruth, out: &mut Vec<Action>) {
         match self {
-            Self::Balancer(balancer, moves) => {
+            Self::Balancer(balancer, carries_out_moves) => {
                 balancer.handle_event(now, event, out);
-                if !*moves {
+                if !*carries_out_moves {
                     out.retain(|action| !matches!(action, Action::Move(_)));
                 }
             }
@@ -89,47 +96,48 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     request: Request,
     deadline: Seconds,
     tried: Vec<ServerId>,
     may_have_run: bool,
 }
 
-/// Placement alone, by one plain idea: no probes, no moves.
+/// Simple placement rule without probes. Only the upper bound moves connections.
 #[derive(Debug)]
 pub struct Baseline {
     kind: PolicyKind,
-    set: Settings,
+    settings: Settings,
     rng: Pcg64Mcg,
-    /// Listed servers that are up, with own connections and attempts there.
+    /// Listed servers: whether the server is up, and the number of this proxy's connections and attempts there.
     servers: BTreeMap<ServerId, (bool, usize)>,
-    requests: BTreeMap<RequestId, Waiting>,
-    on: BTreeMap<RequestId, ServerId>,
-    /// The worth of each connection that is up, and its load.
+    requests: BTreeMap<RequestId, PendingRequest>,
+    server_by_request: BTreeMap<RequestId, ServerId>,
+    /// Worth and load of each established connection.
     loads: BTreeMap<RequestId, (f64, f64)>,
     worths: BTreeMap<RequestId, f64>,
-    next: usize,
+    next_index: usize,
 }
 
-/// How often the bound looks for connections to move, and how much fuller than where it fills servers to
-/// a server has to be for that, and how much emptier the other.
-const LOOK: Seconds = 0.25;
-const OVER: f64 = 0.02;
-const UNDER: f64 = 0.05;
+/// Interval at which the upper bound looks for connections to move.
+const REBALANCE_INTERVAL: Seconds = 0.25;
+/// A server has to exceed the optimal utilisation by this much before the upper bound moves connections off it.
+const OVERLOAD_MARGIN: f64 = 0.02;
+/// Another server has to be below the optimal utilisation by this much to be a target.
+const SPARE_MARGIN: f64 = 0.05;
 
 impl Baseline {
-    fn new(kind: PolicyKind, set: &Settings, seed: u64) -> Self {
+    fn new(kind: PolicyKind, settings: &Settings, seed: u64) -> Self {
         Self {
             kind,
-            set: set.clone(),
+            settings: settings.clone(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             servers: BTreeMap::new(),
             requests: BTreeMap::new(),
-            on: BTreeMap::new(),
+            server_by_request: BTreeMap::new(),
             loads: BTreeMap::new(),
             worths: BTreeMap::new(),
-            next: 0,
+            next_index: 0,
         }
     }
 
@@ -141,39 +149,42 @@
                         .values_mut()
                         .for_each(|server| server.0 = false);
                 }
-                let deaf = self.kind == PolicyKind::IgnoresUpdates && kind == ListKind::Update;
-                for entry in entries.into_iter().filter(|_| !deaf) {
+                let is_ignored =
+                    self.kind == PolicyKind::IgnoresUpdates && kind == ListKind::Update;
+                for entry in entries.into_iter().filter(|_| !is_ignored) {
                     let up = entry.status == Status::Up;
                     self.servers.entry(entry.server).or_default().0 = up;
                 }
             }
-            Event::Start if self.kind == PolicyKind::UpperBound => out.push(Action::Timer(LOOK, 0)),
+            Event::Start if self.kind == PolicyKind::UpperBound => {
+                out.push(Action::Timer(REBALANCE_INTERVAL, 0))
+            }
             Event::Timer(_) => {
-                self.relieve(truth, out);
-                out.push(Action::Timer(LOOK, 0));
+                self.rebalance(truth, out);
+                out.push(Action::Timer(REBALANCE_INTERVAL, 0));
             }
             Event::Request(request) => {
-                let waiting = Waiting {
+                let pending = PendingRequest {
                     deadline: now + request.client_timeout,
                     tried: Vec::new(),
                     may_have_run: false,
                     request,
                 };
-                let id = waiting.request.id;
-                let worth = self.set.classes[waiting.request.class].worth;
+                let id = pending.request.id;
+                let worth = self.settings.classes[pending.request.class].worth;
                 self.worths.insert(id, worth);
-                self.requests.insert(id, waiting);
-                self.place(now, id, truth, out);
+                self.requests.insert(id, pending);
+                self.place_request(now, id, truth, out);
             }
-            Event::Open(request, server) => self.join(request.id, server),
+            Event::Open(request, server) => self.assign_server(request.id, server),
             Event::Outcome(ended) => {
-                self.leave(ended.id);
+                self.release_server(ended.id);
                 if ended.is_final {
                     self.worths.remove(&ended.id);
                     self.requests.remove(&ended.id);
-                } else if let Some(waiting) = self.requests.get_mut(&ended.id) {
-                    waiting.may_have_run |= !ended.outcome.never_ran();
-                    self.place(now, ended.id, truth, out);
+                } else if let Some(pending) = self.requests.get_mut(&ended.id) {
+                    pending.may_have_run |= !ended.outcome.never_ran();
+                    self.place_request(now, ended.id, truth, out);
                 }
             }
             Event::LoadNote(id, load) => {
@@ -183,7 +194,7 @@
             }
             Event::Begun(id, _) => drop(self.requests.remove(&id)),
             Event::Gone(id) => {
-                self.leave(id);
+                self.release_server(id);
                 self.worths.remove(&id);
                 self.requests.remove(&id);
             }
@@ -191,104 +202,138 @@
         }
     }
 
-    fn join(&mut self, id: RequestId, server: ServerId) {
-        self.on.insert(id, server);
+    fn assign_server(&mut self, id: RequestId, server: ServerId) {
+        self.server_by_request.insert(id, server);
         self.servers.entry(server).or_default().1 += 1;
     }
 
-    fn leave(&mut self, id: RequestId) {
+    fn release_server(&mut self, id: RequestId) {
         self.loads.remove(&id);
-        if let Some(server) = self.on.remove(&id)
+        if let Some(server) = self.server_by_request.remove(&id)
             && let Some(entry) = self.servers.get_mut(&server)
         {
             entry.1 -= 1;
         }
     }
 
-    fn place(&mut self, now: Seconds, id: RequestId, truth: &GroundTruth, out: &mut Vec<Action>) {
-        let Some(waiting) = self.requests.get(&id) else {
+    fn place_request(
+        &mut self,
+        now: Seconds,
+        id: RequestId,
+        truth: &GroundTruth,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        let left = waiting.deadline - now;
-        let safe = self.set.classes[waiting.request.class].idempotency == Idempotency::Safe;
-        let again = !waiting.may_have_run || safe;
-        let to = match left > 0.0 && waiting.tried.len() < self.set.max_attempts && again {
-            true => self.choose(id, truth),
+        let remaining = pending.deadline - now;
+        let is_idempotent =
+            self.settings.classes[pending.request.class].idempotency == Idempotency::Safe;
+        let may_retry = !pending.may_have_run || is_idempotent;
+        let target = match remaining > 0.0
+            && pending.tried.len() < self.settings.max_attempts
+            && may_retry
+        {
+            true => self.choose_server(id, truth),
             false => None,
         };
-        match to {
-            Some(to) => {
-                let aim = self.set.classes[self.requests[&id].request.class].setup_target;
-                self.join(id, to);
-                if let Some(waiting) = self.requests.get_mut(&id) {
-                    waiting.tried.push(to);
+        match target {
+            Some(target) => {
+                let setup_target =
+                    self.settings.classes[self.requests[&id].request.class].setup_target;
+                self.assign_server(id, target);
+                if let Some(pending) = self.requests.get_mut(&id) {
+                    pending.tried.push(target);
                 }
-                out.push(Action::Send(id, to, left.min(aim.max(left / 2.0)), None));
+                out.push(Action::Send(
+                    id,
+                    target,
+                    remaining.min(setup_target.max(remaining / 2.0)),
+                    None,
+                ));
             }
             None => {
                 self.worths.remove(&id);
                 self.requests.remove(&id);
-                let wait = self.set.max_retry_after * self.rng.random_range(0.5..1.0);
-                out.push(match again {
-                    true => Action::Refuse(id, self.set.may_retry_after.then_some(wait)),
+                let retry_after = self.settings.max_retry_after * self.rng.random_range(0.5..1.0);
+                out.push(match may_retry {
+                    true => {
+                        Action::Refuse(id, self.settings.may_retry_after.then_some(retry_after))
+                    }
                     false => Action::Fail(id),
                 });
             }
         }
     }
 
-    /// The bound's moves: off each server that is too full the connection that is worth least for its
-    /// load, while another has room for it, or where there is more than any order of work can serve.
-    fn relieve(&mut self, truth: &GroundTruth, out: &mut Vec<Action>) {
-        let known = truth.servers.iter().flatten().map(|server| server.0);
-        let lowest = known.fold(f64::INFINITY, f64::min);
-        let room = lowest < truth.optimal_utilisation - UNDER;
-        let mut least: BTreeMap<ServerId, (f64, RequestId)> = BTreeMap::new();
-        for (&id, &server) in &self.on {
-            let figure = truth.servers.get(server as usize).copied().flatten();
-            let Some((figure, _)) = figure.filter(|f| f.0 > truth.optimal_utilisation + OVER)
+    /// Moves of the upper bound: takes off each overfull server the connection with the least worth per load, if
+    /// another server has spare capacity or the server is loaded above its capacity.
+    fn rebalance(&mut self, truth: &GroundTruth, out: &mut Vec<Action>) {
+        let utilisations = truth.servers.iter().flatten().map(|server| server.0);
+        let lowest = utilisations.fold(f64::INFINITY, f64::min);
+        let has_spare_capacity = lowest < truth.optimal_utilisation - SPARE_MARGIN;
+        let mut cheapest: BTreeMap<ServerId, (f64, RequestId)> = BTreeMap::new();
+        for (&id, &server) in &self.server_by_request {
+            let utilisation = truth.servers.get(server as usize).copied().flatten();
+            let Some((utilisation, _)) =
+                utilisation.filter(|entry| entry.0 > truth.optimal_utilisation + OVERLOAD_MARGIN)
             else {
                 continue;
             };
             let Some(&(worth, load)) = self.loads.get(&id) else {
                 continue;
             };
-            let each = worth / load.max(1e-9);
-            if (room || figure > 1.0) && least.get(&server).is_none_or(|(least, _)| each < *least) {
-                least.insert(server, (each, id));
+            let worth_per_load = worth / load.max(1e-9);
+            if (has_spare_capacity || utilisation > 1.0)
+                && cheapest
+                    .get(&server)
+                    .is_none_or(|(cheapest, _)| worth_per_load < *cheapest)
+            {
+                cheapest.insert(server, (worth_per_load, id));
             }
         }
-        out.extend(least.into_values().map(|(_, id)| Action::Move(id)));
+        out.extend(cheapest.into_values().map(|(_, id)| Action::Move(id)));
     }
 
-    fn choose(&mut self, id: RequestId, truth: &GroundTruth) -> Option<ServerId> {
+    fn choose_server(&mut self, id: RequestId, truth: &GroundTruth) -> Option<ServerId> {
         let tried = &self.requests[&id].tried;
-        let free = |(id, server): &(&ServerId, &(bool, usize))| server.0 && !tried.contains(id);
-        let open = self.servers.iter().filter(free);
-        let open: Vec<(ServerId, usize)> = open.map(|(id, server)| (*id, server.1)).collect();
-        if open.is_empty() {
+        let is_eligible =
+            |(id, server): &(&ServerId, &(bool, usize))| server.0 && !tried.contains(id);
+        let candidates = self.servers.iter().filter(is_eligible);
+        let candidates: Vec<(ServerId, usize)> =
+            candidates.map(|(id, server)| (*id, server.1)).collect();
+        if candidates.is_empty() {
             return None;
         }
-        let mut any = || open[self.rng.random_range(0..open.len())];
+        let mut pick_random = || candidates[self.rng.random_range(0..candidates.len())];
         Some(match self.kind {
             PolicyKind::RoundRobin => {
-                self.next += 1;
-                open[self.next % open.len()].0
+                self.next_index += 1;
+                candidates[self.next_index % candidates.len()].0
+            }
+            PolicyKind::LeastConnections => {
+                candidates
+                    .iter()
+                    .min_by_key(|(_, connections)| *connections)?
+                    .0
             }
-            PolicyKind::LeastConnections => open.iter().min_by_key(|(_, own)| *own)?.0,
             PolicyKind::TwoChoices => {
-                let (one, two) = (any(), any());
-                if one.1 <= two.1 { one.0 } else { two.0 }
+                let (first, second) = (pick_random(), pick_random());
+                if first.1 <= second.1 {
+                    first.0
+                } else {
+                    second.0
+                }
             }
             PolicyKind::UpperBound => {
-                let figure = |id: ServerId| truth.servers.get(id as usize).copied().flatten();
-                let known = open
+                let utilisation = |id: ServerId| truth.servers.get(id as usize).copied().flatten();
+                let rated = candidates
                     .iter()
-                    .filter_map(|(id, _)| Some((*id, figure(*id)?.0)));
-                let best = known.min_by(|a, b| a.1.total_cmp(&b.1))?;
+                    .filter_map(|(id, _)| Some((*id, utilisation(*id)?.0)));
+                let best = rated.min_by(|a, b| a.1.total_cmp(&b.1))?;
                 return (best.1 < truth.optimal_utilisation).then_some(best.0);
             }
-            _ => any().0,
+            _ => pick_random().0,
         })
     }
 }
--- a/crates/lab/src/model/rules.rs
+++ b/crates/lab/src/model/rules.rs
@@ -1,5 +1,5 @@
-//! The four rules and the wholes of budgets, checked by books of their own: nothing here asks a policy or a server's model what
-//! it believes.
+//! Checks of the four rules and of the fleet-wide budget totals. The checker keeps its own records and never reads the
+//! state of a policy or of a server model.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -7,30 +7,32 @@
 
 use crate::scenario::Budget;
 
-/// A limit is 50 ms longer than the rule says: what was on its way then may still come.
-const SLACK: f64 = 0.05;
-/// Nothing new reaches a server this long after its drain was told.
-const DRAIN: f64 = 0.3;
-/// A cold server is pushed over when it is asked for so many times what it can do for so long.
-const FALL_MULTIPLE: f64 = 3.0;
-const FALL_FOR: f64 = 1.5;
-/// Breaches that are kept; the others are counted.
-const KEPT: usize = 50;
-
+/// Each deadline is extended by 50 ms, because messages that were in flight then may still arrive.
+const GRACE: f64 = 0.05;
+/// Time in seconds after a drain notice from which a proxy must not send new attempts to the server.
+const DRAIN_DEADLINE: f64 = 0.3;
+/// A cold server counts as overloaded when its utilisation stays above this ratio for `COLD_OVERLOAD_SECONDS`.
+const COLD_OVERLOAD_RATIO: f64 = 3.0;
+const COLD_OVERLOAD_SECONDS: f64 = 1.5;
+/// Number of breaches recorded in full; further ones are only counted.
+const MAX_RECORDED_BREACHES: usize = 50;
+
+/// Rules that no run may break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// No final answer in time, or more than one.
+    /// A request got no final answer in time, or more than one.
     Lost,
-    /// An effect twice.
+    /// A non-idempotent request was executed twice.
     Twice,
-    /// A drained server was sent something new.
+    /// A draining server was sent a new attempt.
     Drain,
-    /// A cold server was pushed over.
+    /// A cold server was overloaded.
     Cold,
-    /// More was used within a window than the whole of a budget.
+    /// Usage within a window exceeded the total of a budget.
     Budget,
 }
 
+/// One breach of a rule, at `at` seconds of simulated time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
     pub rule: Rule,
@@ -42,71 +44,80 @@
 struct Request {
     deadline: f64,
     answers: u32,
-    effects: u32,
-    effect: Idempotency,
+    executions: u32,
+    idempotency: Idempotency,
 }
 
+/// Records requests, executions, drain notices and budget usage of a run, and reports breaches of the rules.
 #[derive(Debug, Default)]
 pub struct RuleChecker {
     requests: HashMap<u64, Request>,
-    /// When each proxy was told that a server drains.
-    drains: HashMap<(usize, u32), f64>,
-    /// Since when a cold server has been asked for too much.
-    over: HashMap<u32, f64>,
-    /// Wholes and windows, and when some of each was used: at cold servers, at each.
-    wholes: Vec<(QuotaKind, usize, f64)>,
-    used: BTreeMap<(QuotaKind, Option<u32>), VecDeque<f64>>,
+    /// Time at which each proxy was notified that a server drains, by proxy and server.
+    drain_notices: HashMap<(usize, u32), f64>,
+    /// Time since which a cold server has been above `COLD_OVERLOAD_RATIO`.
+    overloaded_since: HashMap<u32, f64>,
+    /// Total and window in seconds of each budget.
+    budget_totals: Vec<(QuotaKind, usize, f64)>,
+    /// Times of the uses within the window, by budget; the budget of cold servers is counted per server.
+    uses_in_window: BTreeMap<(QuotaKind, Option<u32>), VecDeque<f64>>,
     pub breaches: Vec<Breach>,
     pub breach_count: usize,
 }
 
 impl RuleChecker {
+    /// Creates a checker of the totals of `budgets`. The limit on cold servers is checked only if it is divided by
+    /// need; otherwise each balancer divides it itself.
     pub fn new(budgets: &[Budget]) -> Self {
-        let kept = budgets
+        let budgets = budgets
             .iter()
             .filter(|b| b.divided_by_need || b.quota_kind != QuotaKind::Cold);
-        let wholes = kept.map(|b| (b.quota_kind, b.total as usize, b.window));
+        let budget_totals = budgets.map(|b| (b.quota_kind, b.total as usize, b.window));
         Self {
-            wholes: wholes.collect(),
+            budget_totals: budget_totals.collect(),
             ..Self::default()
         }
     }
 
-    /// One more of what a budget may be of was used, at a server where each has its own count.
-    pub fn record_use(&mut self, now: f64, matter: QuotaKind, server: Option<u32>) {
-        let of = self.wholes.iter().find(|(of, ..)| *of == matter);
-        let Some((_, whole, window)) = of.copied() else {
+    /// Records one use of a budget; `server` is given where the budget is counted per server.
+    pub fn record_use(&mut self, now: f64, quota: QuotaKind, server: Option<u32>) {
+        let budget = self
+            .budget_totals
+            .iter()
+            .find(|(quota_kind, ..)| *quota_kind == quota);
+        let Some((_, total, window)) = budget.copied() else {
             return;
         };
-        let used = self.used.entry((matter, server)).or_default();
-        used.push_back(now);
-        while used.front().is_some_and(|at| *at <= now - window) {
-            used.pop_front();
+        let uses = self.uses_in_window.entry((quota, server)).or_default();
+        uses.push_back(now);
+        while uses.front().is_some_and(|at| *at <= now - window) {
+            uses.pop_front();
         }
-        let count = used.len();
-        if count > whole {
-            let what = format!("{matter:?} at {server:?}: {count} of {whole} in a window");
+        let count = uses.len();
+        if count > total {
+            let what = format!("{quota:?} at {server:?}: {count} of {total} in a window");
             self.breach(Rule::Budget, now, what);
         }
     }
 
     fn breach(&mut self, rule: Rule, at: f64, what: String) {
         self.breach_count += 1;
-        if self.breaches.len() < KEPT {
+        if self.breaches.len() < MAX_RECORDED_BREACHES {
             self.breaches.push(Breach { rule, at, what });
         }
     }
 
-    pub fn record_request(&mut self, id: u64, deadline: f64, effect: Idempotency) {
+    /// Records a new request that is due to be answered by `deadline`.
+    pub fn record_request(&mut self, id: u64, deadline: f64, idempotency: Idempotency) {
         let request = Request {
             deadline,
             answers: 0,
-            effects: 0,
-            effect,
+            executions: 0,
+            idempotency,
         };
         self.requests.insert(id, request);
     }
 
+    /// Records a final answer to a request; a second or late answer is a breach.
     pub fn record_answer(&mut self, now: f64, id: u64) {
         let Some(request) = self.requests.get_mut(&id) else {
             return self.breach(
@@ -116,91 +127,94 @@
             );
         };
         request.answers += 1;
-        let (answers, late) = (request.answers, now - request.deadline);
+        let (answers, delay) = (request.answers, now - request.deadline);
         if answers > 1 {
             self.breach(
                 Rule::Lost,
                 now,
                 format!("request {id}: {answers} final answers"),
             );
-        } else if late > SLACK {
+        } else if delay > GRACE {
             self.breach(
                 Rule::Lost,
                 now,
-                format!("request {id}: answered {late:.2} s late"),
+                format!("request {id}: answered {delay:.2} s late"),
             );
         }
     }
 
-    /// The client gave up itself, or its proxy is gone: nothing is owed.
+    /// Marks a request as answered, because its client gave up or its proxy has ended.
     pub fn excuse_request(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.answers = request.answers.max(1);
         }
     }
 
-    /// A server did what was asked.
+    /// Records that a server executed a request.
     pub fn record_execution(&mut self, now: f64, id: u64) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        request.effects += 1;
-        let twice = request.effects > 1 && request.effect == Idempotency::Unsafe;
-        if twice {
+        request.executions += 1;
+        let is_duplicate = request.executions > 1 && request.idempotency == Idempotency::Unsafe;
+        if is_duplicate {
             self.breach(Rule::Twice, now, format!("request {id}: ran twice"));
         }
     }
 
-    pub fn record_drain_notice(&mut self, now: f64, proxy: usize, server: u32, drains: bool) {
-        match drains {
-            true => drop(self.drains.entry((proxy, server)).or_insert(now)),
-            false => drop(self.drains.remove(&(proxy, server))),
+    /// Records that a proxy was notified that a server drains, or no longer drains.
+    pub fn record_drain_notice(&mut self, now: f64, proxy: usize, server: u32, is_draining: bool) {
+        match is_draining {
+            true => drop(self.drain_notices.entry((proxy, server)).or_insert(now)),
+            false => drop(self.drain_notices.remove(&(proxy, server))),
         }
     }
 
-    /// Whether a proxy has been told that a server drains.
+    /// Whether a proxy has been notified that a server drains.
     pub fn knows_drain(&self, proxy: usize, server: u32) -> bool {
-        self.drains.contains_key(&(proxy, server))
+        self.drain_notices.contains_key(&(proxy, server))
     }
 
-    /// A proxy that starts anew has been told nothing.
+    /// Removes the drain notices of a proxy that restarts.
     pub fn forget_proxy_drains(&mut self, proxy: usize) {
-        self.drains.retain(|(of, _), _| *of != proxy);
+        self.drain_notices
+            .retain(|(notified, _), _| *notified != proxy);
     }
 
+    /// Records an attempt; sending to a server too long after its drain notice is a breach.
     pub fn record_send(&mut self, now: f64, proxy: usize, server: u32) {
-        if let Some(told) = self.drains.get(&(proxy, server))
-            && now > told + DRAIN + SLACK
+        if let Some(notified_at) = self.drain_notices.get(&(proxy, server))
+            && now > notified_at + DRAIN_DEADLINE + GRACE
         {
-            let late = now - told;
+            let delay = now - notified_at;
             let what =
-                format!("proxy {proxy} sends to server {server} {late:.2} s after its drain");
+                format!("proxy {proxy} sends to server {server} {delay:.2} s after its drain");
             self.breach(Rule::Drain, now, what);
         }
     }
 
-    /// What a server is asked for over what it can do now, while it is cold.
-    pub fn record_cold_load(&mut self, now: f64, server: u32, cold: bool, load: f64) {
-        if !cold || load <= FALL_MULTIPLE {
-            self.over.remove(&server);
+    /// Records the utilisation `load` of a server. A cold server that stays overloaded is a breach.
+    pub fn record_cold_load(&mut self, now: f64, server: u32, is_cold: bool, load: f64) {
+        if !is_cold || load <= COLD_OVERLOAD_RATIO {
+            self.overloaded_since.remove(&server);
             return;
         }
-        let since = *self.over.entry(server).or_insert(now);
-        if now > since + FALL_FOR + SLACK {
-            // Once a fall.
-            self.over.insert(server, f64::INFINITY);
+        let since = *self.overloaded_since.entry(server).or_insert(now);
+        if now > since + COLD_OVERLOAD_SECONDS + GRACE {
+            // Reports each overload once.
+            self.overloaded_since.insert(server, f64::INFINITY);
             let what = format!("server {server}: asked for {load:.1} times what it can do");
             self.breach(Rule::Cold, now, what);
         }
     }
 
-    /// The end of the run: what is due by then and has no answer.
+    /// Reports all requests that are overdue without an answer at the end of the run.
     pub fn finish(&mut self, now: f64) {
-        let due = |request: &Request| request.answers == 0 && request.deadline + SLACK < now;
+        let is_overdue = |request: &Request| request.answers == 0 && request.deadline + GRACE < now;
         let mut lost: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, request)| due(request))
+            .filter(|(_, request)| is_overdue(request))
             .map(|(id, _)| *id)
             .collect();
         lost.sort_unstable();
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -1,46 +1,52 @@
-//! A server: processor sharing among its connections, set-ups that cost work, a warm-up, a cap.
+//! Model of a server: processor sharing among its connections, connection set-ups that cost work, a slow start after a
+//! restart, and a limited capacity.
 
 use std::collections::BTreeMap;
 
 use crate::scenario;
 
-/// What is left idle of a server that is asked for all it can do, as its messages don't come evenly.
-const IDLE: f64 = 0.02;
+/// Share of a fully loaded server's capacity that stays idle, because messages do not arrive evenly.
+const MIN_IDLE_SHARE: f64 = 0.02;
 
+/// Availability of a server's process and machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
     Up,
-    /// Takes nothing new; its process ends soon.
+    /// Accepts no new connections; the process ends soon.
     Draining,
-    /// Its process is gone: connections are refused at once.
+    /// The process has ended: connection attempts are refused at once.
     Down,
-    /// Its machine is gone: nothing comes back at all.
+    /// The machine is lost: connection attempts get no reply.
     Unreachable,
 }
 
+/// State of one simulated server. Times are in seconds of simulated time.
 #[derive(Debug)]
 pub struct Server {
     pub state: ServerState,
     pub zone: usize,
-    /// Seconds of work a second when warm and undisturbed.
+    /// Seconds of work done per second after the slow start and without troubles.
     pub capacity: f64,
-    /// What troubles leave of it.
+    /// Share of `capacity` that is left during troubles.
     pub capacity_factor: f64,
     pub is_failing: bool,
-    /// When its process started, unless long ago.
+    /// Start time of the process; `None` if it started before the run.
     pub started_at: Option<f64>,
-    /// Work a second that its connections ask for, and their number and worth by class.
+    /// Work per second demanded by the connections.
     pub load: f64,
     pub connections: usize,
+    /// Worth of the connections, by class.
     pub worth_by_class: Vec<f64>,
     pub connections_by_group: BTreeMap<u64, usize>,
-    /// Set-ups that are being worked on, and until when the last of them is.
+    /// Number of connection set-ups in progress.
     pub pending_setups: usize,
+    /// Time at which the last queued set-up completes.
     pub setups_done_at: f64,
-    /// Counts its processes, so that what belongs to an older one is known.
+    /// Number of restarts so far; identifies events that belong to an earlier process.
     pub incarnation: u32,
-    /// What it tells: its load over what it can do, and its connections, as of some time ago.
+    /// Last sampled utilisation and number of connections, which the server reports to proxies.
     pub reported: (f64, f64),
+    /// Time up to which served worth has been accounted for.
     pub accounted_until: f64,
 }
 
@@ -69,52 +75,53 @@
         matches!(self.state, ServerState::Up | ServerState::Draining)
     }
 
-    /// The part of its warm-up that is over, from 0 to 1.
-    pub fn slow_start_progress(&self, now: f64, set: &scenario::Server) -> f64 {
-        let Some(born) = self.started_at else {
+    /// Elapsed share of the slow-start window, from 0 to 1.
+    pub fn slow_start_progress(&self, now: f64, settings: &scenario::Server) -> f64 {
+        let Some(started_at) = self.started_at else {
             return 1.0;
         };
-        if set.slow_start_window <= 0.0 {
+        if settings.slow_start_window <= 0.0 {
             return 1.0;
         }
-        ((now - born) / set.slow_start_window).clamp(0.0, 1.0)
+        ((now - started_at) / settings.slow_start_window).clamp(0.0, 1.0)
     }
 
-    /// What it can do now.
-    pub fn current_capacity(&self, now: f64, set: &scenario::Server) -> f64 {
-        let warm = set.slow_start_min_share
-            + (1.0 - set.slow_start_min_share) * self.slow_start_progress(now, set);
-        (self.capacity * self.capacity_factor * warm).max(1e-6)
+    /// Current capacity in seconds of work per second, after slow start and troubles.
+    pub fn current_capacity(&self, now: f64, settings: &scenario::Server) -> f64 {
+        let slow_start_share = settings.slow_start_min_share
+            + (1.0 - settings.slow_start_min_share) * self.slow_start_progress(now, settings);
+        (self.capacity * self.capacity_factor * slow_start_share).max(1e-6)
     }
 
-    /// What it is asked for, groups included.
-    pub fn demanded_load(&self, set: &scenario::Server) -> f64 {
-        self.load + set.group_cost * self.connections_by_group.len() as f64
+    /// Demanded work per second, including the cost of each group with a connection here.
+    pub fn demanded_load(&self, settings: &scenario::Server) -> f64 {
+        self.load + settings.group_cost * self.connections_by_group.len() as f64
     }
 
-    /// The load over what it can do.
-    pub fn utilisation(&self, now: f64, set: &scenario::Server) -> f64 {
-        self.demanded_load(set) / self.current_capacity(now, set)
+    /// Demanded load divided by the current capacity.
+    pub fn utilisation(&self, now: f64, settings: &scenario::Server) -> f64 {
+        self.demanded_load(settings) / self.current_capacity(now, settings)
     }
 
-    /// The part of its connections' messages that is answered in time. With processor sharing a message
-    /// takes its own work over what is idle, exponentially spread (M/M/1); in time is what takes at most
-    /// `slack` times its work. Past capacity the share of the work that is done counts besides.
-    pub fn on_time_ratio(&self, now: f64, set: &scenario::Server) -> f64 {
+    /// Share of messages that are answered in time. With processor sharing (M/M/1), the response time of a message is
+    /// exponentially distributed around its own work divided by the idle share; a message is in time if it takes at
+    /// most `max_slowdown` times its work. Above capacity, the share of the work that gets done is a further factor.
+    pub fn on_time_ratio(&self, now: f64, settings: &scenario::Server) -> f64 {
         if !self.is_running() {
             return 0.0;
         }
-        let figure = self.utilisation(now, set);
-        let idle = (1.0 - figure).max(IDLE);
-        (1.0 - (-set.max_slowdown * idle).exp()) * (1.0 / figure.max(1e-9)).min(1.0)
+        let utilisation = self.utilisation(now, settings);
+        let idle = (1.0 - utilisation).max(MIN_IDLE_SHARE);
+        (1.0 - (-settings.max_slowdown * idle).exp()) * (1.0 / utilisation.max(1e-9)).min(1.0)
     }
 
-    /// How long a set-up takes that comes now: those before it, at the pace that connections leave.
-    pub fn enqueue_setup(&mut self, now: f64, set: &scenario::Server) -> f64 {
-        let free = (1.0 - self.utilisation(now, set)).max(0.05);
-        let work = set.setup_work / (self.current_capacity(now, set) * free);
+    /// Queues a connection set-up and returns its duration in seconds, including the set-ups queued before it. Set-ups
+    /// run with the capacity that connections leave idle.
+    pub fn enqueue_setup(&mut self, now: f64, settings: &scenario::Server) -> f64 {
+        let idle = (1.0 - self.utilisation(now, settings)).max(0.05);
+        let duration = settings.setup_work / (self.current_capacity(now, settings) * idle);
         let start = self.setups_done_at.max(now);
-        self.setups_done_at = start + work;
+        self.setups_done_at = start + duration;
         self.setups_done_at - now
     }
 
@@ -141,15 +148,15 @@
         }
     }
 
-    /// A new process: nothing of the old one is left.
+    /// Replaces the process: connections, queued set-ups and reports of the old one are discarded.
     pub fn restart(&mut self, now: f64, cold: bool) {
         let classes = self.worth_by_class.len();
-        let (zone, capacity, process) = (self.zone, self.capacity, self.incarnation + 1);
+        let (zone, capacity, incarnation) = (self.zone, self.capacity, self.incarnation + 1);
         *self = Self {
             capacity_factor: self.capacity_factor,
             is_failing: self.is_failing,
             started_at: cold.then_some(now),
-            incarnation: process,
+            incarnation,
             accounted_until: now,
             ..Self::new(zone, capacity, classes)
         };
--- a/crates/lab/src/model/simulation/work_orders.rs
+++ b/crates/lab/src/model/simulation/work_orders.rs
@@ -1,5 +1,6 @@
-//! Work on all machines in the model: the orders, the planner and its reasons are the program's own; in place of the log
-//! there is one conductor that looks every so often and hears what proxies confirm as late as lists are.
+//! Work orders in the simulation. The orders and the planner are those of the proxy program. One coordinator with
+//! periodic checks replaces the replicated log; it receives the confirmations of proxies with the delay of list
+//! updates.
 
 use std::collections::BTreeMap;
 
@@ -13,22 +14,24 @@
 use super::{SimEvent, Simulation};
 use crate::scenario::WorkSettings;
 
-/// What became of the orders.
+/// Result of the work orders of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkOutcome {
-    /// From the first look until the last machine was back, if that was within the run.
+    /// Time in seconds from the first check until the last machine was back; `None` if the run ended earlier.
     pub took: Option<f64>,
+    /// Highest number of machines that were out at once.
     pub most_out: usize,
-    /// Clients on machines when these went out.
+    /// Number of clients connected to machines when these were taken out.
     pub moved: usize,
+    /// Number of machines that returned after their work.
     pub done: usize,
 }
 
 pub(super) struct WorkRun {
     orders: WorkOrders,
-    /// When each place has had its version, and when every proxy has heard of it.
-    since: BTreeMap<Number, f64>,
-    begun: f64,
+    /// Time at which the coordinator first saw each version of a machine's state.
+    seen_at: BTreeMap<Number, f64>,
+    started_at: f64,
     outcome: WorkOutcome,
 }
 
@@ -38,41 +41,43 @@
     }
 }
 
-fn number(name: &str) -> ServerId {
-    name.trim_start_matches("m-").parse().expect("named here")
+fn server_number(name: &str) -> ServerId {
+    name.trim_start_matches("m-")
+        .parse()
+        .expect("machine names are made by begin_work")
 }
 
 impl Simulation<'_> {
     fn begin_work(&self, work: &WorkSettings) -> WorkRun {
         let mut orders = WorkOrders::default();
-        let name = |at: usize| format!("m-{at:05}");
-        let machines = self.servers.iter().enumerate().map(|(at, server)| {
+        let name = |index: usize| format!("m-{index:05}");
+        let machines = self.servers.iter().enumerate().map(|(index, server)| {
             let machine = Machine {
                 zone: server.zone.to_string(),
                 servers: vec![violetwind_workorders::Server {
-                    name: name(at),
+                    name: name(index),
                     kind: "all".into(),
                     cell: 0,
                     room: (self.scenario.server.capacity * 1000.0) as u64,
                 }],
                 proxy: None,
             };
-            (name(at), machine)
+            (name(index), machine)
         });
         let machines: BTreeMap<Name, Machine> = machines.collect();
         let names: Vec<Name> = machines.keys().cloned().collect();
         orders
             .apply(WorkOrderChange::SetMachines(machines))
-            .expect("within limits");
-        let each = if work.machines_per_order == 0 {
+            .expect("the machine list is within the limits");
+        let machines_per_order = if work.machines_per_order == 0 {
             names.len()
         } else {
             work.machines_per_order
         };
-        for part in names.chunks(each) {
+        for chunk in names.chunks(machines_per_order) {
             let order = WorkOrder {
                 name: "work".into(),
-                machines: part.iter().cloned().collect(),
+                machines: chunk.iter().cloned().collect(),
                 bounds: Bounds {
                     max_out: work.max_out,
                     max_out_per_zone: work.max_out_per_zone,
@@ -95,12 +100,12 @@
             };
             orders
                 .apply(WorkOrderChange::AddOrder(order))
-                .expect("sound bounds");
+                .expect("the bounds of the order are valid");
         }
         WorkRun {
             orders,
-            since: BTreeMap::new(),
-            begun: self.now,
+            seen_at: BTreeMap::new(),
+            started_at: self.now,
             outcome: WorkOutcome {
                 took: None,
                 most_out: 0,
@@ -110,85 +115,94 @@
         }
     }
 
-    /// Clients and attempts at a server, over all proxies.
-    fn there(&self, server: ServerId) -> usize {
-        let out = self
+    /// Counts the connections and attempts at a server, over all proxies.
+    fn count_clients(&self, server: ServerId) -> usize {
+        let attempts = self
             .requests
             .values()
-            .filter(|asked| asked.attempt_server == Some(server));
-        self.connections_by_server[server as usize].len() + out.count()
+            .filter(|active| active.attempt_server == Some(server));
+        self.connections_by_server[server as usize].len() + attempts.count()
     }
 
-    /// Whoever conducts looks, and takes the steps that may be taken.
+    /// Runs one check of the coordinator, and schedules the next one while orders are running.
     pub(super) fn run_coordinator(&mut self) {
         let Some(work) = self.scenario.work.clone() else {
             return;
         };
-        let mut shift = self
+        let mut work_run = self
             .work_run
             .take()
             .unwrap_or_else(|| self.begin_work(&work));
-        self.look_at_work(&mut shift, &work);
-        let running = !shift.orders.orders().is_empty();
+        self.step_work_orders(&mut work_run, &work);
+        let running = !work_run.orders.orders().is_empty();
         if !running {
-            shift.outcome.took.get_or_insert(self.now - shift.begun);
+            work_run
+                .outcome
+                .took
+                .get_or_insert(self.now - work_run.started_at);
         }
-        self.work_run = Some(shift);
+        self.work_run = Some(work_run);
         if running {
             self.schedule_after(work.check_interval, SimEvent::RunCoordinator);
         }
     }
 
-    fn look_at_work(&mut self, shift: &mut WorkRun, work: &WorkSettings) {
-        let (now, late) = (self.now, 1.5 * self.scenario.list_timing.propagation_delay);
+    /// Plans the next steps from the reports of the proxies and applies them.
+    fn step_work_orders(&mut self, work_run: &mut WorkRun, work: &WorkSettings) {
+        let (now, confirmation_delay) =
+            (self.now, 1.5 * self.scenario.list_timing.propagation_delay);
         let mut reports = BTreeMap::new();
-        let mut jobs = Vec::new();
-        for (order, (_, places)) in shift.orders.orders() {
-            for (name, place) in places
+        let mut completed_jobs = Vec::new();
+        for (order, (_, machine_states)) in work_run.orders.orders() {
+            for (name, machine_state) in machine_states
                 .iter()
-                .filter(|(_, place)| !place.phase.is_terminal())
+                .filter(|(_, machine_state)| !machine_state.phase.is_terminal())
             {
-                let server = number(name);
-                let since = *shift.since.entry(place.version).or_insert(now);
-                let heard = now >= since + late;
-                let closes = matches!(
-                    place.phase,
+                let server = server_number(name);
+                let seen_at = *work_run.seen_at.entry(machine_state.version).or_insert(now);
+                let is_confirmed = now >= seen_at + confirmation_delay;
+                let is_closed = matches!(
+                    machine_state.phase,
                     Phase::Draining | Phase::Drained | Phase::Failed(_)
                 );
                 let report = MachineReport {
-                    // Until all have heard, somebody goes by what was.
-                    version: if heard { place.version } else { 0 },
-                    clients: self.there(server) as u64,
-                    closed: closes,
+                    // Until every proxy has the new version, some proxy still uses the old one.
+                    version: if is_confirmed {
+                        machine_state.version
+                    } else {
+                        0
+                    },
+                    clients: self.count_clients(server) as u64,
+                    closed: is_closed,
                     warm: self.servers[server as usize].state == ServerState::Up
                         && self.servers[server as usize]
                             .slow_start_progress(now, &self.scenario.server)
                             >= 1.0,
                 };
                 reports.insert(name.clone(), report);
-                if place.phase == Phase::Drained && now >= since + work.job_duration {
-                    jobs.push((*order, name.clone(), place.version));
+                if machine_state.phase == Phase::Drained && now >= seen_at + work.job_duration {
+                    completed_jobs.push((*order, name.clone(), machine_state.version));
                 }
             }
         }
-        let all = Member {
+        let proxies = Member {
             live: true,
             reports,
         };
-        let facts = PlannerInput {
-            members: [("proxies".to_string(), all)].into(),
+        let input = PlannerInput {
+            members: [("proxies".to_string(), proxies)].into(),
             ..PlannerInput::default()
         };
-        let next = plan_steps(&shift.orders, &facts);
-        let steps = next
+        let plan = plan_steps(&work_run.orders, &input);
+        let steps = plan
             .steps
             .into_iter()
             .map(|(order, name, version, step)| (order, name, version, step, Some(1)));
-        let jobs = jobs
+        let completed_jobs = completed_jobs
             .into_iter()
             .map(|(order, name, version)| (order, name, version, Move::CompleteWork, None));
-        for (order, machine, version, step, fence) in steps.chain(jobs) {
-            let server = number(&machine);
+        for (order, machine, version, step, fence) in steps.chain(completed_jobs) {
+            let server = server_number(&machine);
             let change = WorkOrderChange::Step {
                 order,
                 machine,
@@ -196,22 +210,22 @@
                 step,
                 fence,
             };
-            if shift.orders.apply(change).is_err() {
+            if work_run.orders.apply(change).is_err() {
                 continue;
             }
             match step {
                 Move::TakeOut => {
-                    shift.outcome.moved += self.connections_by_server[server as usize].len();
+                    work_run.outcome.moved += self.connections_by_server[server as usize].len();
                     self.announce_status(server, Status::Draining);
                 }
-                // Its process ends with the work, and comes back cold.
+                // The process ends with the work and restarts cold.
                 Move::CompleteWork => self.restart_server(server, true),
                 Move::MarkDrained => self.stop_server(server, ServerState::Down),
-                Move::CompleteReturn => shift.outcome.done += 1,
+                Move::CompleteReturn => work_run.outcome.done += 1,
                 _ => {}
             }
         }
-        let out = shift.orders.machines_out().len();
-        shift.outcome.most_out = shift.outcome.most_out.max(out);
+        let machines_out = work_run.orders.machines_out().len();
+        work_run.outcome.most_out = work_run.outcome.most_out.max(machines_out);
     }
 }
