--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Seeds side by side. The outcome of a seed does not depend on how many threads there are.
+//! Runs of scenario variants over several seeds in parallel. The outcome of a seed does not depend on the number of
+//! threads.
 
 use std::num::NonZeroUsize;
 use std::sync::Mutex;
@@ -8,67 +9,77 @@
 use crate::scenario::Scenario;
 use crate::stats::Estimate;
 
-/// One side of a comparison.
+/// A scenario with a policy, compared with others on the same seeds.
 #[derive(Clone, Debug)]
 pub struct Variant {
     pub scenario: Scenario,
     pub policy: PolicyKind,
 }
 
-/// The three figures of service, in this order everywhere.
+/// Names of the three service metrics, in the order of `service_metrics`.
 pub const SERVICE_METRICS: [&str; 3] = ["whole run", "worst 10 s", "worst class"];
 
+/// Returns the service metrics of an outcome, in the order of `SERVICE_METRICS`.
 pub fn service_metrics(outcome: &Outcome) -> [f64; 3] {
     [outcome.service, outcome.worst_stretch, outcome.worst_class]
 }
 
-/// Seeds that are played before an early stop is thought of.
-const LEAST: usize = 5;
+/// Minimum number of seeds before a comparison may stop early.
+const MIN_SEEDS: usize = 5;
 
-pub fn thread_count(asked: Option<usize>) -> usize {
-    let there = std::thread::available_parallelism().map_or(1, NonZeroUsize::get);
-    asked.unwrap_or(there).clamp(1, 64)
+/// Returns the requested number of threads, by default one per CPU, limited to 1..=64.
+pub fn thread_count(requested: Option<usize>) -> usize {
+    let available = std::thread::available_parallelism().map_or(1, NonZeroUsize::get);
+    requested.unwrap_or(available).clamp(1, 64)
 }
 
-/// Plays each side with each seed, `threads` at a time; outcomes come in the order of the seeds.
-pub fn run_variants(sides: &[Variant], seeds: &[u64], threads: usize) -> Vec<Vec<Outcome>> {
+/// Runs each variant with each seed on `threads` threads. Returns the outcomes by variant, in the order of the seeds.
+pub fn run_variants(variants: &[Variant], seeds: &[u64], threads: usize) -> Vec<Vec<Outcome>> {
     let jobs: Vec<(usize, usize)> = (0..seeds.len())
-        .flat_map(|seed| (0..sides.len()).map(move |side| (side, seed)))
+        .flat_map(|seed| (0..variants.len()).map(move |variant| (variant, seed)))
         .collect();
-    let next = AtomicUsize::new(0);
-    let done: Mutex<Vec<(usize, usize, Outcome)>> = Mutex::new(Vec::new());
+    let next_job = AtomicUsize::new(0);
+    let finished: Mutex<Vec<(usize, usize, Outcome)>> = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..threads.min(jobs.len()) {
             scope.spawn(|| {
-                while let Some(&(side, seed)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let at = &sides[side];
-                    let outcome = simulate(&at.scenario, at.policy, seeds[seed]);
-                    done.lock().expect("no panic").push((side, seed, outcome));
+                while let Some(&(variant, seed)) =
+                    jobs.get(next_job.fetch_add(1, Ordering::Relaxed))
+                {
+                    let job_variant = &variants[variant];
+                    let outcome = simulate(&job_variant.scenario, job_variant.policy, seeds[seed]);
+                    finished
+                        .lock()
+                        .expect("no thread panicked while holding the lock")
+                        .push((variant, seed, outcome));
                 }
             });
         }
     });
-    let mut done = done.into_inner().expect("no panic");
-    done.sort_by_key(|(side, seed, _)| (*side, *seed));
-    let mut outcomes: Vec<Vec<Outcome>> = sides.iter().map(|_| Vec::new()).collect();
-    for (side, _, outcome) in done {
-        outcomes[side].push(outcome);
+    let mut finished = finished
+        .into_inner()
+        .expect("no thread panicked while holding the lock");
+    finished.sort_by_key(|(variant, seed, _)| (*variant, *seed));
+    let mut outcomes: Vec<Vec<Outcome>> = variants.iter().map(|_| Vec::new()).collect();
+    for (variant, _, outcome) in finished {
+        outcomes[variant].push(outcome);
     }
     outcomes
 }
 
-/// The paired difference of two sides, figure by figure.
+/// Paired difference of two variants, by service metric.
 #[derive(Clone, Debug)]
 pub struct Comparison {
     pub estimates: [[Estimate; 3]; 2],
-    /// The second less the first.
+    /// Second variant minus the first.
     pub difference: [Estimate; 3],
     pub seed_count: usize,
     pub breach_counts: [usize; 2],
     pub mean_moves: [f64; 2],
 }
 
-/// Plays seeds in batches until every interval is as fine as wanted, or all are played.
+/// Compares two variants on batches of seeds, until half of every confidence interval is at most `precision` or all
+/// seeds are used.
 pub fn compare_variants(
     a: &Variant,
     b: &Variant,
@@ -76,57 +87,58 @@
     precision: f64,
     threads: usize,
 ) -> Comparison {
-    let sides = [a.clone(), b.clone()];
+    let variants = [a.clone(), b.clone()];
     let mut outcomes: [Vec<Outcome>; 2] = Default::default();
-    let mut played = 0;
+    let mut used_seeds = 0;
     loop {
-        let batch = seeds[played..].iter().take(threads.max(LEAST));
+        let batch = seeds[used_seeds..].iter().take(threads.max(MIN_SEEDS));
         let batch: Vec<u64> = batch.copied().collect();
-        played += batch.len();
-        for (all, more) in outcomes
+        used_seeds += batch.len();
+        for (all, batch_outcomes) in outcomes
             .iter_mut()
-            .zip(run_variants(&sides, &batch, threads))
+            .zip(run_variants(&variants, &batch, threads))
         {
-            all.extend(more);
+            all.extend(batch_outcomes);
         }
-        let comparison = weigh(&outcomes);
-        let fine = comparison.difference.iter().all(|d| d.half <= precision);
-        if played >= seeds.len() || fine && played >= LEAST {
+        let comparison = compare_outcomes(&outcomes);
+        let is_precise = comparison.difference.iter().all(|d| d.half <= precision);
+        if used_seeds >= seeds.len() || is_precise && used_seeds >= MIN_SEEDS {
             return comparison;
         }
     }
 }
 
-fn weigh(outcomes: &[Vec<Outcome>; 2]) -> Comparison {
-    let column = |side: usize, figure: usize| -> Vec<f64> {
-        outcomes[side]
+fn compare_outcomes(outcomes: &[Vec<Outcome>; 2]) -> Comparison {
+    let column = |variant: usize, metric: usize| -> Vec<f64> {
+        outcomes[variant]
             .iter()
-            .map(|o| service_metrics(o)[figure])
+            .map(|o| service_metrics(o)[metric])
             .collect()
     };
-    let side = |side| [0, 1, 2].map(|figure| Estimate::from_samples(&column(side, figure)));
-    let difference = [0, 1, 2].map(|figure| {
-        let pairs = column(1, figure).into_iter().zip(column(0, figure));
+    let variant =
+        |variant| [0, 1, 2].map(|metric| Estimate::from_samples(&column(variant, metric)));
+    let difference = [0, 1, 2].map(|metric| {
+        let pairs = column(1, metric).into_iter().zip(column(0, metric));
         let pairs: Vec<f64> = pairs.map(|(b, a)| b - a).collect();
         Estimate::from_samples(&pairs)
     });
-    let sum = |side: usize, of: fn(&Outcome) -> f64| -> f64 {
-        let all = &outcomes[side];
-        all.iter().map(of).sum::<f64>() / all.len().max(1) as f64
+    let mean = |variant: usize, value: fn(&Outcome) -> f64| -> f64 {
+        let all = &outcomes[variant];
+        all.iter().map(value).sum::<f64>() / all.len().max(1) as f64
     };
     Comparison {
-        estimates: [side(0), side(1)],
+        estimates: [variant(0), variant(1)],
         difference,
         seed_count: outcomes[0].len(),
         breach_counts: [0, 1].map(|s| outcomes[s].iter().map(|o| o.breach_count).sum()),
-        mean_moves: [0, 1].map(|s| sum(s, |o| o.moves as f64)),
+        mean_moves: [0, 1].map(|s| mean(s, |o| o.moves as f64)),
     }
 }
 
-/// Plain service, and where it lies between random (0) and the bound (1).
-pub fn score(plain: f64, random: f64, bound: f64) -> f64 {
+/// Position of a service value on the scale from random placement (0) to the upper bound (1).
+pub fn score(service: f64, random: f64, bound: f64) -> f64 {
     match bound - random {
-        room if room.abs() < 1e-9 => 1.0,
-        room => (plain - random) / room,
+        range if range.abs() < 1e-9 => 1.0,
+        range => (service - random) / range,
     }
 }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet on loopback: real proxies, a stand-in Consul, servers and clients, troubles by script, and books
-//! of what every client saw.
+//! A fleet on loopback: real proxies, a stand-in for Consul, servers and clients, scripted troubles, and counts of what
+//! the clients observed.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,13 +15,15 @@
 use violetwind_standins::echo_server::{EchoServer, Fault};
 use violetwind_standins::unused_addr;
 
-/// Nothing new reaches a server this long after the proxies can know of its drain: the time that Consul
-/// takes to tell them, and the rule's 300 ms.
-const DRAIN: Duration = Duration::from_millis(100 + 300);
-/// A client waits so long for its answer, and a little longer for one that is late.
-const PATIENCE: Duration = Duration::from_secs(2);
-const LATE: Duration = Duration::from_millis(300);
+/// Time after a server's drain from which no new attempt may reach it: up to 100 ms until Consul has notified the
+/// proxies, and the 300 ms that the rule allows.
+const DRAIN_DEADLINE: Duration = Duration::from_millis(100 + 300);
+/// Deadline of a client's request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Additional time that a client waits for a late answer.
+const LATE_GRACE: Duration = Duration::from_millis(300);
 
+/// Options of a loopback run.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
     pub proxy_program: PathBuf,
@@ -29,13 +31,13 @@
     pub servers: usize,
     pub clients: usize,
     pub seconds: f64,
-    /// Print a line a second.
+    /// Whether to print a line per second.
     pub print_progress: bool,
 }
 
-/// What clients saw, counted by themselves.
+/// Counters that the clients maintain.
 #[derive(Debug, Default)]
-struct Seen {
+struct ClientCounters {
     asked: AtomicU64,
     up: AtomicU64,
     refused: AtomicU64,
@@ -45,13 +47,14 @@
     cut: AtomicU64,
     /// Requests without a final answer in time.
     lost: AtomicU64,
-    /// Requests with more than one.
+    /// Requests with more than one final answer.
     twice: AtomicU64,
-    /// Clients that are up now.
-    now: AtomicU64,
-    over: AtomicBool,
+    /// Clients that are connected now.
+    connected: AtomicU64,
+    is_over: AtomicBool,
 }
 
+/// Result of a loopback run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
     pub asked: u64,
@@ -62,13 +65,14 @@
     pub cut: u64,
     pub lost: u64,
     pub twice: u64,
-    /// Clients that were moved or cut while half of the checks failed and every server answered.
+    /// Connections that were moved or cut while half of the health checks failed although every server answered.
     pub harmed_by_flap: u64,
-    /// What reached the drained server too late.
+    /// Number of attempts that reached the drained server too late.
     pub late_at_drained: usize,
 }
 
 impl Report {
+    /// Whether no rule was broken.
     pub fn passed(&self) -> bool {
         self.lost == 0 && self.twice == 0 && self.late_at_drained == 0 && self.harmed_by_flap == 0
     }
@@ -82,7 +86,7 @@
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        // One that has ended already needs no end.
+        // Errors are ignored: the process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_dir_all(&self.dir);
@@ -134,8 +138,8 @@
     }
 
     fn wait_ready(&self) -> bool {
-        let until = Instant::now() + Duration::from_secs(10);
-        while Instant::now() < until {
+        let deadline = Instant::now() + Duration::from_secs(10);
+        while Instant::now() < deadline {
             if let Ok(mut stream) = TcpStream::connect(self.addr) {
                 let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
                 let mut answer = String::new();
@@ -152,123 +156,132 @@
     }
 }
 
-/// Plays a small day: a flap of half the checks, a drain, a death; each by a part of the time.
-pub fn run_fleet(plan: &FleetOptions) -> Result<Report, String> {
-    let told = |error: std::io::Error| error.to_string();
+/// Runs the scripted day: half of the health checks fail for a while, a server drains, and another one dies, each
+/// during a part of the run.
+///
+/// # Errors
+/// A proxy or server can't be started, or a proxy does not become ready.
+pub fn run_fleet(options: &FleetOptions) -> Result<Report, String> {
+    let to_text = |error: std::io::Error| error.to_string();
     let consul = Consul::start("agenda");
-    let room = (3 * plan.clients / plan.servers.max(1)).max(8);
-    let mut workers = Vec::new();
-    for n in 0..plan.servers.max(3) {
-        workers.push(EchoServer::start(&format!("s-{n}"), room).map_err(told)?);
+    let capacity = (3 * options.clients / options.servers.max(1)).max(8);
+    let mut servers = Vec::new();
+    for n in 0..options.servers.max(3) {
+        servers.push(EchoServer::start(&format!("s-{n}"), capacity).map_err(to_text)?);
     }
-    consul.register_all(workers.iter().map(|w| Instance::new(&w.uid, w.addr)));
+    consul.register_all(
+        servers
+            .iter()
+            .map(|server| Instance::new(&server.uid, server.addr)),
+    );
     let mut proxies = Vec::new();
-    for n in 0..plan.proxies.max(1) {
-        let program = &plan.proxy_program;
-        let proxy = Proxy::start(program, n, plan.proxies.max(1), consul.addr);
+    for n in 0..options.proxies.max(1) {
+        let program = &options.proxy_program;
+        let proxy = Proxy::start(program, n, options.proxies.max(1), consul.addr);
         proxies.push(proxy.map_err(|error| format!("{}: {error}", program.display()))?);
     }
     if !proxies.iter().all(Proxy::wait_ready) {
         return Err("a proxy was never ready".into());
     }
     let addresses: Arc<Vec<SocketAddr>> = Arc::new(proxies.iter().map(|p| p.addr).collect());
-    let seen = Arc::new(Seen::default());
-    let clients: Vec<_> = (0..plan.clients)
-        .map(|n| {
-            let (addresses, seen) = (addresses.clone(), seen.clone());
-            thread::spawn(move || client(n, &addresses, &seen))
+    let counters = Arc::new(ClientCounters::default());
+    let clients: Vec<_> = (0..options.clients)
+        .map(|client_number| {
+            let (addresses, counters) = (addresses.clone(), counters.clone());
+            thread::spawn(move || run_client(client_number, &addresses, &counters))
         })
         .collect();
-    let script = script(plan, &consul, &workers, &seen);
-    seen.over.store(true, Ordering::Relaxed);
+    let outcome = run_script(options, &consul, &servers, &counters);
+    counters.is_over.store(true, Ordering::Relaxed);
     for client in clients {
         client.join().map_err(|_| "a client's thread has failed")?;
     }
-    let (harmed_by_flap, late_at_drained) = script;
+    let (harmed_by_flap, late_at_drained) = outcome;
     let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
     Ok(Report {
-        asked: get(&seen.asked),
-        up: get(&seen.up),
-        refused: get(&seen.refused),
-        failed: get(&seen.failed),
-        moved: get(&seen.moved),
-        cut: get(&seen.cut),
-        lost: get(&seen.lost),
-        twice: get(&seen.twice),
+        asked: get(&counters.asked),
+        up: get(&counters.up),
+        refused: get(&counters.refused),
+        failed: get(&counters.failed),
+        moved: get(&counters.moved),
+        cut: get(&counters.cut),
+        lost: get(&counters.lost),
+        twice: get(&counters.twice),
         harmed_by_flap,
         late_at_drained,
     })
 }
 
-fn script(
-    plan: &FleetOptions,
+fn run_script(
+    options: &FleetOptions,
     consul: &Consul,
-    workers: &[EchoServer],
-    seen: &Seen,
+    servers: &[EchoServer],
+    counters: &ClientCounters,
 ) -> (u64, usize) {
     let start = Instant::now();
-    let part = |part: f64| Duration::from_secs_f64(plan.seconds * part);
-    let wait = |until: Duration| {
-        let mut shown = Instant::now();
+    let share_of_run = |share: f64| Duration::from_secs_f64(options.seconds * share);
+    let wait_until = |until: Duration| {
+        let mut printed_at = Instant::now();
         while start.elapsed() < until {
-            if plan.print_progress && shown.elapsed() >= Duration::from_secs(1) {
-                shown = Instant::now();
-                show(start, workers, seen);
+            if options.print_progress && printed_at.elapsed() >= Duration::from_secs(1) {
+                printed_at = Instant::now();
+                print_counters(start, servers, counters);
             }
             thread::sleep(Duration::from_millis(20));
         }
     };
-    let say = |what: &str| {
-        if plan.print_progress {
+    let print_step = |what: &str| {
+        if options.print_progress {
             println!("{:5.1} s  {what}", start.elapsed().as_secs_f64());
         }
     };
-    let harm = || seen.moved.load(Ordering::Relaxed) + seen.cut.load(Ordering::Relaxed);
-    wait(part(0.3));
-    say("half of the checks fail");
-    let half: Vec<&str> = workers[..workers.len() / 2]
+    let count_harmed =
+        || counters.moved.load(Ordering::Relaxed) + counters.cut.load(Ordering::Relaxed);
+    wait_until(share_of_run(0.3));
+    print_step("half of the checks fail");
+    let failing: Vec<&str> = servers[..servers.len() / 2]
         .iter()
         .map(|w| w.uid.as_str())
         .collect();
-    let before = harm();
-    consul.set_check(&half, Check::Critical);
-    wait(part(0.3) + Duration::from_secs(2).min(part(0.1)));
-    consul.set_check(&half, Check::Passing);
-    say("they pass again");
-    wait(part(0.5));
-    let harmed = harm() - before;
-    let drained = &workers[0];
-    say("s-0 drains");
+    let before = count_harmed();
+    consul.set_check(&failing, Check::Critical);
+    wait_until(share_of_run(0.3) + Duration::from_secs(2).min(share_of_run(0.1)));
+    consul.set_check(&failing, Check::Passing);
+    print_step("they pass again");
+    wait_until(share_of_run(0.5));
+    let harmed = count_harmed() - before;
+    let drained = &servers[0];
+    print_step("s-0 drains");
     consul.update_instances(&[&drained.uid], |i| i.maintenance = Maintenance::Service);
-    let told = Instant::now();
-    wait(part(0.7));
-    let late = drained.count_opens_after(told + DRAIN);
-    let dead = &workers[1];
-    say("s-1 dies");
-    dead.set_fault(Fault::Silent);
-    dead.reset_connections();
-    consul.set_check(&[&dead.uid], Check::Critical);
-    wait(part(1.0));
-    (harmed, late)
+    let drained_at = Instant::now();
+    wait_until(share_of_run(0.7));
+    let late_attempts = drained.count_opens_after(drained_at + DRAIN_DEADLINE);
+    let failed = &servers[1];
+    print_step("s-1 dies");
+    failed.set_fault(Fault::Silent);
+    failed.reset_connections();
+    consul.set_check(&[&failed.uid], Check::Critical);
+    wait_until(share_of_run(1.0));
+    (harmed, late_attempts)
 }
 
-fn show(start: Instant, workers: &[EchoServer], seen: &Seen) {
+fn print_counters(start: Instant, servers: &[EchoServer], counters: &ClientCounters) {
     let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    let open: Vec<String> = workers
+    let open_connections: Vec<String> = servers
         .iter()
         .map(|w| format!("{:3}", w.open_connections()))
         .collect();
     println!(
         "{:5.1} s  up {:4}  asked {:5}  refused {:4}  failed {:3}  moved {:4}  cut {:3}  lost {}  servers {}",
         start.elapsed().as_secs_f64(),
-        get(&seen.now),
-        get(&seen.asked),
-        get(&seen.refused),
-        get(&seen.failed),
-        get(&seen.moved),
-        get(&seen.cut),
-        get(&seen.lost),
-        open.join(" ")
+        get(&counters.connected),
+        get(&counters.asked),
+        get(&counters.refused),
+        get(&counters.failed),
+        get(&counters.moved),
+        get(&counters.cut),
+        get(&counters.lost),
+        open_connections.join(" ")
     );
 }
 
@@ -276,62 +289,67 @@
     count.fetch_add(1, Ordering::Relaxed);
 }
 
-/// One client: asks, talks while it is up, comes again when it is moved, until the day is over.
-fn client(n: usize, proxies: &[SocketAddr], seen: &Seen) {
-    let over = || seen.over.load(Ordering::Relaxed);
-    let mut turn = n;
-    // They don't all come in the same moment.
-    thread::sleep(Duration::from_millis(7 * (n as u64 % 100)));
-    while !over() {
-        let at = proxies[turn % proxies.len()];
-        turn += 1;
-        let Ok(stream) = TcpStream::connect(at) else {
+/// Runs one client until the end of the run: it requests a connection, exchanges messages on it, and requests a new one
+/// after it was moved or cut.
+fn run_client(client_number: usize, proxies: &[SocketAddr], counters: &ClientCounters) {
+    let is_over = || counters.is_over.load(Ordering::Relaxed);
+    let mut request_number = client_number;
+    // Spreads the first requests of the clients.
+    thread::sleep(Duration::from_millis(7 * (client_number as u64 % 100)));
+    while !is_over() {
+        let proxy = proxies[request_number % proxies.len()];
+        request_number += 1;
+        let Ok(stream) = TcpStream::connect(proxy) else {
             thread::sleep(Duration::from_millis(100));
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let _ = stream.set_read_timeout(Some(PATIENCE + LATE));
-        let Ok(mut out) = stream.try_clone() else {
+        let _ = stream.set_read_timeout(Some(REQUEST_TIMEOUT + LATE_GRACE));
+        let Ok(mut writer) = stream.try_clone() else {
             return;
         };
         let mut reader = BufReader::new(stream);
-        let id = (n as u64) << 32 | turn as u64;
-        count(&seen.asked);
-        let open = format!("OPEN {id:016x} {n:016x} c=watch,d=2000\r\n");
+        let id = (client_number as u64) << 32 | request_number as u64;
+        count(&counters.asked);
+        let open_line = format!("OPEN {id:016x} {client_number:016x} c=watch,d=2000\r\n");
         let mut line = String::new();
-        let answered = out.write_all(open.as_bytes()).is_ok()
+        let is_answered = writer.write_all(open_line.as_bytes()).is_ok()
             && reader.read_line(&mut line).is_ok_and(|bytes| bytes > 0);
         match line.split_whitespace().next() {
-            Some("UP") => count(&seen.up),
-            Some("BUSY") => count(&seen.refused),
-            _ if answered => count(&seen.failed),
-            _ => count(&seen.lost),
+            Some("UP") => count(&counters.up),
+            Some("BUSY") => count(&counters.refused),
+            _ if is_answered => count(&counters.failed),
+            _ => count(&counters.lost),
         }
         if !line.starts_with("UP ") {
             thread::sleep(Duration::from_millis(300));
             continue;
         }
-        count(&seen.now);
-        talk(&mut reader, &mut out, seen);
-        seen.now.fetch_sub(1, Ordering::Relaxed);
-        thread::sleep(Duration::from_millis(50 + 3 * (n as u64 % 50)));
+        count(&counters.connected);
+        exchange_messages(&mut reader, &mut writer, counters);
+        counters.connected.fetch_sub(1, Ordering::Relaxed);
+        thread::sleep(Duration::from_millis(50 + 3 * (client_number as u64 % 50)));
     }
 }
 
-fn talk(reader: &mut BufReader<TcpStream>, out: &mut TcpStream, seen: &Seen) {
+fn exchange_messages(
+    reader: &mut BufReader<TcpStream>,
+    writer: &mut TcpStream,
+    counters: &ClientCounters,
+) {
     let _ = reader
         .get_ref()
         .set_read_timeout(Some(Duration::from_secs(8)));
     let mut line = String::new();
-    while !seen.over.load(Ordering::Relaxed) {
+    while !counters.is_over.load(Ordering::Relaxed) {
         line.clear();
-        let said = out.write_all(b"SAY on\r\n").is_ok();
-        let heard = said && reader.read_line(&mut line).is_ok_and(|bytes| bytes > 0);
+        let is_sent = writer.write_all(b"SAY on\r\n").is_ok();
+        let is_answered = is_sent && reader.read_line(&mut line).is_ok_and(|bytes| bytes > 0);
         match line.split_whitespace().next() {
-            _ if !heard => return count(&seen.cut),
-            Some("MOVE") => return count(&seen.moved),
-            // A second final answer.
-            Some("UP" | "BUSY" | "ERR") => return count(&seen.twice),
+            _ if !is_answered => return count(&counters.cut),
+            Some("MOVE") => return count(&counters.moved),
+            // This is a second final answer.
+            Some("UP" | "BUSY" | "ERR") => return count(&counters.twice),
             _ => {}
         }
         thread::sleep(Duration::from_millis(100));
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! The fleet lab: what a setting or a version of the module does to a whole fleet, before it is tried on
-//! one. [`scenario`] says what is played, [`model`] plays it in simulated time on the real `Balancer`,
-//! [`stats`] says how sure a difference is, [`experiment`] runs seeds side by side.
+//! The fleet lab evaluates settings and versions of the balancer on a whole fleet before they are deployed.
+//! [`scenario`] describes a fleet and its troubles, [`model`] simulates it in simulated time with the real `Balancer`,
+//! [`stats`] computes confidence intervals, and [`experiment`] runs several seeds in parallel.
 
 pub mod experiment;
 pub mod fleet;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -101,8 +101,8 @@
         #[arg(long, default_value_t = 200)]
         most: usize,
     },
-    /// Scripts of faults over whole members of a fleet, simulated on the real code, by seed: budgets, work on machines, duties,
-    /// operators. What breaks a promise is cut to the least and written as a file. Exit 1 where one was broken.
+    /// Scripts of faults over whole members of a fleet, simulated on the real code, by seed: budgets, work on machines,
+    /// duties, operators. What breaks a promise is cut to the least and written as a file. Exit 1 where one was broken.
     Storm {
         /// Play this script alone.
         #[arg(long, value_name = "FILE", conflicts_with = "seeds")]
@@ -146,8 +146,8 @@
         #[arg(long)]
         json: bool,
     },
-    /// One real proxy a seed in traffic and troubles that the seed draws; each request is judged by the operators' clauses.
-    /// Exit 1 where one was broken.
+    /// One real proxy a seed in traffic and troubles that the seed draws; each request is judged by the operators'
+    /// clauses. Exit 1 where one was broken.
     Soak(SoakArgs),
     /// One value over a grid.
     Sweep {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! One HTML file that needs nothing else: tables, and plots as SVG.
+//! Reports of a run: a self-contained HTML file with tables and SVG plots, and the time series as CSV.
 
 use std::fmt::Write;
 
@@ -9,41 +9,46 @@
 use crate::scenario::Scenario;
 use crate::stats::Estimate;
 
-const SIZE: (u32, u32) = (860, 260);
+const PLOT_SIZE: (u32, u32) = (860, 260);
 const COLOURS: [RGBColor; 3] = [
     RGBColor(20, 90, 160),
     RGBColor(190, 90, 20),
     RGBColor(60, 140, 60),
 ];
 
-/// One policy's outcomes, a seed each.
+/// Outcomes of one policy, one per seed.
 pub struct PolicyOutcomes<'a> {
     pub name: &'a str,
     pub outcomes: &'a [Outcome],
 }
 
-/// The mean over seeds of a series, second by second.
-fn mean(outcomes: &[Outcome], of: impl Fn(&Outcome, usize) -> f64, seconds: usize) -> Vec<f64> {
-    let at = |second| outcomes.iter().map(|o| of(o, second)).sum::<f64>();
+/// Returns the mean over all seeds of a series, by second.
+fn mean(outcomes: &[Outcome], value: impl Fn(&Outcome, usize) -> f64, seconds: usize) -> Vec<f64> {
+    let total = |second| outcomes.iter().map(|o| value(o, second)).sum::<f64>();
     let count = outcomes.len().max(1) as f64;
-    (0..seconds).map(|second| at(second) / count).collect()
+    (0..seconds).map(|second| total(second) / count).collect()
 }
 
-type Failure = Box<dyn std::error::Error>;
+type ReportError = Box<dyn std::error::Error>;
 
-/// A plot of lines over seconds; the first two may enclose a band.
-fn plot(title: &str, lines: &[(&str, Vec<f64>)], band: bool, most: f64) -> Result<String, Failure> {
+/// Plots lines over time in seconds as SVG. With `band`, the area between the first two lines is filled.
+fn plot(
+    title: &str,
+    lines: &[(&str, Vec<f64>)],
+    band: bool,
+    y_max: f64,
+) -> Result<String, ReportError> {
     let mut svg = String::new();
     {
         let seconds = lines.iter().map(|line| line.1.len()).max().unwrap_or(1);
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .caption(title, ("sans-serif", 16))
             .x_label_area_size(28)
             .y_label_area_size(48)
-            .build_cartesian_2d(0.0..seconds as f64, 0.0..most)?;
+            .build_cartesian_2d(0.0..seconds as f64, 0.0..y_max)?;
         chart.configure_mesh().x_desc("s").draw()?;
         let points = |line: &[f64]| -> Vec<(f64, f64)> {
             let points = line.iter().enumerate();
@@ -71,16 +76,23 @@
     Ok(svg)
 }
 
-fn escaped(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
         .replace('>', "&gt;")
 }
 
-/// The page. The first of `played` is what is looked at, the second and third are random and the bound.
-pub fn render_html(scenario: &Scenario, played: &[PolicyOutcomes<'_>]) -> Result<String, Failure> {
+/// Renders the HTML page. The first of `policies` is the policy under test, the second and third are random placement
+/// and the upper bound.
+///
+/// # Errors
+/// A plot can't be drawn.
+pub fn render_html(
+    scenario: &Scenario,
+    policies: &[PolicyOutcomes<'_>],
+) -> Result<String, ReportError> {
     let seconds = scenario.seconds as usize;
-    let own = played[0].outcomes;
+    let outcomes = policies[0].outcomes;
     let mut page = String::new();
     write!(
         page,
@@ -88,50 +100,62 @@
          <style>body{{font:15px sans-serif;max-width:880px;margin:2em auto}}\
          table{{border-collapse:collapse}}td,th{{padding:.2em .8em;border:1px solid #ccc;text-align:right}}\
          </style><h1>{name}</h1><p>{proxies} proxies, {servers} servers, {seconds} s, {seeds} seeds.</p>",
-        name = escaped(&scenario.name),
+        name = escape_html(&scenario.name),
         proxies = scenario.proxies,
         servers = scenario.servers,
-        seeds = own.len(),
+        seeds = outcomes.len(),
     )?;
     write!(page, "<table><tr><th>service</th>")?;
-    for one in played {
-        write!(page, "<th>{}</th>", escaped(one.name))?;
+    for policy in policies {
+        write!(page, "<th>{}</th>", escape_html(policy.name))?;
     }
     write!(page, "<th>score</th></tr>")?;
     for (n, name) in SERVICE_METRICS.iter().enumerate() {
-        let column = |one: &PolicyOutcomes<'_>| -> Estimate {
-            let column: Vec<f64> = one.outcomes.iter().map(|o| service_metrics(o)[n]).collect();
+        let column = |policy: &PolicyOutcomes<'_>| -> Estimate {
+            let column: Vec<f64> = policy
+                .outcomes
+                .iter()
+                .map(|o| service_metrics(o)[n])
+                .collect();
             Estimate::from_samples(&column)
         };
         write!(page, "<tr><td>{name}</td>")?;
-        for one in played {
-            let estimate = column(one);
+        for policy in policies {
+            let estimate = column(policy);
             write!(page, "<td>{:.4} ± {:.4}</td>", estimate.mean, estimate.half)?;
         }
-        let of = |n: usize| played.get(n).map_or(0.0, |one| column(one).mean);
-        write!(page, "<td>{:.3}</td></tr>", score(of(0), of(1), of(2)))?;
+        let mean_service = |n: usize| policies.get(n).map_or(0.0, |policy| column(policy).mean);
+        write!(
+            page,
+            "<td>{:.3}</td></tr>",
+            score(mean_service(0), mean_service(1), mean_service(2))
+        )?;
     }
     write!(page, "</table>")?;
-    let second = |series: &[f64], at: usize| series.get(at).copied().unwrap_or(0.0);
-    let services: Vec<(&str, Vec<f64>)> = played
+    let value_at = |series: &[f64], second: usize| series.get(second).copied().unwrap_or(0.0);
+    let services: Vec<(&str, Vec<f64>)> = policies
         .iter()
-        .map(|one| {
+        .map(|policy| {
             (
-                one.name,
-                mean(one.outcomes, |o, at| second(&o.series, at), seconds),
+                policy.name,
+                mean(policy.outcomes, |o, at| value_at(&o.series, at), seconds),
             )
         })
         .collect();
     page += &plot("service", &services, false, 1.05)?;
-    let band = |part: usize| {
-        let of = move |o: &Outcome, at: usize| o.band.get(at).map_or(0.0, |band| band[part]);
-        mean(own, of, seconds)
+    let band = |index: usize| {
+        let value = move |o: &Outcome, at: usize| o.band.get(at).map_or(0.0, |band| band[index]);
+        mean(outcomes, value, seconds)
     };
     let loads = [("lowest", band(0)), ("highest", band(2)), ("mean", band(1))];
     let most = loads[1].1.iter().copied().fold(1.2, f64::max).min(3.0);
     page += &plot("load of servers over what they can do", &loads, true, most)?;
-    let moves = mean(own, |o, at| second(&o.moves_by_second, at), seconds);
-    let refused = mean(own, |o, at| second(&o.refused_by_second, at), seconds);
+    let moves = mean(outcomes, |o, at| value_at(&o.moves_by_second, at), seconds);
+    let refused = mean(
+        outcomes,
+        |o, at| value_at(&o.refused_by_second, at),
+        seconds,
+    );
     let highest = moves.iter().chain(&refused).copied().fold(1.0, f64::max);
     let counts = [("moves", moves), ("refusals", refused)];
     page += &plot("moves and refusals a second", &counts, false, highest * 1.1)?;
@@ -139,29 +163,29 @@
         page,
         "<h2>Time from a request to its connection</h2><table><tr><th>quantile</th>"
     )?;
-    for one in played {
-        write!(page, "<th>{} (ms)</th>", escaped(one.name))?;
+    for policy in policies {
+        write!(page, "<th>{} (ms)</th>", escape_html(policy.name))?;
     }
     for (n, quantile) in ["50%", "99%", "99.9%"].iter().enumerate() {
         write!(page, "</tr><tr><td>{quantile}</td>")?;
-        for one in played {
-            let sum: f64 = one.outcomes.iter().map(|o| o.setup_ms[n]).sum();
+        for policy in policies {
+            let sum: f64 = policy.outcomes.iter().map(|o| o.setup_ms[n]).sum();
             write!(
                 page,
                 "<td>{:.1}</td>",
-                sum / one.outcomes.len().max(1) as f64
+                sum / policy.outcomes.len().max(1) as f64
             )?;
         }
     }
     write!(page, "</tr></table><h2>Broken rules</h2><ul>")?;
-    let breaches = own.iter().flat_map(|outcome| &outcome.breaches);
+    let breaches = outcomes.iter().flat_map(|outcome| &outcome.breaches);
     for breach in breaches.clone().take(50) {
         write!(
             page,
             "<li>{:.2} s, {:?}: {}</li>",
             breach.at,
             breach.rule,
-            escaped(&breach.what)
+            escape_html(&breach.what)
         )?;
     }
     if breaches.count() == 0 {
@@ -171,18 +195,30 @@
     Ok(page)
 }
 
-/// The series as CSV: a row a second, means over seeds.
-pub fn render_csv(scenario: &Scenario, own: &[Outcome]) -> String {
+/// Renders the time series as CSV: one row per second, each value the mean over all seeds.
+pub fn render_csv(scenario: &Scenario, outcomes: &[Outcome]) -> String {
     let seconds = scenario.seconds as usize;
     let mut out = String::from("second,service,load_low,load_mean,load_high,moves,refused\n");
-    let at = |series: &[f64], n: usize| series.get(n).copied().unwrap_or(0.0);
+    let value_at = |series: &[f64], n: usize| series.get(n).copied().unwrap_or(0.0);
     let columns = [
-        mean(own, |o, n| at(&o.series, n), seconds),
-        mean(own, |o, n| o.band.get(n).map_or(0.0, |b| b[0]), seconds),
-        mean(own, |o, n| o.band.get(n).map_or(0.0, |b| b[1]), seconds),
-        mean(own, |o, n| o.band.get(n).map_or(0.0, |b| b[2]), seconds),
-        mean(own, |o, n| at(&o.moves_by_second, n), seconds),
-        mean(own, |o, n| at(&o.refused_by_second, n), seconds),
+        mean(outcomes, |o, n| value_at(&o.series, n), seconds),
+        mean(
+            outcomes,
+            |o, n| o.band.get(n).map_or(0.0, |b| b[0]),
+            seconds,
+        ),
+        mean(
+            outcomes,
+            |o, n| o.band.get(n).map_or(0.0, |b| b[1]),
+            seconds,
+        ),
+        mean(
+            outcomes,
+            |o, n| o.band.get(n).map_or(0.0, |b| b[2]),
+            seconds,
+        ),
+        mean(outcomes, |o, n| value_at(&o.moves_by_second, n), seconds),
+        mean(outcomes, |o, n| value_at(&o.refused_by_second, n), seconds),
     ];
     for second in 0..seconds {
         let row: Vec<String> = columns
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What is played, from a TOML file that is checked like the operator's: every error at once.
+//! Scenario files: TOML that is checked like the operator's configuration, with all errors reported at once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,14 +8,15 @@
 
 use crate::replay::RecordedClient;
 
-/// The most memory that a run may take, as far as it can be told beforehand.
+/// Limit on the estimated memory of a run, in bytes.
 pub const MAX_MEMORY_BYTES: u64 = 4 << 30;
 
+/// A fleet, its demand and its troubles. Times are in seconds.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: String,
     pub seconds: f64,
-    /// Not counted.
+    /// Time at the start of the run that is left out of the results.
     pub warm_up: f64,
     pub proxies: usize,
     pub zones: usize,
@@ -28,13 +29,13 @@
     pub troubles: Vec<Trouble>,
     pub budgets: Vec<Budget>,
     pub work: Option<WorkSettings>,
-    /// Proxies are asked what they use of budgets, and told their parts, so often.
+    /// Interval at which proxies report their budget usage and receive their shares.
     pub exchange_interval: f64,
-    /// Recorded clients instead of made-up ones.
+    /// Recorded clients that replace generated ones.
     pub recorded_clients: Option<Arc<Vec<RecordedClient>>>,
 }
 
-/// Work on all servers, each a machine of its own, by orders that the real planner carries out.
+/// Work orders on all servers, each of which runs on its own machine; the real planner executes the orders.
 #[derive(Clone, Debug)]
 pub struct WorkSettings {
     pub start_at: f64,
@@ -42,79 +43,88 @@
     pub max_out_per_zone: u32,
     pub min_capacity_share: f64,
     pub keep_spare_machine: bool,
-    /// Machines of one order, the next when all are done: 0 for all in one. With as many as may be out it is work in
-    /// fixed batches.
+    /// Number of machines per order; an order starts when all machines of the previous one are done. 0 puts all
+    /// machines into one order. If equal to `max_out`, the work runs in fixed batches.
     pub machines_per_order: usize,
-    /// What staff take for a machine.
+    /// Time that operators need for one machine.
     pub job_duration: f64,
-    /// Between two looks of whoever conducts.
+    /// Interval between checks of the coordinator.
     pub check_interval: f64,
 }
 
-/// A whole that all proxies keep together, of what is used within any window.
+/// A limit on the usage of all proxies together within any window.
 #[derive(Clone, Debug)]
 pub struct Budget {
     pub quota_kind: QuotaKind,
     pub total: u64,
     pub floor: u64,
     pub window: f64,
-    /// By need; or else each proxy has a fixed part, at cold servers as the module divides alone.
+    /// Whether the total is divided by need. Otherwise each proxy has a fixed part, and the balancer itself divides the
+    /// limit on cold servers.
     pub divided_by_need: bool,
 }
 
-const MATTERS: [(&str, QuotaKind); 4] = [
+const QUOTA_KINDS: [(&str, QuotaKind); 4] = [
     ("retries", QuotaKind::Further),
     ("moves", QuotaKind::Moves),
     ("probes", QuotaKind::Probes),
     ("cold", QuotaKind::Cold),
 ];
 
+/// Properties of the servers.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Seconds of work a second, and the share by which servers differ.
+    /// Seconds of work per second.
     pub capacity: f64,
+    /// Share by which the capacity of a server may be above or below `capacity`.
     pub capacity_spread: f64,
     /// Work of one set-up, in seconds.
     pub setup_work: f64,
-    /// A message that takes so many times its work is late.
+    /// A message is late if its response time exceeds its work multiplied by this factor.
     pub max_slowdown: f64,
     pub max_connections: usize,
     pub max_pending_setups: usize,
-    /// Loads are told anew so often, so late, and wrong by such a share.
+    /// Interval at which the reported loads are updated.
     pub report_interval: f64,
+    /// Delay of the reported loads.
     pub report_delay: f64,
+    /// Relative error of the reported loads.
     pub report_noise: f64,
     pub slow_start_min_share: f64,
     pub slow_start_window: f64,
-    /// Work a second that each group costs on each server that holds any of it.
+    /// Work per second that each group costs on each server with a connection of the group.
     pub group_cost: f64,
-    /// Set-ups a second of the store that all servers share; 0 for none.
+    /// Set-ups per second that the store shared by all servers can handle; 0 if there is no such store.
     pub store_setups_per_s: f64,
 }
 
+/// Demand of the clients.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// The load asked over the capacity of all servers.
+    /// Offered load divided by the capacity of all servers.
     pub offered_load: f64,
     pub tenants: usize,
     pub groups: usize,
-    /// A client that is refused or lost comes again after about this, so many times at the most.
+    /// Approximate delay before a refused or lost client retries.
     pub retry_delay: f64,
+    /// Maximum number of retries.
     pub max_retries: usize,
-    /// The load of a connection changes after about this.
+    /// Interval between changes of a connection's load.
     pub load_change_interval: f64,
-    /// How unevenly clients come to the proxies of their zone: 0 evenly; with 1 the first half of them gets 0.71,
-    /// with 3 the first tenth 0.56.
+    /// Skew of the clients over the proxies of their zone: 0 distributes them evenly; with 1 the first half of the
+    /// proxies gets 0.71 of the clients, with 3 the first tenth gets 0.56.
     pub skew: f64,
 }
 
+/// A class of clients.
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: String,
-    /// Part of all arrivals.
+    /// Relative share of all arrivals.
     pub arrival_share: f64,
-    /// Work a second, and the spread of its logarithm.
+    /// Mean work per second of a connection.
     pub load: f64,
+    /// Standard deviation of the logarithm of the load.
     pub load_spread: f64,
     pub mean_hold_time: f64,
     pub setup_target: f64,
@@ -123,14 +133,17 @@
     pub effect: Idempotency,
 }
 
+/// Timing of server list updates and of deployments.
 #[derive(Clone, Debug)]
 pub struct ListTiming {
     pub propagation_delay: f64,
-    /// How long a server drains before its process ends, and its absence.
+    /// Time for which a server drains before its process ends.
     pub drain_grace: f64,
+    /// Time from the end of a process to the start of the next.
     pub restart_time: f64,
 }
 
+/// Round-trip times and the connect timeout.
 #[derive(Clone, Debug)]
 pub struct Network {
     pub same_zone_rtt: f64,
@@ -138,6 +151,7 @@
     pub connect_timeout: f64,
 }
 
+/// Kinds of troubles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TroubleKind {
     Crash,
@@ -170,6 +184,7 @@
 ];
 
 impl TroubleKind {
+    /// All kinds, in the order of `KINDS`.
     pub const ALL: [Self; 12] = {
         let mut all = [Self::Crash; 12];
         let mut at = 0;
@@ -180,7 +195,7 @@
         all
     };
 
-    /// By how much it is usually: times the work, the rate, or what is left of the capacity.
+    /// Default range of the factor applied to the load of clients, the arrival rate or the capacity.
     pub fn default_factors(self) -> (f64, f64) {
         match self {
             Self::Heavy => (5.0, 24.0),
@@ -191,27 +206,32 @@
         }
     }
 
+    /// Name in scenario files.
     pub fn name(self) -> &'static str {
         let named = KINDS.iter().find(|(_, kind)| *kind == self);
         named.map_or("?", |(name, _)| name)
     }
 }
 
+/// A trouble that starts at `at` and lasts for `lasts` seconds.
 #[derive(Clone, Debug)]
 pub struct Trouble {
     pub kind: TroubleKind,
     pub at: f64,
     pub lasts: f64,
-    /// The part of servers, proxies or requests that it touches.
+    /// Share of servers, proxies or clients that are affected.
     pub share: f64,
-    /// By how much: times the work, the rate, or the capacity.
+    /// Range of the factor applied to the load of clients, the arrival rate or the capacity.
     pub from: f64,
     pub to: f64,
     pub zone: usize,
 }
 
 impl Scenario {
-    /// Reads a file's text; `set` are values over it, as `KEY=VALUE`.
+    /// Parses the text of a scenario file. Each of `set` is a `KEY=VALUE` that overrides a value of the file.
+    ///
+    /// # Errors
+    /// All problems of the file and the overrides.
     pub fn parse(name: &str, text: &str, set: &[String]) -> Result<Self, Vec<Problem>> {
         let mut tree = ConfigTree::parse(name, text).map_err(|problem| vec![problem])?;
         let problems = Problems::default();
@@ -234,8 +254,8 @@
         let demand = root.section("demand");
         let lists = root.section("lists");
         let network = root.section("network");
-        let count = |section: &Section<'_>, name: &str, most: u64, default: u64| {
-            section.int(name, 1..=most, default) as usize
+        let count = |section: &Section<'_>, name: &str, max: u64, default: u64| {
+            section.int(name, 1..=max, default) as usize
         };
         let seconds = span(root, "seconds", 1.0, 86_400.0, 60.0);
         let scenario = Self {
@@ -303,10 +323,10 @@
                 );
             }
         }
-        for (at, budget) in scenario.budgets.iter().enumerate() {
-            if scenario.budgets[..at]
+        for (index, budget) in scenario.budgets.iter().enumerate() {
+            if scenario.budgets[..index]
                 .iter()
-                .any(|known| known.quota_kind == budget.quota_kind)
+                .any(|earlier| earlier.quota_kind == budget.quota_kind)
             {
                 root.report_problem("budget", "two of the same");
             }
@@ -316,19 +336,20 @@
         }
         let bytes = scenario.estimated_memory_bytes();
         if bytes > MAX_MEMORY_BYTES {
-            let (gb, most) = (bytes as f64 / 1e9, MAX_MEMORY_BYTES as f64 / 1e9);
+            let (gigabytes, max_gigabytes) = (bytes as f64 / 1e9, MAX_MEMORY_BYTES as f64 / 1e9);
             root.report_problem(
                 "fleet",
-                format!("takes about {gb:.1} GB of memory, {most:.1} GB at most"),
+                format!("takes about {gigabytes:.1} GB of memory, {max_gigabytes:.1} GB at most"),
             );
         }
         root.report_unknown_keys();
         scenario
     }
 
-    /// The same as a file, so that what was found can be committed.
+    /// Renders the scenario as a file, so that a scenario found by a search can be committed.
     pub fn to_toml(&self) -> String {
-        let span = |secs: f64| violetwind_conf::format_duration(Duration::from_secs_f64(secs));
+        let span =
+            |seconds: f64| violetwind_conf::format_duration(Duration::from_secs_f64(seconds));
         let mut out = String::new();
         let mut line = |text: String| {
             out.push_str(&text);
@@ -341,30 +362,36 @@
         line(format!("servers = {}", self.servers));
         line(format!("zones = {}", self.zones));
         line(format!("exchange = \"{}\"", span(self.exchange_interval)));
-        let s = &self.server;
+        let server = &self.server;
         line("\n[server]".into());
-        line(format!("capacity = {}", s.capacity));
-        line(format!("spread = {}", s.capacity_spread));
-        line(format!("setup_work = {}", s.setup_work));
-        line(format!("slack = {}", s.max_slowdown));
-        line(format!("connections = {}", s.max_connections));
-        line(format!("queue = {}", s.max_pending_setups));
-        line(format!("report_every = \"{}\"", span(s.report_interval)));
-        line(format!("report_delay = \"{}\"", span(s.report_delay)));
-        line(format!("report_noise = {}", s.report_noise));
-        line(format!("cold_from = {}", s.slow_start_min_share));
-        line(format!("cold_for = \"{}\"", span(s.slow_start_window)));
-        line(format!("group_cost = {}", s.group_cost));
-        line(format!("store_rate = {}", s.store_setups_per_s));
-        let d = &self.demand;
+        line(format!("capacity = {}", server.capacity));
+        line(format!("spread = {}", server.capacity_spread));
+        line(format!("setup_work = {}", server.setup_work));
+        line(format!("slack = {}", server.max_slowdown));
+        line(format!("connections = {}", server.max_connections));
+        line(format!("queue = {}", server.max_pending_setups));
+        line(format!(
+            "report_every = \"{}\"",
+            span(server.report_interval)
+        ));
+        line(format!("report_delay = \"{}\"", span(server.report_delay)));
+        line(format!("report_noise = {}", server.report_noise));
+        line(format!("cold_from = {}", server.slow_start_min_share));
+        line(format!("cold_for = \"{}\"", span(server.slow_start_window)));
+        line(format!("group_cost = {}", server.group_cost));
+        line(format!("store_rate = {}", server.store_setups_per_s));
+        let demand = &self.demand;
         line("\n[demand]".into());
-        line(format!("fill = {}", d.offered_load));
-        line(format!("tenants = {}", d.tenants));
-        line(format!("groups = {}", d.groups));
-        line(format!("retry = \"{}\"", span(d.retry_delay)));
-        line(format!("retries = {}", d.max_retries));
-        line(format!("change = \"{}\"", span(d.load_change_interval)));
-        line(format!("skew = {}", d.skew));
+        line(format!("fill = {}", demand.offered_load));
+        line(format!("tenants = {}", demand.tenants));
+        line(format!("groups = {}", demand.groups));
+        line(format!("retry = \"{}\"", span(demand.retry_delay)));
+        line(format!("retries = {}", demand.max_retries));
+        line(format!(
+            "change = \"{}\"",
+            span(demand.load_change_interval)
+        ));
+        line(format!("skew = {}", demand.skew));
         line("\n[lists]".into());
         line(format!(
             "delay = \"{}\"",
@@ -412,10 +439,12 @@
             line(format!("effect = \"{effect}\""));
         }
         for budget in &self.budgets {
-            let of = MATTERS.iter().find(|(_, of)| *of == budget.quota_kind);
+            let quota = QUOTA_KINDS
+                .iter()
+                .find(|(_, kind)| *kind == budget.quota_kind);
             line(format!(
                 "\n[[budget]]\nof = {:?}",
-                of.map_or("?", |(name, _)| name)
+                quota.map_or("?", |(name, _)| name)
             ));
             line(format!(
                 "whole = {}\nfloor = {}",
@@ -458,21 +487,21 @@
         out
     }
 
-    /// Arrivals a second that bring the load that is asked for.
+    /// Arrivals per second that result in the offered load.
     pub fn arrival_rate(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|class| class.arrival_share).sum();
         let work = |class: &Class| {
             class.arrival_share / shares.max(1e-9) * class.load * class.mean_hold_time
         };
-        let each: f64 = self.classes.iter().map(work).sum();
-        self.demand.offered_load * self.server.capacity * self.servers as f64 / each.max(1e-9)
+        let mean_work: f64 = self.classes.iter().map(work).sum();
+        self.demand.offered_load * self.server.capacity * self.servers as f64 / mean_work.max(1e-9)
     }
 
-    /// About the memory that a run takes: each proxy's books of all servers, and all clients,
-    /// should all bursts come at once.
+    /// Estimates the memory of a run in bytes: each proxy's state of all servers, and all clients, assuming that all
+    /// bursts overlap.
     pub fn estimated_memory_bytes(&self) -> u64 {
-        let books = self.proxies as f64 * self.servers as f64 * 700.0;
-        let hold: f64 = self
+        let proxy_state = self.proxies as f64 * self.servers as f64 * 700.0;
+        let longest_hold: f64 = self
             .classes
             .iter()
             .map(|class| class.mean_hold_time)
@@ -482,14 +511,19 @@
             .iter()
             .filter(|t| t.kind == TroubleKind::Burst);
         let bursts: f64 = bursts.map(|t| t.from.max(1.0)).product();
-        let clients = self.arrival_rate() * (hold + self.seconds * bursts) * 600.0;
-        (books + clients).min(1e18) as u64
+        let clients = self.arrival_rate() * (longest_hold + self.seconds * bursts) * 600.0;
+        (proxy_state + clients).min(1e18) as u64
     }
 }
 
+/// Reads a duration in seconds from a section, within `from..=to`.
 fn span(section: &Section<'_>, name: &str, from: f64, to: f64, default: f64) -> f64 {
-    let secs = Duration::from_secs_f64;
-    let span = section.duration(name, secs(from)..=secs(to), secs(default));
+    let from_seconds = Duration::from_secs_f64;
+    let span = section.duration(
+        name,
+        from_seconds(from)..=from_seconds(to),
+        from_seconds(default),
+    );
     span.as_secs_f64()
 }
 
@@ -519,7 +553,7 @@
         section.report_problem("of", "expected what the budget is of, found nothing");
     }
     let budget = Budget {
-        quota_kind: section.choice("of", &MATTERS, QuotaKind::Further),
+        quota_kind: section.choice("of", &QUOTA_KINDS, QuotaKind::Further),
         total: section.int("whole", 1..=1_000_000, 1),
         floor: section.int("floor", 0..=1_000_000, 0),
         window: span(section, "window", 0.1, 3600.0, 1.0),
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,5 +1,5 @@
-//! `violetwind-lab soak`: one real proxy a seed, in traffic and troubles that the seed draws, each request judged by the
-//! clauses of the operators' pages.
+//! `violetwind-lab soak`: runs one real proxy per seed under traffic and troubles generated from the seed, and checks
+//! each request against the rules of the operators' pages.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,7 +10,7 @@
 use violetwind_standins::soak::Script;
 use violetwind_standins::soak::runner::{Report, run_script};
 
-/// What is played.
+/// Arguments of the soak test.
 #[derive(Debug, Args)]
 pub struct SoakArgs {
     /// The first seed.
@@ -18,46 +18,47 @@
     pub seed: u64,
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
-    /// How long troubles come, before the proxy is told to end.
+    /// Seconds during which troubles occur, before the proxy is terminated.
     #[arg(long, default_value_t = 12.0)]
     pub seconds: f64,
-    /// Proxies at a time, each with some hundred threads of clients and servers.
+    /// Number of proxies that run in parallel, each with some hundred threads of clients and servers.
     #[arg(long, default_value_t = 4)]
     pub at_once: u64,
-    /// The proxy's program; by default the one beside this.
+    /// Program of the proxy; by default the one in the directory of this program.
     #[arg(long, value_name = "FILE")]
     pub proxy: Option<PathBuf>,
-    /// Logs go there.
+    /// Directory for the logs.
     #[arg(long, value_name = "DIR")]
     pub logs: Option<PathBuf>,
-    /// Show the scripts and play nothing.
+    /// Print the scripts without running them.
     #[arg(long)]
     pub show: bool,
 }
 
-/// Plays all seeds; whether no clause was broken.
-pub fn run_soak(asked: &SoakArgs, program: &std::path::Path) -> bool {
-    let lasts = Duration::from_secs_f64(asked.seconds.clamp(1.0, 3600.0));
-    let seeds = asked.seed..asked.seed + asked.seeds;
-    if asked.show {
-        seeds.for_each(|seed| println!("{:#?}", Script::from_seed(seed, lasts)));
+/// Runs all seeds and prints the violations. Returns whether there were none.
+pub fn run_soak(args: &SoakArgs, program: &std::path::Path) -> bool {
+    let duration = Duration::from_secs_f64(args.seconds.clamp(1.0, 3600.0));
+    let seeds = args.seed..args.seed + args.seeds;
+    if args.show {
+        seeds.for_each(|seed| println!("{:#?}", Script::from_seed(seed, duration)));
         return true;
     }
-    let fallback = || std::env::temp_dir().join(format!("violetwind-soak-{}", std::process::id()));
-    let logs = asked.logs.clone().unwrap_or_else(fallback);
-    let next = AtomicU64::new(asked.seed);
+    let default_logs =
+        || std::env::temp_dir().join(format!("violetwind-soak-{}", std::process::id()));
+    let logs = args.logs.clone().unwrap_or_else(default_logs);
+    let next_seed = AtomicU64::new(args.seed);
     let mut reports: Vec<Report> = thread::scope(|scope| {
-        let workers: Vec<_> = (0..asked.at_once.clamp(1, 16))
+        let workers: Vec<_> = (0..args.at_once.clamp(1, 16))
             .map(|_| {
                 scope.spawn(|| {
                     let mut reports = Vec::new();
                     loop {
-                        let seed = next.fetch_add(1, Ordering::Relaxed);
+                        let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                         if seed >= seeds.end {
                             return reports;
                         }
-                        let report = run_script(program, &logs, &Script::from_seed(seed, lasts));
-                        println!("{}", line(&report));
+                        let report = run_script(program, &logs, &Script::from_seed(seed, duration));
+                        println!("{}", summary_line(&report));
                         reports.push(report);
                     }
                 })
@@ -65,30 +66,30 @@
             .collect();
         let ended = workers.into_iter().map(|worker| worker.join());
         ended
-            .flat_map(|reports| reports.expect("a run that ends"))
+            .flat_map(|reports| reports.expect("no soak run panicked"))
             .collect()
     });
     reports.sort_by_key(|report| report.seed);
-    let broken: Vec<&Report> = reports
+    let failed: Vec<&Report> = reports
         .iter()
         .filter(|report| !report.violations.is_empty())
         .collect();
-    for report in &broken {
+    for report in &failed {
         for violation in &report.violations {
             println!("seed {}: {violation}", report.seed);
         }
         println!("seed {}: log {}", report.seed, report.log.display());
     }
-    let asked: usize = reports.iter().map(|report| report.asked).sum();
+    let request_count: usize = reports.iter().map(|report| report.asked).sum();
     println!(
-        "{} seeds, {asked} requests, {} seeds with violations",
+        "{} seeds, {request_count} requests, {} seeds with violations",
         reports.len(),
-        broken.len()
+        failed.len()
     );
-    broken.is_empty()
+    failed.is_empty()
 }
 
-fn line(report: &Report) -> String {
+fn summary_line(report: &Report) -> String {
     format!(
         "seed {}: {} asked, {} served, {} refused, {} failed, {} violations",
         report.seed,
--- a/crates/lab/src/stats.rs
+++ b/crates/lab/src/stats.rs
@@ -1,21 +1,22 @@
-//! How sure a figure is.
+//! Confidence intervals of means.
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// A mean with its 95% confidence interval (Student's t on the seeds' figures).
+/// A mean with its 95% confidence interval (Student's t over the values of the seeds).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     pub mean: f64,
-    /// Half the interval; endless for a single figure.
+    /// Half the width of the interval; infinite for a single value.
     pub half: f64,
     pub deviation: f64,
     pub count: usize,
 }
 
 impl Estimate {
-    pub fn from_samples(figures: &[f64]) -> Self {
-        let count = figures.len();
-        let mean = figures.iter().sum::<f64>() / count.max(1) as f64;
+    /// Computes the estimate of the mean of independent samples.
+    pub fn from_samples(samples: &[f64]) -> Self {
+        let count = samples.len();
+        let mean = samples.iter().sum::<f64>() / count.max(1) as f64;
         if count < 2 {
             return Self {
                 mean,
@@ -24,43 +25,46 @@
                 count,
             };
         }
-        let squares: f64 = figures.iter().map(|figure| (figure - mean).powi(2)).sum();
+        let squares: f64 = samples.iter().map(|sample| (sample - mean).powi(2)).sum();
         let deviation = (squares / (count - 1) as f64).sqrt();
         Self {
             mean,
-            half: t(count) * deviation / (count as f64).sqrt(),
+            half: t_quantile(count) * deviation / (count as f64).sqrt(),
             deviation,
             count,
         }
     }
 
-    /// Whether the interval leaves out zero: a paired difference is then one.
+    /// Whether the interval excludes zero, so that a paired difference is significant.
     pub fn excludes_zero(&self) -> bool {
         self.half < self.mean.abs()
     }
 
-    /// About how many seeds it takes until half the interval is no longer than this.
+    /// Approximate number of seeds after which half the interval is at most `half`.
     pub fn seeds_needed(&self, half: f64) -> usize {
         let mut count = 2;
-        while count < 1_000_000 && t(count) * self.deviation / (count as f64).sqrt() > half {
+        while count < 1_000_000 && t_quantile(count) * self.deviation / (count as f64).sqrt() > half
+        {
             count += (count / 8).max(1);
         }
         count
     }
 }
 
-fn t(count: usize) -> f64 {
-    let freedom = (count - 1).max(1) as f64;
-    StudentsT::new(0.0, 1.0, freedom).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975))
+fn t_quantile(count: usize) -> f64 {
+    let degrees_of_freedom = (count - 1).max(1) as f64;
+    StudentsT::new(0.0, 1.0, degrees_of_freedom).map_or(f64::INFINITY, |distribution| {
+        distribution.inverse_cdf(0.975)
+    })
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// The figures of a worked example by hand: mean 5, deviation 1.5811, t(4) = 2.776.
+    /// Compares with an example computed by hand: mean 5, deviation 1.5811, t(4) = 2.776.
     #[test]
-    fn an_interval_is_students() {
+    fn interval_follows_students_t_distribution() {
         let estimate = Estimate::from_samples(&[3.0, 4.0, 5.0, 6.0, 7.0]);
         assert_eq!(estimate.mean, 5.0);
         assert!((estimate.deviation - 1.5811).abs() < 1e-4);
@@ -70,7 +74,7 @@
     }
 
     #[test]
-    fn a_finer_interval_takes_more_seeds() {
+    fn narrower_interval_needs_more_seeds() {
         let estimate = Estimate::from_samples(&[3.0, 4.0, 5.0, 6.0, 7.0]);
         let (coarse, fine) = (estimate.seeds_needed(2.0), estimate.seeds_needed(0.2));
         assert!(coarse <= 6 && (200..300).contains(&fine), "{coarse} {fine}");
--- a/crates/lab/src/storm.rs
+++ b/crates/lab/src/storm.rs
@@ -1,4 +1,4 @@
-//! Campaigns of scripts of faults over whole members, and the page that shows one of them.
+//! Campaigns of fault scripts on simulated fleet members, and an HTML page for one script.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -10,14 +10,14 @@
 use violetwind_storm::fleet::InjectedBug;
 use violetwind_storm::script::{Script, ScriptOutcome, ScriptParameters};
 
-/// Plays that a shrink may take.
-const SHRINK: usize = 300;
-/// Findings that are shrunk and kept; the others are counted.
-const KEPT: usize = 8;
-/// A time line is looked at so often, in milliseconds of simulated time.
+/// Maximum number of runs for shrinking a script.
+const MAX_SHRINK_RUNS: usize = 300;
+/// Number of findings that are shrunk and reported; further ones are only counted.
+const MAX_FINDINGS: usize = 8;
+/// Interval between samples of the timeline, in milliseconds of simulated time.
 pub const SAMPLE_INTERVAL_MS: u64 = 50;
 
-/// A script that broke a promise, as drawn and cut.
+/// A script that violated a guarantee, as generated and after shrinking.
 #[derive(Clone, Debug)]
 pub struct Finding {
     pub violation: String,
@@ -26,6 +26,7 @@
     pub shrink_plays: usize,
 }
 
+/// Totals over all scripts of a campaign, and its findings.
 #[derive(Clone, Debug, Default)]
 pub struct Campaign {
     pub seed_count: u64,
@@ -40,20 +41,20 @@
     pub findings: Vec<Finding>,
 }
 
-/// Plays so many seeds from the first on; the outcome does not depend on the number of threads.
+/// Runs the scripts of `seeds` consecutive seeds from `first` on. The result does not depend on the number of threads.
 pub fn run_campaign(
     first: u64,
     seeds: u64,
-    shape: ScriptParameters,
-    planted: InjectedBug,
+    parameters: ScriptParameters,
+    injected_bug: InjectedBug,
     threads: usize,
 ) -> Campaign {
-    let bar = ProgressBar::new(seeds);
+    let progress_bar = ProgressBar::new(seeds);
     let style = "{bar:40} {pos}/{len} seeds, {msg}, {eta} left";
     if let Ok(style) = ProgressStyle::with_template(style) {
-        bar.set_style(style);
+        progress_bar.set_style(style);
     }
-    let (next, sum) = (
+    let (next_index, totals) = (
         AtomicU64::new(0),
         Mutex::new((Campaign::default(), Vec::new())),
     );
@@ -61,52 +62,57 @@
         for _ in 0..threads {
             scope.spawn(|| {
                 loop {
-                    let at = next.fetch_add(1, Ordering::Relaxed);
-                    if at >= seeds {
+                    let index = next_index.fetch_add(1, Ordering::Relaxed);
+                    if index >= seeds {
                         return;
                     }
-                    let script = Script::generate(first + at, shape);
-                    let played = script.run(planted, 0);
-                    let mut sum = sum.lock().expect("no panic");
-                    sum.0.add(&script, &played);
-                    if let Some(wrong) = played.violation {
-                        sum.1.push((wrong, script));
+                    let script = Script::generate(first + index, parameters);
+                    let outcome = script.run(injected_bug, 0);
+                    let mut totals = totals
+                        .lock()
+                        .expect("no thread panicked while holding the lock");
+                    totals.0.add(&script, &outcome);
+                    if let Some(violation) = outcome.violation {
+                        totals.1.push((violation, script));
                     }
-                    let (faults, found) = (sum.0.faults, sum.1.len());
-                    bar.set_message(format!("{faults} faults, {found} findings"));
-                    bar.inc(1);
+                    let (faults, violations) = (totals.0.faults, totals.1.len());
+                    progress_bar.set_message(format!("{faults} faults, {violations} findings"));
+                    progress_bar.inc(1);
                 }
             });
         }
     });
-    bar.finish();
-    let (mut sum, mut found) = sum.into_inner().expect("no panic");
-    found.sort_by_key(|(_, script)| script.seed);
-    sum.failed_seeds = found.len();
-    for (wrong, drawn) in found.into_iter().take(KEPT) {
-        let (least, plays) = drawn.shrink(planted, SHRINK);
-        sum.findings.push(Finding {
-            violation: wrong,
-            original: drawn,
-            minimised: least,
-            shrink_plays: plays,
+    progress_bar.finish();
+    let (mut totals, mut violations) = totals
+        .into_inner()
+        .expect("no thread panicked while holding the lock");
+    violations.sort_by_key(|(_, script)| script.seed);
+    totals.failed_seeds = violations.len();
+    for (violation, original) in violations.into_iter().take(MAX_FINDINGS) {
+        let (minimised, shrink_plays) = original.shrink(injected_bug, MAX_SHRINK_RUNS);
+        totals.findings.push(Finding {
+            violation,
+            original,
+            minimised,
+            shrink_plays,
         });
     }
-    sum
+    totals
 }
 
 impl Campaign {
-    fn add(&mut self, script: &Script, played: &ScriptOutcome) {
+    fn add(&mut self, script: &Script, outcome: &ScriptOutcome) {
         self.seed_count += 1;
-        self.simulated_ms += played.simulated_ms;
+        self.simulated_ms += outcome.simulated_ms;
         self.faults += script.faults.len();
-        self.elections_won += played.elections_won;
-        self.duties_gained += played.duties_gained;
-        self.frames += played.frames_sent;
-        self.machines_done += played.machines_done;
-        self.units_taken += played.units_taken;
+        self.elections_won += outcome.elections_won;
+        self.duties_gained += outcome.duties_gained;
+        self.frames += outcome.frames_sent;
+        self.machines_done += outcome.machines_done;
+        self.units_taken += outcome.units_taken;
     }
 
+    /// Renders the totals and the findings as JSON.
     pub fn to_json(&self) -> serde_json::Value {
         let findings = self.findings.iter().map(|finding| {
             json!({"wrong": finding.violation, "seed": finding.original.seed, "plays": finding.shrink_plays,
@@ -120,7 +126,7 @@
     }
 }
 
-fn escaped(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     let text = text.replace('&', "&amp;");
     text.replace('<', "&lt;").replace('>', "&gt;")
 }
@@ -134,58 +140,59 @@
     ('x', "dead", "#b03030"),
 ];
 
-/// One page that needs nothing else: who was what and when, units in use and machines out, the faults, what was told.
-pub fn render_page(script: &Script, played: &ScriptOutcome) -> String {
-    let (width, row, left) = (1100.0, 16.0, 70.0);
+/// Renders a self-contained HTML page: the state of each member over time, units in use, machines out, the faults, and
+/// the event log.
+pub fn render_page(script: &Script, outcome: &ScriptOutcome) -> String {
+    let (width, row_height, label_width) = (1100.0, 16.0, 70.0);
     let rows = script.voters + script.others;
-    let all = played.timeline.last().map_or(1, |moment| moment.at).max(1) as f64;
-    let x = |at: u64| left + at as f64 / all * (width - left);
+    let end = outcome.timeline.last().map_or(1, |sample| sample.at).max(1) as f64;
+    let x = |at: u64| label_width + at as f64 / end * (width - label_width);
     let mut svg = String::new();
-    let height = row * rows as f64 + 120.0;
+    let height = row_height * rows as f64 + 120.0;
     let _ = write!(
         svg,
         "<svg width=\"{width}\" height=\"{height}\" font-size=\"11\" font-family=\"sans-serif\">"
     );
-    for (n, moment) in played.timeline.iter().enumerate() {
-        let until = played
+    for (n, sample) in outcome.timeline.iter().enumerate() {
+        let sample_end = outcome
             .timeline
             .get(n + 1)
-            .map_or(moment.at + SAMPLE_INTERVAL_MS, |next| next.at);
-        for (at, (_, state)) in moment.member_states.iter().enumerate() {
+            .map_or(sample.at + SAMPLE_INTERVAL_MS, |next| next.at);
+        for (at, (_, state)) in sample.member_states.iter().enumerate() {
             let known = STATES.iter().find(|(known, ..)| known == state);
             let colour = known.map_or("#ffffff", |(.., colour)| colour);
-            let (from, wide) = (x(moment.at), x(until) - x(moment.at) + 0.3);
-            let y = row * at as f64;
+            let (from, bar_width) = (x(sample.at), x(sample_end) - x(sample.at) + 0.3);
+            let y = row_height * at as f64;
             let _ = write!(
                 svg,
-                "<rect x=\"{from:.1}\" y=\"{y:.1}\" width=\"{wide:.1}\" height=\"13\" fill=\"{colour}\"/>"
+                "<rect x=\"{from:.1}\" y=\"{y:.1}\" width=\"{bar_width:.1}\" height=\"13\" fill=\"{colour}\"/>"
             );
         }
     }
-    for (at, (name, _)) in played
+    for (at, (name, _)) in outcome
         .timeline
         .first()
         .iter()
         .flat_map(|m| m.member_states.iter().enumerate())
     {
-        let y = row * at as f64 + 11.0;
-        let _ = write!(svg, "<text x=\"0\" y=\"{y}\">{}</text>", escaped(name));
+        let y = row_height * at as f64 + 11.0;
+        let _ = write!(svg, "<text x=\"0\" y=\"{y}\">{}</text>", escape_html(name));
     }
-    let base = row * rows as f64 + 110.0;
+    let base = row_height * rows as f64 + 110.0;
     for (what, colour, of) in [
         ("units in use", "#145aa0", 0),
         ("machines out", "#b03030", 1),
     ] {
-        let value = |moment: &violetwind_storm::script::TimelineSample| match of {
-            0 => moment.units_in_use as f64,
-            _ => moment.machines_out as f64,
+        let value = |sample: &violetwind_storm::script::TimelineSample| match of {
+            0 => sample.units_in_use as f64,
+            _ => sample.machines_out as f64,
         };
-        let most = played.timeline.iter().map(value).fold(1.0, f64::max);
-        let points = played.timeline.iter().map(|moment| {
+        let max = outcome.timeline.iter().map(value).fold(1.0, f64::max);
+        let points = outcome.timeline.iter().map(|sample| {
             format!(
                 "{:.1},{:.1}",
-                x(moment.at),
-                base - value(moment) / most * 90.0
+                x(sample.at),
+                base - value(sample) / max * 90.0
             )
         });
         let points: Vec<String> = points.collect();
@@ -197,43 +204,47 @@
         let y = base - 94.0 + 14.0 * f64::from(of);
         let _ = write!(
             svg,
-            "<text x=\"0\" y=\"{y}\" fill=\"{colour}\">{what}, to {most}</text>"
+            "<text x=\"0\" y=\"{y}\" fill=\"{colour}\">{what}, to {max}</text>"
         );
     }
     svg.push_str("</svg>");
     let legend = STATES.map(|(_, name, colour)| {
         format!("<span style=\"background:{colour}\">&nbsp;&nbsp;&nbsp;</span> {name} ")
     });
-    let told: Vec<String> = played.event_log.iter().map(|line| escaped(line)).collect();
+    let events: Vec<String> = outcome
+        .event_log
+        .iter()
+        .map(|line| escape_html(line))
+        .collect();
     format!(
         "<!doctype html><meta charset=\"utf-8\"><title>storm, seed {}</title>\
          <h1>Seed {}: {}</h1><p>{} ms simulated, {} faults. {}</p>{svg}\
          <h2>Script</h2><pre>{}</pre><h2>Told</h2><pre>{}</pre>",
         script.seed,
         script.seed,
-        escaped(played.violation.as_deref().unwrap_or("no promise broken")),
-        played.simulated_ms,
+        escape_html(outcome.violation.as_deref().unwrap_or("no promise broken")),
+        outcome.simulated_ms,
         script.faults.len(),
         legend.concat(),
-        escaped(&script.to_toml()),
-        told.join("\n")
+        escape_html(&script.to_toml()),
+        events.join("\n")
     )
 }
 
-/// Plays one script and writes its page, and the figures as JSON beside it.
+/// Runs one script and writes its page, and the totals as a JSON file of the same name. Returns the violation, if any.
 ///
 /// # Errors
-/// The file can't be written.
+/// A file can't be written.
 pub fn write_script_report(
     script: &Script,
-    planted: InjectedBug,
+    injected_bug: InjectedBug,
     path: &Path,
 ) -> std::io::Result<Option<String>> {
-    let played = script.run(planted, SAMPLE_INTERVAL_MS);
-    std::fs::write(path, render_page(script, &played))?;
-    let beside = json!({"seed": script.seed, "wrong": played.violation, "simulated_ms": played.simulated_ms,
-        "leads": played.elections_won, "duties_gained": played.duties_gained, "frames": played.frames_sent,
-        "machines_done": played.machines_done, "units_taken": played.units_taken});
-    std::fs::write(path.with_extension("json"), format!("{beside:#}\n"))?;
-    Ok(played.violation)
+    let outcome = script.run(injected_bug, SAMPLE_INTERVAL_MS);
+    std::fs::write(path, render_page(script, &outcome))?;
+    let summary = json!({"seed": script.seed, "wrong": outcome.violation, "simulated_ms": outcome.simulated_ms,
+        "leads": outcome.elections_won, "duties_gained": outcome.duties_gained, "frames": outcome.frames_sent,
+        "machines_done": outcome.machines_done, "units_taken": outcome.units_taken});
+    std::fs::write(path.with_extension("json"), format!("{summary:#}\n"))?;
+    Ok(outcome.violation)
 }
--- a/crates/lab/src/storm_processes.rs
+++ b/crates/lab/src/storm_processes.rs
@@ -1,5 +1,5 @@
-//! The same scripts on real processes: proxies with relays between them, servers, clients, staff and callers of a budget on
-//! loopback. What was promised is checked from outside, by the machine's clock.
+//! Runs fault scripts on real processes on loopback: proxies connected through relays, servers, clients, simulated
+//! operators and budget callers. The guarantees are checked from outside, by the machine's clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -19,18 +19,20 @@
 use violetwind_storm::script::{FORMATION_TIME, Script};
 
 const CLIENTS: usize = 20;
-const WHOLE: usize = 20;
-/// After the last fault everybody lives again within this, and an order for work has ended within that.
-const WHOLE_AGAIN: Duration = Duration::from_secs(15);
-const WORK_ENDS: Duration = Duration::from_secs(60);
+const BUDGET_TOTAL: usize = 20;
+/// Time after the last fault within which all members have to be live again.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time after the last fault within which the work order has to end.
+const WORK_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What became of it.
+/// Result of a script on real processes.
 #[derive(Clone, Debug, Default)]
 pub struct RealPlayed {
-    /// Promises that were broken, by name.
+    /// Violated guarantees, by name.
     pub wrong: Vec<String>,
     pub faults: usize,
-    /// Faults of the script that processes have no like of: slow disks, machines that die.
+    /// Number of faults that were skipped: slow disks and failing machines, which have no equivalent here, and faults
+    /// on processes that are stopped or dead already.
     pub passed_over: usize,
     pub seconds: f64,
     pub duties_held: usize,
@@ -43,11 +45,11 @@
 }
 
 struct Fleet {
-    night: WorkOrderHarness,
+    harness: WorkOrderHarness,
     clients: ClientPool,
-    callers: BudgetWorkload,
-    /// Whose process comes back, or goes on, when.
-    due: BTreeMap<(Instant, usize), bool>,
+    budget_workload: BudgetWorkload,
+    /// Time at which the process of a node restarts (`true`) or continues (`false`).
+    pending_resumes: BTreeMap<(Instant, usize), bool>,
     stopped: BTreeSet<usize>,
     dead: BTreeSet<usize>,
 }
@@ -55,14 +57,15 @@
 fn index(node: &str) -> usize {
     node.rsplit('-')
         .next()
-        .and_then(|at| at.parse().ok())
+        .and_then(|node| node.parse().ok())
         .unwrap_or(0)
 }
 
 impl Fleet {
-    fn strike(&mut self, fault: &Fault) -> bool {
+    /// Injects a fault; false if it was skipped.
+    fn inject_fault(&mut self, fault: &Fault) -> bool {
         let ms = Duration::from_millis;
-        let at = |nodes: &[String]| nodes.iter().map(|node| index(node)).collect::<Vec<_>>();
+        let indices = |nodes: &[String]| nodes.iter().map(|node| index(node)).collect::<Vec<_>>();
         match fault {
             Fault::Kill { node, back } | Fault::Quit { node, back } => {
                 let node = index(node);
@@ -71,16 +74,17 @@
                 }
                 self.clients.set_proxy_excused(node, true);
                 match fault {
-                    Fault::Kill { .. } => self.night.fleet.kill_member(node),
-                    _ => self.night.fleet.send_signal(node, "-TERM"),
+                    Fault::Kill { .. } => self.harness.fleet.kill_member(node),
+                    _ => self.harness.fleet.send_signal(node, "-TERM"),
                 }
-                self.callers
+                self.budget_workload
                     .stats
                     .lock()
                     .expect("no panic")
                     .held_units
                     .remove(&node);
-                self.due.insert((Instant::now() + ms(*back), node), true);
+                self.pending_resumes
+                    .insert((Instant::now() + ms(*back), node), true);
             }
             Fault::Stop { node, lasts } => {
                 let node = index(node);
@@ -88,42 +92,43 @@
                     return false;
                 }
                 self.clients.set_proxy_excused(node, true);
-                self.night.fleet.send_signal(node, "-STOP");
-                self.due.insert((Instant::now() + ms(*lasts), node), false);
+                self.harness.fleet.send_signal(node, "-STOP");
+                self.pending_resumes
+                    .insert((Instant::now() + ms(*lasts), node), false);
             }
             Fault::Cut { from, to, both } => {
-                for a in at(from) {
-                    for b in at(to).into_iter().filter(|b| *b != a) {
-                        self.night.fleet.set_link(a, b, LinkMode::Blackhole);
+                for a in indices(from) {
+                    for b in indices(to).into_iter().filter(|b| *b != a) {
+                        self.harness.fleet.set_link(a, b, LinkMode::Blackhole);
                         if *both {
-                            self.night.fleet.set_link(b, a, LinkMode::Blackhole);
+                            self.harness.fleet.set_link(b, a, LinkMode::Blackhole);
                         }
                     }
                 }
             }
-            Fault::Heal => self.night.fleet.heal_links(),
+            Fault::Heal => self.harness.fleet.heal_links(),
             Fault::HandOn { by, duty, to } => {
                 let to = to
                     .as_ref()
                     .map(|to| violetwind_standins::fleet_harness::node_name(index(to)));
                 let line = format!("FLEET HAND-ON {duty} {}", to.unwrap_or_default());
-                // Whoever is dead or stopped answers nobody.
-                let _ = self.ask(index(by), &line);
+                // A node that is dead or stopped does not answer.
+                let _ = self.call_member_if_live(index(by), &line);
             }
             Fault::PutOut { by, node } | Fault::LetIn { by, node } => {
-                let word = if matches!(fault, Fault::PutOut { .. }) {
+                let command = if matches!(fault, Fault::PutOut { .. }) {
                     "PUT-OUT"
                 } else {
                     "LET-IN"
                 };
                 let name = violetwind_standins::fleet_harness::node_name(index(node));
-                let _ = self.ask(index(by), &format!("FLEET {word} {name}"));
+                let _ = self.call_member_if_live(index(by), &format!("FLEET {command} {name}"));
             }
             Fault::Press { hot, even } => {
-                for node in 0..self.night.fleet.member_count() {
-                    let pressed = *even || node == index(hot);
-                    self.callers
-                        .set_active_workers(node, if pressed { 8 } else { 1 });
+                for node in 0..self.harness.fleet.member_count() {
+                    let is_busy = *even || node == index(hot);
+                    self.budget_workload
+                        .set_active_workers(node, if is_busy { 8 } else { 1 });
                 }
             }
             Fault::Slow { .. } | Fault::Machine { .. } => return false,
@@ -131,121 +136,127 @@
         true
     }
 
-    fn ask(&self, at: usize, line: &str) -> Option<String> {
-        let away = self.dead.contains(&at) || self.stopped.contains(&at);
-        (!away)
-            .then(|| self.night.fleet.call_member(at, line))
+    fn call_member_if_live(&self, node: usize, line: &str) -> Option<String> {
+        let is_unavailable = self.dead.contains(&node) || self.stopped.contains(&node);
+        (!is_unavailable)
+            .then(|| self.harness.fleet.call_member(node, line))
             .flatten()
     }
 
-    /// Who was to come back by now does.
-    fn bring_back(&mut self, all: bool) {
+    /// Restarts or continues the processes that are due by now, or all that are pending.
+    fn resume_processes(&mut self, all: bool) {
         let now = Instant::now();
-        let due: Vec<_> = self
-            .due
-            .extract_if(.., |(when, _), _| all || *when <= now)
+        let pending_resumes: Vec<_> = self
+            .pending_resumes
+            .extract_if(.., |(due_at, _), _| all || *due_at <= now)
             .collect();
-        for ((_, node), anew) in due {
-            if anew {
-                // One that was told to end may still be at it.
-                self.night.fleet.kill_member(node);
-                self.callers
+        for ((_, node), is_restart) in pending_resumes {
+            if is_restart {
+                // A process that received SIGTERM may still be shutting down.
+                self.harness.fleet.kill_member(node);
+                self.budget_workload
                     .stats
                     .lock()
                     .expect("no panic")
                     .held_units
                     .remove(&node);
-                self.night.fleet.start_member(node);
+                self.harness.fleet.start_member(node);
                 self.dead.remove(&node);
             } else {
-                self.night.fleet.send_signal(node, "-CONT");
+                self.harness.fleet.send_signal(node, "-CONT");
                 self.stopped.remove(&node);
             }
         }
     }
 
-    fn until(&mut self, moment: Instant) {
+    fn run_until(&mut self, moment: Instant) {
         while Instant::now() < moment {
-            self.bring_back(false);
+            self.resume_processes(false);
             sleep(Duration::from_millis(5).min(moment.saturating_duration_since(Instant::now())));
         }
     }
 }
 
-/// Plays a script in real time, at the times that it says.
+/// Runs a script in real time and checks the guarantees.
 pub fn play_on_processes(script: &Script, program: &Path) -> RealPlayed {
     let members = script.voters + script.others;
     let lines = format!(
         "[[fleet.duty]]\nname = \"export\"\n[[fleet.budget]]\nname = \"held\"\nkind = \"held\"\nwhole = {}\nfloor = 1\n",
-        WHOLE + members
+        BUDGET_TOTAL + members
     );
-    let shape = (script.voters, script.others);
-    let night = WorkOrderHarness::start(program.into(), shape, script.machines.max(2), &lines);
-    let clients = ClientPool::start(client_addrs(&night.fleet), CLIENTS);
-    let staff =
-        SimulatedOperators::start(management_addrs(&night.fleet), Duration::from_millis(50));
-    let wants = WorkloadSpec {
+    let voters_and_others = (script.voters, script.others);
+    let harness = WorkOrderHarness::start(
+        program.into(),
+        voters_and_others,
+        script.machines.max(2),
+        &lines,
+    );
+    let clients = ClientPool::start(client_addrs(&harness.fleet), CLIENTS);
+    let operators =
+        SimulatedOperators::start(management_addrs(&harness.fleet), Duration::from_millis(50));
+    let workload = WorkloadSpec {
         workers_per_member: 8,
         held_budget: "held".into(),
         hold_time: Duration::from_millis(60),
         greedy: false,
         rate_budget: None,
     };
-    let callers = BudgetWorkload::start(&night.fleet, &wants);
+    let budget_workload = BudgetWorkload::start(&harness.fleet, &workload);
     if script.machines > 0 {
-        let last = format!("m-0..m-{}", script.machines - 1);
-        night.plan_work_order(0, "storm", &last, &["--most", "2", "--floor", "0.5"]);
+        let machines = format!("m-0..m-{}", script.machines - 1);
+        harness.plan_work_order(0, "storm", &machines, &["--most", "2", "--floor", "0.5"]);
     }
     let mut fleet = Fleet {
-        night,
+        harness,
         clients,
-        callers,
-        due: BTreeMap::new(),
+        budget_workload,
+        pending_resumes: BTreeMap::new(),
         stopped: BTreeSet::new(),
         dead: BTreeSet::new(),
     };
-    let mut played = RealPlayed::default();
-    let begun = Instant::now();
-    // The fleet has formed already.
-    let moment = |at: u64| begun + Duration::from_millis(at.saturating_sub(FORMATION_TIME));
+    let mut result = RealPlayed::default();
+    let started_at = Instant::now();
+    // The fleet has formed already, so the formation time of the script is left out.
+    let moment =
+        |node: u64| started_at + Duration::from_millis(node.saturating_sub(FORMATION_TIME));
     for timed in &script.faults {
-        fleet.until(moment(timed.at));
-        match fleet.strike(&timed.fault) {
-            true => played.faults += 1,
-            false => played.passed_over += 1,
+        fleet.run_until(moment(timed.at));
+        match fleet.inject_fault(&timed.fault) {
+            true => result.faults += 1,
+            false => result.passed_over += 1,
         }
     }
-    fleet.until(moment(script.lasts));
-    fleet.bring_back(true);
-    fleet.night.fleet.heal_links();
+    fleet.run_until(moment(script.lasts));
+    fleet.resume_processes(true);
+    fleet.harness.fleet.heal_links();
     let healed = Instant::now();
-    let whole = |fleet: &Fleet| {
-        let view = (0..members).find_map(|at| fleet.night.fleet.fetch_view(at))?;
+    let check_recovered = |fleet: &Fleet| {
+        let view = (0..members).find_map(|node| fleet.harness.fleet.fetch_view(node))?;
         for member in view["members"].as_array()? {
             if member["state"] == "out" {
                 let node = member["node"].as_str()?;
                 fleet
-                    .night
+                    .harness
                     .fleet
                     .call_member(0, &format!("FLEET LET-IN {node}"));
             }
         }
         (view["majority"] == true && count_live_members(&view) == Some(members)).then_some(())
     };
-    while whole(&fleet).is_none() {
-        if healed.elapsed() > WHOLE_AGAIN {
-            let view = (0..members).find_map(|at| fleet.night.fleet.fetch_view(at));
+    while check_recovered(&fleet).is_none() {
+        if healed.elapsed() > RECOVERY_TIMEOUT {
+            let view = (0..members).find_map(|node| fleet.harness.fleet.fetch_view(node));
             let states = view.map(|view| view["members"].to_string());
             let what = format!("Held Again: the fleet is not whole: {states:?}");
-            played.wrong.push(what);
+            result.wrong.push(what);
             break;
         }
         sleep(Duration::from_millis(20));
     }
-    while script.machines > 0 && fleet.night.finished_view().is_none() {
-        if healed.elapsed() > WORK_ENDS {
-            let view = fleet.night.fetch_work_view();
-            played
+    while script.machines > 0 && fleet.harness.finished_view().is_none() {
+        if healed.elapsed() > WORK_TIMEOUT {
+            let view = fleet.harness.fetch_work_view();
+            result
                 .wrong
                 .push(format!("Work Ends: the order comes to no end: {view:?}"));
             break;
@@ -253,58 +264,69 @@
         sleep(Duration::from_millis(20));
     }
     let Fleet {
-        night,
+        harness,
         clients,
-        callers,
+        budget_workload,
         ..
     } = fleet;
-    let (emptied, seen, units) = (staff.stop(), clients.stop(), callers.stop());
+    let (emptied, client_stats, budget_stats) =
+        (operators.stop(), clients.stop(), budget_workload.stop());
     let count = |count: &AtomicU64| count.load(Ordering::Relaxed);
-    let records = night.fleet.duty_events();
-    played
+    let records = harness.fleet.duty_events();
+    result
         .wrong
         .extend(duty_history::find_duty_violations(&records, &[]));
-    played.wrong.extend(find_work_violations(
-        &collect_out_intervals(&night.fleet),
+    result.wrong.extend(find_work_violations(
+        &collect_out_intervals(&harness.fleet),
         &emptied,
-        &night.servers,
+        &harness.servers,
         2,
     ));
     for (what, number) in [
-        ("Final Answer: requests without one", count(&seen.lost)),
+        (
+            "Final Answer: requests without one",
+            count(&client_stats.lost),
+        ),
         (
             "Final Answer: requests with two",
-            count(&seen.duplicate_answers),
+            count(&client_stats.duplicate_answers),
+        ),
+        (
+            "Kept: connections cut without a word",
+            count(&client_stats.dropped),
         ),
-        ("Kept: connections cut without a word", count(&seen.dropped)),
     ] {
         if number > 0 {
-            played.wrong.push(format!("{what}: {number}"));
+            result.wrong.push(format!("{what}: {number}"));
         }
     }
-    if units.max_in_use > WHOLE + members {
+    if budget_stats.max_in_use > BUDGET_TOTAL + members {
         let what = format!(
             "Never More Than The Whole: {} of {}",
-            units.max_in_use,
-            WHOLE + members
+            budget_stats.max_in_use,
+            BUDGET_TOTAL + members
         );
-        played.wrong.push(what);
+        result.wrong.push(what);
     }
-    if !played.wrong.is_empty() {
-        // What happened is looked at afterwards.
+    if !result.wrong.is_empty() {
+        // The logs are kept for analysis.
         let path = std::env::temp_dir().join(format!("violetwind-storm-{}.log", script.seed));
-        let kept = std::fs::write(&path, night.fleet.merged_log());
+        let written = std::fs::write(&path, harness.fleet.merged_log());
         let path = path.display();
         eprintln!(
             "the proxies' logs: {path}{}",
-            if kept.is_err() { ", not written" } else { "" }
+            if written.is_err() {
+                ", not written"
+            } else {
+                ""
+            }
         );
     }
-    played.seconds = begun.elapsed().as_secs_f64();
-    played.duties_held = duty_history::reconstruct_holdings(&records).len();
-    played.machines_emptied = emptied.len();
-    played.most_units = units.max_in_use;
-    (played.asked, played.moved) = (count(&seen.requests), count(&seen.moved));
-    (played.refused, played.failed) = (count(&seen.refused), count(&seen.failed));
-    played
+    result.seconds = started_at.elapsed().as_secs_f64();
+    result.duties_held = duty_history::reconstruct_holdings(&records).len();
+    result.machines_emptied = emptied.len();
+    result.most_units = budget_stats.max_in_use;
+    (result.asked, result.moved) = (count(&client_stats.requests), count(&client_stats.moved));
+    (result.refused, result.failed) = (count(&client_stats.refused), count(&client_stats.failed));
+    result
 }
