--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `violetwind-lab`: plays fleets, compares settings and policies, with error bars.
+//! `violetwind-lab`: simulates fleets and compares settings and policies, with confidence intervals.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -21,7 +21,7 @@
 use violetwind_storm::fleet::InjectedBug;
 use violetwind_storm::script::{Script, ScriptParameters};
 
-/// The fleet lab: whole fleets in simulated time, on the real decision module.
+/// The fleet lab: simulates whole fleets in simulated time with the real balancer.
 #[derive(Debug, Parser)]
 #[command(
     name = "violetwind-lab",
@@ -39,25 +39,26 @@
   violetwind-lab sweep crates/lab/scenarios/small-day.toml demand.fill 0.5 0.7 0.9"
 )]
 struct Cli {
-    /// Without one, a small day of 30 s on loopback.
+    /// Without a command: a loopback fleet for 30 s.
     #[command(subcommand)]
     command: Option<Command>,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Play a scenario, with random placement and the bound beside it.
+    /// Simulate a scenario with a policy, with random placement and with the upper bound.
     Run {
         #[command(flatten)]
         common: Common,
-        #[arg(long, default_value = "module", value_parser = policy)]
+        #[arg(long, default_value = "module", value_parser = parse_policy)]
         policy: PolicyKind,
-        /// Write one HTML file with plots, and beside it the series as CSV and the figures as JSON.
+        /// Write an HTML report with plots, and next to it the time series as CSV and the results as JSON.
         #[arg(long, value_name = "FILE")]
         report: Option<PathBuf>,
     },
-    /// A fleet on loopback: real proxies, a stand-in Consul, servers and clients; half of the checks fail,
-    /// a server drains, another dies. Exit 1 where a client saw no final answer, or two.
+    /// Run a fleet on loopback: real proxies, a stand-in for Consul, servers and clients. Half of the health checks
+    /// fail for a while, a server drains, another one dies. Exit code 1 if a rule was broken, such as a request without
+    /// a final answer or with two.
     Fleet {
         /// The proxy's program; by default the one beside this.
         #[arg(long, value_name = "FILE")]
@@ -71,40 +72,42 @@
         #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u16).range(5..=3600))]
         seconds: u16,
     },
-    /// Two settings, scenarios or policies on the same seeds: the paired difference and its interval.
+    /// Compare two settings, scenarios or policies on the same seeds: the paired difference and its confidence
+    /// interval.
     Compare {
         #[command(flatten)]
         common: Common,
-        /// The second scenario, if not the first.
+        /// The second scenario; by default the first.
         #[arg(long, value_name = "FILE")]
         b: Option<PathBuf>,
         #[arg(long = "set-a", value_name = "KEY=VALUE")]
         set_a: Vec<String>,
         #[arg(long = "set-b", value_name = "KEY=VALUE")]
         set_b: Vec<String>,
-        #[arg(long, default_value = "module", value_parser = policy)]
+        #[arg(long, default_value = "module", value_parser = parse_policy)]
         policy_a: PolicyKind,
-        #[arg(long, default_value = "module", value_parser = policy)]
+        #[arg(long, default_value = "module", value_parser = parse_policy)]
         policy_b: PolicyKind,
-        /// Stop when half of every interval is no longer than this.
+        /// Stop when half of every confidence interval is at most this.
         #[arg(long, default_value_t = 0.002)]
         precision: f64,
     },
-    /// Search variations of a scenario for broken rules, or the largest loss to the bound, and shrink what
-    /// is found. Prints the scenario; exit 1 where a rule was broken.
+    /// Search variations of a scenario for broken rules or for the largest service loss against the upper bound, and
+    /// shrink the scenario found. Prints the scenario; exit code 1 if a rule was broken.
     Hunt {
         #[command(flatten)]
         common: Common,
-        #[arg(long, default_value = "module", value_parser = policy)]
+        #[arg(long, default_value = "module", value_parser = parse_policy)]
         policy: PolicyKind,
-        /// Scenarios that are played at the most.
+        /// Maximum number of scenarios.
         #[arg(long, default_value_t = 200)]
         most: usize,
     },
-    /// Scripts of faults over whole members of a fleet, simulated on the real code, by seed: budgets, work on machines,
-    /// duties, operators. What breaks a promise is cut to the least and written as a file. Exit 1 where one was broken.
+    /// Run fault scripts, generated from seeds, on simulated members of a fleet with the real code: budgets, work
+    /// orders, duties, operators. A script that violates a guarantee is shrunk and can be written to a file. Exit code
+    /// 1 if a guarantee was violated.
     Storm {
-        /// Play this script alone.
+        /// Run only this script.
         #[arg(long, value_name = "FILE", conflicts_with = "seeds")]
         script: Option<PathBuf>,
         #[arg(long, default_value_t = 200)]
@@ -115,54 +118,54 @@
         voters: u16,
         #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u16).range(0..=1000))]
         others: u16,
-        /// That an order for work is for; 0 for none.
+        /// Number of machines of the work order; 0 for no order.
         #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u16).range(0..=1000))]
         machines: u16,
         #[arg(long)]
         no_budgets: bool,
-        /// Simulated time in which faults come.
+        /// Simulated time in seconds during which faults occur.
         #[arg(long, default_value_t = 30.0)]
         seconds: f64,
-        /// Plant an error, by name.
-        #[arg(long, value_parser = planted)]
+        /// Inject a bug, by name.
+        #[arg(long, value_parser = parse_injected_bug)]
         planted: Option<InjectedBug>,
         #[arg(long)]
         threads: Option<usize>,
-        /// Findings go there as scripts, one a file.
+        /// Directory for the findings, one script per file.
         #[arg(long, value_name = "DIR")]
         findings: Option<PathBuf>,
-        /// Play the script, or that of the first seed, on real processes with servers, clients and staff.
+        /// Run the script, or that of the first seed, on real processes with servers, clients and simulated operators.
         #[arg(long)]
         real: bool,
         /// The proxy's program; by default the one beside this.
         #[arg(long, value_name = "FILE")]
         proxy: Option<PathBuf>,
-        /// Write the script, or that of the first seed, as a file.
+        /// Write the script, or that of the first seed, to a file.
         #[arg(long, value_name = "FILE")]
         write: Option<PathBuf>,
-        /// One HTML page of the script, or of the first seed.
+        /// Write an HTML page of the script, or of that of the first seed.
         #[arg(long, value_name = "FILE")]
         report: Option<PathBuf>,
         #[arg(long)]
         json: bool,
     },
-    /// One real proxy a seed in traffic and troubles that the seed draws; each request is judged by the operators'
-    /// clauses. Exit 1 where one was broken.
+    /// Run one real proxy per seed under traffic and troubles generated from the seed, and check each request against
+    /// the rules of the operators' pages. Exit code 1 if a rule was broken.
     Soak(SoakArgs),
-    /// One value over a grid.
+    /// Run a scenario with each of several values of a key.
     Sweep {
         #[command(flatten)]
         common: Common,
         key: String,
         #[arg(required = true)]
         values: Vec<String>,
-        #[arg(long, default_value = "module", value_parser = policy)]
+        #[arg(long, default_value = "module", value_parser = parse_policy)]
         policy: PolicyKind,
     },
 }
 
 impl Command {
-    fn small_day() -> Self {
+    fn default_fleet() -> Self {
         Self::Fleet {
             proxy: None,
             proxies: 3,
@@ -176,37 +179,37 @@
 #[derive(Debug, Args)]
 struct Common {
     scenario: PathBuf,
-    /// Put a value over the file, such as fleet.servers=100.
+    /// Override a value of the file, such as fleet.servers=100.
     #[arg(long, value_name = "KEY=VALUE")]
     set: Vec<String>,
-    /// How many seeds, from 1 on; for a hunt, the seed of its chance.
+    /// Number of seeds, from 1 on; for `hunt`, the seed of the search.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
-    /// Threads; the outcome does not depend on them.
+    /// Number of threads; the result does not depend on it.
     #[arg(long)]
     threads: Option<usize>,
     #[arg(long)]
     json: bool,
-    /// Play the clients of a recording instead of made-up ones.
+    /// Replay the clients of a recording instead of generated ones.
     #[arg(long, value_name = "FILE")]
     replay: Option<PathBuf>,
-    /// So many times the recorded clients.
+    /// Factor for the number of recorded clients.
     #[arg(long, default_value_t = 1.0)]
     replay_times: f64,
-    /// So many times as fast.
+    /// Factor for the speed of their arrivals.
     #[arg(long, default_value_t = 1.0)]
     replay_rate: f64,
 }
 
-fn planted(text: &str) -> Result<InjectedBug, String> {
+fn parse_injected_bug(text: &str) -> Result<InjectedBug, String> {
     let found = InjectedBug::NAMES.iter().find(|(name, _)| *name == text);
-    found.map(|(_, planted)| *planted).ok_or_else(|| {
+    found.map(|(_, bug)| *bug).ok_or_else(|| {
         let names: Vec<&str> = InjectedBug::NAMES.iter().map(|(name, _)| *name).collect();
         format!("expected one of {}", names.join(", "))
     })
 }
 
-fn policy(text: &str) -> Result<PolicyKind, String> {
+fn parse_policy(text: &str) -> Result<PolicyKind, String> {
     let found = PolicyKind::NAMES.iter().find(|(name, _)| *name == text);
     found.map(|(_, kind)| *kind).ok_or_else(|| {
         let names: Vec<&str> = PolicyKind::NAMES.iter().map(|(name, _)| *name).collect();
@@ -215,18 +218,18 @@
 }
 
 impl Common {
-    fn read(&self, more: &[String]) -> Result<Scenario, ExitCode> {
-        let scenario = load(&self.scenario, &[&self.set[..], more].concat())?;
-        self.replayed(scenario)
+    fn read_scenario(&self, overrides: &[String]) -> Result<Scenario, ExitCode> {
+        let scenario = load_scenario(&self.scenario, &[&self.set[..], overrides].concat())?;
+        self.add_recorded_clients(scenario)
     }
 
-    /// The scenario with the clients of the recording, if one is named.
-    fn replayed(&self, mut scenario: Scenario) -> Result<Scenario, ExitCode> {
+    /// Adds the clients of the recording to the scenario, if a recording is given.
+    fn add_recorded_clients(&self, mut scenario: Scenario) -> Result<Scenario, ExitCode> {
         let Some(path) = &self.replay else {
             return Ok(scenario);
         };
-        let sound = |times: f64| times.is_finite() && times > 0.0 && times <= 1000.0;
-        if !sound(self.replay_times) || !sound(self.replay_rate) {
+        let is_valid = |times: f64| times.is_finite() && times > 0.0 && times <= 1000.0;
+        if !is_valid(self.replay_times) || !is_valid(self.replay_rate) {
             eprintln!("--replay-times and --replay-rate: expected a number above 0, up to 1000");
             return Err(ExitCode::FAILURE);
         }
@@ -262,7 +265,7 @@
     }
 }
 
-fn load(path: &PathBuf, set: &[String]) -> Result<Scenario, ExitCode> {
+fn load_scenario(path: &PathBuf, set: &[String]) -> Result<Scenario, ExitCode> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| {
         eprintln!("{name}: {error}");
@@ -274,29 +277,31 @@
     })
 }
 
-/// The proxy's program: the one that is named, or the one beside this.
-fn proxy_program(named: Option<PathBuf>) -> PathBuf {
-    let beside = || {
-        let own = std::env::current_exe().ok()?;
-        Some(own.with_file_name("violetwind"))
+/// Returns the path of the proxy's program: the given one, or the one in the directory of this program.
+fn proxy_program(given: Option<PathBuf>) -> PathBuf {
+    let default_program = || {
+        let current = std::env::current_exe().ok()?;
+        Some(current.with_file_name("violetwind"))
     };
-    named.or_else(beside).unwrap_or_else(|| "violetwind".into())
+    given
+        .or_else(default_program)
+        .unwrap_or_else(|| "violetwind".into())
 }
 
 fn main() -> ExitCode {
-    match carry_out(Cli::parse().command.unwrap_or_else(Command::small_day)) {
+    match execute(Cli::parse().command.unwrap_or_else(Command::default_fleet)) {
         Ok(code) | Err(code) => code,
     }
 }
 
-fn carry_out(command: Command) -> Result<ExitCode, ExitCode> {
+fn execute(command: Command) -> Result<ExitCode, ExitCode> {
     match command {
         Command::Run {
             common,
             policy,
             report,
         } => {
-            let scenario = common.read(&[])?;
+            let scenario = common.read_scenario(&[])?;
             Ok(run(&scenario, policy, &common, report.as_deref()))
         }
         Command::Compare {
@@ -309,12 +314,15 @@
             precision,
         } => {
             let a = Variant {
-                scenario: common.read(&set_a)?,
+                scenario: common.read_scenario(&set_a)?,
                 policy: policy_a,
             };
             let second = b.as_ref().unwrap_or(&common.scenario);
             let b = Variant {
-                scenario: common.replayed(load(second, &[&common.set[..], &set_b].concat())?)?,
+                scenario: common.add_recorded_clients(load_scenario(
+                    second,
+                    &[&common.set[..], &set_b].concat(),
+                )?)?,
                 policy: policy_b,
             };
             compare(&a, &b, precision, &common);
@@ -327,7 +335,7 @@
             clients,
             seconds,
         } => {
-            let plan = fleet::FleetOptions {
+            let options = fleet::FleetOptions {
                 proxy_program: proxy_program(proxy),
                 proxies: proxies.into(),
                 servers: servers.into(),
@@ -335,7 +343,7 @@
                 seconds: seconds.into(),
                 print_progress: true,
             };
-            let report = fleet::run_fleet(&plan).map_err(|error| {
+            let report = fleet::run_fleet(&options).map_err(|error| {
                 eprintln!("{error}");
                 ExitCode::FAILURE
             })?;
@@ -350,7 +358,7 @@
             policy,
             most,
         } => {
-            let base = common.read(&[])?;
+            let base = common.read_scenario(&[])?;
             let Some(found) = search_scenarios(&base, policy, common.seeds, most) else {
                 println!("nothing in {most} scenarios");
                 return Ok(ExitCode::SUCCESS);
@@ -369,9 +377,9 @@
                 SearchTarget::Loss(_) => ExitCode::SUCCESS,
             })
         }
-        Command::Soak(asked) => {
-            let program = proxy_program(asked.proxy.clone());
-            Ok(match run_soak(&asked, &program) {
+        Command::Soak(args) => {
+            let program = proxy_program(args.proxy.clone());
+            Ok(match run_soak(&args, &program) {
                 true => ExitCode::SUCCESS,
                 false => ExitCode::FAILURE,
             })
@@ -386,7 +394,7 @@
             no_budgets,
             seconds,
             planted,
-            threads: asked,
+            threads,
             findings,
             real,
             proxy,
@@ -394,15 +402,15 @@
             report,
             json,
         } => {
-            let planted = planted.unwrap_or_default();
-            let shape = ScriptParameters {
+            let injected_bug = planted.unwrap_or_default();
+            let parameters = ScriptParameters {
                 voters: voters.into(),
                 non_voters: others.into(),
                 machines: machines.into(),
                 has_budgets: !no_budgets,
                 fault_duration: (seconds.clamp(0.1, 1e6) * 1e3) as u64,
             };
-            let told = |what: String| {
+            let report_error = |what: String| {
                 eprintln!("{what}");
                 ExitCode::FAILURE
             };
@@ -411,69 +419,79 @@
                 Some(path) => {
                     let name = path.display();
                     let text = std::fs::read_to_string(path);
-                    let text = text.map_err(|error| told(format!("{name}: {error}")))?;
+                    let text = text.map_err(|error| report_error(format!("{name}: {error}")))?;
                     let script = Script::parse(&text);
-                    Some(script.map_err(|what| told(format!("{name}: {what}")))?)
+                    Some(script.map_err(|what| report_error(format!("{name}: {what}")))?)
                 }
             };
             if let Some(path) = &write {
                 let script = script
                     .clone()
-                    .unwrap_or_else(|| Script::generate(first, shape));
+                    .unwrap_or_else(|| Script::generate(first, parameters));
                 std::fs::write(path, script.to_toml())
-                    .map_err(|error| told(format!("{}: {error}", path.display())))?;
+                    .map_err(|error| report_error(format!("{}: {error}", path.display())))?;
             }
             if real {
-                let script = script.unwrap_or_else(|| Script::generate(first, shape));
+                let script = script.unwrap_or_else(|| Script::generate(first, parameters));
                 let program = proxy_program(proxy);
-                let played = storm_processes::play_on_processes(&script, &program);
-                println!("{played:#?}");
-                return Ok(if played.wrong.is_empty() {
+                let result = storm_processes::play_on_processes(&script, &program);
+                println!("{result:#?}");
+                return Ok(if result.wrong.is_empty() {
                     ExitCode::SUCCESS
                 } else {
                     ExitCode::FAILURE
                 });
             }
             if let Some(script) = script {
-                let wrong = match &report {
-                    Some(page) => storm::write_script_report(&script, planted, page)
-                        .map_err(|error| told(format!("{}: {error}", page.display())))?,
-                    None => script.run(planted, 0).violation,
+                let violation = match &report {
+                    Some(page) => storm::write_script_report(&script, injected_bug, page)
+                        .map_err(|error| report_error(format!("{}: {error}", page.display())))?,
+                    None => script.run(injected_bug, 0).violation,
                 };
-                println!("{}", wrong.as_deref().unwrap_or("no promise broken"));
-                return Ok(if wrong.is_some() {
+                println!("{}", violation.as_deref().unwrap_or("no promise broken"));
+                return Ok(if violation.is_some() {
                     ExitCode::FAILURE
                 } else {
                     ExitCode::SUCCESS
                 });
             }
-            let begun = Instant::now();
-            let played = storm::run_campaign(first, seeds, shape, planted, thread_count(asked));
+            let start = Instant::now();
+            let campaign = storm::run_campaign(
+                first,
+                seeds,
+                parameters,
+                injected_bug,
+                thread_count(threads),
+            );
             if let Some(page) = &report {
-                storm::write_script_report(&Script::generate(first, shape), planted, page)
-                    .map_err(|error| told(format!("{}: {error}", page.display())))?;
+                storm::write_script_report(
+                    &Script::generate(first, parameters),
+                    injected_bug,
+                    page,
+                )
+                .map_err(|error| report_error(format!("{}: {error}", page.display())))?;
             }
-            let members = (shape.voters + shape.non_voters) as f64;
-            let took = begun.elapsed().as_secs_f64();
+            let members = (parameters.voters + parameters.non_voters) as f64;
+            let elapsed = start.elapsed().as_secs_f64();
             if json {
-                println!("{:#}", played.to_json());
+                println!("{:#}", campaign.to_json());
             } else {
                 println!(
                     "{} seeds, {} simulated s, {} faults, {} times a leader, {} duties gained, {} frames, {} machines worked on, \
-                     {} units taken; {} seeds broke a promise; {took:.1} s, {:.0} node-seconds a second",
-                    played.seed_count,
-                    played.simulated_ms / 1000,
-                    played.faults,
-                    played.elections_won,
-                    played.duties_gained,
-                    played.frames,
-                    played.machines_done,
-                    played.units_taken,
-                    played.failed_seeds,
-                    played.simulated_ms as f64 / 1e3 * members / took
+                     {} units taken; {} seeds broke a promise; {elapsed:.1} s, {:.0} node-seconds a second",
+                    campaign.seed_count,
+                    campaign.simulated_ms / 1000,
+                    campaign.faults,
+                    campaign.elections_won,
+                    campaign.duties_gained,
+                    campaign.frames,
+                    campaign.machines_done,
+                    campaign.units_taken,
+                    campaign.failed_seeds,
+                    campaign.simulated_ms as f64 / 1e3 * members / elapsed
                 );
             }
-            for finding in &played.findings {
+            for finding in &campaign.findings {
                 let seed = finding.original.seed;
                 eprintln!(
                     "seed {seed}: {}; {} of {} faults are left after {} plays",
@@ -486,10 +504,11 @@
                     let path = dir.join(format!("storm-{seed}.toml"));
                     let written = std::fs::create_dir_all(dir)
                         .and_then(|()| std::fs::write(&path, finding.minimised.to_toml()));
-                    written.map_err(|error| told(format!("{}: {error}", path.display())))?;
+                    written
+                        .map_err(|error| report_error(format!("{}: {error}", path.display())))?;
                 }
             }
-            Ok(if played.failed_seeds > 0 {
+            Ok(if campaign.failed_seeds > 0 {
                 ExitCode::FAILURE
             } else {
                 ExitCode::SUCCESS
@@ -502,12 +521,16 @@
             policy,
         } => {
             for value in values {
-                let scenario = common.read(&[format!("{key}={value}")])?;
-                let side = Variant { scenario, policy };
-                let outcomes = run_variants(&[side], &common.seeds(), thread_count(common.threads));
+                let scenario = common.read_scenario(&[format!("{key}={value}")])?;
+                let variant = Variant { scenario, policy };
+                let outcomes =
+                    run_variants(&[variant], &common.seeds(), thread_count(common.threads));
                 print!("{key} = {value:<10}");
                 for (figure, name) in SERVICE_METRICS.iter().enumerate() {
-                    print!("  {name} {}", shown(&estimate(&outcomes[0], figure)));
+                    print!(
+                        "  {name} {}",
+                        format_estimate(&estimate(&outcomes[0], figure))
+                    );
                 }
                 println!();
             }
@@ -524,55 +547,58 @@
     Estimate::from_samples(&column)
 }
 
-fn shown(estimate: &Estimate) -> String {
+fn format_estimate(estimate: &Estimate) -> String {
     match estimate.half.is_finite() {
         true => format!("{:.4} ± {:.4}", estimate.mean, estimate.half),
         false => format!("{:.4}", estimate.mean),
     }
 }
 
-fn mean(outcomes: &[Outcome], of: impl Fn(&Outcome) -> f64) -> f64 {
-    outcomes.iter().map(of).sum::<f64>() / outcomes.len().max(1) as f64
+fn mean(outcomes: &[Outcome], value: impl Fn(&Outcome) -> f64) -> f64 {
+    outcomes.iter().map(value).sum::<f64>() / outcomes.len().max(1) as f64
 }
 
-/// Exit 1 where a rule was broken.
+/// Runs a scenario and prints the results. The exit code is 1 if a rule was broken.
 fn run(
     scenario: &Scenario,
     policy: PolicyKind,
     common: &Common,
     report: Option<&Path>,
 ) -> ExitCode {
-    let side = |policy| Variant {
+    let variant = |policy| Variant {
         scenario: scenario.clone(),
         policy,
     };
-    let sides = [
-        side(policy),
-        side(PolicyKind::Random),
-        side(PolicyKind::UpperBound),
+    let variants = [
+        variant(policy),
+        variant(PolicyKind::Random),
+        variant(PolicyKind::UpperBound),
     ];
     let start = Instant::now();
-    let outcomes = run_variants(&sides, &common.seeds(), thread_count(common.threads));
-    let took = start.elapsed().as_secs_f64();
-    let own = &outcomes[0];
+    let outcomes = run_variants(&variants, &common.seeds(), thread_count(common.threads));
+    let elapsed = start.elapsed().as_secs_f64();
+    let policy_outcomes = &outcomes[0];
     if let Some(path) = report
         && let Err(error) = write_report(path, scenario, policy, &outcomes)
     {
         eprintln!("{}: {error}", path.display());
         return ExitCode::FAILURE;
     }
-    let breaches: usize = own.iter().map(|outcome| outcome.breach_count).sum();
-    let plain = |side: usize, figure| estimate(&outcomes[side], figure).mean;
+    let breaches: usize = policy_outcomes
+        .iter()
+        .map(|outcome| outcome.breach_count)
+        .sum();
+    let mean_service = |variant: usize, figure| estimate(&outcomes[variant], figure).mean;
     if common.json {
         println!("{:#}", summary(scenario, policy, &outcomes));
     } else {
         println!(
-            "{}: {} proxies, {} servers, {:.0} s, {} seeds, three policies in {took:.1} s",
+            "{}: {} proxies, {} servers, {:.0} s, {} seeds, three policies in {elapsed:.1} s",
             scenario.name,
             scenario.proxies,
             scenario.servers,
             scenario.seconds,
-            own.len()
+            policy_outcomes.len()
         );
         println!(
             "{:<12} {:<20} {:>8} {:>8} {:>8}",
@@ -583,45 +609,55 @@
             "bound"
         );
         for (n, name) in SERVICE_METRICS.iter().enumerate() {
-            let estimate = estimate(own, n);
-            let (random, bound) = (plain(1, n), plain(2, n));
+            let estimate = estimate(policy_outcomes, n);
+            let (random, bound) = (mean_service(1, n), mean_service(2, n));
             let score = score(estimate.mean, random, bound);
-            let service = shown(&estimate);
+            let service = format_estimate(&estimate);
             println!("{name:<12} {service:<20} {score:>8.3} {random:>8.4} {bound:>8.4}");
         }
         println!(
             "a run: {:.0} clients, {:.0} requests, {:.0} refused, {:.0} failed, {:.0} moves, \
              {:.0} probes, set-up p50 {:.1} ms p99 {:.1} ms, spread of loads {:.3}",
-            mean(own, |o| o.clients as f64),
-            mean(own, |o| o.requests as f64),
-            mean(own, |o| o.refused as f64),
-            mean(own, |o| o.failed as f64),
-            mean(own, |o| o.moves as f64),
-            mean(own, |o| o.probes as f64),
-            mean(own, |o| o.setup_ms[0]),
-            mean(own, |o| o.setup_ms[1]),
-            mean(own, |o| o.spread),
+            mean(policy_outcomes, |o| o.clients as f64),
+            mean(policy_outcomes, |o| o.requests as f64),
+            mean(policy_outcomes, |o| o.refused as f64),
+            mean(policy_outcomes, |o| o.failed as f64),
+            mean(policy_outcomes, |o| o.moves as f64),
+            mean(policy_outcomes, |o| o.probes as f64),
+            mean(policy_outcomes, |o| o.setup_ms[0]),
+            mean(policy_outcomes, |o| o.setup_ms[1]),
+            mean(policy_outcomes, |o| o.spread),
         );
         if scenario.work.is_some() {
-            let works: Vec<&WorkOutcome> = own.iter().filter_map(|o| o.work.as_ref()).collect();
-            let took: Vec<f64> = works.iter().filter_map(|work| work.took).collect();
-            let of = |of: fn(&WorkOutcome) -> usize| {
-                works.iter().map(|work| of(work) as f64).sum::<f64>() / works.len().max(1) as f64
+            let work_outcomes: Vec<&WorkOutcome> = policy_outcomes
+                .iter()
+                .filter_map(|o| o.work.as_ref())
+                .collect();
+            let elapsed: Vec<f64> = work_outcomes.iter().filter_map(|work| work.took).collect();
+            let mean_of = |value: fn(&WorkOutcome) -> usize| {
+                work_outcomes
+                    .iter()
+                    .map(|work| value(work) as f64)
+                    .sum::<f64>()
+                    / work_outcomes.len().max(1) as f64
             };
             println!(
                 "work: ended in {} of {} runs after {:.1} s, {:.1} machines done, {:.1} out at most, {:.0} clients moved; \
                  a cold server was asked for {:.2} times what it could do at most",
-                took.len(),
-                works.len(),
-                took.iter().fold(0.0, |a, b| a + b) / took.len().max(1) as f64,
-                of(|work| work.done),
-                of(|work| work.most_out),
-                of(|work| work.moved),
-                own.iter().map(|o| o.cold_peak).fold(0.0, f64::max),
+                elapsed.len(),
+                work_outcomes.len(),
+                elapsed.iter().fold(0.0, |a, b| a + b) / elapsed.len().max(1) as f64,
+                mean_of(|work| work.done),
+                mean_of(|work| work.most_out),
+                mean_of(|work| work.moved),
+                policy_outcomes
+                    .iter()
+                    .map(|o| o.cold_peak)
+                    .fold(0.0, f64::max),
             );
         }
     }
-    for (seed, outcome) in common.seeds().iter().zip(own) {
+    for (seed, outcome) in common.seeds().iter().zip(policy_outcomes) {
         for breach in outcome.breaches.iter().take(3) {
             eprintln!(
                 "seed {seed}, {:.2} s, {:?}: {}",
@@ -638,31 +674,34 @@
     }
 }
 
-/// The figures of a run as JSON.
+/// Renders the results of a run as JSON.
 fn summary(
     scenario: &Scenario,
     policy: PolicyKind,
     outcomes: &[Vec<Outcome>],
 ) -> serde_json::Value {
-    let own = &outcomes[0];
-    let plain = |side: usize, figure| estimate(&outcomes[side], figure).mean;
+    let policy_outcomes = &outcomes[0];
+    let mean_service = |variant: usize, figure| estimate(&outcomes[variant], figure).mean;
     let figures: serde_json::Map<String, serde_json::Value> = SERVICE_METRICS
         .iter()
         .enumerate()
         .map(|(n, name)| {
-            let estimate = estimate(own, n);
-            let score = score(estimate.mean, plain(1, n), plain(2, n));
+            let estimate = estimate(policy_outcomes, n);
+            let score = score(estimate.mean, mean_service(1, n), mean_service(2, n));
             let value = json!({"mean": estimate.mean, "half": estimate.half, "score": score});
             ((*name).to_string(), value)
         })
         .collect();
-    let breaches: usize = own.iter().map(|outcome| outcome.breach_count).sum();
+    let breaches: usize = policy_outcomes
+        .iter()
+        .map(|outcome| outcome.breach_count)
+        .sum();
     json!({
-        "scenario": scenario.name, "policy": policy.name(), "seeds": own.len(),
+        "scenario": scenario.name, "policy": policy.name(), "seeds": policy_outcomes.len(),
         "figures": figures, "breaches": breaches,
-        "moves": mean(own, |o| o.moves as f64), "refused": mean(own, |o| o.refused as f64),
-        "requests": mean(own, |o| o.requests as f64), "spread": mean(own, |o| o.spread),
-        "setup_ms": {"p50": mean(own, |o| o.setup_ms[0]), "p99": mean(own, |o| o.setup_ms[1])},
+        "moves": mean(policy_outcomes, |o| o.moves as f64), "refused": mean(policy_outcomes, |o| o.refused as f64),
+        "requests": mean(policy_outcomes, |o| o.requests as f64), "spread": mean(policy_outcomes, |o| o.spread),
+        "setup_ms": {"p50": mean(policy_outcomes, |o| o.setup_ms[0]), "p99": mean(policy_outcomes, |o| o.setup_ms[1])},
     })
 }
 
@@ -673,11 +712,11 @@
     outcomes: &[Vec<Outcome>],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let names = [policy.name(), "random", "bound"];
-    let played = names.iter().zip(outcomes);
-    let played: Vec<PolicyOutcomes<'_>> = played
+    let policies = names.iter().zip(outcomes);
+    let policies: Vec<PolicyOutcomes<'_>> = policies
         .map(|(name, outcomes)| PolicyOutcomes { name, outcomes })
         .collect();
-    std::fs::write(path, report::render_html(scenario, &played)?)?;
+    std::fs::write(path, report::render_html(scenario, &policies)?)?;
     let csv = report::render_csv(scenario, &outcomes[0]);
     std::fs::write(path.with_extension("csv"), csv)?;
     let summary = format!("{:#}\n", summary(scenario, policy, outcomes));
@@ -710,11 +749,11 @@
     println!("{:<12} {:>9} {:>9}  difference of b", "service", "a", "b");
     for (n, name) in SERVICE_METRICS.iter().enumerate() {
         let difference = comparison.difference[n];
-        let [one, two] = [0, 1].map(|side| comparison.estimates[side][n].mean);
+        let [first, second] = [0, 1].map(|variant| comparison.estimates[variant][n].mean);
         let verdict = match difference.excludes_zero() {
             true if difference.mean > 0.0 => "better".to_string(),
             true => "worse".to_string(),
-            // Half the interval has to shrink to the difference itself.
+            // The difference becomes significant when half the interval shrinks to the difference itself.
             false if difference.mean == 0.0 => "none".to_string(),
             false => format!(
                 "unsure, about {} seeds",
@@ -722,8 +761,8 @@
             ),
         };
         println!(
-            "{name:<12} {one:>9.4} {two:>9.4}  {}  {verdict}",
-            shown(&difference)
+            "{name:<12} {first:>9.4} {second:>9.4}  {}  {verdict}",
+            format_estimate(&difference)
         );
     }
     println!(
--- a/crates/lab/src/storm_processes.rs
+++ b/crates/lab/src/storm_processes.rs
@@ -54,7 +54,8 @@
     dead: BTreeSet<usize>,
 }
 
-fn index(node: &str) -> usize {
+/// Returns the index of a node, the number at the end of its name.
+fn node_index(node: &str) -> usize {
     node.rsplit('-')
         .next()
         .and_then(|node| node.parse().ok())
@@ -65,10 +66,15 @@
     /// Injects a fault; false if it was skipped.
     fn inject_fault(&mut self, fault: &Fault) -> bool {
         let ms = Duration::from_millis;
-        let indices = |nodes: &[String]| nodes.iter().map(|node| index(node)).collect::<Vec<_>>();
+        let indices = |nodes: &[String]| {
+            nodes
+                .iter()
+                .map(|node| node_index(node))
+                .collect::<Vec<_>>()
+        };
         match fault {
             Fault::Kill { node, back } | Fault::Quit { node, back } => {
-                let node = index(node);
+                let node = node_index(node);
                 if self.stopped.contains(&node) || !self.dead.insert(node) {
                     return false;
                 }
@@ -80,14 +86,14 @@
                 self.budget_workload
                     .stats
                     .lock()
-                    .expect("no panic")
+                    .expect("no thread panicked while holding the lock")
                     .held_units
                     .remove(&node);
                 self.pending_resumes
                     .insert((Instant::now() + ms(*back), node), true);
             }
             Fault::Stop { node, lasts } => {
-                let node = index(node);
+                let node = node_index(node);
                 if self.dead.contains(&node) || !self.stopped.insert(node) {
                     return false;
                 }
@@ -110,10 +116,10 @@
             Fault::HandOn { by, duty, to } => {
                 let to = to
                     .as_ref()
-                    .map(|to| violetwind_standins::fleet_harness::node_name(index(to)));
+                    .map(|to| violetwind_standins::fleet_harness::node_name(node_index(to)));
                 let line = format!("FLEET HAND-ON {duty} {}", to.unwrap_or_default());
                 // A node that is dead or stopped does not answer.
-                let _ = self.call_member_if_live(index(by), &line);
+                let _ = self.call_member_if_live(node_index(by), &line);
             }
             Fault::PutOut { by, node } | Fault::LetIn { by, node } => {
                 let command = if matches!(fault, Fault::PutOut { .. }) {
@@ -121,12 +127,13 @@
                 } else {
                     "LET-IN"
                 };
-                let name = violetwind_standins::fleet_harness::node_name(index(node));
-                let _ = self.call_member_if_live(index(by), &format!("FLEET {command} {name}"));
+                let name = violetwind_standins::fleet_harness::node_name(node_index(node));
+                let _ =
+                    self.call_member_if_live(node_index(by), &format!("FLEET {command} {name}"));
             }
             Fault::Press { hot, even } => {
                 for node in 0..self.harness.fleet.member_count() {
-                    let is_busy = *even || node == index(hot);
+                    let is_busy = *even || node == node_index(hot);
                     self.budget_workload
                         .set_active_workers(node, if is_busy { 8 } else { 1 });
                 }
@@ -136,6 +143,7 @@
         true
     }
 
+    /// Sends an operator call to a member; `None` if it is dead or stopped or does not answer.
     fn call_member_if_live(&self, node: usize, line: &str) -> Option<String> {
         let is_unavailable = self.dead.contains(&node) || self.stopped.contains(&node);
         (!is_unavailable)
@@ -157,7 +165,7 @@
                 self.budget_workload
                     .stats
                     .lock()
-                    .expect("no panic")
+                    .expect("no thread panicked while holding the lock")
                     .held_units
                     .remove(&node);
                 self.harness.fleet.start_member(node);
@@ -169,6 +177,7 @@
         }
     }
 
+    /// Resumes processes that become due, until `moment`.
     fn run_until(&mut self, moment: Instant) {
         while Instant::now() < moment {
             self.resume_processes(false);
@@ -217,8 +226,9 @@
     let mut result = RealPlayed::default();
     let started_at = Instant::now();
     // The fleet has formed already, so the formation time of the script is left out.
-    let moment =
-        |node: u64| started_at + Duration::from_millis(node.saturating_sub(FORMATION_TIME));
+    let moment = |script_ms: u64| {
+        started_at + Duration::from_millis(script_ms.saturating_sub(FORMATION_TIME))
+    };
     for timed in &script.faults {
         fleet.run_until(moment(timed.at));
         match fleet.inject_fault(&timed.fault) {
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,4 +1,4 @@
-//! The lab holds to what it says: runs repeat, rules are seen to break, files are checked.
+//! Tests of the lab: runs are reproducible, broken rules are detected, scenario files are checked.
 
 use violetwind_balancer::api::QuotaKind;
 use violetwind_lab::experiment::{Variant, compare_variants, run_variants, score};
@@ -13,51 +13,55 @@
 const COLD: &str = include_str!("../scenarios/cold-deploy.toml");
 const CAMPAIGN: &str = include_str!("../scenarios/campaign.toml");
 
-fn read(text: &str) -> Scenario {
+fn parse_scenario(text: &str) -> Scenario {
     Scenario::parse("test.toml", text, &[]).unwrap()
 }
 
-fn side(text: &str, policy: PolicyKind) -> Variant {
+fn variant(text: &str, policy: PolicyKind) -> Variant {
     Variant {
-        scenario: read(text),
+        scenario: parse_scenario(text),
         policy,
     }
 }
 
 #[test]
-fn two_runs_of_one_seed_give_the_same_bytes_on_one_thread_and_on_eight() {
-    let sides = [
-        side(SMALL, PolicyKind::Balancer),
-        side(CAMPAIGN, PolicyKind::TwoChoices),
+fn same_seeds_give_identical_outcomes_on_one_thread_and_on_eight() {
+    let variants = [
+        variant(SMALL, PolicyKind::Balancer),
+        variant(CAMPAIGN, PolicyKind::TwoChoices),
     ];
-    let one = format!("{:?}", run_variants(&sides, &[1, 2, 3, 4], 1));
-    let eight = format!("{:?}", run_variants(&sides, &[1, 2, 3, 4], 8));
+    let one = format!("{:?}", run_variants(&variants, &[1, 2, 3, 4], 1));
+    let eight = format!("{:?}", run_variants(&variants, &[1, 2, 3, 4], 8));
     assert_eq!(one, eight);
-    let other = format!("{:?}", run_variants(&sides, &[5, 6, 7, 8], 8));
+    let other = format!("{:?}", run_variants(&variants, &[5, 6, 7, 8], 8));
     assert_ne!(one, other);
 }
 
-/// Wholes that are divided by need are never passed, while proxies restart and servers come up cold; a policy that knows
-/// no budgets passes them, and is found.
+/// Totals of budgets that are divided by need are never exceeded, while proxies restart and servers start cold. A
+/// policy without budgets exceeds them, which the rule checker has to detect.
 #[test]
-fn budgets_divided_among_proxies_are_kept_by_the_module_and_broken_by_who_knows_none() {
-    let mut scenario = read(COLD);
+fn balancer_keeps_divided_budgets_and_a_policy_without_budgets_breaks_them() {
+    let mut scenario = parse_scenario(COLD);
     scenario.seconds = 40.0;
     let budget = scenario.budgets[0].clone();
-    let matters = [
+    let quota_kinds = [
         QuotaKind::Cold,
         QuotaKind::Further,
         QuotaKind::Moves,
         QuotaKind::Probes,
     ];
-    let whole = [40, 10, 20, 300];
-    let tight = |(of, whole)| Budget {
-        quota_kind: of,
-        total: whole,
+    let totals = [40, 10, 20, 300];
+    let tight_budget = |(quota_kind, total)| Budget {
+        quota_kind,
+        total,
         divided_by_need: true,
         ..budget.clone()
     };
-    scenario.budgets = matters.into_iter().zip(whole).map(tight).collect();
+    scenario.budgets = quota_kinds
+        .into_iter()
+        .zip(totals)
+        .map(tight_budget)
+        .collect();
     let restart = Trouble {
         kind: TroubleKind::ProxiesRestart,
         at: 20.0,
@@ -70,16 +74,18 @@
         assert!(outcome.breaches.is_empty(), "{:?}", outcome.breaches);
         assert!(outcome.moves > 20 && outcome.probes > 1000, "{outcome:?}");
         let random = simulate(&scenario, PolicyKind::Random, seed);
-        let of = |breach: &Breach| breach.rule == Rule::Budget;
-        assert!(random.breaches.iter().any(of), "nothing was found");
+        let is_budget_breach = |breach: &Breach| breach.rule == Rule::Budget;
+        assert!(
+            random.breaches.iter().any(is_budget_breach),
+            "no breach of a budget was detected"
+        );
     }
 }
 
-/// The module keeps the rules through the hard cases: heavy requests, a rolling deploy with cold
-/// successors, and both at once.
+/// The balancer keeps the rules under heavy clients, under a rolling deploy with cold servers, and under both at once.
 #[test]
-fn the_module_keeps_the_rules_in_the_hard_cases() {
-    let campaign = read(CAMPAIGN);
+fn balancer_keeps_the_rules_under_heavy_clients_and_a_rolling_deploy() {
+    let campaign = parse_scenario(CAMPAIGN);
     let only = |kind: TroubleKind| {
         let mut scenario = campaign.clone();
         scenario.troubles.retain(|trouble| trouble.kind == kind);
@@ -100,14 +106,14 @@
 }
 
 #[test]
-fn every_trouble_is_played_and_leaves_the_books_whole() {
+fn every_trouble_has_an_effect_and_service_stays_within_bounds() {
     for kind in TroubleKind::ALL {
-        let mut scenario = read(SMALL);
+        let mut scenario = parse_scenario(SMALL);
         scenario.seconds = 40.0;
         scenario.troubles.truncate(1);
         scenario.troubles[0].kind = kind;
         (scenario.troubles[0].from, scenario.troubles[0].to) = kind.default_factors();
-        let calm = simulate(
+        let undisturbed = simulate(
             &Scenario {
                 troubles: Vec::new(),
                 ..scenario.clone()
@@ -117,25 +123,26 @@
         );
         let outcome = simulate(&scenario, PolicyKind::Balancer, 1);
         assert!((0.0..=1.0).contains(&outcome.service), "{kind:?}");
-        // Something came of it.
-        let same = outcome.series == calm.series && outcome.requests == calm.requests;
+        // The trouble has to have an effect.
+        let is_unchanged =
+            outcome.series == undisturbed.series && outcome.requests == undisturbed.requests;
         assert!(
-            !same || kind == TroubleKind::CatalogueSilent,
+            !is_unchanged || kind == TroubleKind::CatalogueSilent,
             "{kind:?} changes nothing"
         );
     }
 }
 
-/// Worse policies score less, and nothing beats the one that sees everything by much.
+/// Worse policies score lower, and none exceeds the upper bound by more than the tolerance.
 #[test]
-fn policies_come_in_the_order_that_is_to_be_expected() {
-    let sides = [
+fn balancer_scores_between_random_placement_and_the_upper_bound() {
+    let variants = [
         PolicyKind::Random,
         PolicyKind::Balancer,
         PolicyKind::UpperBound,
     ];
-    let sides = sides.map(|policy| side(CAMPAIGN, policy));
-    let outcomes = run_variants(&sides, &[1, 2, 3, 4, 5], 8);
+    let variants = variants.map(|policy| variant(CAMPAIGN, policy));
+    let outcomes = run_variants(&variants, &[1, 2, 3, 4, 5], 8);
     let mean = |n: usize| outcomes[n].iter().map(|o| o.service).sum::<f64>() / 5.0;
     assert!(mean(0) + 0.05 < mean(1) && mean(1) < mean(2) + 0.01);
     assert_eq!(score(mean(0), mean(0), mean(2)), 0.0);
@@ -143,37 +150,41 @@
 }
 
 #[test]
-fn moves_are_better_than_none_by_an_interval_that_leaves_out_zero() {
+fn moves_improve_service_significantly() {
     let (a, b) = (
-        side(CAMPAIGN, PolicyKind::NoMoves),
-        side(CAMPAIGN, PolicyKind::Balancer),
+        variant(CAMPAIGN, PolicyKind::NoMoves),
+        variant(CAMPAIGN, PolicyKind::Balancer),
     );
     let seeds: Vec<u64> = (1..=40).collect();
     let comparison = compare_variants(&a, &b, &seeds, 0.001, 8);
-    let whole = comparison.difference[0];
-    assert!(whole.excludes_zero() && whole.mean > 0.0, "{whole:?}");
+    let difference = comparison.difference[0];
+    assert!(
+        difference.excludes_zero() && difference.mean > 0.0,
+        "{difference:?}"
+    );
     assert_eq!(comparison.breach_counts, [0, 0]);
 }
 
-/// A list held back to a moment that no nanosecond meets was held back again and again, without end.
+/// Guards against an endless postponement: an update was postponed to the end of a list outage that is not a whole
+/// number of nanoseconds, was delivered just before that end, and was postponed again.
 #[test]
-fn lists_held_back_are_told_when_the_silence_ends() {
-    let mut scenario = read(SMALL);
+fn postponed_list_updates_are_delivered_after_a_list_outage() {
+    let mut scenario = parse_scenario(SMALL);
     scenario.seconds = 40.0;
     scenario.troubles.truncate(1);
-    let mut silence = scenario.troubles[0].clone();
-    (silence.kind, silence.at, silence.lasts) =
+    let mut outage = scenario.troubles[0].clone();
+    (outage.kind, outage.at, outage.lasts) =
         (TroubleKind::CatalogueSilent, 14.0, 7.123_456_789_123);
-    scenario.troubles.push(silence);
+    scenario.troubles.push(outage);
     let outcome = simulate(&scenario, PolicyKind::Balancer, 1);
     assert!(outcome.breaches.is_empty() && outcome.requests > 0);
 }
 
 #[test]
-fn a_planted_break_is_found_and_shrunk() {
-    let base = read(SMALL);
+fn search_finds_and_shrinks_an_injected_breach() {
+    let base = parse_scenario(SMALL);
     let found = search_scenarios(&base, PolicyKind::IgnoresUpdates, 3, 50)
-        .expect("it does not listen to drains");
+        .expect("a policy that ignores drains breaks a rule");
     assert_eq!(found.target, SearchTarget::Broken(Rule::Drain));
     assert_eq!(
         found.scenario.troubles.len(),
@@ -182,61 +193,68 @@
         found.scenario.troubles
     );
     assert!(found.shrink_steps > 0 && found.scenario.servers <= base.servers);
-    // It can be committed: the file says the same, and shows the same.
-    let again = read(&found.scenario.to_toml());
-    let outcome = simulate(&again, PolicyKind::IgnoresUpdates, found.seed);
+    // The scenario survives the round trip through a file and reproduces the breach.
+    let reparsed = parse_scenario(&found.scenario.to_toml());
+    let outcome = simulate(&reparsed, PolicyKind::IgnoresUpdates, found.seed);
     assert!(
         outcome
             .breaches
             .iter()
             .any(|breach| breach.rule == Rule::Drain)
     );
-    let sound = simulate(&again, PolicyKind::Balancer, found.seed);
-    assert!(sound.breaches.is_empty());
+    let balancer_outcome = simulate(&reparsed, PolicyKind::Balancer, found.seed);
+    assert!(balancer_outcome.breaches.is_empty());
 }
 
 #[test]
-fn a_scenario_is_checked_like_the_operators_file() {
+fn scenario_file_problems_are_reported_with_their_place() {
     let text = "secnds = \"60s\"\n[fleet]\nproxies = 0\nservers = 100000\n[demand]\nfill = \"much\"\n\
                 [[class]]\nname = \"a\"\n[[trouble]]\nkind = \"crush\"\nzone = 9\n";
     let problems = Scenario::parse("s.toml", text, &[]).unwrap_err();
-    let told: Vec<String> = problems.iter().map(ToString::to_string).collect();
+    let reported: Vec<String> = problems.iter().map(ToString::to_string).collect();
     let expected = [
         "s.toml:1: `secnds`: no such key (did you mean `seconds`?)",
         "s.toml:3: `fleet.proxies`: 0 is not from 1 to 10000",
         "s.toml:6: `demand.fill`: expected a number, found \"much\"",
     ];
     for line in expected {
-        assert!(told.iter().any(|told| told == line), "{line}: {told:#?}");
+        assert!(
+            reported.iter().any(|problem| problem == line),
+            "{line}: {reported:#?}"
+        );
     }
     assert!(
-        told.iter()
-            .any(|told| told.contains("`trouble.0.kind`: expected \"crash\" or"))
+        reported
+            .iter()
+            .any(|problem| problem.contains("`trouble.0.kind`: expected \"crash\" or"))
     );
 }
 
 #[test]
-fn one_that_asks_for_more_memory_than_there_is_is_refused_with_the_figure() {
-    let set = [
+fn rejects_a_scenario_above_the_memory_limit_and_names_the_estimate() {
+    let overrides = [
         "fleet.proxies=10000".to_string(),
         "fleet.servers=100000".to_string(),
     ];
-    let problems = Scenario::parse("s.toml", SMALL, &set).unwrap_err();
-    let told = problems[0].to_string();
-    assert!(told.contains("GB of memory, 4.3 GB at most"), "{told}");
+    let problems = Scenario::parse("s.toml", SMALL, &overrides).unwrap_err();
+    let reported = problems[0].to_string();
+    assert!(
+        reported.contains("GB of memory, 4.3 GB at most"),
+        "{reported}"
+    );
 }
 
-/// One file that needs nothing else: no link, no script, all plots within.
+/// The report is self-contained: no links, no scripts, all plots inline.
 #[test]
-fn a_report_holds_its_plots_and_the_series_all_seconds() {
-    let scenario = read(SMALL);
-    let sides = [
+fn report_contains_its_plots_and_the_csv_every_second() {
+    let scenario = parse_scenario(SMALL);
+    let variants = [
         PolicyKind::Balancer,
         PolicyKind::Random,
         PolicyKind::UpperBound,
     ];
-    let sides = sides.map(|policy| side(SMALL, policy));
-    let outcomes = run_variants(&sides, &[1, 2], 4);
+    let variants = variants.map(|policy| variant(SMALL, policy));
+    let outcomes = run_variants(&variants, &[1, 2], 4);
     let played: Vec<PolicyOutcomes> = ["module", "random", "bound"]
         .iter()
         .zip(&outcomes)
@@ -252,19 +270,19 @@
         .skip(1)
         .map(|l| l.split(',').nth(5).unwrap().parse::<f64>().unwrap())
         .sum();
-    let told = outcomes[0].iter().map(|o| o.moves as f64).sum::<f64>() / 2.0;
-    assert!((moves - told).abs() < 0.1, "{moves} {told}");
+    let reported = outcomes[0].iter().map(|o| o.moves as f64).sum::<f64>() / 2.0;
+    assert!((moves - reported).abs() < 0.1, "{moves} {reported}");
 }
 
-/// A recording cut in the middle is played up to the cut, in the model, scaled, and said to be cut.
+/// A truncated recording is replayed and scaled up to the truncation, which is reported.
 #[test]
-fn a_recording_cut_in_the_middle_is_replayed_up_to_the_cut() {
+fn truncated_recording_is_replayed_up_to_the_truncation() {
     let path = std::env::temp_dir().join(format!("violetwind-lab-{}", std::process::id()));
     let classes = ["watch", "book", "elsewhere"].map(String::from).to_vec();
     let recorder = Recorder::start(&path, classes, Limits::default()).unwrap();
     for n in 0..2000_u64 {
         recorder.enqueue(Record::Request(Request {
-            // Written in the order of their ends.
+            // Records are written in the order in which the requests ended.
             at_us: (1999 - n) * 20_000,
             class: (n % 3) as u16,
             tenant: None,
@@ -283,38 +301,39 @@
     drop(recorder);
     let bytes = std::fs::read(&path).unwrap();
     std::fs::remove_file(&path).unwrap();
-    let scenario = read(SMALL);
-    let whole = Recording::read(&bytes[..], &scenario);
-    assert_eq!(whole.end, RecordingEnd::Whole);
-    assert_eq!(whole.unknown_classes["elsewhere"], 666);
-    assert_eq!(whole.clients.len(), 2000 - 666);
+    let scenario = parse_scenario(SMALL);
+    let complete = Recording::read(&bytes[..], &scenario);
+    assert_eq!(complete.end, RecordingEnd::Whole);
+    assert_eq!(complete.unknown_classes["elsewhere"], 666);
+    assert_eq!(complete.clients.len(), 2000 - 666);
     assert!(
-        whole
+        complete
             .clients
             .is_sorted_by(|a, b| a.arrived_at <= b.arrived_at)
     );
-    let half = Recording::read(&bytes[..bytes.len() / 2], &scenario);
-    assert_eq!(half.end, RecordingEnd::Cut(bytes.len() as u64 / 2));
-    assert!((300..1000).contains(&half.clients.len()));
+    let truncated = Recording::read(&bytes[..bytes.len() / 2], &scenario);
+    assert_eq!(truncated.end, RecordingEnd::Cut(bytes.len() as u64 / 2));
+    assert!((300..1000).contains(&truncated.clients.len()));
     assert!(
-        half.clients
+        truncated
+            .clients
             .iter()
-            .all(|c| whole.clients.iter().any(|w| w.load == c.load))
+            .all(|c| complete.clients.iter().any(|w| w.load == c.load))
     );
-    let twice = whole.scaled(2.5, 1.0, 1).len();
-    assert!((3100..3600).contains(&twice), "{twice}");
-    let play = |recording: &Recording, times: f64| {
+    let scaled_count = complete.scaled(2.5, 1.0, 1).len();
+    assert!((3100..3600).contains(&scaled_count), "{scaled_count}");
+    let replay = |recording: &Recording, times: f64| {
         let mut scenario = scenario.clone();
         scenario.troubles.clear();
         scenario.recorded_clients = Some(recording.scaled(times, 1.0, 1).into());
         simulate(&scenario, PolicyKind::Balancer, 1)
     };
-    let (one, two) = (play(&half, 1.0), play(&half, 2.0));
-    assert_eq!(one.clients, half.clients.len() as u64);
-    assert_eq!(two.clients, 2 * one.clients);
+    let (single, double) = (replay(&truncated, 1.0), replay(&truncated, 2.0));
+    assert_eq!(single.clients, truncated.clients.len() as u64);
+    assert_eq!(double.clients, 2 * single.clients);
     assert!(
-        one.breaches.is_empty() && one.service > 0.9,
+        single.breaches.is_empty() && single.service > 0.9,
         "{}",
-        one.service
+        single.service
     );
 }
