--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -70,6 +70,7 @@
 /// Paired difference of two variants, by service metric.
 #[derive(Clone, Debug)]
 pub struct Comparison {
+    /// Estimates of each variant.
     pub estimates: [[Estimate; 3]; 2],
     /// Second variant minus the first.
     pub difference: [Estimate; 3],
@@ -108,6 +109,7 @@
     }
 }
 
+/// Computes the estimates and the paired differences of the outcomes of two variants.
 fn compare_outcomes(outcomes: &[Vec<Outcome>; 2]) -> Comparison {
     let column = |variant: usize, metric: usize| -> Vec<f64> {
         outcomes[variant]
@@ -115,7 +117,7 @@
             .map(|o| service_metrics(o)[metric])
             .collect()
     };
-    let variant =
+    let estimates =
         |variant| [0, 1, 2].map(|metric| Estimate::from_samples(&column(variant, metric)));
     let difference = [0, 1, 2].map(|metric| {
         let pairs = column(1, metric).into_iter().zip(column(0, metric));
@@ -127,11 +129,11 @@
         all.iter().map(value).sum::<f64>() / all.len().max(1) as f64
     };
     Comparison {
-        estimates: [variant(0), variant(1)],
+        estimates: [estimates(0), estimates(1)],
         difference,
         seed_count: outcomes[0].len(),
-        breach_counts: [0, 1].map(|s| outcomes[s].iter().map(|o| o.breach_count).sum()),
-        mean_moves: [0, 1].map(|s| mean(s, |o| o.moves as f64)),
+        breach_counts: [0, 1].map(|variant| outcomes[variant].iter().map(|o| o.breach_count).sum()),
+        mean_moves: [0, 1].map(|variant| mean(variant, |o| o.moves as f64)),
     }
 }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -526,10 +526,10 @@
                 let outcomes =
                     run_variants(&[variant], &common.seeds(), thread_count(common.threads));
                 print!("{key} = {value:<10}");
-                for (figure, name) in SERVICE_METRICS.iter().enumerate() {
+                for (metric, name) in SERVICE_METRICS.iter().enumerate() {
                     print!(
                         "  {name} {}",
-                        format_estimate(&estimate(&outcomes[0], figure))
+                        format_estimate(&estimate(&outcomes[0], metric))
                     );
                 }
                 println!();
@@ -539,10 +539,10 @@
     }
 }
 
-fn estimate(outcomes: &[Outcome], figure: usize) -> Estimate {
+fn estimate(outcomes: &[Outcome], metric: usize) -> Estimate {
     let column: Vec<f64> = outcomes
         .iter()
-        .map(|outcome| service_metrics(outcome)[figure])
+        .map(|outcome| service_metrics(outcome)[metric])
         .collect();
     Estimate::from_samples(&column)
 }
@@ -588,7 +588,7 @@
         .iter()
         .map(|outcome| outcome.breach_count)
         .sum();
-    let mean_service = |variant: usize, figure| estimate(&outcomes[variant], figure).mean;
+    let mean_service = |variant: usize, metric| estimate(&outcomes[variant], metric).mean;
     if common.json {
         println!("{:#}", summary(scenario, policy, &outcomes));
     } else {
@@ -681,7 +681,7 @@
     outcomes: &[Vec<Outcome>],
 ) -> serde_json::Value {
     let policy_outcomes = &outcomes[0];
-    let mean_service = |variant: usize, figure| estimate(&outcomes[variant], figure).mean;
+    let mean_service = |variant: usize, metric| estimate(&outcomes[variant], metric).mean;
     let figures: serde_json::Map<String, serde_json::Value> = SERVICE_METRICS
         .iter()
         .enumerate()
@@ -699,9 +699,12 @@
     json!({
         "scenario": scenario.name, "policy": policy.name(), "seeds": policy_outcomes.len(),
         "figures": figures, "breaches": breaches,
-        "moves": mean(policy_outcomes, |o| o.moves as f64), "refused": mean(policy_outcomes, |o| o.refused as f64),
-        "requests": mean(policy_outcomes, |o| o.requests as f64), "spread": mean(policy_outcomes, |o| o.spread),
-        "setup_ms": {"p50": mean(policy_outcomes, |o| o.setup_ms[0]), "p99": mean(policy_outcomes, |o| o.setup_ms[1])},
+        "moves": mean(policy_outcomes, |o| o.moves as f64),
+        "refused": mean(policy_outcomes, |o| o.refused as f64),
+        "requests": mean(policy_outcomes, |o| o.requests as f64),
+        "spread": mean(policy_outcomes, |o| o.spread),
+        "setup_ms": {"p50": mean(policy_outcomes, |o| o.setup_ms[0]),
+                     "p99": mean(policy_outcomes, |o| o.setup_ms[1])},
     })
 }
 
--- a/crates/lab/src/model/policy.rs
+++ b/crates/lab/src/model/policy.rs
@@ -16,7 +16,7 @@
     pub servers: Vec<Option<(f64, f64)>>,
 }
 
-/// Policies that a run can be played with.
+/// Policies that a run can be simulated with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyKind {
     Balancer,
@@ -46,6 +46,7 @@
         ("bound", Self::UpperBound),
     ];
 
+    /// Name of the policy in `NAMES`.
     pub fn name(self) -> &'static str {
         let named = Self::NAMES.iter().find(|(_, kind)| *kind == self);
         named.map_or("?", |(name, _)| name)
@@ -60,6 +61,7 @@
 }
 
 impl Policy {
+    /// Creates a policy of the given kind.
     pub fn new(kind: PolicyKind, settings: &Settings, seed: u64) -> Self {
         match kind {
             PolicyKind::Balancer | PolicyKind::NoMoves => {
@@ -152,8 +154,8 @@
                 let is_ignored =
                     self.kind == PolicyKind::IgnoresUpdates && kind == ListKind::Update;
                 for entry in entries.into_iter().filter(|_| !is_ignored) {
-                    let up = entry.status == Status::Up;
-                    self.servers.entry(entry.server).or_default().0 = up;
+                    let is_up = entry.status == Status::Up;
+                    self.servers.entry(entry.server).or_default().0 = is_up;
                 }
             }
             Event::Start if self.kind == PolicyKind::UpperBound => {
@@ -202,11 +204,13 @@
         }
     }
 
+    /// Counts a connection or attempt of a request at a server.
     fn assign_server(&mut self, id: RequestId, server: ServerId) {
         self.server_by_request.insert(id, server);
         self.servers.entry(server).or_default().1 += 1;
     }
 
+    /// Removes the connection or attempt of a request from its server.
     fn release_server(&mut self, id: RequestId) {
         self.loads.remove(&id);
         if let Some(server) = self.server_by_request.remove(&id)
@@ -216,6 +220,7 @@
         }
     }
 
+    /// Sends a request to a server that it has not tried yet, or refuses or fails it.
     fn place_request(
         &mut self,
         now: Seconds,
--- a/crates/lab/src/model/simulation.rs
+++ b/crates/lab/src/model/simulation.rs
@@ -36,8 +36,8 @@
 /// Result of one simulated run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Served worth divided by wanted worth: over the whole run, in its worst ten seconds, and for the class with the
-    /// lowest ratio.
+    /// Served worth divided by wanted worth: over the measured part of the run, in its worst ten seconds, and for the
+    /// class with the lowest ratio.
     pub service: f64,
     pub worst_stretch: f64,
     pub worst_class: f64,
@@ -65,6 +65,7 @@
     pub refused_by_second: Vec<f64>,
 }
 
+/// Connection state of a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ClientState {
     /// Between two requests, or departed.
@@ -82,7 +83,9 @@
     load: f64,
     departs_at: f64,
     state: ClientState,
+    /// Number of requests since the client was last served, counting the served one.
     request_count: usize,
+    /// Whether the client has sent its first request, from which on its worth counts as wanted.
     has_arrived: bool,
 }
 
@@ -133,7 +136,9 @@
 
 #[derive(Debug)]
 struct ScheduledEvent {
+    /// Simulated time in nanoseconds.
     at: u64,
+    /// Orders events of the same time by their scheduling.
     number: u64,
     event: SimEvent,
 }
@@ -181,10 +186,11 @@
     /// Share of new clients with a heavy load, and the range of their load factor.
     heavy_load: Option<(f64, f64, f64)>,
     isolated_zone: Option<usize>,
+    /// End of an outage during which no list updates are delivered.
     list_silent_until: f64,
     /// Time at which the shared store of the servers can handle the next set-up.
     store_free_at: f64,
-    /// Worth of the clients that want a connection now, by class.
+    /// Worth of the clients that are present now, connected or not, by class.
     wanted_now: Vec<f64>,
     /// Time since which `wanted_now` has been unchanged.
     wanted_now_since: f64,
--- a/crates/lab/src/replay.rs
+++ b/crates/lab/src/replay.rs
@@ -72,7 +72,7 @@
             };
             let at = (request.at_us - first) as f64 / 1e6;
             let key = (request.class, request.tenant, request.group);
-            // Without a group, a repeat can't be told from the request of another client.
+            // Without a group, a repeat can't be distinguished from the request of another client.
             let refused_at = refused.remove(&key).filter(|_| request.group.is_some());
             if request.answer != Answer::Up {
                 refused.insert(key, at);
