--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -21,7 +21,7 @@
 
 /// Returns the service metrics of an outcome, in the order of `SERVICE_METRICS`.
 pub fn service_metrics(outcome: &Outcome) -> [f64; 3] {
-    [outcome.service, outcome.worst_stretch, outcome.worst_class]
+    [outcome.service, outcome.worst_window, outcome.worst_class]
 }
 
 /// Minimum number of seeds before a comparison may stop early.
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -137,6 +137,7 @@
         Ok(Self { addr, child, dir })
     }
 
+    /// Waits up to 10 s for the proxy to answer `PING`. Returns whether it did.
     fn wait_ready(&self) -> bool {
         let deadline = Instant::now() + Duration::from_secs(10);
         while Instant::now() < deadline {
@@ -212,6 +213,8 @@
     })
 }
 
+/// Runs the scripted troubles. Returns the number of connections harmed while the checks failed, and the number of
+/// attempts that reached the drained server too late.
 fn run_script(
     options: &FleetOptions,
     consul: &Consul,
@@ -332,6 +335,7 @@
     }
 }
 
+/// Exchanges messages on an established connection until it is moved or cut, or the run is over.
 fn exchange_messages(
     reader: &mut BufReader<TcpStream>,
     writer: &mut TcpStream,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -165,6 +165,7 @@
 }
 
 impl Command {
+    /// The command that runs without arguments.
     fn default_fleet() -> Self {
         Self::Fleet {
             proxy: None,
@@ -294,6 +295,7 @@
     }
 }
 
+/// Runs a command and returns the exit code.
 fn execute(command: Command) -> Result<ExitCode, ExitCode> {
     match command {
         Command::Run {
@@ -498,7 +500,7 @@
                     finding.violation,
                     finding.minimised.faults.len(),
                     finding.original.faults.len(),
-                    finding.shrink_plays
+                    finding.shrink_runs
                 );
                 if let Some(dir) = &findings {
                     let path = dir.join(format!("storm-{seed}.toml"));
@@ -633,7 +635,10 @@
                 .iter()
                 .filter_map(|o| o.work.as_ref())
                 .collect();
-            let elapsed: Vec<f64> = work_outcomes.iter().filter_map(|work| work.took).collect();
+            let elapsed: Vec<f64> = work_outcomes
+                .iter()
+                .filter_map(|work| work.duration)
+                .collect();
             let mean_of = |value: fn(&WorkOutcome) -> usize| {
                 work_outcomes
                     .iter()
@@ -647,9 +652,9 @@
                 elapsed.len(),
                 work_outcomes.len(),
                 elapsed.iter().fold(0.0, |a, b| a + b) / elapsed.len().max(1) as f64,
-                mean_of(|work| work.done),
-                mean_of(|work| work.most_out),
-                mean_of(|work| work.moved),
+                mean_of(|work| work.machines_done),
+                mean_of(|work| work.max_machines_out),
+                mean_of(|work| work.clients_moved),
                 policy_outcomes
                     .iter()
                     .map(|o| o.cold_peak)
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! Simulation of a fleet in simulated time. Each purpose draws its random numbers from a separate stream derived from
+//! Simulation of a fleet in simulated time. Each purpose takes its random numbers from a separate stream derived from
 //! the run's seed, so that two policies run with the same seed see the same clients, loads and troubles.
 
 mod budgets;
--- a/crates/lab/src/model/rules.rs
+++ b/crates/lab/src/model/rules.rs
@@ -60,6 +60,7 @@
     budget_totals: Vec<(QuotaKind, usize, f64)>,
     /// Times of the uses within the window, by budget; the budget of cold servers is counted per server.
     uses_in_window: BTreeMap<(QuotaKind, Option<u32>), VecDeque<f64>>,
+    /// The first `MAX_RECORDED_BREACHES` breaches.
     pub breaches: Vec<Breach>,
     pub breach_count: usize,
 }
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -51,6 +51,7 @@
 }
 
 impl Server {
+    /// Creates a warm server without connections.
     pub fn new(zone: usize, capacity: f64, classes: usize) -> Self {
         Self {
             state: ServerState::Up,
@@ -71,6 +72,7 @@
         }
     }
 
+    /// Whether the server's process runs and its machine is reachable.
     pub fn is_running(&self) -> bool {
         matches!(self.state, ServerState::Up | ServerState::Draining)
     }
@@ -104,8 +106,9 @@
     }
 
     /// Share of messages that are answered in time. With processor sharing (M/M/1), the response time of a message is
-    /// exponentially distributed around its own work divided by the idle share; a message is in time if it takes at
-    /// most `max_slowdown` times its work. Above capacity, the share of the work that gets done is a further factor.
+    /// exponentially distributed, with its own work divided by the idle share as the mean; a message is in time if it
+    /// takes at most `max_slowdown` times its work. Above capacity, the share of the work that gets done is a further
+    /// factor.
     pub fn on_time_ratio(&self, now: f64, settings: &scenario::Server) -> f64 {
         if !self.is_running() {
             return 0.0;
@@ -125,6 +128,7 @@
         self.setups_done_at - now
     }
 
+    /// Adds a connection to the load and the counts.
     pub fn add_connection(&mut self, class: usize, worth: f64, load: f64, group: Option<u64>) {
         self.load += load;
         self.connections += 1;
@@ -134,6 +138,7 @@
         }
     }
 
+    /// Removes a connection from the load and the counts.
     pub fn remove_connection(&mut self, class: usize, worth: f64, load: f64, group: Option<u64>) {
         self.load = (self.load - load).max(0.0);
         self.connections -= 1;
--- a/crates/lab/src/model/simulation.rs
+++ b/crates/lab/src/model/simulation.rs
@@ -39,7 +39,7 @@
     /// Served worth divided by wanted worth: over the measured part of the run, in its worst ten seconds, and for the
     /// class with the lowest ratio.
     pub service: f64,
-    pub worst_stretch: f64,
+    pub worst_window: f64,
     pub worst_class: f64,
     pub clients: u64,
     pub requests: u64,
@@ -1245,14 +1245,14 @@
             .filter(|from| from + WORST_WINDOW_SECONDS <= measured.end);
         let window_ratios =
             window_starts.map(|from| service_ratio(from..from + WORST_WINDOW_SECONDS, None));
-        let worst_stretch = window_ratios.fold(f64::INFINITY, f64::min);
+        let worst_window = window_ratios.fold(f64::INFINITY, f64::min);
         let service = service_ratio(measured.clone(), None);
         let by_class = (0..classes).map(|class| service_ratio(measured.clone(), Some(class)));
         let quantile = |q: f64| self.setup_times.value_at_quantile(q) as f64 / 1e3;
         Outcome {
             service,
-            worst_stretch: if worst_stretch.is_finite() {
-                worst_stretch
+            worst_window: if worst_window.is_finite() {
+                worst_window
             } else {
                 service
             },
--- a/crates/lab/src/model/simulation/work_orders.rs
+++ b/crates/lab/src/model/simulation/work_orders.rs
@@ -18,15 +18,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkOutcome {
     /// Time in seconds from the first check until the last machine was back; `None` if the run ended earlier.
-    pub took: Option<f64>,
+    pub duration: Option<f64>,
     /// Highest number of machines that were out at once.
-    pub most_out: usize,
+    pub max_machines_out: usize,
     /// Number of clients connected to machines when these were taken out.
-    pub moved: usize,
+    pub clients_moved: usize,
     /// Number of machines that returned after their work.
-    pub done: usize,
+    pub machines_done: usize,
 }
 
+/// Work orders of a run and their progress.
 pub(super) struct WorkRun {
     orders: WorkOrders,
     /// Time at which the coordinator first saw each version of a machine's state.
@@ -48,6 +49,7 @@
 }
 
 impl Simulation<'_> {
+    /// Creates the work orders of the scenario, with one machine per server.
     fn begin_work(&self, work: &WorkSettings) -> WorkRun {
         let mut orders = WorkOrders::default();
         let name = |index: usize| format!("m-{index:05}");
@@ -107,10 +109,10 @@
             seen_at: BTreeMap::new(),
             started_at: self.now,
             outcome: WorkOutcome {
-                took: None,
-                most_out: 0,
-                moved: 0,
-                done: 0,
+                duration: None,
+                max_machines_out: 0,
+                clients_moved: 0,
+                machines_done: 0,
             },
         }
     }
@@ -134,15 +136,15 @@
             .take()
             .unwrap_or_else(|| self.begin_work(&work));
         self.step_work_orders(&mut work_run, &work);
-        let running = !work_run.orders.orders().is_empty();
-        if !running {
+        let is_running = !work_run.orders.orders().is_empty();
+        if !is_running {
             work_run
                 .outcome
-                .took
+                .duration
                 .get_or_insert(self.now - work_run.started_at);
         }
         self.work_run = Some(work_run);
-        if running {
+        if is_running {
             self.schedule_after(work.check_interval, SimEvent::RunCoordinator);
         }
     }
@@ -215,17 +217,18 @@
             }
             match step {
                 Move::TakeOut => {
-                    work_run.outcome.moved += self.connections_by_server[server as usize].len();
+                    work_run.outcome.clients_moved +=
+                        self.connections_by_server[server as usize].len();
                     self.announce_status(server, Status::Draining);
                 }
                 // The process ends with the work and restarts cold.
                 Move::CompleteWork => self.restart_server(server, true),
                 Move::MarkDrained => self.stop_server(server, ServerState::Down),
-                Move::CompleteReturn => work_run.outcome.done += 1,
+                Move::CompleteReturn => work_run.outcome.machines_done += 1,
                 _ => {}
             }
         }
         let machines_out = work_run.orders.machines_out().len();
-        work_run.outcome.most_out = work_run.outcome.most_out.max(machines_out);
+        work_run.outcome.max_machines_out = work_run.outcome.max_machines_out.max(machines_out);
     }
 }
--- a/crates/lab/src/scenario_search.rs
+++ b/crates/lab/src/scenario_search.rs
@@ -96,6 +96,7 @@
     })
 }
 
+/// Returns a random variation of a scenario, with one to `MAX_TROUBLES` random troubles.
 fn vary_scenario(base: &Scenario, rng: &mut Pcg64Mcg) -> Scenario {
     let mut scenario = base.clone();
     scenario.demand.offered_load *= rng.random_range(0.5..1.3);
--- a/crates/lab/src/storm.rs
+++ b/crates/lab/src/storm.rs
@@ -23,7 +23,7 @@
     pub violation: String,
     pub original: Script,
     pub minimised: Script,
-    pub shrink_plays: usize,
+    pub shrink_runs: usize,
 }
 
 /// Totals over all scripts of a campaign, and its findings.
@@ -89,12 +89,12 @@
     violations.sort_by_key(|(_, script)| script.seed);
     totals.failed_seeds = violations.len();
     for (violation, original) in violations.into_iter().take(MAX_FINDINGS) {
-        let (minimised, shrink_plays) = original.shrink(injected_bug, MAX_SHRINK_RUNS);
+        let (minimised, shrink_runs) = original.shrink(injected_bug, MAX_SHRINK_RUNS);
         totals.findings.push(Finding {
             violation,
             original,
             minimised,
-            shrink_plays,
+            shrink_runs,
         });
     }
     totals
@@ -115,7 +115,7 @@
     /// Renders the totals and the findings as JSON.
     pub fn to_json(&self) -> serde_json::Value {
         let findings = self.findings.iter().map(|finding| {
-            json!({"wrong": finding.violation, "seed": finding.original.seed, "plays": finding.shrink_plays,
+            json!({"wrong": finding.violation, "seed": finding.original.seed, "plays": finding.shrink_runs,
                    "faults": [finding.original.faults.len(), finding.minimised.faults.len()],
                    "script": finding.minimised.to_toml()})
         });
