--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -154,17 +154,29 @@
 /// Kinds of troubles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TroubleKind {
+    /// Server processes end, and restart cold afterwards.
     Crash,
+    /// The capacity of servers is lowered by a factor.
     Slow,
+    /// As `Slow`, by default with a random factor per server, as under a noisy neighbour.
     Neighbour,
+    /// Servers answer each attempt with an error at once.
     FailingFast,
+    /// A share of the new clients has a multiple of the usual load.
     Heavy,
+    /// Servers drain, end and restart cold, one after the other.
     Deploy,
+    /// A share of the clients loses its connections at once and retries.
     Reconnect,
+    /// The arrival rate is multiplied.
     Burst,
+    /// The machines of a zone become unreachable, and restart cold afterwards.
     ZoneLoss,
+    /// A zone is cut off from the other zones.
     ZoneCut,
+    /// No updates of the server list are delivered.
     CatalogueSilent,
+    /// Proxies restart.
     ProxiesRestart,
 }
 
