--- a/crates/proxy/tests/clauses.rs
+++ b/crates/proxy/tests/clauses.rs
@@ -1,4 +1,5 @@
-//! Clauses of the operators' pages at their extremes, each on real processes; docs/terms-audit.md names them by row.
+//! Edge cases of the terms that the operators' pages promise, each tested on real processes; docs/terms-audit.md lists
+//! them by row.
 
 mod common;
 
@@ -17,8 +18,11 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// No probes and no loads: every request goes on at once.
-fn plain(discovery: &Discovery, change: impl FnOnce(&mut serde_json::Value)) -> Proxy {
+/// Starts a proxy without probes and load reports, so that it forwards every request at once.
+fn start_without_probes(
+    discovery: &Discovery,
+    change: impl FnOnce(&mut serde_json::Value),
+) -> Proxy {
     let proxy = Proxy::launch(discovery.addr, |config| {
         without_loads(config);
         config["settings"]["permissions"]["probes"] = json!(false);
@@ -28,9 +32,10 @@
     proxy
 }
 
-/// "Requests with very little time left, which servers may drop without a word": they say nothing against a server.
+/// Servers may drop requests with very little time left without an answer; such requests must not count as failures of
+/// a server.
 #[test]
-fn requests_with_very_little_time_push_no_server_back() {
+fn requests_with_very_short_deadlines_do_not_penalise_servers() {
     for probes in [true, false] {
         let servers: Vec<SoakServer> = (1..=4)
             .map(|number| SoakServer::start(&format!("s-{number}"), 400))
@@ -41,12 +46,12 @@
             .collect();
         let discovery = Discovery::start(&targets);
         let proxy = Proxy::launch(discovery.addr, |config| {
-            // Without loads nobody is refused for want of room.
+            // Without load reports no request is refused for lack of capacity.
             without_loads(config);
             config["settings"]["permissions"]["probes"] = json!(probes);
         });
         proxy.wait_ready();
-        let clients = |deadline: u64| {
+        let clients_with_deadline = |deadline: u64| {
             move |_| ClientBehaviour {
                 class: "watch".into(),
                 deadline: MS(deadline),
@@ -56,58 +61,59 @@
                 pause_before_open: None,
             }
         };
-        // Two servers answer later than these clients wait, as they well may.
+        // Two servers answer after these clients' deadlines, which is allowed.
         for server in &servers[..2] {
             server.set_mode(violetwind_standins::soak::ServerMode::Serve(30));
         }
         drop({
-            let traffic = Traffic::start(proxy.addr, MS(5), 1, clients(4));
+            let traffic = Traffic::start(proxy.addr, MS(5), 1, clients_with_deadline(4));
             thread::sleep(MS(1500));
             traffic.finish()
         });
-        let since = Instant::now();
-        let traffic = Traffic::start(proxy.addr, MS(8), 2, clients(1500));
+        let measured_from = Instant::now();
+        let traffic = Traffic::start(proxy.addr, MS(8), 2, clients_with_deadline(1500));
         thread::sleep(MS(2000));
-        let accounts = traffic.finish();
-        let others: Vec<_> = accounts
+        let records = traffic.finish();
+        let not_served: Vec<_> = records
             .iter()
-            .filter(|account| account.outcome != RequestOutcome::Up)
-            .map(|account| {
+            .filter(|record| record.outcome != RequestOutcome::Up)
+            .map(|record| {
                 (
-                    account.outcome.clone(),
-                    account.sent_at - since,
-                    account.answered_at - account.sent_at,
+                    record.outcome.clone(),
+                    record.sent_at - measured_from,
+                    record.answered_at - record.sent_at,
                 )
             })
             .collect();
         assert!(
-            others.is_empty(),
-            "probes {probes}, {} others of {}: {:?}",
-            others.len(),
-            accounts.len(),
-            &others[..others.len().min(5)]
+            not_served.is_empty(),
+            "probes {probes}, {} of {} requests not served: {:?}",
+            not_served.len(),
+            records.len(),
+            &not_served[..not_served.len().min(5)]
         );
-        let got = |server: &SoakServer| {
+        let attempt_count = |server: &SoakServer| {
             server
                 .attempts()
                 .iter()
-                .filter(|arrival| arrival.received_at > since)
+                .filter(|arrival| arrival.received_at > measured_from)
                 .count()
         };
-        let each: Vec<usize> = servers.iter().map(got).collect();
+        let counts: Vec<usize> = servers.iter().map(attempt_count).collect();
         assert!(
-            each.iter().all(|count| *count > 20),
-            "probes {probes}: {each:?}"
+            counts.iter().all(|count| *count > 20),
+            "probes {probes}: {counts:?}"
         );
     }
 }
 
-/// A client may wait longer than its class's deadline; the kill counts the deployment's deadlines alone.
+/// A request's own deadline may exceed its class's deadline; the time until SIGKILL depends only on the deadlines in
+/// the deployment's settings.
 #[test]
-fn a_request_that_waits_longer_than_its_class_is_answered_before_the_earliest_kill() {
+fn a_request_with_a_deadline_beyond_its_class_is_answered_before_the_earliest_sigkill() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let proxy = plain(&discovery, |config| {
+    let proxy = start_without_probes(&discovery, |config| {
         for class in [0, 1] {
             config["settings"]["request-classes"][class]["deadline-s"] = json!(0.4);
             config["settings"]["request-classes"][class]["target-s"] = json!(0.1);
@@ -116,81 +122,90 @@
     let mut clients: Vec<LineConnection> = ["watch", "book"]
         .map(|class| proxy.open_with(&format!("c={class},d=9000")))
         .into();
-    let _hung = [server.next_open(), server.next_open()];
-    let asked = Instant::now();
+    let _unanswered = [server.next_open(), server.next_open()];
+    let signalled_at = Instant::now();
     proxy.signal("-TERM");
     for client in &mut clients {
         let answer = client.read_line();
         assert!(answer.starts_with("BUSY") || answer == "ERR", "{answer}");
     }
-    assert!(asked.elapsed() < MS(1100), "{:?}", asked.elapsed());
+    assert!(
+        signalled_at.elapsed() < MS(1100),
+        "{:?}",
+        signalled_at.elapsed()
+    );
 }
 
-/// An answer around the deadline: the client gets one final answer, in time, whoever is first.
+/// When the server answers close to the deadline, the client gets exactly one final answer, in time, whether the answer
+/// or the deadline comes first.
 #[test]
-fn an_answer_around_the_deadline_is_one_final_answer() {
+fn an_answer_close_to_the_deadline_yields_one_final_answer() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let proxy = plain(&discovery, |config| {
+    let proxy = start_without_probes(&discovery, |config| {
         config["settings"]["request-classes"][0]["target-s"] = json!(0.2);
     });
-    for late in [-40i64, -10, -1, 0, 1, 10, 49, 51, 500] {
+    for offset_ms in [-40i64, -10, -1, 0, 1, 10, 49, 51, 500] {
         let mut client = proxy.open_with("c=watch,d=200");
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let (line, mut conn) = server.next_open();
         assert!(line.contains("d="), "{line}");
-        let answer_at = asked + MS((200 + late) as u64);
+        let answer_at = sent_at + MS((200 + offset_ms) as u64);
         thread::sleep(answer_at.saturating_duration_since(Instant::now()));
         // The proxy may have ended the attempt.
         let _ = conn.try_send_line("UP 77aa");
         let answer = client.read_line();
-        assert!(asked.elapsed() < MS(750), "{late}: {:?}", asked.elapsed());
+        assert!(
+            sent_at.elapsed() < MS(750),
+            "{offset_ms}: {:?}",
+            sent_at.elapsed()
+        );
         assert!(
             answer == "UP 77aa" || answer == "ERR" || answer.starts_with("BUSY"),
-            "{late}: {answer}"
+            "{offset_ms}: {answer}"
         );
         if answer != "UP 77aa" {
             assert_eq!(
                 client.expect_end(),
                 ConnectionEnd::Closed,
-                "{late}: more than one answer"
+                "{offset_ms}: more than one answer"
             );
         }
     }
 }
 
-/// `BYE`, `ERR` and `BUSY` may end with a load report, whose fields the settings name.
+/// `BYE`, `ERR` and `BUSY` may end with a load report, with the fields that the settings list.
 #[test]
-fn answers_with_load_reports_mean_what_they_mean_without() {
+fn answers_with_load_reports_are_handled_as_without() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let proxy = plain(&discovery, |config| {
+    let proxy = start_without_probes(&discovery, |config| {
         config["settings"]["reporting"] = json!({"fields": ["x0"], "source": "answers"});
         config["settings"]["permissions"]["max-attempts"] = json!(1);
     });
-    for (said, wanted) in [
+    for (server_line, expected) in [
         ("BUSY x0=0.40", "BUSY"),
         ("ERR x0=0.40", "ERR"),
         ("BYE x0=0.40", "BYE x0=0.40"),
     ] {
         let mut client = proxy.open_with("c=book,d=1500");
         let (_, mut conn) = server.next_open();
-        conn.send_line(said);
+        conn.send_line(server_line);
         drop(conn);
         let answer = client.read_line();
-        assert!(answer.starts_with(wanted), "{said}: {answer}");
+        assert!(answer.starts_with(expected), "{server_line}: {answer}");
         assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     }
 }
 
-/// A drain that is told, taken back and told again within the grace binds from its last word on, and clients go on in
-/// between.
+/// A drain that is announced, withdrawn and announced again within the grace period takes effect from the last
+/// announcement; clients are served in between.
 #[test]
-fn a_drain_told_taken_back_and_told_again_within_the_grace_is_kept() {
+fn a_drain_withdrawn_and_announced_again_within_the_grace_period_takes_effect() {
     let (leaving, staying) = (Server::start("s-1"), Server::start("s-2"));
     let discovery =
         Discovery::start(&[leaving.target_row("ready"), staying.target_row("draining")]);
-    let proxy = plain(&discovery, |_| {});
+    let proxy = start_without_probes(&discovery, |_| {});
     for state in ["draining", "ready", "draining", "ready"] {
         discovery.upsert_target(leaving.target_row(state));
         thread::sleep(MS(60));
@@ -212,12 +227,13 @@
     assert_eq!(client.read_line(), "MOVE");
 }
 
-/// The same uid at another endpoint: what is new goes there, and a drain binds for the uid wherever it is.
+/// When a uid is listed at another endpoint, new requests go to that endpoint only, and a drain of the uid applies at
+/// any endpoint.
 #[test]
-fn a_server_that_moved_is_reached_at_its_new_endpoint_alone() {
+fn a_server_with_a_new_endpoint_gets_requests_only_there() {
     let (old, new) = (Server::start("s-1"), Server::start("s-1"));
     let discovery = Discovery::start(&[old.target_row("ready")]);
-    let proxy = plain(&discovery, |_| {});
+    let proxy = start_without_probes(&discovery, |_| {});
     discovery.upsert_target(new.target_row("ready"));
     proxy.logged("version=2");
     let mut client = proxy.open("watch");
@@ -236,12 +252,12 @@
     assert!(old.no_pending_open() && new.no_pending_open());
 }
 
-/// The answer of a watch may be the whole list: what it leaves out is gone.
+/// A watch may be answered with the whole list; servers missing from it are removed.
 #[test]
-fn a_whole_list_as_the_answer_of_a_watch_takes_away_what_it_leaves_out() {
-    let (left_out, staying) = (Server::start("s-1"), Server::start("s-2"));
-    let discovery = Discovery::start(&[left_out.target_row("ready"), staying.target_row("ready")]);
-    let proxy = plain(&discovery, |_| {});
+fn a_whole_list_as_the_answer_to_a_watch_removes_missing_servers() {
+    let (removed, staying) = (Server::start("s-1"), Server::start("s-2"));
+    let discovery = Discovery::start(&[removed.target_row("ready"), staying.target_row("ready")]);
+    let proxy = start_without_probes(&discovery, |_| {});
     discovery.remove_target("s-1");
     proxy.logged("whole=true rows=1");
     thread::sleep(MS(300));
@@ -251,24 +267,24 @@
         conn.send_line("UP 77aa");
         assert_eq!(client.read_line(), "UP 77aa");
     }
-    assert!(left_out.no_pending_open());
+    assert!(removed.no_pending_open());
 }
 
-/// Connections that wait in the listener's queue when SIGTERM comes are served or answered like all others.
+/// Connections in the listener's accept queue at SIGTERM are served or answered like all others.
 #[test]
-fn connections_in_the_queue_at_sigterm_are_answered() {
+fn connections_in_the_accept_queue_at_sigterm_are_answered() {
     let server = SoakServer::start("s-1", 400);
     let discovery = Discovery::start(&[server.target_row("ready", 0)]);
-    let mut proxy = plain(&discovery, |_| {});
+    let mut proxy = start_without_probes(&discovery, |_| {});
     proxy.stop();
     let mut clients: Vec<LineConnection> =
         (0..40).map(|_| proxy.open_with("c=watch,d=1500")).collect();
-    // More that rest: one has said nothing, one half a line.
+    // Two more idle connections: one has sent nothing, one half a line.
     let mut silent = LineConnection::connect(proxy.addr);
     let mut half = LineConnection::connect(proxy.addr);
     half.send_bytes(b"OPEN 12");
     proxy.signal("-TERM");
-    let asked = Instant::now();
+    let signalled_at = Instant::now();
     proxy.signal("-CONT");
     for client in &mut clients {
         assert!(client.read_line().starts_with("UP "));
@@ -286,35 +302,40 @@
         Ok("ERR" | "BUSY") | Err(ConnectionEnd::Closed)
     ));
     assert!(proxy.ended().success());
-    assert!(asked.elapsed() < MS(2700), "{:?}", asked.elapsed());
+    assert!(
+        signalled_at.elapsed() < MS(2700),
+        "{:?}",
+        signalled_at.elapsed()
+    );
 }
 
-/// A request on every kind of resting connection, as late as connections come: 0.2 and 0.4 s after SIGTERM.
+/// Sends a request on every kind of idle connection 0.2 s and 0.4 s after SIGTERM; 0.4 s is the latest at which new
+/// connections arrive.
 #[test]
-fn requests_on_resting_connections_after_sigterm_are_answered() {
-    for after in [200, 400] {
+fn requests_on_idle_connections_after_sigterm_are_answered() {
+    for delay_ms in [200, 400] {
         let server = SoakServer::start("s-1", 400);
         let discovery = Discovery::start(&[server.target_row("ready", 0)]);
-        let mut proxy = plain(&discovery, |_| {});
-        // One that has asked PING, a fresh one, and one with half a line.
-        let mut asked_ping = LineConnection::connect(proxy.addr);
-        asked_ping.send_line("PING");
-        assert_eq!(asked_ping.read_line(), "PONG");
+        let mut proxy = start_without_probes(&discovery, |_| {});
+        // One connection that has sent PING, a new one, and one with half a line.
+        let mut pinged = LineConnection::connect(proxy.addr);
+        pinged.send_line("PING");
+        assert_eq!(pinged.read_line(), "PONG");
         let mut fresh = LineConnection::connect(proxy.addr);
         let mut half = LineConnection::connect(proxy.addr);
         half.send_bytes(b"OPEN 00000000000000a3 7f3a c=watch");
-        let told = Instant::now();
+        let signalled_at = Instant::now();
         proxy.signal("-TERM");
-        thread::sleep(MS(after));
-        asked_ping.send_line("OPEN 00000000000000a1 7f3a c=watch,d=1000");
+        thread::sleep(MS(delay_ms));
+        pinged.send_line("OPEN 00000000000000a1 7f3a c=watch,d=1000");
         fresh.send_line("OPEN 00000000000000a2 7f3a c=watch,d=1000");
         half.send_line(",d=1000");
-        let mut newcomer = proxy.open_with("c=watch,d=1000");
-        for client in [&mut asked_ping, &mut fresh, &mut half, &mut newcomer] {
+        let mut newest = proxy.open_with("c=watch,d=1000");
+        for client in [&mut pinged, &mut fresh, &mut half, &mut newest] {
             let answer = client.read_line();
             assert!(
                 answer.starts_with("UP ") || answer.starts_with("BUSY"),
-                "{after}: {answer}"
+                "{delay_ms}: {answer}"
             );
             if answer.starts_with("UP ") {
                 assert_eq!(client.read_line(), "MOVE");
@@ -322,48 +343,49 @@
             assert_eq!(client.expect_end(), ConnectionEnd::Closed);
         }
         assert!(proxy.ended().success());
-        assert!(told.elapsed() < MS(2700));
+        assert!(signalled_at.elapsed() < MS(2700));
     }
 }
 
-/// A client that stops in the middle of its request and stays gets its error or close within 3 s.
+/// A client that stops sending in the middle of its request but stays connected gets an error or a close within 3 s.
 #[test]
-fn a_client_that_stops_in_the_middle_is_let_go_within_three_seconds() {
+fn an_incomplete_request_is_closed_within_three_seconds() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let proxy = plain(&discovery, |_| {});
-    let mut halves: Vec<LineConnection> = ["O", "OPEN", "OPEN 9b1f 7f3a c=watch,d=20", "PIN"]
-        .map(|text| {
-            let mut peer = LineConnection::connect(proxy.addr);
-            peer.send_bytes(text.as_bytes());
-            peer
-        })
-        .into();
-    // One that goes on byte by byte never comes to an end either.
+    let proxy = start_without_probes(&discovery, |_| {});
+    let mut partial_clients: Vec<LineConnection> =
+        ["O", "OPEN", "OPEN 9b1f 7f3a c=watch,d=20", "PIN"]
+            .map(|bytes| {
+                let mut client = LineConnection::connect(proxy.addr);
+                client.send_bytes(bytes.as_bytes());
+                client
+            })
+            .into();
+    // A client that keeps sending single bytes never completes its line either.
     let mut slow = TcpStream::connect(proxy.addr).unwrap();
-    let from = Instant::now();
-    let drip = thread::spawn(move || {
-        while from.elapsed() < MS(2900) && slow.write_all(b"x").is_ok() {
+    let start = Instant::now();
+    let slow_writer = thread::spawn(move || {
+        while start.elapsed() < MS(2900) && slow.write_all(b"x").is_ok() {
             thread::sleep(MS(100));
         }
         let _ = slow.shutdown(Shutdown::Write);
         let mut rest = Vec::new();
         let _ = slow.read_to_end(&mut rest);
-        from.elapsed()
+        start.elapsed()
     });
-    for half in &mut halves {
+    for client in &mut partial_clients {
         assert!(matches!(
-            half.try_read_line().as_deref(),
+            client.try_read_line().as_deref(),
             Ok("ERR") | Err(_)
         ));
-        assert!(from.elapsed() < MS(3000), "{:?}", from.elapsed());
+        assert!(start.elapsed() < MS(3000), "{:?}", start.elapsed());
     }
-    assert!(drip.join().unwrap() < MS(3200));
+    assert!(slow_writer.join().unwrap() < MS(3200));
 }
 
-/// Lists may come indented, and with fields in any order that nobody knows.
+/// Lists may be indented, with fields in any order and with unknown fields.
 #[test]
-fn an_indented_list_is_read() {
+fn an_indented_list_with_unknown_fields_is_read() {
     let server = Server::start("s-1");
     let list = json!({"rev": 41, "all": true, "more": {"than": ["is", "known"]},
         "targets": [{"uid": "s-1", "endpoint": server.addr.to_string(), "az": "a", "model": "m",
@@ -374,30 +396,31 @@
             .unwrap()
             .replace("  ", "\t\t ")
     );
-    let at = unused_addr();
-    let listener = std::net::TcpListener::bind(at).unwrap();
+    let addr = unused_addr();
+    let listener = std::net::TcpListener::bind(addr).unwrap();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let body = body.clone();
             thread::spawn(move || {
-                let mut call = [0; 2048];
-                while stream.read(&mut call).is_ok_and(|got| got > 0) {
-                    if String::from_utf8_lossy(&call).contains("after=") {
+                let mut request = [0; 2048];
+                while stream.read(&mut request).is_ok_and(|count| count > 0) {
+                    if String::from_utf8_lossy(&request).contains("after=") {
                         thread::sleep(Duration::from_secs(20));
                     }
-                    let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
-                    // In pieces of few bytes, as a slow network brings them.
-                    for piece in (head + &body).as_bytes().chunks(7) {
-                        if stream.write_all(piece).is_err() {
+                    let header =
+                        format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
+                    // Written in pieces of a few bytes, as on a slow network.
+                    for chunk in (header + &body).as_bytes().chunks(7) {
+                        if stream.write_all(chunk).is_err() {
                             return;
                         }
                     }
-                    call = [0; 2048];
+                    request = [0; 2048];
                 }
             });
         }
     });
-    let proxy = Proxy::launch(at, |config| {
+    let proxy = Proxy::launch(addr, |config| {
         without_loads(config);
         config["settings"]["permissions"]["probes"] = json!(false);
     });
@@ -408,16 +431,17 @@
     assert_eq!(client.read_line(), "UP 77aa");
 }
 
-/// What changes while discovery fails in any way counts 6 s after it could be reached, with a second trouble in that time.
+/// A change made while discovery fails in any way takes effect 6 s after discovery is reachable again, even if it fails
+/// once more within that time.
 #[test]
-fn a_drain_is_kept_when_discovery_fails_again_within_the_six_seconds() {
+fn a_drain_takes_effect_although_discovery_fails_again_within_six_seconds() {
     let (leaving, staying) = (Server::start("s-1"), Server::start("s-2"));
     let discovery = Discovery::start(&[leaving.target_row("ready"), staying.target_row("ready")]);
-    let proxy = plain(&discovery, |_| {});
+    let proxy = start_without_probes(&discovery, |_| {});
     discovery.set_mode(DiscoveryMode::Refuses);
     thread::sleep(MS(1500));
     discovery.upsert_target(leaving.target_row("draining"));
-    // It works from here on, but for answers that are half a body now and then.
+    // Discovery works from here on, except for occasional answers with half a body.
     for _ in 0..4 {
         discovery.set_mode(DiscoveryMode::Garbles);
         thread::sleep(MS(300));
@@ -434,12 +458,12 @@
     assert!(leaving.no_pending_open());
 }
 
-/// What a list says of a server that nobody serves yet: `gone` and back in one answer is another process.
+/// A server listed as `gone` and then as `ready` again is a new process and gets requests.
 #[test]
-fn a_server_that_is_gone_and_back_is_used_again() {
+fn a_server_listed_again_after_gone_gets_requests() {
     let (back, other) = (Server::start("s-1"), Server::start("s-2"));
     let discovery = Discovery::start(&[back.target_row("ready"), other.target_row("draining")]);
-    let proxy = plain(&discovery, |_| {});
+    let proxy = start_without_probes(&discovery, |_| {});
     let gone = target_row("s-1", &back.addr.to_string(), "gone");
     discovery.upsert_target(gone);
     proxy.logged("version=3");
@@ -457,15 +481,15 @@
     assert_eq!(client.read_line(), "UP 77aa");
 }
 
-/// "at=ID": a connection that was open before the run is passed to that server, and is up within 40 s, however late the
-/// server is listed or comes up.
+/// With `at=ID`, a connection that was open before the proxy started is passed to that server. It is up within 40 s,
+/// however late the server is listed or comes up.
 #[test]
-fn a_standing_connection_is_tried_until_its_server_is_there() {
+fn an_earlier_connection_is_retried_until_its_server_is_listed() {
     let server = Server::start("s-9");
     let discovery = Discovery::start(&[]);
     let other = Server::start("s-1");
     discovery.upsert_target(other.target_row("ready"));
-    let proxy = plain(&discovery, |_| {});
+    let proxy = start_without_probes(&discovery, |_| {});
     let mut client = proxy.open_with("c=watch,d=4320000,at=s-9");
     thread::sleep(MS(2000));
     discovery.upsert_target(server.target_row("draining"));
@@ -476,15 +500,16 @@
     assert!(other.no_pending_open());
 }
 
-/// The budget of a newcomer's slow start is one for all proxies together, and for a process that is started in its middle.
+/// All proxies share one slow-start budget for a new server; a proxy that is restarted during the slow start stays
+/// within it too.
 #[test]
-fn a_newcomer_is_not_pushed_over_by_several_proxies_or_a_restart() {
+fn slow_start_of_a_new_server_holds_for_several_proxies_and_a_restart() {
     const PROXIES: u64 = 4;
-    const COLD: Duration = Duration::from_secs(4);
+    const SLOW_START: Duration = Duration::from_secs(4);
     let servers: Vec<SoakServer> = (1..=4)
         .map(|number| SoakServer::start(&format!("s-{number}"), 40))
         .collect();
-    let new = SoakServer::start("s-new", 40);
+    let new_server = SoakServer::start("s-new", 40);
     let targets: Vec<_> = servers
         .iter()
         .map(|server| server.target_row("ready", 0))
@@ -496,7 +521,7 @@
             config["settings"]["me"] = json!(me);
             let rules = &mut config["settings"]["rules"];
             (rules["cold-from"], rules["fall-multiple"]) = (json!(0.3), json!(1.0));
-            rules["cold-s"] = json!(COLD.as_secs_f64());
+            rules["cold-s"] = json!(SLOW_START.as_secs_f64());
         });
         proxy.wait_ready();
         proxy
@@ -518,19 +543,19 @@
         .map(|(at, proxy)| traffic(proxy, at as u64))
         .collect();
     thread::sleep(MS(2500));
-    let unix = std::time::SystemTime::now()
+    let unix_time = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap();
     let started = Instant::now();
-    discovery.upsert_target(new.target_row("ready", unix.as_millis() as u64));
+    discovery.upsert_target(new_server.target_row("ready", unix_time.as_millis() as u64));
     thread::sleep(MS(1000));
-    // One is killed and started anew in the middle; its clients go to the new process.
+    // One proxy is killed and restarted during the slow start; its clients go to the new process.
     drop(clients.pop().unwrap().finish_without_waiting());
     drop(proxies.pop());
-    let again = launch(PROXIES - 1);
-    clients.push(traffic(&again, 99));
-    thread::sleep(COLD - MS(1000));
-    let times: Vec<Instant> = new
+    let restarted = launch(PROXIES - 1);
+    clients.push(traffic(&restarted, 99));
+    thread::sleep(SLOW_START - MS(1000));
+    let attempt_times: Vec<Instant> = new_server
         .attempts()
         .iter()
         .map(|arrival| arrival.received_at)
@@ -538,23 +563,26 @@
     for client in clients {
         drop(client.finish_without_waiting());
     }
-    // A server that 40 connections of 2 s load fully takes 20 a second when it is warm.
-    for &end in &times {
-        let warm = ((end - started).as_secs_f64() / COLD.as_secs_f64()).min(1.0);
-        let n = 20.0 * (0.3 + 0.7 * warm) * 1.5;
-        let most = if n < 30.0 {
-            n + 3.0 * n.sqrt() + 3.0
+    // A server that is at full load with 40 connections of 2 s takes 20 connections a second when it is warm.
+    for &end in &attempt_times {
+        let warm_fraction = ((end - started).as_secs_f64() / SLOW_START.as_secs_f64()).min(1.0);
+        let expected = 20.0 * (0.3 + 0.7 * warm_fraction) * 1.5;
+        let allowed = if expected < 30.0 {
+            expected + 3.0 * expected.sqrt() + 3.0
         } else {
-            n + 2.0 * n.sqrt() + 2.0
+            expected + 2.0 * expected.sqrt() + 2.0
         };
-        let count = times
+        let count = attempt_times
             .iter()
             .filter(|at| **at <= end && end - **at < MS(1500))
             .count();
         assert!(
-            count as f64 <= most,
-            "{count} in 1.5 s, {most:.1} allowed, {warm:.2} warm"
+            count as f64 <= allowed,
+            "{count} attempts in 1.5 s, {allowed:.1} allowed at a slow-start fraction of {warm_fraction:.2}"
         );
     }
-    assert!(!times.is_empty(), "it is used within its budget");
+    assert!(
+        !attempt_times.is_empty(),
+        "the new server got no request within its budget"
+    );
 }
--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Two events in one moment, forced and not hoped for: the program is stopped while its peers do both, and goes on to
-//! find both done. What each test is about stands in docs/design/crossings.md under its name.
+//! Races between two events, forced deterministically: the process is stopped while its peers cause both events, and
+//! finds both when it continues. docs/design/crossings.md describes each test under its name.
 
 mod common;
 
@@ -14,105 +14,109 @@
 };
 use serde_json::{Value, json};
 
-/// Nobody is probed, and no load is told: every request is sent on at once.
-fn plainly(config: &mut Value) {
+/// Turns off probes and load reports, so that every request is forwarded at once.
+fn disable_probes_and_loads(config: &mut Value) {
     without_loads(config);
     config["settings"]["permissions"]["probes"] = json!(false);
     config["settings"]["permissions"]["connect-timeout-s"] = json!(5.0);
 }
 
-fn started(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> Proxy {
+fn start_proxy(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> Proxy {
     let proxy = Proxy::launch(discovery.addr, |config| {
-        plainly(config);
+        disable_probes_and_loads(config);
         change(config);
     });
     proxy.wait_ready();
     proxy
 }
 
-/// One server that the test plays, and a proxy that sends everything there at once.
-fn one_plain_server(change: impl FnOnce(&mut Value)) -> (Server, Discovery, Proxy) {
+/// Starts one server that the test plays, and a proxy that forwards every request to it at once.
+fn start_with_one_server(change: impl FnOnce(&mut Value)) -> (Server, Discovery, Proxy) {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let proxy = started(&discovery, change);
+    let proxy = start_proxy(&discovery, change);
     (server, discovery, proxy)
 }
 
-/// What a server reads until the end of a connection.
+/// Returns all bytes that a server reads until the end of a connection.
 fn read_all(mut stream: TcpStream) -> Vec<u8> {
     stream.set_read_timeout(Some(common::WAIT_TIMEOUT)).unwrap();
-    let mut all = Vec::new();
-    // A reset ends it too.
-    let _ = stream.read_to_end(&mut all);
-    all
+    let mut bytes = Vec::new();
+    // A reset ends the connection too.
+    let _ = stream.read_to_end(&mut bytes);
+    bytes
 }
 
-// The client's leaving.
+// Clients that disconnect.
 
-/// Which of the two the runtime tells first is chance, so there are eight of them.
+/// The runtime reports the two events in random order, so the test uses eight clients.
 #[test]
-fn a_client_that_leaves_as_the_dial_comes_up_is_not_sent_on() {
-    let late = UnresponsiveHost::start();
-    let discovery = Discovery::start(&[target_row("s-1", &late.addr.to_string(), "ready")]);
-    let proxy = started(&discovery, |_| {});
+fn a_request_is_not_forwarded_when_its_client_leaves_as_the_dial_completes() {
+    let slow_host = UnresponsiveHost::start();
+    let discovery = Discovery::start(&[target_row("s-1", &slow_host.addr.to_string(), "ready")]);
+    let proxy = start_proxy(&discovery, |_| {});
     let clients: Vec<LineConnection> = (0..8).map(|_| proxy.open_with("c=watch,d=6000")).collect();
-    late.wait_for_dials(clients.len());
+    slow_host.wait_for_dials(clients.len());
     proxy.stop();
-    let dialled: Vec<TcpStream> = clients.iter().map(|_| late.recover_and_accept()).collect();
+    let streams: Vec<TcpStream> = clients
+        .iter()
+        .map(|_| slow_host.recover_and_accept())
+        .collect();
     drop(clients);
     proxy.signal("-CONT");
-    for stream in dialled {
+    for stream in streams {
         let sent = read_all(stream);
         assert!(sent.is_empty(), "{:?}", String::from_utf8_lossy(&sent));
     }
 }
 
-/// A keyed request that may have run once: servers forget it while the second dial goes on.
+/// A request with an idempotency token that may have run once is not repeated when the servers' deduplication window
+/// ends during the second dial.
 #[test]
-fn a_repeat_is_not_written_once_its_window_is_over() {
-    let (first, late) = (Server::start("s-1"), UnresponsiveHost::start());
+fn a_repeat_is_not_sent_after_its_deduplication_window() {
+    let (first, slow_host) = (Server::start("s-1"), UnresponsiveHost::start());
     let discovery = Discovery::start(&[first.target_row("ready")]);
-    let proxy = started(&discovery, |config| {
+    let proxy = start_proxy(&discovery, |config| {
         config["settings"]["request-classes"][0] = json!({"name": "watch", "idempotency": "token",
             "group": "all", "window-s": 0.6, "deadline-s": 6.0, "target-s": 0.4, "credit": 1.0});
     });
     let mut client = proxy.open_with("c=watch,d=6000");
     let (_, conn) = first.next_open();
-    discovery.upsert_target(target_row("s-2", &late.addr.to_string(), "ready"));
+    discovery.upsert_target(target_row("s-2", &slow_host.addr.to_string(), "ready"));
     proxy.logged("version=2 whole=false");
-    // It has read the whole line, so that the request may have run.
-    let at = Instant::now();
+    // The server has read the whole line, so the request may have run.
+    let closed_at = Instant::now();
     drop(conn);
-    // The second dial is under way for as long as servers remember; then it comes up.
-    while at.elapsed() < Duration::from_millis(700) {
+    // The second dial stays pending until the deduplication window (0.6 s) is over, then completes.
+    while closed_at.elapsed() < Duration::from_millis(700) {
         assert!(client.is_quiet_for(Duration::from_millis(10)));
     }
-    assert_eq!(read_all(late.recover_and_accept()), b"");
+    assert_eq!(read_all(slow_host.recover_and_accept()), b"");
     assert!(client.read_line().starts_with("BUSY"));
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
-/// Its server is told to drain while the dial goes on: a server that drains is given nothing new.
+/// The server is listed as draining while the dial to it is pending; a draining server must get no new request.
 #[test]
-fn a_server_that_drains_as_the_dial_goes_on_is_sent_nothing() {
-    let late = UnresponsiveHost::start();
-    let row = |state| target_row("s-1", &late.addr.to_string(), state);
+fn a_server_that_drains_during_a_dial_gets_no_request() {
+    let slow_host = UnresponsiveHost::start();
+    let row = |state| target_row("s-1", &slow_host.addr.to_string(), state);
     let discovery = Discovery::start(&[row("ready")]);
-    let proxy = started(&discovery, |_| {});
+    let proxy = start_proxy(&discovery, |_| {});
     let mut client = proxy.open_with("c=book,d=6000");
-    late.wait_for_dials(1);
+    slow_host.wait_for_dials(1);
     discovery.upsert_target(row("draining"));
     proxy.logged("a server leaves");
-    assert_eq!(read_all(late.recover_and_accept()), b"");
-    // It never ran, so that trying again is harmless.
+    assert_eq!(read_all(slow_host.recover_and_accept()), b"");
+    // The request never ran, so a retry is safe.
     assert!(client.read_line().starts_with("BUSY"));
 }
 
-// What servers say last.
+// Last lines of servers.
 
 #[test]
 fn a_reset_right_behind_a_servers_lines_leaves_them_to_the_client() {
-    let (server, _discovery, proxy) = one_plain_server(|_| {});
+    let (server, _discovery, proxy) = start_with_one_server(|_| {});
     let mut client = proxy.open("watch");
     let (_, mut conn) = server.next_open();
     proxy.stop();
@@ -124,10 +128,11 @@
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
-/// The server ends over a line that it has not read, so a reset follows its last word.
+/// The server closes with a client's line unread, so a reset follows its last line; that line must still reach the
+/// client.
 #[test]
-fn a_line_that_crosses_the_last_word_does_not_cost_it() {
-    let (server, _discovery, proxy) = one_plain_server(|_| {});
+fn a_servers_last_line_is_delivered_when_a_client_line_crosses_it() {
+    let (server, _discovery, proxy) = start_with_one_server(|_| {});
     let (mut client, mut conn) = proxy.up(&server);
     client.send_line("SAY one");
     conn.wait_readable();
@@ -140,10 +145,10 @@
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
-/// A line that is whole goes on, one whose end has not come stays.
+/// Complete lines are forwarded and an incomplete one is held back, so that `MOVE` can be sent between lines.
 #[test]
-fn half_a_line_of_a_server_that_hangs_leaves_place_for_a_move() {
-    let (server, _discovery, mut proxy) = one_plain_server(|_| {});
+fn an_incomplete_line_of_a_hanging_server_is_held_back_for_a_move() {
+    let (server, _discovery, mut proxy) = start_with_one_server(|_| {});
     let (mut client, mut conn) = proxy.up(&server);
     conn.send_bytes(b"OK one\r\nOK ha");
     assert_eq!(client.read_line(), "OK one");
@@ -153,48 +158,48 @@
     assert!(proxy.ended().success());
 }
 
-/// What no server may say: the request may have run, and nothing of it is passed on.
+/// After an invalid answer the request may have run, so it is not retried, and nothing of the answer is forwarded.
 #[test]
-fn an_answer_that_is_spoilt_is_an_error_of_its_own() {
-    let long = format!("UP {}\r\n", "a".repeat(5000));
-    for spoilt in [
+fn an_invalid_answer_gives_the_client_an_error_without_a_retry() {
+    let too_long = format!("UP {}\r\n", "a".repeat(5000));
+    for invalid in [
         "UP\r\n",
         "UP \r\n",
         "UP 1a 2b\r\n",
-        &long,
+        &too_long,
         "BUSY\r\nUP 1a2b\r\n",
     ] {
-        let (server, discovery, proxy) = one_plain_server(|_| {});
+        let (server, discovery, proxy) = start_with_one_server(|_| {});
         let mut client = proxy.open("book");
         let (_, mut conn) = server.next_open();
         let other = Server::start("s-2");
         discovery.upsert_target(other.target_row("ready"));
         proxy.logged("version=2 whole=false");
-        conn.send_bytes(spoilt.as_bytes());
+        conn.send_bytes(invalid.as_bytes());
         assert_eq!(
             client.read_line(),
             "ERR",
             "{:?}",
-            &spoilt[..spoilt.len().min(20)]
+            &invalid[..invalid.len().min(20)]
         );
         assert!(other.no_pending_open());
     }
 }
 
-/// Servers that are broken can't fill the log.
+/// Broken servers must not fill the log.
 #[test]
-fn spoilt_answers_cost_a_bounded_number_of_log_lines() {
-    let (server, _discovery, proxy) = one_plain_server(|_| {});
-    let at = Instant::now();
-    let mut spoilt = 0;
-    while spoilt < 60 {
+fn invalid_answers_write_a_bounded_number_of_log_lines() {
+    let (server, _discovery, proxy) = start_with_one_server(|_| {});
+    let start = Instant::now();
+    let mut invalid_answers = 0;
+    while invalid_answers < 60 {
         let mut client = proxy.open("book");
-        // Where all fails, some are turned away unsent.
+        // When all attempts fail, the proxy rejects some requests without forwarding them.
         if let Some((_, mut conn)) =
             server.next_open_unless(|| !client.is_quiet_for(Duration::from_millis(2)))
         {
             conn.send_line("WHAT");
-            spoilt += 1;
+            invalid_answers += 1;
         }
         client.read_line();
     }
@@ -202,38 +207,42 @@
         .log()
         .matches("a server's line that is unknown")
         .count();
-    let most = 10 * (at.elapsed().as_secs() as usize + 2);
-    assert!(lines >= 1 && lines <= most.min(59), "{lines} of {most}");
+    let allowed = 10 * (start.elapsed().as_secs() as usize + 2);
+    assert!(
+        lines >= 1 && lines <= allowed.min(59),
+        "{lines} log lines, {allowed} allowed"
+    );
 }
 
-/// The second of two answers to one probe is not the answer to the next.
+/// The second of two answers to one probe must not be taken for the answer to the next probe.
 #[test]
-fn a_probe_that_was_answered_twice_is_followed_by_a_fresh_connection() {
+fn a_probe_answered_twice_is_followed_by_one_on_a_new_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap().to_string();
-    let discovery = Discovery::start(&[target_row("s-1", &at, "ready")]);
+    let addr = listener.local_addr().unwrap().to_string();
+    let discovery = Discovery::start(&[target_row("s-1", &addr, "ready")]);
     let proxy = Proxy::start(&discovery);
     let (mut first, _) = listener.accept().unwrap();
-    let mut question = [0; 7];
-    first.read_exact(&mut question).unwrap();
-    assert_eq!(&question, b"STATS\r\n");
+    let mut probe = [0; 7];
+    first.read_exact(&mut probe).unwrap();
+    assert_eq!(&probe, b"STATS\r\n");
     first.write_all(b"PONG x0=0.10\r\n").unwrap();
-    // It comes once the first has been read, and long before the next question.
+    // The second answer comes after the first was read, and long before the next probe.
     assert!(proxy.log().contains("list"));
     proxy.wait_ready();
     first.write_all(b"PONG x0=3.00\r\n").unwrap();
     let (mut second, _) = listener.accept().unwrap();
-    second.read_exact(&mut question).unwrap();
-    assert_eq!(&question, b"STATS\r\n");
-    assert_eq!(first.read(&mut question).unwrap_or(0), 0);
+    second.read_exact(&mut probe).unwrap();
+    assert_eq!(&probe, b"STATS\r\n");
+    assert_eq!(first.read(&mut probe).unwrap_or(0), 0);
 }
 
-// The end of the program.
+// Shutdown.
 
-/// Deadlines shorter than the times that stood as constants: SIGKILL comes 0.7 s after the longest.
+/// The deadlines are shorter than shutdown times that used to be constants; SIGKILL comes 0.7 s after the longest
+/// deadline.
 #[test]
-fn with_short_deadlines_all_are_moved_before_the_end() {
-    let (server, _discovery, mut proxy) = one_plain_server(|config| {
+fn with_short_deadlines_all_clients_are_moved_before_sigkill() {
+    let (server, _discovery, mut proxy) = start_with_one_server(|config| {
         for class in [0, 1] {
             config["settings"]["request-classes"][class]["deadline-s"] = json!(0.3);
             config["settings"]["request-classes"][class]["target-s"] = json!(0.1);
@@ -241,12 +250,12 @@
     });
     let mut pairs: Vec<(LineConnection, LineConnection)> =
         (0..6).map(|_| proxy.up(&server)).collect();
-    // They wait for an answer, which a move waits for too.
+    // Each client waits for an answer, and a move waits for that answer too.
     for (client, conn) in &mut pairs {
         client.send_line("SAY one");
         assert_eq!(conn.read_line(), "SAY one");
     }
-    let at = Instant::now();
+    let signalled_at = Instant::now();
     proxy.signal("-TERM");
     for (client, _) in &mut pairs {
         assert_eq!(client.read_line(), "MOVE");
@@ -254,79 +263,81 @@
     }
     assert!(proxy.ended().success());
     assert!(
-        at.elapsed() < Duration::from_millis(1000),
+        signalled_at.elapsed() < Duration::from_millis(1000),
         "{:?}",
-        at.elapsed()
+        signalled_at.elapsed()
     );
 }
 
-/// Connections that rest may ask at any time up to the end, and servers hang just then.
+/// Idle connections may send a request at any time until the process ends, possibly to a server that hangs.
 #[test]
-fn who_asks_late_in_the_end_gets_an_answer_and_who_rests_is_told() {
-    let (server, _discovery, mut proxy) = one_plain_server(|_| {});
-    let rest = || {
+fn late_requests_and_idle_connections_are_answered_during_shutdown() {
+    let (server, _discovery, mut proxy) = start_with_one_server(|_| {});
+    let connect_idle = || {
         let mut peer = LineConnection::connect(proxy.addr);
         peer.send_line("PING");
         assert_eq!(peer.read_line(), "PONG");
         peer
     };
-    let (mut late, mut resting) = (rest(), rest());
-    let at = Instant::now();
+    let (mut late_client, mut idle_client) = (connect_idle(), connect_idle());
+    let signalled_at = Instant::now();
     proxy.signal("-TERM");
     proxy.logged("told to end");
-    while at.elapsed() < Duration::from_millis(1200) {
-        assert_eq!(rest_ping(&mut resting), "PONG");
+    while signalled_at.elapsed() < Duration::from_millis(1200) {
+        assert_eq!(ping(&mut idle_client), "PONG");
         std::thread::sleep(Duration::from_millis(50));
     }
-    // Its time is over long after the program's.
-    late.send_line("OPEN 0123456789abcdef 7f3a9c21e0b4d655 c=watch,d=2000");
-    let (_, _hangs) = server.next_open();
-    assert!(late.read_line().starts_with("BUSY"));
-    assert_eq!(late.expect_end(), ConnectionEnd::Closed);
-    assert_eq!(resting.read_line(), "BUSY");
-    assert_eq!(resting.expect_end(), ConnectionEnd::Closed);
+    // The request's deadline is long after the end of the process.
+    late_client.send_line("OPEN 0123456789abcdef 7f3a9c21e0b4d655 c=watch,d=2000");
+    let (_, _unanswered) = server.next_open();
+    assert!(late_client.read_line().starts_with("BUSY"));
+    assert_eq!(late_client.expect_end(), ConnectionEnd::Closed);
+    assert_eq!(idle_client.read_line(), "BUSY");
+    assert_eq!(idle_client.expect_end(), ConnectionEnd::Closed);
     assert!(proxy.ended().success());
     assert!(
-        at.elapsed() < Duration::from_millis(2700),
+        signalled_at.elapsed() < Duration::from_millis(2700),
         "{:?}",
-        at.elapsed()
+        signalled_at.elapsed()
     );
 }
 
-fn rest_ping(peer: &mut LineConnection) -> String {
+fn ping(peer: &mut LineConnection) -> String {
     peer.send_line("PING");
     peer.read_line()
 }
 
-/// A signal that comes while the program waits for an earlier one to answer used to kill it.
+/// A signal that arrives while the process waits for an answer of its predecessor is handled; it used to kill the
+/// process.
 #[test]
-fn a_signal_before_it_serves_is_heard_when_it_does() {
+fn a_signal_during_startup_is_handled_once_the_process_serves() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
     let old = Proxy::managed(&discovery, |_| {});
     old.logged("successors are awaited");
-    // Another takes its place in the directory, and says nothing to whoever comes.
+    // Another listener replaces the predecessor's socket and never answers.
     let path = old.dir().join("violetwind.sock");
     std::fs::remove_file(&path).unwrap();
-    let mute = UnixListener::bind(&path).unwrap();
+    let silent_listener = UnixListener::bind(&path).unwrap();
     let mut new = old.successor(discovery.addr);
-    let _connection = mute.accept().unwrap();
+    let _connection = silent_listener.accept().unwrap();
     new.signal("-TERM");
     assert!(new.ended().success());
     new.logged("told to end");
 }
 
-/// The oldest connection is to go for the next one, and its request lies unread: the listener's news comes first.
+/// The oldest connection is due to be closed in favour of the next one while its request is still unread, because the
+/// listener's event is handled first. It must be served.
 #[test]
-fn a_place_is_not_taken_from_one_whose_request_has_come() {
-    let (server, _discovery, proxy) = one_plain_server(|config| {
+fn a_connection_with_an_unread_request_keeps_its_slot() {
+    let (server, _discovery, proxy) = start_with_one_server(|config| {
         config["limits"]["sockets"] = json!(64);
     });
-    // Eight places: one is kept for the next connection.
+    // Eight slots, of which one is reserved for the next connection.
     let mut silent: Vec<LineConnection> = (0..7)
         .map(|_| LineConnection::connect(proxy.addr))
         .collect();
-    // Each of them may be told to go from 25 ms on.
+    // Each of them may be closed once it is 25 ms old.
     assert!(silent[0].is_quiet_for(Duration::from_millis(60)));
     proxy.stop();
     let _next = [
@@ -339,52 +350,57 @@
     assert_eq!(silent[0].read_line(), "UP 1a2b");
 }
 
-/// They have their answer and stay: the proxy lingers for each of them, but not while others wait for the place.
+/// Clients that stay connected after their answer: the proxy lingers on each connection, but not while others need the
+/// slot.
 #[test]
-fn who_lingers_behind_an_answer_keeps_nobody_waiting() {
-    let (server, _discovery, proxy) = one_plain_server(|config| {
+fn lingering_connections_do_not_delay_new_clients() {
+    let (server, _discovery, proxy) = start_with_one_server(|config| {
         config["limits"]["sockets"] = json!(64);
     });
-    // Eight places: one is kept for the next connection.
-    let mut bad: Vec<LineConnection> = (0..7)
+    // Eight slots, of which one is reserved for the next connection.
+    let mut bad_clients: Vec<LineConnection> = (0..7)
         .map(|_| LineConnection::connect(proxy.addr))
         .collect();
-    bad.iter_mut().for_each(|peer| peer.send_line("HELLO"));
-    let at = Instant::now();
-    bad.iter_mut()
+    bad_clients
+        .iter_mut()
+        .for_each(|peer| peer.send_line("HELLO"));
+    let start = Instant::now();
+    bad_clients
+        .iter_mut()
         .for_each(|peer| assert_eq!(peer.read_line(), "ERR"));
-    // Each takes the place that was kept, and the next needs another.
-    let _kept = LineConnection::connect(proxy.addr);
+    // Each new connection takes the reserved slot, and the next one needs another.
+    let _in_reserved_slot = LineConnection::connect(proxy.addr);
     proxy.up(&server);
     assert!(
-        at.elapsed() < Duration::from_millis(350),
+        start.elapsed() < Duration::from_millis(350),
         "{:?}",
-        at.elapsed()
+        start.elapsed()
     );
 }
 
 // Lists.
 
-fn waits(discovery: &Discovery) -> Duration {
+/// Returns the `wait_ms` of the first watch.
+fn first_watch_wait(discovery: &Discovery) -> Duration {
     let calls = discovery.wait_for_requests(2);
     let (_, wait) = calls[1].1.split_once("wait_ms=").expect("a watch");
     Duration::from_millis(wait.parse().unwrap())
 }
 
-/// Watches that fall silent in one moment are opened anew one after the other: all proxies that came back together
-/// were answered in turn, the last ones after drains counted as told.
+/// Watches that fall silent at the same time are reopened one after the other. When all proxies came back together,
+/// discovery answered them in turn, the last ones only after drains had become binding.
 #[test]
-fn the_proxies_of_a_fleet_do_not_end_their_watches_together() {
+fn proxies_of_a_fleet_stagger_the_ends_of_their_watches() {
     let waits: Vec<Duration> = (0..4)
         .map(|me| {
             let server = Server::start("s-1");
             let discovery = Discovery::start(&[server.target_row("ready")]);
-            let _proxy = started(&discovery, |config| {
+            let _proxy = start_proxy(&discovery, |config| {
                 config["settings"]["fleet-size"] = json!(4);
                 config["settings"]["me"] = json!(me);
                 config["settings"]["rules"]["ask-within-s"] = json!(10.0);
             });
-            waits(&discovery)
+            first_watch_wait(&discovery)
         })
         .collect();
     for pair in waits.windows(2) {
@@ -395,11 +411,12 @@
     }
 }
 
-/// Proxies of a large fleet, with a list of their last run that is old, and a server that has drained since.
-fn restarted(discovery: &Discovery, server: &Server, count: u64) -> Vec<Proxy> {
+/// Starts proxies of a large fleet with an outdated list of their last run, in which a server that drains by now is
+/// still ready.
+fn restart_proxies(discovery: &Discovery, server: &Server, count: u64) -> Vec<Proxy> {
     let start = |me| {
         Proxy::launch(discovery.addr, |config| {
-            plainly(config);
+            disable_probes_and_loads(config);
             config["settings"]["fleet-size"] = json!(300);
             config["settings"]["me"] = json!(me);
             config["settings"]["rules"]["ask-within-s"] = json!(10.0);
@@ -410,20 +427,24 @@
     (0..count).map(start).collect()
 }
 
-/// The first call of a new process was spread over up to 9.5 s, as others start with it; a server that had drained
-/// while it was away counted as told long before.
+/// A new process's first call to discovery used to be spread over up to 9.5 s, because others may start at the same
+/// time. A drain announced while the process was down had become binding long before that.
 #[test]
-fn a_new_process_of_a_large_fleet_asks_before_old_drains_bind() {
+fn a_new_process_of_a_large_fleet_calls_discovery_before_old_drains_bind() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
     discovery.upsert_target(server.target_row("draining"));
-    let at = Instant::now();
-    let proxies = restarted(&discovery, &server, 8);
+    let start = Instant::now();
+    let proxies = restart_proxies(&discovery, &server, 8);
     for proxy in &proxies {
         proxy.logged("a server leaves");
     }
-    // 2 s is the limit; the rest is for eight processes that start on a busy machine.
-    assert!(at.elapsed() < Duration::from_secs(4), "{:?}", at.elapsed());
+    // The limit is 2 s; the rest allows for eight processes that start on a busy machine.
+    assert!(
+        start.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        start.elapsed()
+    );
     let clients: Vec<LineConnection> = proxies.iter().map(|proxy| proxy.open("watch")).collect();
     for mut client in clients {
         assert!(client.read_line().starts_with("BUSY"));
@@ -431,20 +452,21 @@
     assert!(server.no_pending_open());
 }
 
-/// Where lists are pushed, what the agent has counts as told from the first moment, and again from its return.
+/// Where lists are pushed, the agent's data counts as delivered from the start, and again from the agent's return, so
+/// calls are not staggered.
 #[test]
-fn where_lists_are_pushed_nobody_waits_for_a_turn() {
+fn calls_are_not_staggered_where_lists_are_pushed() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
     discovery.set_mode(DiscoveryMode::Refuses);
-    let at = Instant::now();
-    let _proxy = started(&discovery, |config| {
+    let start = Instant::now();
+    let _proxy = start_proxy(&discovery, |config| {
         config["settings"]["membership-mode"] = json!("pushed");
         config["settings"]["fleet-size"] = json!(300);
         config["known"] = json!({"rev": 1, "all": true, "targets": [server.target_row("ready")]});
     });
     let calls = discovery.wait_for_requests(8);
-    let times: Vec<Duration> = calls.iter().map(|(called, _)| *called - at).collect();
+    let times: Vec<Duration> = calls.iter().map(|(called, _)| *called - start).collect();
     assert!(times[0] < Duration::from_secs(1), "{times:?}");
     for pair in times.windows(2) {
         assert!(pair[1] - pair[0] < Duration::from_millis(350), "{times:?}");
@@ -454,8 +476,8 @@
 // Settings.
 
 #[test]
-fn settings_that_make_no_sense_are_refused_whole_by_name() {
-    let bad: [(&str, Value); 6] = [
+fn invalid_settings_are_rejected_as_a_whole_and_named() {
+    let invalid: [(&str, Value); 6] = [
         ("/settings/rules/drain-grace-s", json!(-0.3)),
         ("/settings/request-classes/1/window-s", json!(-1)),
         ("/settings/prices/probe", json!(-0.1)),
@@ -463,19 +485,19 @@
         ("/settings/permissions/max-attempts", json!(0)),
         ("/settings/request-classes/0/deadline-s", json!(-2.0)),
     ];
-    for (path, value) in bad {
+    for (path, value) in invalid {
         let mut proxy = Proxy::launch(common::unused_addr(), |config| {
             config["settings"]["prices"] = json!({"probe": 0.0});
             config["settings"]["request-classes"][1]["window-s"] = json!(5.0);
             *config.pointer_mut(path).unwrap() = value;
         });
         assert!(!proxy.ended().success(), "{path}");
-        let parts: Vec<&str> = path.split('/').skip(2).collect();
-        let named = if path.ends_with("name") {
+        let keys: Vec<&str> = path.split('/').skip(2).collect();
+        let expected_name = if path.ends_with("name") {
             "settings.request-classes.1".to_string()
         } else {
-            format!("settings.{}", parts.join("."))
+            format!("settings.{}", keys.join("."))
         };
-        proxy.logged(&named);
+        proxy.logged(&expected_name);
     }
 }
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -1,4 +1,4 @@
-//! A connection's ordinary life on sockets, and the ways it ends.
+//! Normal operation of client connections over sockets, and the ways in which they end.
 
 mod common;
 
@@ -10,17 +10,17 @@
 use serde_json::json;
 
 #[test]
-fn a_connection_is_placed_and_its_lines_pass_both_ways_unchanged() {
+fn a_connection_is_opened_and_its_lines_are_relayed_unchanged_both_ways() {
     let (server, _discovery, proxy) = one_server();
     let mut client = proxy.open_with("c=watch,d=1500,g=5c0f,again=1");
     let (line, mut conn) = server.next_open();
-    // The first line goes on unchanged but for how long the proxy itself will wait.
+    // The first line is forwarded unchanged except for `d`, the time that the proxy itself will wait.
     let (before, after) = line.split_once("d=").unwrap();
     assert_eq!(before, "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=watch,");
-    let (wait, after) = after.split_once(',').unwrap();
+    let (wait_ms, after) = after.split_once(',').unwrap();
     assert!(
-        (1..=1500).contains(&wait.parse::<u64>().unwrap()),
-        "d={wait}"
+        (1..=1500).contains(&wait_ms.parse::<u64>().unwrap()),
+        "d={wait_ms}"
     );
     assert_eq!(after, "g=5c0f,again=1");
     conn.send_line("UP 1a2b");
@@ -29,7 +29,7 @@
     client.send_line("SAY two");
     assert_eq!(conn.read_line(), "SAY one");
     assert_eq!(conn.read_line(), "SAY two");
-    // Also what the proxy itself reads from goes on to the client.
+    // Lines that the proxy itself evaluates are forwarded to the client too.
     conn.send_line("LOAD 1200");
     conn.send_line("OK one");
     assert_eq!(client.read_line(), "LOAD 1200");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn lines_that_come_with_the_servers_answer_are_passed_on() {
+fn lines_sent_together_with_the_servers_answer_are_forwarded() {
     let (server, _discovery, proxy) = one_server();
     let mut client = proxy.open("watch");
     let (_, mut conn) = server.next_open();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_server_that_serves_to_the_end_ends_the_client_in_the_same_way() {
+fn a_servers_bye_and_close_are_forwarded_to_the_client() {
     let (server, _discovery, proxy) = one_server();
     let (mut client, mut conn) = proxy.up(&server);
     conn.send_line("BYE");
@@ -56,22 +56,22 @@
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
-/// The client of a server that dies must hear of it at once, not by its own time-out.
+/// The client of a server that dies must notice it at once, not only after its own timeout.
 #[test]
-fn a_reset_is_passed_on_as_a_reset() {
+fn a_server_reset_is_forwarded_as_a_reset() {
     let (server, _discovery, proxy) = one_server();
     let (mut client, conn) = proxy.up(&server);
     client.send_line("SAY unread");
-    // Closing with bytes unread resets the connection.
+    // Closing with unread bytes resets the connection.
     conn.wait_readable();
-    let at = Instant::now();
+    let reset_at = Instant::now();
     drop(conn);
     assert_eq!(client.expect_end(), ConnectionEnd::Reset);
-    assert!(at.elapsed() < Duration::from_secs(1));
+    assert!(reset_at.elapsed() < Duration::from_secs(1));
 }
 
 #[test]
-fn half_closes_are_passed_on_and_the_other_half_goes_on() {
+fn half_closes_are_forwarded_and_the_other_direction_stays_open() {
     let (server, _discovery, proxy) = one_server();
     let (mut client, mut conn) = proxy.up(&server);
     client.half_close();
@@ -88,36 +88,36 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_attempt_and_its_connection() {
+fn a_client_disconnect_ends_its_attempt_or_connection() {
     let (server, _discovery, proxy) = one_server();
-    let waiting = proxy.open("watch");
+    let waiting_client = proxy.open("watch");
     let (_, mut conn) = server.next_open();
-    drop(waiting);
+    drop(waiting_client);
     assert_eq!(conn.expect_end(), ConnectionEnd::Closed);
     let (client, mut conn) = proxy.up(&server);
     drop(client);
     assert_eq!(conn.expect_end(), ConnectionEnd::Closed);
 }
 
-/// A reader that is slow must stop the writer, not fill the proxy's memory.
+/// A slow reader must block the writer instead of filling the proxy's memory.
 #[test]
-fn a_full_buffer_stops_the_reading() {
+fn a_full_buffer_stops_reads_from_the_server() {
     let (server, _discovery, proxy) = one_server();
     let (client, mut conn) = proxy.up(&server);
-    let text = "x".repeat(998) + "\r\n";
-    let much = text.repeat(64 << 10);
-    let taken = conn.send_until_blocked(much.as_bytes(), Duration::from_millis(300));
-    assert!(taken < much.len(), "all was taken");
+    let line = "x".repeat(998) + "\r\n";
+    let lines = line.repeat(64 << 10);
+    let sent = conn.send_until_blocked(lines.as_bytes(), Duration::from_millis(300));
+    assert!(sent < lines.len(), "the proxy read all bytes");
     assert!(proxy.memory_kib() < 64 << 10);
-    // Others are served meanwhile.
-    let (mut other, mut theirs) = proxy.up(&server);
-    theirs.send_line("OK");
-    assert_eq!(other.read_line(), "OK");
+    // Other clients are served meanwhile.
+    let (mut other_client, mut other_conn) = proxy.up(&server);
+    other_conn.send_line("OK");
+    assert_eq!(other_client.read_line(), "OK");
     drop(client);
 }
 
 #[test]
-fn long_streams_pass_whole_and_in_order() {
+fn long_streams_are_relayed_completely_and_in_order() {
     let (server, _discovery, proxy) = one_server();
     let (mut client, mut conn) = proxy.up(&server);
     let writer = std::thread::spawn(move || {
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn it_is_ready_once_the_list_is_known() {
+fn the_proxy_is_ready_once_it_has_a_list() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
     discovery.set_mode(common::DiscoveryMode::Refuses);
@@ -146,22 +146,22 @@
     proxy.wait_ready();
 }
 
-/// Discovery may be down for long when a proxy restarts; then the list of its last run must do.
+/// Discovery may be down for long when a proxy restarts; the proxy then uses the list of its last run.
 #[test]
 fn without_discovery_the_list_of_the_last_run_is_used() {
     let server = Server::start("s-1");
-    let nobody = common::unused_addr();
-    let proxy = Proxy::launch(nobody, |config| {
+    let unreachable = common::unused_addr();
+    let proxy = Proxy::launch(unreachable, |config| {
         config["known"] = json!({"rev": 7, "all": true, "targets": [server.target_row("ready")]});
     });
     proxy.wait_ready();
     proxy.up(&server);
 }
 
-/// A herd of restarted proxies that all waited for whole lists was not ready for seconds, and kept
-/// discovery from answering any of them.
+/// Many proxies restarted at once that all waited for whole lists were not ready for seconds, and overloaded discovery
+/// so that it answered none of them.
 #[test]
-fn with_the_list_of_the_last_run_it_is_ready_at_once_and_asks_what_changed() {
+fn with_the_list_of_the_last_run_the_proxy_is_ready_at_once_and_requests_changes() {
     let (old, new) = (Server::start("s-1"), Server::start("s-2"));
     let discovery = Discovery::start(&[old.target_row("ready")]);
     discovery.set_mode(common::DiscoveryMode::Refuses);
@@ -171,9 +171,9 @@
     proxy.wait_ready();
     proxy.up(&old);
     let calls = discovery.wait_for_requests(2);
-    let whole = calls.iter().filter(|(_, path)| !path.contains("after=1&"));
-    assert_eq!(whole.count(), 0, "{calls:?}");
-    // What changed meanwhile is heard, and none of it is missed.
+    let whole_list_calls = calls.iter().filter(|(_, path)| !path.contains("after=1&"));
+    assert_eq!(whole_list_calls.count(), 0, "{calls:?}");
+    // The proxy receives every change made meanwhile.
     discovery.upsert_target(old.target_row("draining"));
     discovery.upsert_target(new.target_row("ready"));
     discovery.set_mode(common::DiscoveryMode::Works);
@@ -182,9 +182,9 @@
     assert_eq!(client.read_line(), "UP 2");
 }
 
-/// Changes since a version make a whole list only of one.
+/// Changes since a version can only be applied to a whole list, so a partial list must not be used as the base.
 #[test]
-fn a_part_of_a_list_is_not_taken_for_one() {
+fn a_partial_list_of_the_last_run_is_not_used_as_a_whole_one() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
     let proxy = Proxy::launch(discovery.addr, |config| {
@@ -194,16 +194,16 @@
     proxy.wait_ready();
 }
 
-/// A version that discovery never had, or has no more, must not keep a proxy from its list.
+/// A version that discovery never had, or no longer has, must not keep a proxy from getting the list.
 #[test]
-fn a_version_that_discovery_does_not_know_means_the_whole_list() {
-    for (mood, rev) in [
+fn a_version_unknown_to_discovery_makes_the_proxy_request_the_whole_list() {
+    for (mode, rev) in [
         (common::DiscoveryMode::Forgets, 1),
         (common::DiscoveryMode::Works, 9),
     ] {
         let (old, new) = (Server::start("s-1"), Server::start("s-2"));
         let discovery = Discovery::start(&[new.target_row("ready")]);
-        discovery.set_mode(mood);
+        discovery.set_mode(mode);
         let proxy = Proxy::launch(discovery.addr, |config| {
             config["known"] =
                 json!({"rev": rev, "all": true, "targets": [old.target_row("ready")]});
@@ -219,10 +219,10 @@
     }
 }
 
-/// Connections that stood before the start go back to their own server, whatever its load, and wait
-/// for it to be listed and to take them.
+/// Connections that were open before the start return to their own server, whatever its load, and wait until it is
+/// listed and accepts them.
 #[test]
-fn a_standing_connection_goes_to_its_own_server() {
+fn an_earlier_connection_returns_to_its_own_server() {
     let (idle, full) = (Server::start("s-idle"), Server::start("s-full"));
     full.set_probe_answer(Some("PONG x0=3.0"));
     let discovery = Discovery::start(&[idle.target_row("ready")]);
@@ -239,15 +239,15 @@
     assert!(idle.no_pending_open());
 }
 
-/// The list may give a server a new address; its identity stays.
+/// The list may give a server a new address under the same identity.
 #[test]
-fn a_changed_endpoint_is_used_from_then_on() {
+fn a_changed_endpoint_is_used_for_new_connections() {
     let (old, new) = (Server::start("s-1"), Server::start("s-1"));
     let discovery = Discovery::start(&[old.target_row("ready")]);
     let proxy = Proxy::start(&discovery);
     proxy.up(&old);
     discovery.upsert_target(target_row("s-1", &new.addr.to_string(), "ready"));
-    // The call after the one that brought the change shows that the change was read.
+    // The call after the one that returned the change shows that the proxy has read the change.
     let calls = discovery.wait_for_requests(3);
     assert!(calls[2].1.contains("after=2"), "{calls:?}");
     proxy.up(&new);
@@ -255,13 +255,13 @@
 }
 
 #[test]
-fn a_prober_may_ask_again_on_one_connection() {
+fn several_pings_are_answered_on_one_connection() {
     let (_server, _discovery, proxy) = one_server();
-    let mut front = LineConnection::connect(proxy.addr);
+    let mut prober = LineConnection::connect(proxy.addr);
     for _ in 0..3 {
-        front.send_line("PING");
-        assert_eq!(front.read_line(), "PONG");
+        prober.send_line("PING");
+        assert_eq!(prober.read_line(), "PONG");
     }
-    front.send_line("STATS");
-    assert_eq!(front.read_line(), "NO");
+    prober.send_line("STATS");
+    assert_eq!(prober.read_line(), "NO");
 }
