--- a/crates/proxy/tests/bad_clients.rs
+++ b/crates/proxy/tests/bad_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that send what no usual client sends, or nothing: each gets an answer or a close in time,
-//! no server hears of it, and usual clients are served meanwhile.
+//! Clients that send invalid bytes or nothing: each gets an answer or a close in time, no server receives any of it,
+//! and regular clients are served meanwhile.
 
 mod common;
 
@@ -10,10 +10,10 @@
 };
 use serde_json::json;
 
-/// A bad client is owed an answer or a close so long after it connected.
-const OWED: Duration = Duration::from_secs(3);
+/// Longest time from the connect of a bad client to its answer or close.
+const ANSWER_DEADLINE: Duration = Duration::from_secs(3);
 
-/// One server and a proxy with so many descriptors.
+/// Starts one server and a proxy with the given limit on descriptors.
 fn one_server_with(sockets: u64) -> (Server, Discovery, Proxy) {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
@@ -26,25 +26,29 @@
     (server, discovery, proxy)
 }
 
-/// Sends bytes as they are; what comes back must be `ERR` and the end, or the end alone.
-fn turned_away(proxy: &Proxy, bytes: &[u8]) {
-    let shown = String::from_utf8_lossy(&bytes[..bytes.len().min(60)]).into_owned();
-    let at = Instant::now();
+/// Sends the bytes unchanged and asserts that the proxy answers with `ERR` and a close, or with a close alone.
+fn assert_rejected(proxy: &Proxy, bytes: &[u8]) {
+    let excerpt = String::from_utf8_lossy(&bytes[..bytes.len().min(60)]).into_owned();
+    let start = Instant::now();
     let mut client = LineConnection::connect(proxy.addr);
     client.send_until_blocked(bytes, Duration::from_secs(1));
     let mut answer = client.try_read_line();
     if answer.is_ok() {
-        assert_eq!(answer.as_deref(), Ok("ERR"), "{shown}");
+        assert_eq!(answer.as_deref(), Ok("ERR"), "{excerpt}");
         answer = client.try_read_line();
     }
-    assert!(answer.is_err(), "{shown}: {answer:?}");
-    assert!(at.elapsed() < OWED, "{shown}: {:?}", at.elapsed());
+    assert!(answer.is_err(), "{excerpt}: {answer:?}");
+    assert!(
+        start.elapsed() < ANSWER_DEADLINE,
+        "{excerpt}: {:?}",
+        start.elapsed()
+    );
 }
 
 #[test]
-fn what_no_usual_client_sends_is_turned_away_and_reaches_no_server() {
+fn invalid_requests_are_rejected_and_reach_no_server() {
     let (server, _discovery, proxy) = one_server();
-    let many: String = (0..40).map(|n| format!(",x{n}=1")).collect();
+    let many_fields: String = (0..40).map(|n| format!(",x{n}=1")).collect();
     let lines = [
         "frob 9b1f".into(),
         "OPEN".into(),
@@ -63,20 +67,20 @@
         "OPEN 9b1f 7f3a c=watch,d=NaN".into(),
         "OPEN 9b1f 7f3a c=watch,d=2000,h=-1".into(),
         "OPEN 9b1f 7f3a c=watch,d=2000,c=book".into(),
-        format!("OPEN 9b1f 7f3a c=watch,d=2000{many}"),
+        format!("OPEN 9b1f 7f3a c=watch,d=2000{many_fields}"),
     ];
     for line in lines {
-        turned_away(&proxy, format!("{line}\r\n").as_bytes());
+        assert_rejected(&proxy, format!("{line}\r\n").as_bytes());
     }
-    turned_away(&proxy, &[0, 255, 254, b'\n']);
-    turned_away(&proxy, &[b'x'; 5000]);
+    assert_rejected(&proxy, &[0, 255, 254, b'\n']);
+    assert_rejected(&proxy, &[b'x'; 5000]);
     assert!(server.no_pending_open());
     proxy.up(&server);
 }
 
-/// The forms that usual clients were seen to send, and what else the protocol lets them.
+/// The forms that regular clients were observed to send, and others that the protocol allows.
 #[test]
-fn no_usual_client_is_turned_away_for_its_form() {
+fn valid_forms_of_requests_are_accepted() {
     let (server, _discovery, proxy) = one_server();
     let forms = [
         "c=watch,d=1999,g=0001978608a86f0b",
@@ -97,7 +101,7 @@
 }
 
 #[test]
-fn half_a_line_and_an_end_is_turned_away() {
+fn half_a_line_and_a_half_close_is_rejected() {
     let (server, _discovery, proxy) = one_server();
     let mut client = LineConnection::connect(proxy.addr);
     client.send_bytes(b"OPEN 9b1f 7f3a c=watch,d=20");
@@ -107,29 +111,30 @@
     assert!(server.no_pending_open());
 }
 
-/// Servers turn a second one away, each in its turn, and to the module all of them seemed to fail.
+/// Each server that is tried refuses a second request with the same id, which the decision module counted as failures
+/// of all servers.
 #[test]
-fn the_id_of_an_open_request_is_taken_until_that_ends() {
+fn the_id_of_an_open_request_is_reserved_until_it_ends() {
     let (server, _discovery, proxy) = one_server();
-    let mut waiting = proxy.open("watch");
+    let mut first_client = proxy.open("watch");
     let (_, mut conn) = server.next_open();
     let line = b"OPEN 9b1f03aa5c7e2d41 0000000000000000 c=watch,d=2000\r\n";
-    turned_away(&proxy, line);
+    assert_rejected(&proxy, line);
     conn.send_line("UP 1");
-    assert_eq!(waiting.read_line(), "UP 1");
-    turned_away(&proxy, line);
+    assert_eq!(first_client.read_line(), "UP 1");
+    assert_rejected(&proxy, line);
     assert!(server.no_pending_open());
-    waiting.send_line("SAY on");
+    first_client.send_line("SAY on");
     assert_eq!(conn.read_line(), "SAY on");
     conn.send_line("BYE");
     drop(conn);
-    assert_eq!(waiting.read_line(), "BYE");
-    assert_eq!(waiting.expect_end(), ConnectionEnd::Closed);
-    drop(waiting);
-    // Free again, as soon as the proxy has seen the end.
+    assert_eq!(first_client.read_line(), "BYE");
+    assert_eq!(first_client.expect_end(), ConnectionEnd::Closed);
+    drop(first_client);
+    // The id is free again as soon as the proxy has read the close.
     let until = Instant::now() + Duration::from_secs(5);
     loop {
-        assert!(Instant::now() < until, "never free");
+        assert!(Instant::now() < until, "the id is not freed");
         let mut client = LineConnection::connect(proxy.addr);
         client.send_bytes(line);
         let answered = || !client.is_quiet_for(Duration::from_millis(1));
@@ -139,16 +144,16 @@
     }
 }
 
-/// Usual clients wait for the answer; hundreds of commands at once are none of theirs.
+/// Regular clients wait for the answer and never send hundreds of commands at once.
 #[test]
-fn who_sends_on_before_the_answer_is_not_served() {
+fn a_client_that_sends_more_before_the_answer_is_rejected() {
     let (server, _discovery, proxy) = one_server();
     let line = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=watch,d=2000\r\n";
-    turned_away(&proxy, line.repeat(300).as_bytes());
-    turned_away(&proxy, "PING\r\n".repeat(300).as_bytes());
-    turned_away(&proxy, format!("PING\r\n{line}").as_bytes());
+    assert_rejected(&proxy, line.repeat(300).as_bytes());
+    assert_rejected(&proxy, "PING\r\n".repeat(300).as_bytes());
+    assert_rejected(&proxy, format!("PING\r\n{line}").as_bytes());
     assert!(server.no_pending_open());
-    // Also one that comes once a server has the request.
+    // A line that is sent after the request was forwarded to a server is rejected too.
     let mut client = proxy.open("watch");
     let (_, mut conn) = server.next_open();
     client.send_line("SAY early");
@@ -160,63 +165,68 @@
     ));
 }
 
-/// It is owed an answer within 3 s of connecting, however slowly its bytes come.
+/// The client gets an answer within 3 s of connecting, however slowly its bytes arrive.
 #[test]
 fn a_line_that_never_ends_is_answered_in_time() {
     let (_server, _discovery, proxy) = one_server();
-    let at = Instant::now();
+    let start = Instant::now();
     let mut client = LineConnection::connect(proxy.addr);
     client.send_bytes(b"OPEN 9b1f");
     while client.is_quiet_for(Duration::from_millis(200)) {
         client.send_bytes(b"0");
     }
     assert_eq!(client.read_line(), "ERR");
-    assert!(at.elapsed() < OWED, "{:?}", at.elapsed());
+    assert!(start.elapsed() < ANSWER_DEADLINE, "{:?}", start.elapsed());
 }
 
-/// What is read of one who sends without end is bounded, in time, in bytes and in memory.
+/// Reads from a client that sends without end are bounded in time, bytes and memory.
 #[test]
 fn a_value_of_many_megabytes_is_cut_off() {
     let (_server, _discovery, proxy) = one_server_with(256);
     let huge = [b"OPEN 9b1f 7f3a c=".as_slice(), &vec![b'x'; 60 << 20]].concat();
-    let at = Instant::now();
+    let start = Instant::now();
     let mut client = LineConnection::connect(proxy.addr);
     let sent = client.send_until_blocked(&huge, Duration::from_secs(2));
-    assert!(sent < huge.len(), "all was read");
-    assert!(at.elapsed() < OWED, "{:?}", at.elapsed());
+    assert!(sent < huge.len(), "the proxy read all bytes");
+    assert!(start.elapsed() < ANSWER_DEADLINE, "{:?}", start.elapsed());
     assert!(proxy.memory_kib() < 24 << 10, "{}", proxy.memory_kib());
 }
 
-/// Hundreds that say nothing, or ask once and stay, while a third of the descriptors serve requests.
+/// Hundreds of clients send nothing, or one request and stay connected, while a third of the descriptors serve
+/// requests.
 #[test]
-fn floods_of_silent_connections_leave_room_for_usual_clients() {
+fn floods_of_silent_connections_leave_descriptors_for_regular_clients() {
     let (server, _discovery, mut proxy) = one_server_with(256);
     let mut pairs = Vec::new();
-    let mut crowd = Vec::new();
-    for turn in 0..85 {
+    let mut idle_clients = Vec::new();
+    for round in 0..85 {
         for number in 0..8 {
             let mut silent = LineConnection::connect(proxy.addr);
             if number % 2 == 0 {
                 silent.send_line("PING");
             }
-            crowd.push(silent);
+            idle_clients.push(silent);
         }
-        let at = Instant::now();
+        let start = Instant::now();
         let mut client = LineConnection::connect(proxy.addr);
-        client.send_line(&format!("OPEN 9b1f03aa5c7e2d{turn} 7f3a c=watch,d=2000"));
+        client.send_line(&format!("OPEN 9b1f03aa5c7e2d{round} 7f3a c=watch,d=2000"));
         let (_, mut conn) = server.next_open();
         conn.send_line("UP 1");
         assert_eq!(client.read_line(), "UP 1");
-        assert!(at.elapsed() < Duration::from_secs(1), "{:?}", at.elapsed());
+        assert!(
+            start.elapsed() < Duration::from_secs(1),
+            "{:?}",
+            start.elapsed()
+        );
         pairs.push((client, conn));
     }
     assert!(proxy.answers_ping());
-    // Those that said nothing have been closed, or are soon.
-    let at = Instant::now();
-    for silent in crowd.iter_mut().rev().step_by(2).take(32) {
+    // Connections that have sent nothing are closed by now or soon.
+    let start = Instant::now();
+    for silent in idle_clients.iter_mut().rev().step_by(2).take(32) {
         while silent.try_read_line().is_ok() {}
     }
-    assert!(at.elapsed() < OWED, "{:?}", at.elapsed());
+    assert!(start.elapsed() < ANSWER_DEADLINE, "{:?}", start.elapsed());
     for (client, conn) in &mut pairs {
         client.send_line("SAY on");
         assert_eq!(conn.read_line(), "SAY on");
@@ -227,29 +237,30 @@
     assert!(proxy.alive());
 }
 
-/// The same again as soon as it is turned away must not fill the log's disk, nor go unseen.
+/// Clients that repeat a bad request as soon as it is rejected must neither fill the disk with log lines nor go
+/// unnoticed.
 #[test]
-fn log_lines_about_bad_clients_are_few_and_counted() {
+fn log_lines_about_bad_clients_are_limited_and_counted() {
     let (server, _discovery, proxy) = one_server();
-    let at = Instant::now();
+    let start = Instant::now();
     for _ in 0..400 {
-        turned_away(&proxy, b"frob\r\n");
+        assert_rejected(&proxy, b"frob\r\n");
     }
-    let seconds = at.elapsed().as_secs() as usize + 1;
+    let seconds = start.elapsed().as_secs() as usize + 1;
     let lines = proxy.log().matches("can't be served").count();
     assert!(
         (1..=10 * seconds).contains(&lines),
         "{lines} in {seconds} s"
     );
-    // The next line says how many were left out.
+    // The next line reports how many were left out.
     let until = Instant::now() + Duration::from_secs(10);
-    let counted = |log: &str| {
+    let reports_left_out = |log: &str| {
         log.lines()
-            .any(|l| l.contains("left_out=") && !l.contains("left_out=0"))
+            .any(|line| line.contains("left_out=") && !line.contains("left_out=0"))
     };
-    while !counted(&proxy.log()) {
+    while !reports_left_out(&proxy.log()) {
         assert!(Instant::now() < until, "{}", proxy.log());
-        turned_away(&proxy, b"frob\r\n");
+        assert_rejected(&proxy, b"frob\r\n");
     }
     proxy.up(&server);
 }
--- a/crates/proxy/tests/consul.rs
+++ b/crates/proxy/tests/consul.rs
@@ -1,5 +1,5 @@
-//! Servers from Consul, on sockets: a stand-in that lies and then falls silent, drains, real deaths, and a
-//! change of sources under load.
+//! Servers listed by Consul, over sockets: a stand-in that reports false states and then stops answering, drains, real
+//! server failures, and a change of sources under load.
 
 mod common;
 
@@ -11,31 +11,35 @@
 };
 use violetwind_standins::consul::{Check, Consul, ConsulMode, Instance, Maintenance};
 
-/// One Consul as the only source; a reload leaves nothing else.
-fn file(consul: SocketAddr, more: &str) -> String {
+/// Returns an operator's file with one Consul as the only source, also after a reload.
+fn operators_file(consul: SocketAddr, more: &str) -> String {
     format!(
         "{more}\n[zones]\ndc1 = \"a\"\n[[source]]\nname = \"agenda\"\nkind = \"consul\"\n\
          address = \"{consul}\"\nservice = \"agenda\"\ngap = \"10ms\"\n"
     )
 }
 
-struct World {
+struct Setup {
     servers: Vec<Server>,
     consul: Consul,
     proxy: Proxy,
-    /// Clients that are up, with the server's side and the number of the server.
+    /// Clients that are up, each with the server's side of its connection and the server's index.
     up: Vec<(LineConnection, LineConnection, usize)>,
 }
 
-impl World {
+impl Setup {
     fn new(servers: usize, more: &str) -> Self {
         let servers: Vec<Server> = (0..servers)
             .map(|n| Server::start(&format!("s-{n}")))
             .collect();
         let consul = Consul::start("agenda");
         consul.register_all(servers.iter().map(|s| Instance::new(&s.uid, s.addr)));
-        // The platform's discovery is not there at all.
-        let proxy = Proxy::start_with(unused_addr(), &file(consul.addr, more), without_loads);
+        // The platform's discovery is unreachable.
+        let proxy = Proxy::start_with(
+            unused_addr(),
+            &operators_file(consul.addr, more),
+            without_loads,
+        );
         Self {
             servers,
             consul,
@@ -44,14 +48,14 @@
         }
     }
 
-    /// Opens a client and returns the number of its server.
+    /// Opens a client and returns the index of its server.
     fn open(&mut self) -> usize {
         let mut client = self.proxy.open("watch");
         let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             for (n, server) in self.servers.iter().enumerate() {
-                let never = server.next_open_unless(|| true);
-                if let Some((_, mut conn)) = never {
+                let opened = server.next_open_unless(|| true);
+                if let Some((_, mut conn)) = opened {
                     conn.send_line("UP 1");
                     assert_eq!(client.read_line(), "UP 1");
                     self.up.push((client, conn, n));
@@ -60,7 +64,7 @@
             }
             assert!(
                 Instant::now() < until,
-                "no server has it:\n{}",
+                "no server got the request:\n{}",
                 self.proxy.log()
             );
             std::thread::yield_now();
@@ -73,8 +77,8 @@
         }
     }
 
-    /// Every client's line reaches its server, and the answer comes back.
-    fn all_served(&mut self) {
+    /// Asserts that every client's line reaches its server and that the answer comes back.
+    fn assert_all_served(&mut self) {
         for (client, conn, _) in &mut self.up {
             client.send_line("SAY on");
             assert_eq!(conn.read_line(), "SAY on");
@@ -83,7 +87,8 @@
         }
     }
 
-    fn half(&self) -> Vec<&str> {
+    /// Returns the uids of the first half of the servers.
+    fn first_half_uids(&self) -> Vec<&str> {
         let half = self.servers.len() / 2;
         self.servers[..half]
             .iter()
@@ -91,55 +96,59 @@
             .collect()
     }
 
-    /// Waits until the proxy has read an answer that holds all that was changed before.
-    fn told(&self) {
+    /// Waits until the proxy has read an answer with all changes made so far.
+    fn wait_until_changes_read(&self) {
         self.consul.wait_until_changes_served();
         assert!(self.proxy.answers_ping() && self.proxy.answers_ping());
     }
 }
 
-/// 150 of 300 clients were moved for such a flap. Here 60, for the time of a test; the figure for 300
-/// is the engine's test and docs/ops/consul.md.
+/// Such a flap used to move 150 of 300 clients. This test uses 60 to keep its duration short; the run with 300 is in
+/// the engine's test and docs/ops/consul.md.
 #[test]
-fn a_flap_of_half_the_checks_and_then_silence_move_nobody() {
-    let mut world = World::new(6, "");
-    world.open_many(60);
-    world.consul.set_check(&world.half(), Check::Critical);
-    world.proxy.logged("is doubted");
+fn a_flap_of_half_the_checks_and_then_silence_moves_no_client() {
+    let mut setup = Setup::new(6, "");
+    setup.open_many(60);
+    setup
+        .consul
+        .set_check(&setup.first_half_uids(), Check::Critical);
+    setup.proxy.logged("is doubted");
     let until = Instant::now() + Duration::from_secs(2);
     while Instant::now() < until {
-        world.all_served();
+        setup.assert_all_served();
     }
-    world.consul.set_check(&world.half(), Check::Passing);
-    world.told();
-    world.consul.deregister(&["s-0", "s-1", "s-2"]);
-    world.told();
-    world.all_served();
-    // Then it says nothing any more.
-    world.consul.set_mode(ConsulMode::Silent);
-    world.open_many(6);
-    world.all_served();
+    setup
+        .consul
+        .set_check(&setup.first_half_uids(), Check::Passing);
+    setup.wait_until_changes_read();
+    setup.consul.deregister(&["s-0", "s-1", "s-2"]);
+    setup.wait_until_changes_read();
+    setup.assert_all_served();
+    // From here on Consul does not answer any more.
+    setup.consul.set_mode(ConsulMode::Silent);
+    setup.open_many(6);
+    setup.assert_all_served();
     assert!(
-        !world.proxy.log().contains("a server leaves"),
+        !setup.proxy.log().contains("a server leaves"),
         "{}",
-        world.proxy.log()
+        setup.proxy.log()
     );
 }
 
 #[test]
-fn nothing_new_reaches_a_drained_server_and_its_clients_are_moved() {
-    let mut world = World::new(3, "[limits]\ndrain_wait = \"50ms\"\ndrain_span = \"100ms\"");
-    world.open_many(12);
-    world
+fn a_drained_server_gets_no_request_and_its_clients_are_moved() {
+    let mut setup = Setup::new(3, "[limits]\ndrain_wait = \"50ms\"\ndrain_span = \"100ms\"");
+    setup.open_many(12);
+    setup
         .consul
         .update_instances(&["s-1"], |i| i.maintenance = Maintenance::Service);
-    world.proxy.logged("a server leaves");
+    setup.proxy.logged("a server leaves");
     for _ in 0..20 {
-        assert_ne!(world.open(), 1);
+        assert_ne!(setup.open(), 1);
     }
     let (mut moved, mut stayed) = (0, 0);
-    for (client, _, on) in &mut world.up {
-        match on {
+    for (client, _, server) in &mut setup.up {
+        match server {
             1 => {
                 assert_eq!(client.read_line(), "MOVE");
                 moved += 1;
@@ -150,26 +159,30 @@
     assert!(moved > 0 && stayed > 0);
 }
 
-/// A critical check and no answer to probes: clients there are moved, and nobody else's.
+/// With a critical check and unanswered probes, the clients of that server are moved, and no others.
 #[test]
-fn the_clients_of_a_server_that_is_truly_dead_are_moved_in_time() {
-    let mut world = World::new(4, "");
-    world.open_many(24);
-    let dead = world.up[0].2;
-    world.servers[dead].set_probe_answer(None);
-    let at = Instant::now();
-    let uid = world.servers[dead].uid.clone();
-    world.consul.set_check(&[&uid], Check::Critical);
-    for (client, _, on) in &mut world.up {
-        if *on == dead {
+fn clients_of_a_dead_server_are_moved_in_time() {
+    let mut setup = Setup::new(4, "");
+    setup.open_many(24);
+    let dead_index = setup.up[0].2;
+    setup.servers[dead_index].set_probe_answer(None);
+    let failed_at = Instant::now();
+    let uid = setup.servers[dead_index].uid.clone();
+    setup.consul.set_check(&[&uid], Check::Critical);
+    for (client, _, server) in &mut setup.up {
+        if *server == dead_index {
             assert_eq!(client.read_line(), "MOVE");
         }
     }
-    // Probes go out each second and have 0.3 s; two go unanswered; moves take 0.8 s.
-    assert!(at.elapsed() < Duration::from_secs(5), "{:?}", at.elapsed());
-    world.up.retain(|(_, _, on)| *on != dead);
-    assert!(!world.up.is_empty());
-    world.all_served();
+    // Probes are sent every second with a timeout of 0.3 s; two have to fail; moves take 0.8 s.
+    assert!(
+        failed_at.elapsed() < Duration::from_secs(5),
+        "{:?}",
+        failed_at.elapsed()
+    );
+    setup.up.retain(|(_, _, server)| *server != dead_index);
+    assert!(!setup.up.is_empty());
+    setup.assert_all_served();
 }
 
 #[test]
@@ -181,38 +194,40 @@
     consul.register_all(servers.iter().map(|s| Instance::new(&s.uid, s.addr)));
     let text = "[[source]]\nname = \"platform\"\nkind = \"registry\"\n";
     let proxy = Proxy::start_with(discovery.addr, text, without_loads);
-    let mut world = World {
+    let mut setup = Setup {
         servers,
         consul,
         proxy,
         up: Vec::new(),
     };
-    world.open_many(12);
-    // A file that is wrong changes nothing, and says so.
-    world.proxy.reload_operators("[[source]]\nname = 1\n");
-    world.proxy.logged("the operator's file stays as it was");
-    world.all_served();
-    world.proxy.reload_operators(&file(world.consul.addr, ""));
-    world.consul.wait_until_changes_served();
-    world.proxy.logged("a source is let go");
-    world.all_served();
-    world.open_many(6);
-    // From now on Consul counts, and the registry no longer does.
-    discovery.upsert_target(world.servers[0].target_row("draining"));
-    world
+    setup.open_many(12);
+    // An invalid file changes nothing, and the log says so.
+    setup.proxy.reload_operators("[[source]]\nname = 1\n");
+    setup.proxy.logged("the operator's file stays as it was");
+    setup.assert_all_served();
+    setup
+        .proxy
+        .reload_operators(&operators_file(setup.consul.addr, ""));
+    setup.consul.wait_until_changes_served();
+    setup.proxy.logged("a source is let go");
+    setup.assert_all_served();
+    setup.open_many(6);
+    // From now on Consul is the source in use, and the registry is not.
+    discovery.upsert_target(setup.servers[0].target_row("draining"));
+    setup
         .consul
         .update_instances(&["s-2"], |i| i.maintenance = Maintenance::Node);
-    world.proxy.logged("a server leaves");
+    setup.proxy.logged("a server leaves");
     for _ in 0..6 {
-        assert_ne!(world.open(), 2);
+        assert_ne!(setup.open(), 2);
     }
-    let on = |world: &World, n| world.up.iter().filter(|up| up.2 == n).count();
-    assert!(on(&world, 0) > 0);
-    let log = world.proxy.log();
-    let left: Vec<&str> = log
+    let clients_on = |setup: &Setup, n| setup.up.iter().filter(|up| up.2 == n).count();
+    assert!(clients_on(&setup, 0) > 0);
+    let log = setup.proxy.log();
+    let leave_lines: Vec<&str> = log
         .lines()
         .filter(|line| line.contains("a server leaves"))
         .collect();
-    assert_eq!(left.len(), 1, "{left:?}");
-    assert!(left[0].contains("s-2"));
+    assert_eq!(leave_lines.len(), 1, "{leave_lines:?}");
+    assert!(leave_lines[0].contains("s-2"));
 }
--- a/crates/proxy/tests/discovery_outages.rs
+++ b/crates/proxy/tests/discovery_outages.rs
@@ -1,5 +1,5 @@
-//! Discovery that was away for long: what it has to tell counts at the latest 6 s after it could be reached, however large
-//! the fleet is and however the calls failed before.
+//! Long outages of discovery: changes take effect at the latest 6 s after discovery is reachable again, whatever the
+//! size of the fleet and the way in which calls failed before.
 
 mod common;
 
@@ -9,11 +9,11 @@
 use common::{Discovery, DiscoveryMode, Proxy, Server, without_loads};
 use serde_json::json;
 
-/// Six seconds, the grace, and what sockets allow.
-const BINDS: Duration = Duration::from_millis(6350);
+/// Six seconds, plus the drain's grace period (0.3 s) and an allowance for sockets.
+const EFFECT_DEADLINE: Duration = Duration::from_millis(6350);
 
-/// Proxies of a large fleet that lost discovery for so long; then a server drains as it comes back.
-fn drains_at_the_return(mood: DiscoveryMode, lasts: Duration, proxies: u64) {
+/// Runs proxies of a large fleet through an outage of discovery, and drains a server when discovery is back.
+fn assert_drain_takes_effect_after_outage(mode: DiscoveryMode, outage: Duration, proxies: u64) {
     let (staying, leaving) = (Server::start("s-1"), Server::start("s-2"));
     let discovery = Discovery::start(&[staying.target_row("ready"), leaving.target_row("ready")]);
     let fleet: Vec<Proxy> = (0..proxies)
@@ -29,14 +29,14 @@
             proxy
         })
         .collect();
-    discovery.set_mode(mood);
-    thread::sleep(lasts);
+    discovery.set_mode(mode);
+    thread::sleep(outage);
     discovery.set_mode(DiscoveryMode::Works);
     discovery.upsert_target(leaving.target_row("draining"));
-    let back = Instant::now();
-    thread::sleep(BINDS);
+    let recovered_at = Instant::now();
+    thread::sleep(EFFECT_DEADLINE);
     for proxy in &fleet {
-        // Whatever goes on now must not go there.
+        // No request that is forwarded from now on may reach the draining server.
         let clients: Vec<_> = (0..8).map(|_| proxy.open_with("c=watch,d=300")).collect();
         thread::sleep(Duration::from_millis(30));
         drop(clients);
@@ -45,23 +45,23 @@
     assert_eq!(
         opened,
         0,
-        "{mood:?}: sent {:?} after the return",
-        back.elapsed()
+        "{mode:?}: requests reached the draining server {:?} after the return",
+        recovered_at.elapsed()
     );
     drop(staying);
 }
 
 #[test]
-fn a_drain_is_kept_six_seconds_after_an_outage_with_refusals() {
-    drains_at_the_return(DiscoveryMode::Refuses, Duration::from_secs(40), 6);
+fn a_drain_takes_effect_within_six_seconds_of_an_outage_with_refusals() {
+    assert_drain_takes_effect_after_outage(DiscoveryMode::Refuses, Duration::from_secs(40), 6);
 }
 
 #[test]
-fn a_drain_is_kept_six_seconds_after_an_outage_with_resets() {
-    drains_at_the_return(DiscoveryMode::Resets, Duration::from_secs(40), 6);
+fn a_drain_takes_effect_within_six_seconds_of_an_outage_with_resets() {
+    assert_drain_takes_effect_after_outage(DiscoveryMode::Resets, Duration::from_secs(40), 6);
 }
 
 #[test]
-fn a_drain_is_kept_six_seconds_after_an_outage_with_silence() {
-    drains_at_the_return(DiscoveryMode::Hangs, Duration::from_secs(40), 6);
+fn a_drain_takes_effect_within_six_seconds_of_an_outage_with_silence() {
+    assert_drain_takes_effect_after_outage(DiscoveryMode::Hangs, Duration::from_secs(40), 6);
 }
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration's file names another discovery, under load and more than once.
+//! SIGHUP with a changed configuration file, mostly with another discovery address, under load and repeatedly.
 
 mod common;
 
@@ -10,39 +10,40 @@
 };
 use serde_json::{Value, json};
 
-/// What discovery has to tell counts as told so long after the signal.
-const TOLD: Duration = Duration::from_secs(4);
+/// Time after the signal from which the new discovery's data counts as delivered.
+const DELIVERY_DEADLINE: Duration = Duration::from_secs(4);
 
-fn to(discovery: SocketAddr) -> impl FnOnce(&mut Value) {
+/// Returns a change of the configuration that sets the discovery address.
+fn with_discovery(discovery: SocketAddr) -> impl FnOnce(&mut Value) {
     move |config| config["discovery"] = json!(discovery.to_string())
 }
 
-/// A call of discovery, played by hand: its path.
-fn call(peer: &mut LineConnection) -> String {
+/// Reads one HTTP call as discovery, played by the test, and returns its path.
+fn read_call_path(peer: &mut LineConnection) -> String {
     let line = peer.read_line();
     while !peer.read_line().is_empty() {}
     line.split(' ').nth(1).unwrap().to_string()
 }
 
-/// Two servers, each known to one discovery alone, and a proxy that has the first.
-fn two_discoveries() -> (Server, Server, Discovery, Discovery, Proxy) {
+/// Starts two servers, each listed by only one discovery, and a proxy that uses the first discovery.
+fn start_with_two_discoveries() -> (Server, Server, Discovery, Discovery, Proxy) {
     let (server, discovery, proxy) = one_server();
     let other = Server::start("s-2");
-    // The new list's version is below the old one's: it must not be taken for old news.
+    // The new list's version is below the old one's; it must not be taken for outdated.
     discovery.upsert_target(server.target_row("ready"));
     discovery.upsert_target(server.target_row("ready"));
     let new = Discovery::start(&[other.target_row("ready")]);
     (server, other, discovery, new, proxy)
 }
 
-/// The old address was given in the environment too; the file is newer.
+/// The old address is set in the environment too; the file takes precedence because it is newer.
 #[test]
-fn the_new_address_is_asked_for_the_whole_list() {
-    let (server, other, _old, new, proxy) = two_discoveries();
-    // Lists that differ in nothing that is in use are no news to those who use it.
+fn the_whole_list_is_requested_at_the_new_address() {
+    let (server, other, _old, new, proxy) = start_with_two_discoveries();
+    // Clients notice no difference between lists that agree on the servers in use.
     new.upsert_target(server.target_row("ready"));
     let (mut client, mut conn) = proxy.up(&server);
-    proxy.reload(to(new.addr));
+    proxy.reload(with_discovery(new.addr));
     let calls = new.wait_for_requests(2);
     assert_eq!(calls[0].1, "/registry/instances");
     assert!(calls[1].1.contains("after=2&"), "{}", calls[1].1);
@@ -50,7 +51,7 @@
     assert_eq!(conn.read_line(), "SAY on");
     conn.send_line("OK on");
     assert_eq!(client.read_line(), "OK on");
-    // Changes are heard there from now on.
+    // Changes are received from the new discovery from now on.
     new.upsert_target(server.target_row("draining"));
     assert_eq!(client.read_line(), "MOVE");
     let mut client = proxy.open("watch");
@@ -58,7 +59,7 @@
     assert_eq!(client.read_line(), "UP 2");
 }
 
-/// The old address closes soon: a watch that stays there would hear nothing more, and no error.
+/// The old address is shut down soon; a watch left there would receive neither changes nor an error.
 #[test]
 fn the_old_connection_and_its_watch_end_at_once() {
     let server = Server::start("s-1");
@@ -66,41 +67,45 @@
     let old = TcpListener::bind("127.0.0.1:0").unwrap();
     let proxy = Proxy::launch(old.local_addr().unwrap(), |_| {});
     let mut peer = LineConnection::new(old.accept().unwrap().0);
-    assert_eq!(call(&mut peer), "/registry/instances");
+    assert_eq!(read_call_path(&mut peer), "/registry/instances");
     let body = json!({"rev": 7, "all": true, "targets": [server.target_row("ready")]}).to_string();
     let length = body.len();
     peer.send_bytes(
         format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}").as_bytes(),
     );
-    assert!(call(&mut peer).contains("after=7&"));
-    let at = Instant::now();
-    proxy.reload(to(new.addr));
+    assert!(read_call_path(&mut peer).contains("after=7&"));
+    let reloaded_at = Instant::now();
+    proxy.reload(with_discovery(new.addr));
     assert!(matches!(
         peer.try_read_line(),
         Err(ConnectionEnd::Closed | ConnectionEnd::Reset)
     ));
-    assert!(at.elapsed() < Duration::from_secs(1));
+    assert!(reloaded_at.elapsed() < Duration::from_secs(1));
     assert_eq!(new.wait_for_requests(1)[0].1, "/registry/instances");
-    // Nobody comes back to the old one.
+    // The proxy does not connect to the old address again.
     old.set_nonblocking(true).unwrap();
     new.wait_for_requests(2);
     assert!(old.accept().is_err());
 }
 
-/// A back-off that had grown long at the old address must not delay the first call at the new one,
-/// and failures there at first must not let it grow past the time that a reload has.
+/// A backoff that had grown long at the old address must not delay the first call at the new one, and early failures
+/// there must not let it grow beyond the time allowed for a reload.
 #[test]
-fn a_new_address_that_is_slow_at_first_is_asked_again_in_time() {
-    for mood in [DiscoveryMode::Refuses, DiscoveryMode::Resets] {
-        let (_server, other, old, new, proxy) = two_discoveries();
+fn a_new_address_that_fails_at_first_is_retried_in_time() {
+    for mode in [DiscoveryMode::Refuses, DiscoveryMode::Resets] {
+        let (_server, other, old, new, proxy) = start_with_two_discoveries();
         let before = old.wait_for_requests(2).len();
         old.set_mode(DiscoveryMode::Refuses);
         old.wait_for_requests(before + 4);
-        new.set_mode(mood);
-        let at = Instant::now();
-        proxy.reload(to(new.addr));
+        new.set_mode(mode);
+        let reloaded_at = Instant::now();
+        proxy.reload(with_discovery(new.addr));
         let first = new.wait_for_requests(1)[0].0;
-        assert!(first - at < Duration::from_secs(1), "{:?}", first - at);
+        assert!(
+            first - reloaded_at < Duration::from_secs(1),
+            "{:?}",
+            first - reloaded_at
+        );
         new.wait_for_requests(6);
         new.set_mode(DiscoveryMode::Works);
         // The call after the first good answer is a watch.
@@ -111,7 +116,11 @@
         {
             new.wait_for_requests(new.wait_for_requests(0).len() + 1);
         }
-        assert!(at.elapsed() < TOLD, "{mood:?} {:?}", at.elapsed());
+        assert!(
+            reloaded_at.elapsed() < DELIVERY_DEADLINE,
+            "{mode:?} {:?}",
+            reloaded_at.elapsed()
+        );
         let mut client = proxy.open("watch");
         other.next_open().1.send_line("UP 3");
         assert_eq!(client.read_line(), "UP 3");
@@ -119,36 +128,40 @@
 }
 
 #[test]
-fn a_bad_file_leaves_all_as_it_was() {
-    let (server, other, old, new, proxy) = two_discoveries();
-    let good = proxy.config_text();
-    let bad = [
+fn an_invalid_file_leaves_the_configuration_unchanged() {
+    let (server, other, old, new, proxy) = start_with_two_discoveries();
+    let valid = proxy.config_text();
+    let invalid = [
         "",
         "{",
         "[]",
-        &good.replace("\"seed\"", "\"sead\""),
-        &good.replace("\"pure\"", "\"often\""),
-        &good.replace(&old.addr.to_string(), "nowhere"),
+        &valid.replace("\"seed\"", "\"sead\""),
+        &valid.replace("\"pure\"", "\"often\""),
+        &valid.replace(&old.addr.to_string(), "nowhere"),
     ];
-    for (number, text) in bad.into_iter().enumerate() {
+    for (number, text) in invalid.into_iter().enumerate() {
         proxy.reload_text(text);
-        let told = "the configuration stays as it was";
+        let message = "the configuration stays as it was";
         let until = Instant::now() + Duration::from_secs(10);
-        while proxy.log().matches(told).count() <= number {
+        while proxy.log().matches(message).count() <= number {
             assert!(
                 Instant::now() < until,
-                "bad file {number}:\n{}",
+                "invalid file {number}:\n{}",
                 proxy.log()
             );
             assert!(proxy.answers_ping());
         }
         proxy.up(&server);
     }
-    // The old watch goes on as if nothing had been.
-    let seen = old.wait_for_requests(1).len();
+    // The old watch continues unaffected.
+    let calls_before = old.wait_for_requests(1).len();
     old.upsert_target(server.target_row("ready"));
-    assert!(old.wait_for_requests(seen + 1)[seen].1.contains("after="));
-    proxy.reload_text(&good.replace(&old.addr.to_string(), &new.addr.to_string()));
+    assert!(
+        old.wait_for_requests(calls_before + 1)[calls_before]
+            .1
+            .contains("after=")
+    );
+    proxy.reload_text(&valid.replace(&old.addr.to_string(), &new.addr.to_string()));
     new.wait_for_requests(1);
     let mut client = proxy.open("watch");
     other.next_open().1.send_line("UP 2");
@@ -158,7 +171,7 @@
 #[test]
 fn the_same_address_keeps_its_watch_and_other_changes_are_named() {
     let (server, discovery, proxy) = one_server();
-    let seen = discovery.wait_for_requests(2).len();
+    let calls_before = discovery.wait_for_requests(2).len();
     proxy.reload(|config| {
         config["limits"]["sockets"] = json!(300);
         config["seed"] = json!("00000000000000ff");
@@ -166,18 +179,19 @@
     proxy.logged("these changes need a restart restart=[\"limits\"]");
     proxy.logged("moved=false");
     proxy.up(&server);
-    assert_eq!(discovery.wait_for_requests(0).len(), seen);
+    assert_eq!(discovery.wait_for_requests(0).len(), calls_before);
 }
 
-/// Signals while clients come and talk, faster than they can be served: none of them notices.
+/// SIGHUPs in quick succession, faster than they can be handled, while clients connect and exchange lines: no client is
+/// affected.
 #[test]
-fn reloads_in_a_row_under_load_lose_nothing() {
+fn consecutive_reloads_under_load_lose_no_line() {
     let server = Server::start("s-1");
     let discoveries = [0, 1].map(|_| Discovery::start(&[server.target_row("ready")]));
     let mut proxy = Proxy::start_roomy(&discoveries[0]);
     let mut pairs: Vec<(LineConnection, LineConnection)> = Vec::new();
-    for turn in 0..20 {
-        proxy.reload(to(discoveries[turn % 2].addr));
+    for round in 0..20 {
+        proxy.reload(with_discovery(discoveries[round % 2].addr));
         let mut client = proxy.open("watch");
         proxy.signal("-HUP");
         let (_, mut conn) = server.next_open();
@@ -192,23 +206,23 @@
         }
     }
     assert!(proxy.alive());
-    // The last one named is the one that is watched.
+    // The proxy watches the discovery that was configured last.
     let last = &discoveries[1];
-    let seen = last.wait_for_requests(1).len();
+    let calls_before = last.wait_for_requests(1).len();
     last.upsert_target(server.target_row("draining"));
-    last.wait_for_requests(seen + 1);
+    last.wait_for_requests(calls_before + 1);
     for (client, _) in &mut pairs {
         assert_eq!(client.read_line(), "MOVE");
     }
 }
 
 #[test]
-fn a_reload_during_a_shutdown_changes_nothing_of_it() {
-    let (server, _other, _old, new, mut proxy) = two_discoveries();
+fn a_reload_does_not_affect_a_shutdown_in_progress() {
+    let (server, _other, _old, new, mut proxy) = start_with_two_discoveries();
     let (mut client, _conn) = proxy.up(&server);
     proxy.signal("-TERM");
     proxy.logged("told to end");
-    proxy.reload(to(new.addr));
+    proxy.reload(with_discovery(new.addr));
     proxy.signal("-HUP");
     assert_eq!(client.read_line(), "MOVE");
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
@@ -219,13 +233,13 @@
     json!({"name": name, "idempotency": effect, "deadline-s": 2.0, "target-s": 0.4, "credit": 1.0})
 }
 
-/// A class that appears is served within 1.2 s, one that vanishes is none, and connections go on.
+/// An added class is served within 1.2 s, requests of a removed class are rejected, and connections continue.
 #[test]
-fn classes_appear_and_vanish_while_connections_go_on() {
+fn classes_are_added_and_removed_while_connections_continue() {
     let (server, _discovery, proxy) = one_server();
     let (mut client, mut conn) = proxy.up(&server);
     assert_eq!(proxy.open("new").read_line(), "ERR");
-    let at = Instant::now();
+    let reloaded_at = Instant::now();
     proxy.reload(|config| {
         let classes = json!([class("new", "side_effect"), class("book", "side_effect")]);
         config["settings"]["request-classes"] = classes;
@@ -239,7 +253,7 @@
             assert_eq!(new.read_line(), "UP 1");
             break (new, conn);
         }
-        assert!(at.elapsed() < Duration::from_millis(1200));
+        assert!(reloaded_at.elapsed() < Duration::from_millis(1200));
     };
     assert_eq!(proxy.open("watch").read_line(), "ERR");
     for (client, conn) in [(&mut client, &mut conn), (&mut new.0, &mut new.1)] {
@@ -250,12 +264,12 @@
     }
 }
 
-/// Whole or not at all: with a key missing, or a figure that is none, the address of discovery in the same
-/// file must not be taken either, and the log says which key it was.
+/// A file is applied completely or not at all: with a missing key or an invalid number, the discovery address in the
+/// same file must not be applied either, and the log names the key.
 #[test]
-fn a_file_with_one_fault_is_turned_down_whole() {
-    let (server, other, old, new, proxy) = two_discoveries();
-    let good: Value = serde_json::from_str(&proxy.config_text()).unwrap();
+fn a_file_with_one_fault_is_rejected_as_a_whole() {
+    let (server, other, old, new, proxy) = start_with_two_discoveries();
+    let valid: Value = serde_json::from_str(&proxy.config_text()).unwrap();
     let deadline = "/settings/request-classes/1/deadline-s";
     let attempts = "/settings/permissions/max-attempts";
     let faults = [
@@ -274,7 +288,7 @@
         ("/discovery", None),
     ];
     for (number, (path, value)) in faults.into_iter().enumerate() {
-        let mut config = good.clone();
+        let mut config = valid.clone();
         config["discovery"] = json!(new.addr.to_string());
         let (parent, key) = path.rsplit_once('/').unwrap();
         let parent = config.pointer_mut(parent).unwrap();
@@ -284,31 +298,35 @@
         }
         proxy.reload_text(&config.to_string());
         let until = Instant::now() + Duration::from_secs(5);
-        let told = || -> Vec<String> {
+        let rejections = || -> Vec<String> {
             let log = proxy.log();
             let lines = log.lines().filter(|line| line.contains("stays as it was"));
             lines.map(str::to_string).collect()
         };
-        while told().len() <= number {
+        while rejections().len() <= number {
             assert!(Instant::now() < until, "{path}:\n{}", proxy.log());
             std::thread::sleep(Duration::from_millis(2));
         }
-        assert!(told()[number].contains(key), "{path}: {}", told()[number]);
+        assert!(
+            rejections()[number].contains(key),
+            "{path}: {}",
+            rejections()[number]
+        );
     }
     proxy.up(&server);
     assert!(new.wait_for_requests(0).is_empty());
     assert!(old.wait_for_requests(1).len() > 1);
-    // Good again after bad: all of it holds.
-    proxy.reload(to(new.addr));
+    // A valid file after the invalid ones is applied completely.
+    proxy.reload(with_discovery(new.addr));
     new.wait_for_requests(1);
     let mut client = proxy.open("watch");
     other.next_open().1.send_line("UP 2");
     assert_eq!(client.read_line(), "UP 2");
 }
 
-/// Fewer attempts, from the next one on.
+/// A lower limit on attempts applies from the next attempt on.
 #[test]
-fn fewer_attempts_hold_at_once() {
+fn a_lower_attempt_limit_applies_at_once() {
     let servers = ["s-1", "s-2", "s-3"].map(Server::start);
     let targets = servers.each_ref().map(|s| s.target_row("ready"));
     let discovery = Discovery::start(&targets);
--- a/crates/proxy/tests/service.rs
+++ b/crates/proxy/tests/service.rs
@@ -1,4 +1,4 @@
-//! The operators' address on sockets: calls, bans, leaving and coming back.
+//! The operators' address over sockets: calls, bans, `LEAVE` and `JOIN`.
 
 mod common;
 
@@ -8,7 +8,8 @@
 use common::{ConnectionEnd, Discovery, LineConnection, Pingable, Proxy, Server, without_loads};
 use serde_json::json;
 
-fn managed(servers: &[&Server]) -> (Discovery, Proxy) {
+/// Starts a managed proxy for the given servers.
+fn start_managed(servers: &[&Server]) -> (Discovery, Proxy) {
     let targets: Vec<_> = servers.iter().map(|s| s.target_row("ready")).collect();
     let discovery = Discovery::start(&targets);
     let proxy = Proxy::managed(&discovery, without_loads);
@@ -16,9 +17,9 @@
 }
 
 #[test]
-fn calls_are_answered_and_bad_ones_get_a_clear_no() {
+fn calls_are_answered_and_invalid_ones_rejected() {
     let server = Server::start("s-1");
-    let (_discovery, proxy) = managed(&[&server]);
+    let (_discovery, proxy) = start_managed(&[&server]);
     assert!(proxy.yes("HEALTH").contains("1 servers"));
     for line in [
         "",
@@ -30,54 +31,56 @@
     ] {
         proxy.no(line);
     }
-    let at = proxy.management.unwrap();
-    // LF alone, pieces of one byte, and more behind the line.
-    let mut caller = LineConnection::connect(at);
+    let addr = proxy.management.unwrap();
+    // A line that ends with LF alone, sent byte by byte, with more bytes after it.
+    let mut caller = LineConnection::connect(addr);
     for byte in b"HEALTH\nHEALTH\r\n" {
         caller.send_bytes(&[*byte]);
     }
     assert!(caller.read_line().starts_with("200 "));
-    let mut caller = LineConnection::connect(at);
+    let mut caller = LineConnection::connect(addr);
     caller.send_bytes(b"\xff\xfe\r\n");
     assert!(caller.read_line().starts_with("400 "));
-    // A line without end is cut off.
-    let mut caller = LineConnection::connect(at);
+    // An endless line is cut off.
+    let mut caller = LineConnection::connect(addr);
     caller.send_until_blocked(&vec![b'x'; 4 << 20], Duration::from_secs(2));
     assert!(matches!(
         caller.try_read_line(),
         Ok(_) | Err(ConnectionEnd::Reset)
     ));
-    // The clients' address knows no calls.
+    // The clients' address accepts no operator calls.
     let mut client = LineConnection::connect(proxy.addr);
     client.send_line("HEALTH");
     assert_eq!(client.read_line(), "ERR");
 }
 
-/// Half a call and a close does nothing; neither do hundreds who say nothing keep the others waiting.
+/// Half a call followed by a close has no effect, and hundreds of silent connections do not delay other calls.
 #[test]
-fn silent_callers_and_half_calls_keep_nobody_waiting() {
+fn silent_and_partial_calls_do_not_delay_others() {
     let server = Server::start("s-1");
-    let (_discovery, proxy) = managed(&[&server]);
-    let at = proxy.management.unwrap();
-    let mut half = LineConnection::connect(at);
-    half.send_bytes(b"LEAVE");
-    half.half_close();
-    assert!(half.try_read_line().is_err());
-    let held: Vec<TcpStream> = (0..300).map(|_| TcpStream::connect(at).unwrap()).collect();
+    let (_discovery, proxy) = start_managed(&[&server]);
+    let addr = proxy.management.unwrap();
+    let mut partial_caller = LineConnection::connect(addr);
+    partial_caller.send_bytes(b"LEAVE");
+    partial_caller.half_close();
+    assert!(partial_caller.try_read_line().is_err());
+    let silent: Vec<TcpStream> = (0..300)
+        .map(|_| TcpStream::connect(addr).unwrap())
+        .collect();
     for _ in 0..5 {
-        let asked = Instant::now();
+        let called_at = Instant::now();
         proxy.yes("HEALTH");
         assert!(
-            asked.elapsed() < Duration::from_secs(1),
+            called_at.elapsed() < Duration::from_secs(1),
             "{:?}",
-            asked.elapsed()
+            called_at.elapsed()
         );
     }
-    drop(held);
+    drop(silent);
     assert!(proxy.answers_ping());
 }
 
-/// A proxy whose descriptors for requests are all taken answers its operators.
+/// A proxy whose descriptors for requests are all in use still answers its operators.
 #[test]
 fn a_full_proxy_answers_its_operators() {
     let server = Server::start("s-1");
@@ -103,12 +106,12 @@
 }
 
 #[test]
-fn a_banned_server_gets_nothing_until_it_is_called_back() {
+fn a_banned_server_gets_no_request_until_the_ban_is_lifted() {
     let servers = ["s-1", "s-2"].map(Server::start);
-    let (discovery, proxy) = managed(&[&servers[0], &servers[1]]);
+    let (discovery, proxy) = start_managed(&[&servers[0], &servers[1]]);
     proxy.yes("OFFLINE s-1");
     proxy.yes("OFFLINE s-1");
-    // Discovery goes on calling it ready, drops it and lists it again.
+    // Discovery lists the server as ready again, removes it and lists it once more.
     discovery.upsert_target(servers[0].target_row("ready"));
     discovery.remove_target("s-1");
     discovery.upsert_target(servers[0].target_row("ready"));
@@ -119,7 +122,7 @@
     proxy.yes("ONLINE s-1");
     let until = Instant::now() + Duration::from_secs(5);
     while servers[0].no_pending_open() {
-        assert!(Instant::now() < until, "unused for 5 s");
+        assert!(Instant::now() < until, "the server got no request for 5 s");
         let mut client = proxy.open("watch");
         if let Some((_, mut conn)) = servers[1].next_open_unless(|| !servers[0].no_pending_open()) {
             conn.send_line("UP 2");
@@ -130,11 +133,11 @@
     }
 }
 
-/// What is on disk when the answer comes is what a process finds that starts there.
+/// A ban is on disk by the time its call is answered, so that a process started in the same directory applies it.
 #[test]
-fn a_ban_is_on_disk_with_the_yes_and_a_bad_file_counts_as_none() {
+fn a_ban_is_persisted_before_the_answer_and_a_corrupt_file_is_ignored() {
     let servers = ["s-1", "s-2"].map(Server::start);
-    let (discovery, mut proxy) = managed(&[&servers[0], &servers[1]]);
+    let (discovery, mut proxy) = start_managed(&[&servers[0], &servers[1]]);
     proxy.yes("OFFLINE s-1");
     proxy.signal("-KILL");
     proxy.ended();
@@ -158,22 +161,23 @@
 }
 
 #[test]
-fn a_left_proxy_says_no_moves_all_and_comes_back_at_once() {
+fn a_proxy_that_left_rejects_and_moves_clients_and_rejoins_at_once() {
     let server = Server::start("s-1");
-    let (_discovery, proxy) = managed(&[&server]);
+    let (_discovery, proxy) = start_managed(&[&server]);
     let mut pairs: Vec<(LineConnection, LineConnection)> =
         (0..20).map(|_| proxy.up(&server)).collect();
-    let at = Instant::now();
+    let left_at = Instant::now();
     proxy.yes("LEAVE");
     assert!(!proxy.answers_ping());
     assert!(proxy.yes("HEALTH").contains("left"));
-    // The front needs a moment: who comes until then is served, and moved with the others.
+    // The front load balancer reacts with a delay: clients that arrive until then are served, and moved with the
+    // others.
     pairs.push(proxy.up(&server));
     let mut moved = Vec::new();
     for (client, _conn) in pairs.iter_mut().rev() {
         assert_eq!(client.read_line(), "MOVE");
         assert_eq!(client.expect_end(), ConnectionEnd::Closed);
-        moved.push(at.elapsed());
+        moved.push(left_at.elapsed());
     }
     let (first, last) = (moved[0], moved[moved.len() - 1]);
     assert!(last < Duration::from_millis(3900), "{last:?}");
@@ -181,19 +185,19 @@
         last - first > Duration::from_millis(1000),
         "{first:?} {last:?}"
     );
-    // Turned away at once, and harmless to repeat.
-    let asked = Instant::now();
+    // New clients are rejected at once with an answer that makes a retry safe.
+    let sent_at = Instant::now();
     assert!(proxy.open("book").read_line().starts_with("BUSY"));
-    assert!(asked.elapsed() < Duration::from_millis(500));
+    assert!(sent_at.elapsed() < Duration::from_millis(500));
     proxy.yes("JOIN");
     assert!(proxy.answers_ping());
     proxy.up(&server);
 }
 
 #[test]
-fn a_left_proxy_takes_signals_as_any_other() {
+fn a_proxy_that_left_still_handles_signals() {
     let server = Server::start("s-1");
-    let (_discovery, mut proxy) = managed(&[&server]);
+    let (_discovery, mut proxy) = start_managed(&[&server]);
     let (mut client, _conn) = proxy.up(&server);
     proxy.yes("LEAVE");
     proxy.signal("-HUP");
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned restart: SIGTERM, then SIGKILL no sooner than the longest deadline and 0.7 s later.
+//! Planned restart: SIGTERM, then SIGKILL no sooner than the longest deadline plus 0.7 s.
 
 mod common;
 
@@ -6,32 +6,36 @@
 
 use common::{ConnectionEnd, Discovery, LineConnection, Pingable, Proxy, Server, one_server};
 
-/// The longest deadline of the test's settings, and what the operators give beyond.
-const KILLED: Duration = Duration::from_millis(2700);
+/// The longest deadline of the test's settings (2 s) plus the 0.7 s that operators add before SIGKILL.
+const KILL_DELAY: Duration = Duration::from_millis(2700);
 
 #[test]
-fn every_client_is_moved_in_time_and_the_program_ends_well() {
+fn every_client_is_moved_in_time_and_the_exit_status_is_success() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
     let mut proxy = Proxy::start_roomy(&discovery);
     let mut pairs: Vec<(LineConnection, LineConnection)> =
         (0..20).map(|_| proxy.up(&server)).collect();
-    let at = Instant::now();
+    let signalled_at = Instant::now();
     proxy.signal("-TERM");
     proxy.logged("told to end");
-    // Connections go on coming for a while, and are served.
+    // New connections keep arriving for a while and are served.
     assert!(proxy.answers_ping());
     pairs.push(proxy.up(&server));
     let mut moved = Vec::new();
-    // The last to come are the first to be moved.
+    // The newest connections are moved first.
     for (client, _conn) in pairs.iter_mut().rev() {
         assert_eq!(client.read_line(), "MOVE");
         assert_eq!(client.expect_end(), ConnectionEnd::Closed);
-        moved.push(at.elapsed());
+        moved.push(signalled_at.elapsed());
     }
     assert!(proxy.ended().success());
-    assert!(at.elapsed() < KILLED, "{:?}", at.elapsed());
-    // Spread, not all at once: they come to the others one by one.
+    assert!(
+        signalled_at.elapsed() < KILL_DELAY,
+        "{:?}",
+        signalled_at.elapsed()
+    );
+    // Moves are spread over time, so that the clients do not all reach the other proxies at once.
     let (first, last) = (moved[0], moved[moved.len() - 1]);
     assert!(
         last - first > Duration::from_millis(500),
@@ -40,54 +44,59 @@
 }
 
 #[test]
-fn what_is_owed_at_the_end_is_answered() {
+fn pending_requests_are_answered_during_shutdown() {
     let (server, _discovery, mut proxy) = one_server();
     let mut served = proxy.open("watch");
-    let (_, mut late) = server.next_open();
+    let (_, mut late_conn) = server.next_open();
     let mut silent = proxy.open("book");
-    let (_, _never) = server.next_open();
-    let at = Instant::now();
+    let (_, _unanswered) = server.next_open();
+    let signalled_at = Instant::now();
     proxy.signal("-TERM");
     proxy.logged("told to end");
-    late.send_line("UP 9");
+    late_conn.send_line("UP 9");
     assert_eq!(served.read_line(), "UP 9");
     assert_eq!(served.read_line(), "MOVE");
     assert_eq!(silent.read_line(), "ERR");
     assert!(proxy.ended().success());
-    assert!(at.elapsed() < KILLED, "{:?}", at.elapsed());
+    assert!(
+        signalled_at.elapsed() < KILL_DELAY,
+        "{:?}",
+        signalled_at.elapsed()
+    );
 }
 
-/// The front notices late: with nothing owed the program must not be gone while clients still come.
+/// The front load balancer reacts late: even without pending requests the process must not exit while clients still
+/// arrive.
 #[test]
-fn clients_that_come_up_to_0_4_s_later_are_served_and_moved() {
+fn clients_that_arrive_up_to_0_4_s_after_sigterm_are_served_and_moved() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
     let mut proxy = Proxy::start_roomy(&discovery);
     proxy.signal("-TERM");
     proxy.logged("told to end");
-    let at = Instant::now();
-    let mut came = Vec::new();
-    while at.elapsed() < Duration::from_millis(400) {
-        came.push(proxy.up(&server));
+    let start = Instant::now();
+    let mut arrived = Vec::new();
+    while start.elapsed() < Duration::from_millis(400) {
+        arrived.push(proxy.up(&server));
         std::thread::sleep(Duration::from_millis(40));
     }
-    for (client, _conn) in &mut came {
+    for (client, _conn) in &mut arrived {
         assert_eq!(client.read_line(), "MOVE");
         assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     }
     assert!(proxy.ended().success());
-    assert!(at.elapsed() < KILLED, "{:?}", at.elapsed());
+    assert!(start.elapsed() < KILL_DELAY, "{:?}", start.elapsed());
 }
 
 #[test]
-fn with_nothing_owed_it_ends_soon() {
+fn without_pending_requests_the_process_ends_soon() {
     let (_server, _discovery, mut proxy) = one_server();
-    let at = Instant::now();
+    let signalled_at = Instant::now();
     proxy.signal("-TERM");
     assert!(proxy.ended().success());
     assert!(
-        at.elapsed() < Duration::from_millis(1500),
+        signalled_at.elapsed() < Duration::from_millis(1500),
         "{:?}",
-        at.elapsed()
+        signalled_at.elapsed()
     );
 }
--- a/crates/proxy/tests/soak.rs
+++ b/crates/proxy/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak by a few fixed seeds; the long one is `violetwind-lab soak`.
+//! A short soak test with a few fixed seeds; the long one is `violetwind-lab soak`.
 
 use std::path::Path;
 use std::thread;
@@ -8,22 +8,24 @@
 use violetwind_standins::soak::runner::run_script;
 
 const SEEDS: [u64; 8] = [1, 2, 3, 4, 5, 6, 7, 8];
-const AT_ONCE: usize = 4;
-const LASTS: Duration = Duration::from_secs(8);
+const PARALLEL_RUNS: usize = 4;
+const RUN_DURATION: Duration = Duration::from_secs(8);
 
 #[test]
-fn no_clause_is_broken_in_a_short_soak() {
+fn a_short_soak_has_no_violations() {
     let program = Path::new(env!("CARGO_BIN_EXE_violetwind"));
     let dir = std::env::temp_dir().join(format!("violetwind-soak-{}", std::process::id()));
-    let mut broken = Vec::new();
-    for seeds in SEEDS.chunks(AT_ONCE) {
+    let mut violations = Vec::new();
+    for seeds in SEEDS.chunks(PARALLEL_RUNS) {
         thread::scope(|scope| {
             let runs: Vec<_> = seeds
                 .iter()
                 .map(|seed| {
                     (
                         *seed,
-                        scope.spawn(|| run_script(program, &dir, &Script::from_seed(*seed, LASTS))),
+                        scope.spawn(|| {
+                            run_script(program, &dir, &Script::from_seed(*seed, RUN_DURATION))
+                        }),
                     )
                 })
                 .collect();
@@ -33,7 +35,7 @@
                     report.asked > 300 && report.served > 0,
                     "seed {seed}: {report:?}"
                 );
-                broken.extend(
+                violations.extend(
                     report
                         .violations
                         .iter()
@@ -43,10 +45,10 @@
         });
     }
     assert!(
-        broken.is_empty(),
+        violations.is_empty(),
         "logs are in {}:\n{}",
         dir.display(),
-        broken.join("\n")
+        violations.join("\n")
     );
     let _ = std::fs::remove_dir_all(&dir);
 }
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -1,5 +1,6 @@
-//! System calls that fail in the ways that Linux documents, under steady traffic: every request is judged by its client
-//! and by the servers that it reached. The faults are put into the one process by `violetwind-faults`.
+//! System calls that fail in the ways that Linux documents, under steady traffic: every request is checked against the
+//! records of its client and of the servers that it reached. `violetwind-faults` injects the faults into the proxy's
+//! process.
 
 mod common;
 
@@ -15,10 +16,10 @@
 };
 
 const SERVERS: usize = 6;
-/// Between two clients: about 120 a second.
-const EACH: Duration = Duration::from_millis(8);
+/// Interval between two clients: about 120 clients a second.
+const CLIENT_INTERVAL: Duration = Duration::from_millis(8);
 
-fn terms() -> CheckSettings {
+fn check_settings() -> CheckSettings {
     CheckSettings {
         idempotency_by_class: BTreeMap::from([
             ("watch".into(), Idempotency::Pure),
@@ -33,7 +34,7 @@
     }
 }
 
-fn servers() -> Vec<SoakServer> {
+fn start_servers() -> Vec<SoakServer> {
     (1..=SERVERS)
         .map(|number| SoakServer::start(&format!("s-{number}"), 400))
         .collect()
@@ -55,17 +56,17 @@
     }
 }
 
-struct World {
+struct Setup {
     servers: Vec<SoakServer>,
     proxy: Proxy,
     start: Instant,
     _discovery: Discovery,
 }
 
-impl World {
-    /// A proxy that serves, by the servers' loads or without them; then it meets the faults.
+impl Setup {
+    /// Starts a proxy, with load reports or without them, and injects the faults once it is ready.
     fn start(rules: &str, loads: bool) -> Self {
-        let servers = servers();
+        let servers = start_servers();
         let targets: Vec<_> = servers
             .iter()
             .map(|server| server.target_row("ready", 0))
@@ -87,74 +88,75 @@
         }
     }
 
-    /// Traffic for so long; what broke a clause.
-    fn play(&self, lasts: Duration) -> (Vec<RequestRecord>, Vec<String>) {
-        let traffic = Traffic::start(self.proxy.addr, EACH, 1, behaviour);
-        thread::sleep(lasts);
-        let accounts = traffic.finish();
-        let broken = self.judge(&accounts);
-        (accounts, broken)
+    /// Runs traffic for the given time and returns its records and the violations found.
+    fn run_traffic(&self, duration: Duration) -> (Vec<RequestRecord>, Vec<String>) {
+        let traffic = Traffic::start(self.proxy.addr, CLIENT_INTERVAL, 1, behaviour);
+        thread::sleep(duration);
+        let records = traffic.finish();
+        let violations = self.find_violations(&records);
+        (records, violations)
     }
 
-    fn judge(&self, accounts: &[RequestRecord]) -> Vec<String> {
-        let arrivals = self.servers.iter().flat_map(SoakServer::attempts).collect();
-        let evidence = RunRecord {
-            requests: accounts.to_vec(),
-            attempts: arrivals,
+    fn find_violations(&self, records: &[RequestRecord]) -> Vec<String> {
+        let attempts = self.servers.iter().flat_map(SoakServer::attempts).collect();
+        let run_record = RunRecord {
+            requests: records.to_vec(),
+            attempts,
             ..RunRecord::default()
         };
-        check_run(&terms(), &evidence, self.start)
+        check_run(&check_settings(), &run_record, self.start)
     }
 }
 
-fn holds_under(rules: &str) -> Vec<RequestRecord> {
-    let world = World::start(rules, false);
-    let (accounts, broken) = world.play(Duration::from_secs(4));
+/// Runs traffic under the fault rules, asserts that no term is violated, and returns the records.
+fn assert_no_violations(rules: &str) -> Vec<RequestRecord> {
+    let setup = Setup::start(rules, false);
+    let (records, violations) = setup.run_traffic(Duration::from_secs(4));
     assert!(
-        broken.is_empty(),
+        violations.is_empty(),
         "{} of {} requests under `{rules}`:\n{}",
-        broken.len(),
-        accounts.len(),
-        broken.join("\n")
+        violations.len(),
+        records.len(),
+        violations.join("\n")
     );
-    accounts
+    records
 }
 
-fn served(accounts: &[RequestRecord]) -> usize {
-    accounts
+fn served_count(records: &[RequestRecord]) -> usize {
+    records
         .iter()
-        .filter(|account| account.outcome == RequestOutcome::Up)
+        .filter(|record| record.outcome == RequestOutcome::Up)
         .count()
 }
 
 #[test]
 fn no_request_is_lost_without_faults() {
-    let accounts = holds_under("");
-    assert!(served(&accounts) * 10 > accounts.len() * 9);
+    let records = assert_no_violations("");
+    assert!(served_count(&records) * 10 > records.len() * 9);
 }
 
 #[test]
 fn no_request_is_lost_when_reads_are_interrupted() {
-    let accounts = holds_under("fail recv EINTR 30");
-    assert!(served(&accounts) * 10 > accounts.len() * 9);
+    let records = assert_no_violations("fail recv EINTR 30");
+    assert!(served_count(&records) * 10 > records.len() * 9);
 }
 
 #[test]
 fn no_request_is_lost_when_writes_are_interrupted() {
-    let accounts = holds_under("fail send EINTR 30");
-    assert!(served(&accounts) * 10 > accounts.len() * 9);
+    let records = assert_no_violations("fail send EINTR 30");
+    assert!(served_count(&records) * 10 > records.len() * 9);
 }
 
 #[test]
 fn no_request_is_lost_when_writes_are_short() {
-    let accounts = holds_under("short send 7 500\nshort writev 7 500");
-    assert!(served(&accounts) * 10 > accounts.len() * 9);
+    let records = assert_no_violations("short send 7 500\nshort writev 7 500");
+    assert!(served_count(&records) * 10 > records.len() * 9);
 }
 
 #[test]
 fn no_request_is_lost_when_reads_are_short() {
-    let accounts = holds_under("short recv 5 600");
-    assert!(served(&accounts) * 10 > accounts.len() * 9);
+    let records = assert_no_violations("short recv 5 600");
+    assert!(served_count(&records) * 10 > records.len() * 9);
 }
 
 #[test]
@@ -167,7 +169,7 @@
         "ENOMEM",
         "ENOBUFS",
     ] {
-        holds_under(&format!("fail accept4 {error} 200"));
+        assert_no_violations(&format!("fail accept4 {error} 200"));
     }
 }
 
@@ -180,68 +182,68 @@
         "ETIMEDOUT",
         "EHOSTUNREACH",
     ] {
-        holds_under(&format!("fail connect {error} 150"));
+        assert_no_violations(&format!("fail connect {error} 150"));
     }
 }
 
 #[test]
-fn waits_may_be_interrupted() {
-    holds_under("fail epoll_wait EINTR 300");
+fn no_request_is_lost_when_waits_are_interrupted() {
+    assert_no_violations("fail epoll_wait EINTR 300");
 }
 
-/// A shortage of the proxy's own machine says nothing about any server.
+/// A shortage of resources on the proxy's own machine must not count as a failure of any server.
 #[test]
-fn an_own_shortage_of_sockets_blames_no_server() {
+fn a_local_shortage_of_sockets_is_not_counted_against_servers() {
     for rules in [
         "fail socket ENOBUFS 1000",
         "fail socket ENFILE 1000",
         "fail connect EADDRNOTAVAIL 1000",
     ] {
-        let world = World::start("", true);
-        let traffic = Traffic::start(world.proxy.addr, EACH, 1, behaviour);
+        let setup = Setup::start("", true);
+        let traffic = Traffic::start(setup.proxy.addr, CLIENT_INTERVAL, 1, behaviour);
         thread::sleep(Duration::from_secs(1));
-        // The end of a shortage comes well within the deadlines of those who came at its beginning.
-        world.proxy.set_faults(rules);
+        // The shortage ends well within the deadlines of the clients that arrived at its beginning.
+        setup.proxy.set_faults(rules);
         thread::sleep(Duration::from_secs(1));
-        world.proxy.set_faults("");
-        let over = Instant::now();
+        setup.proxy.set_faults("");
+        let shortage_end = Instant::now();
         thread::sleep(Duration::from_secs(3));
-        let accounts = traffic.finish();
-        let broken = world.judge(&accounts);
-        assert!(broken.is_empty(), "{rules}:\n{}", broken.join("\n"));
-        // From half a second after the shortage on, each server has its part again.
-        let since = over + Duration::from_millis(500);
-        let each = world.servers.iter().map(|server| {
+        let records = traffic.finish();
+        let violations = setup.find_violations(&records);
+        assert!(violations.is_empty(), "{rules}:\n{}", violations.join("\n"));
+        // From half a second after the shortage on, each server gets its share again.
+        let measured_from = shortage_end + Duration::from_millis(500);
+        let counts = setup.servers.iter().map(|server| {
             server
                 .attempts()
                 .iter()
-                .filter(|arrival| arrival.received_at > since)
+                .filter(|arrival| arrival.received_at > measured_from)
                 .count()
         });
-        let each: Vec<usize> = each.collect();
-        let mean = each.iter().sum::<usize>() / each.len();
+        let counts: Vec<usize> = counts.collect();
+        let mean = counts.iter().sum::<usize>() / counts.len();
         assert!(
-            mean > 20 && each.iter().all(|count| *count * 3 > mean),
-            "{rules}: {each:?}"
+            mean > 20 && counts.iter().all(|count| *count * 3 > mean),
+            "{rules}: {counts:?}"
         );
     }
 }
 
-/// Servers fail in the middle of all this too.
+/// Servers fail while system calls are interrupted.
 #[test]
-fn servers_that_fail_and_interrupted_calls_together() {
-    let world = World::start(
+fn no_request_is_lost_when_servers_fail_and_calls_are_interrupted() {
+    let setup = Setup::start(
         "fail recv EINTR 30\nfail send EINTR 30\nshort send 5 200",
         false,
     );
-    world.servers[0].set_mode(ServerMode::Hang);
-    world.servers[1].set_mode(ServerMode::Reset);
-    world.servers[2].set_mode(ServerMode::Busy);
-    let (accounts, broken) = world.play(Duration::from_secs(4));
+    setup.servers[0].set_mode(ServerMode::Hang);
+    setup.servers[1].set_mode(ServerMode::Reset);
+    setup.servers[2].set_mode(ServerMode::Busy);
+    let (records, violations) = setup.run_traffic(Duration::from_secs(4));
     assert!(
-        broken.is_empty(),
+        violations.is_empty(),
         "of {}:\n{}",
-        accounts.len(),
-        broken.join("\n")
+        records.len(),
+        violations.join("\n")
     );
 }
--- a/crates/proxy/tests/troubles.rs
+++ b/crates/proxy/tests/troubles.rs
@@ -1,4 +1,4 @@
-//! Servers that vanish or leave, discovery that fails, and clients and servers that talk nonsense.
+//! Servers that vanish or drain, discovery that fails, and clients and servers that send invalid data.
 
 mod common;
 
@@ -10,24 +10,24 @@
 };
 use serde_json::json;
 
-/// A machine that vanished leaves its connections open: only lines without an answer tell.
+/// A machine that vanishes leaves its connections open: only unanswered lines reveal the failure.
 #[test]
 fn the_client_of_a_silent_server_is_moved_within_seven_seconds() {
     let (server, _discovery, proxy) = one_server();
-    let (mut idle, _kept) = proxy.up(&server);
+    let (mut idle, _idle_conn) = proxy.up(&server);
     let (mut client, conn) = proxy.up(&server);
     client.send_line("SAY one");
-    let at = Instant::now();
+    let sent_at = Instant::now();
     assert_eq!(client.read_line(), "MOVE");
-    assert!(at.elapsed() < Duration::from_millis(4800));
+    assert!(sent_at.elapsed() < Duration::from_millis(4800));
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     drop(conn);
-    // One that has nothing to say is not silent: it stays.
+    // A connection without unanswered lines does not count as silent and stays open.
     assert!(idle.is_quiet_for(Duration::from_millis(100)));
 }
 
 #[test]
-fn answered_lines_keep_a_connection_however_long() {
+fn a_connection_with_answered_lines_stays_open() {
     let (server, _discovery, proxy) = one_server();
     let (mut client, mut conn) = proxy.up(&server);
     let until = Instant::now() + Duration::from_secs(4);
@@ -40,14 +40,14 @@
     }
 }
 
-/// Connections on a server that leaves are told in time, and only between two whole lines.
+/// Clients of a draining server get `MOVE` in time, and only between two complete lines.
 #[test]
 fn clients_of_a_draining_server_are_moved_between_two_lines() {
     let (server, discovery, proxy) = one_server();
     let mut pairs: Vec<(LineConnection, LineConnection)> =
         (0..5).map(|_| proxy.up(&server)).collect();
-    let (mut split, mut theirs) = proxy.up(&server);
-    theirs.send_bytes(b"OK half a ");
+    let (mut mid_line_client, mut mid_line_conn) = proxy.up(&server);
+    mid_line_conn.send_bytes(b"OK half a ");
     discovery.upsert_target(server.target_row("draining"));
     for (client, conn) in &mut pairs {
         assert_eq!(client.read_line(), "MOVE");
@@ -57,18 +57,18 @@
             Err(ConnectionEnd::Closed | ConnectionEnd::Reset)
         ));
     }
-    theirs.send_bytes(b"line\r\n");
-    assert_eq!(split.read_line(), "OK half a line");
-    assert_eq!(split.read_line(), "MOVE");
-    // Nothing new goes there.
+    mid_line_conn.send_bytes(b"line\r\n");
+    assert_eq!(mid_line_client.read_line(), "OK half a line");
+    assert_eq!(mid_line_client.read_line(), "MOVE");
+    // The server gets no new request.
     let mut client = proxy.open_with("c=watch,d=300");
     assert!(client.read_line().starts_with("BUSY"));
     assert!(server.no_pending_open());
 }
 
-/// A draining server may itself send its clients away.
+/// A draining server may itself send `MOVE` to its clients.
 #[test]
-fn a_servers_own_move_is_passed_on() {
+fn a_servers_own_move_is_forwarded() {
     let (server, _discovery, proxy) = one_server();
     let (mut client, mut conn) = proxy.up(&server);
     conn.send_line("MOVE");
@@ -77,7 +77,8 @@
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
-/// The module's moves reach the client as lines: a load past the threshold with room elsewhere.
+/// A move decided by the decision module reaches the client as a line: here for a load above the threshold while
+/// another server has capacity.
 #[test]
 fn a_client_is_moved_off_a_server_whose_load_passes_the_threshold() {
     let (server, discovery, proxy) = one_server();
@@ -95,9 +96,9 @@
 fn a_watch_is_followed_at_once_by_the_next() {
     let (server, discovery, _proxy) = one_server();
     for state in ["draining", "ready", "draining", "ready"] {
-        let seen = discovery.wait_for_requests(1).len();
+        let calls_before = discovery.wait_for_requests(1).len();
         discovery.upsert_target(server.target_row(state));
-        discovery.wait_for_requests(seen + 1);
+        discovery.wait_for_requests(calls_before + 1);
     }
     let calls = discovery.wait_for_requests(5);
     assert_eq!(calls[0].1, "/registry/instances");
@@ -112,21 +113,21 @@
     }
 }
 
-/// With discovery down in any way the last list holds, calls back off, and changes come after it.
+/// While discovery fails in any way, the last list stays in use and calls back off; changes are applied after recovery.
 #[test]
-fn the_list_outlives_discoverys_troubles() {
-    for mood in [
+fn the_list_stays_in_use_while_discovery_fails() {
+    for mode in [
         DiscoveryMode::Refuses,
         DiscoveryMode::Resets,
         DiscoveryMode::Garbles,
     ] {
         let (server, discovery, proxy) = one_server();
         let before = discovery.wait_for_requests(2).len();
-        discovery.set_mode(mood);
+        discovery.set_mode(mode);
         let calls = discovery.wait_for_requests(before + 4);
-        // Four tries in a row take longer the more fail.
+        // The interval between retries grows with consecutive failures.
         let span = calls[before + 3].0 - calls[before].0;
-        assert!(span > Duration::from_millis(150), "{mood:?} {span:?}");
+        assert!(span > Duration::from_millis(150), "{mode:?} {span:?}");
         proxy.up(&server);
         discovery.set_mode(DiscoveryMode::Works);
         let second = Server::start("s-2");
@@ -138,25 +139,25 @@
     }
 }
 
-/// A connection that discovery ends after its answer is no loss of the list.
+/// A connection that discovery closes after an answer is no failure.
 #[test]
-fn discovery_may_end_its_connections_between_calls() {
+fn discovery_may_close_its_connections_between_calls() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
     discovery.set_mode(DiscoveryMode::Closes);
     let proxy = Proxy::start(&discovery);
     for _ in 0..3 {
-        let seen = discovery.wait_for_requests(2).len();
+        let calls_before = discovery.wait_for_requests(2).len();
         discovery.upsert_target(server.target_row("ready"));
-        discovery.wait_for_requests(seen + 1);
+        discovery.wait_for_requests(calls_before + 1);
     }
     proxy.up(&server);
     assert!(!proxy.log().contains("WARN"), "{}", proxy.log());
 }
 
-/// After a gap discovery tells the whole list: who is not in it is gone, and so are its clients.
+/// After a gap, discovery sends the whole list: servers missing from it are removed and their clients moved.
 #[test]
-fn clients_of_a_server_that_a_whole_list_leaves_out_are_moved() {
+fn clients_of_a_server_missing_from_a_whole_list_are_moved() {
     let (server, discovery, proxy) = one_server();
     let (mut client, _conn) = proxy.up(&server);
     discovery.remove_target("s-1");
@@ -164,9 +165,9 @@
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
-/// A hanging call must end in time for another within what the rules allow (5 s here).
+/// A hanging call must time out early enough for another one within `rules.ask-within-s` (5 s here).
 #[test]
-fn a_hanging_watch_is_given_up_within_the_time_to_ask() {
+fn a_hanging_watch_times_out_within_the_call_interval() {
     let (_server, discovery, _proxy) = one_server();
     let before = discovery.wait_for_requests(2);
     discovery.set_mode(DiscoveryMode::Hangs);
@@ -176,19 +177,19 @@
     discovery.set_mode(DiscoveryMode::Works);
 }
 
-/// Nonsense in the list costs the rows that hold it, not the others.
+/// Invalid rows of a list are skipped; the others are used.
 #[test]
-fn rows_that_make_no_sense_are_passed_over() {
+fn invalid_rows_are_skipped() {
     let server = Server::start("s-1");
-    let mut huge = target_row("s-3", "127.0.0.1:1", "ready");
-    huge["boot_ms"] = json!(-1e300);
-    huge["capacity_hint"] = json!(1e308);
+    let mut extreme = target_row("s-3", "127.0.0.1:1", "ready");
+    extreme["boot_ms"] = json!(-1e300);
+    extreme["capacity_hint"] = json!(1e308);
     let discovery = Discovery::start(&[
         json!({"uid": 7, "state": "ready"}),
         json!({"uid": "s-4", "endpoint": "no address", "state": "ready"}),
         json!({"uid": "s-5", "endpoint": "127.0.0.1:1", "state": "happy"}),
         server.target_row("ready"),
-        huge,
+        extreme,
     ]);
     let proxy = Proxy::start(&discovery);
     proxy.logged("s-4");
@@ -197,9 +198,9 @@
 }
 
 #[test]
-fn absurd_load_reports_do_no_harm() {
+fn clients_are_served_despite_invalid_load_reports() {
     let (server, _discovery, proxy) = one_server();
-    for pong in [
+    for probe_answer in [
         "PONG x0=-7",
         "PONG x0=1e400",
         "PONG x0=NaN",
@@ -207,7 +208,7 @@
         "PONG =,=,x0==",
         "WHAT",
     ] {
-        server.set_probe_answer(Some(pong));
+        server.set_probe_answer(Some(probe_answer));
         let (mut client, mut conn) = proxy.up(&server);
         conn.send_line("LOAD NaN");
         conn.send_line("LOAD -5");
@@ -219,7 +220,8 @@
     }
 }
 
-fn refused_line(proxy: &Proxy, bytes: &[u8]) {
+/// Sends the bytes and asserts that the proxy answers with `ERR` and closes the connection.
+fn assert_line_refused(proxy: &Proxy, bytes: &[u8]) {
     let mut client = LineConnection::connect(proxy.addr);
     client.send_bytes(bytes);
     assert_eq!(client.read_line(), "ERR");
@@ -227,59 +229,59 @@
 }
 
 #[test]
-fn lines_that_make_no_sense_get_a_failed_answer_and_others_are_served() {
+fn invalid_lines_get_an_error_and_other_clients_are_served() {
     let (server, _discovery, mut proxy) = one_server();
-    refused_line(&proxy, b"HELLO\r\n");
-    refused_line(&proxy, b"\r\n");
-    refused_line(&proxy, b"OPEN\r\n");
-    refused_line(&proxy, b"OPEN 1 2 c=watch,d=\xff\xfe\r\n");
-    refused_line(&proxy, b"OPEN 1 2 c=unknown,d=100\r\n");
-    refused_line(&proxy, b"OPEN 1 2 c=watch,d=soon\r\n");
-    refused_line(&proxy, &[b'x'; 5000]);
-    refused_line(
+    assert_line_refused(&proxy, b"HELLO\r\n");
+    assert_line_refused(&proxy, b"\r\n");
+    assert_line_refused(&proxy, b"OPEN\r\n");
+    assert_line_refused(&proxy, b"OPEN 1 2 c=watch,d=\xff\xfe\r\n");
+    assert_line_refused(&proxy, b"OPEN 1 2 c=unknown,d=100\r\n");
+    assert_line_refused(&proxy, b"OPEN 1 2 c=watch,d=soon\r\n");
+    assert_line_refused(&proxy, &[b'x'; 5000]);
+    assert_line_refused(
         &proxy,
         format!("OPEN 1 2 c=watch,k={}\r\n", "y".repeat(5000)).as_bytes(),
     );
-    let mut half = LineConnection::connect(proxy.addr);
-    half.send_bytes(b"OPEN 1 2 c=wat");
-    half.half_close();
-    assert_eq!(half.read_line(), "ERR");
+    let mut partial_client = LineConnection::connect(proxy.addr);
+    partial_client.send_bytes(b"OPEN 1 2 c=wat");
+    partial_client.half_close();
+    assert_eq!(partial_client.read_line(), "ERR");
     assert!(server.no_pending_open());
     proxy.up(&server);
     assert!(proxy.alive());
 }
 
 #[test]
-fn a_client_that_never_finishes_its_line_is_let_go_and_stalls_nobody() {
+fn a_client_that_never_finishes_its_line_is_closed_and_delays_no_other() {
     let (server, _discovery, proxy) = one_server();
-    let mut slow: Vec<LineConnection> = (0..40)
+    let mut slow_clients: Vec<LineConnection> = (0..40)
         .map(|_| LineConnection::connect(proxy.addr))
         .collect();
-    for peer in &mut slow {
+    for peer in &mut slow_clients {
         peer.send_bytes(b"OPEN 1 ");
     }
     proxy.up(&server);
-    for peer in &mut slow {
+    for peer in &mut slow_clients {
         assert_eq!(peer.read_line(), "ERR");
     }
 }
 
-/// More clients than descriptors: those beyond are turned away, and the program lives.
+/// With more clients than descriptors the surplus clients are rejected, and the process keeps running.
 #[test]
-fn out_of_descriptors_clients_are_turned_away() {
+fn clients_are_rejected_when_descriptors_run_out() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
     let mut proxy = Proxy::launch(discovery.addr, |config| {
         config["limits"]["sockets"] = json!(100);
-        // Only descriptors turn anyone away.
+        // Only a lack of descriptors leads to rejections.
         without_loads(config);
     });
     proxy.wait_ready();
     let mut held = Vec::new();
-    let mut turned_away = 0;
+    let mut rejected = 0;
     for number in 0..60 {
         let mut client = proxy.open("watch");
-        // The proxy either turns it away or opens a connection for it.
+        // The proxy either rejects the client or opens a connection to the server for it.
         match server.next_open_unless(|| !client.is_quiet_for(Duration::from_millis(20))) {
             Some((_, mut conn)) => {
                 conn.send_line(&format!("UP {number}"));
@@ -288,36 +290,36 @@
             }
             None => {
                 assert!(client.read_line().starts_with("BUSY"));
-                turned_away += 1;
+                rejected += 1;
             }
         }
     }
     assert!(
-        turned_away > 0 && held.len() >= 15,
-        "{turned_away} {}",
+        rejected > 0 && held.len() >= 15,
+        "{rejected} {}",
         held.len()
     );
-    // All that were taken still work.
+    // All accepted connections still work.
     for (client, conn) in &mut held {
         client.send_line("SAY on");
         assert_eq!(conn.read_line(), "SAY on");
     }
-    // Slow ones that hold a descriptor each don't keep the next from being turned away at once.
-    let _slow: Vec<LineConnection> = (0..4)
+    // Slow clients that hold a descriptor each don't delay the rejection of the next client.
+    let _slow_clients: Vec<LineConnection> = (0..4)
         .map(|_| LineConnection::connect(proxy.addr))
         .collect();
-    let at = Instant::now();
+    let start = Instant::now();
     assert!(proxy.open("watch").read_line().starts_with("BUSY"));
     assert!(
-        at.elapsed() < Duration::from_millis(150),
+        start.elapsed() < Duration::from_millis(150),
         "{:?}",
-        at.elapsed()
+        start.elapsed()
     );
     assert!(proxy.alive());
 }
 
 #[test]
-fn a_bad_configuration_ends_it_with_a_plain_message() {
+fn an_invalid_configuration_ends_the_process_with_an_error_message() {
     for config in ["{", "{}", r#"{"name":"n0","listen":"here"}"#] {
         let mut proxy = Proxy::run("127.0.0.1:1".parse().unwrap(), config);
         assert!(!proxy.ended().success());
@@ -326,7 +328,7 @@
 }
 
 #[test]
-fn an_address_that_is_taken_ends_it_with_a_plain_message() {
+fn an_address_in_use_ends_the_process_with_an_error_message() {
     let (_server, discovery, proxy) = one_server();
     let mut second = Proxy::launch(discovery.addr, |config| {
         config["listen"] = json!(proxy.addr.to_string());
--- a/crates/proxy/tests/unit_ring.rs
+++ b/crates/proxy/tests/unit_ring.rs
@@ -1,12 +1,12 @@
-//! `ring` by itself.
+//! Unit tests of the ring buffer.
 
 use violetwind_proxy::ring_buffer::*;
 
 #[test]
-fn lines_come_out_whole_and_in_order_past_the_end_of_the_buffer() {
+fn lines_are_complete_and_in_order_across_the_wrap_around() {
     let mut ring = RingBuffer::new(16);
-    for turn in 0..40 {
-        let text = format!("n{turn:04}\r\n");
+    for round in 0..40 {
+        let text = format!("n{round:04}\r\n");
         assert!(ring.push(b"ab\r\n"));
         assert!(ring.push(text.as_bytes()));
         assert_eq!(ring.take_line().unwrap(), b"ab");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_full_ring_takes_no_more() {
+fn a_full_ring_accepts_no_more_bytes() {
     let mut ring = RingBuffer::new(4);
     assert!(ring.push(b"abcd"));
     assert!(!ring.push(b"e"));
