--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -4,7 +4,7 @@
 pub type Seconds = f64;
 /// Identifies a server, with the same value at every balancer and across restarts of the server's process.
 pub type ServerId = u32;
-/// Identifies a request and, once that has begun, its connection.
+/// Identifies a request and the connection that results from it.
 pub type RequestId = u64;
 
 /// When a request of a class may safely run more than once: always, while servers remember its key, or never.
@@ -71,8 +71,9 @@
     Moves,
     /// Probes, within any period of the allowance's span.
     Probes,
-    /// Attempts at any one cold server, within any period of the allowance's span. The ratio of the allowance to the
-    /// whole is also this balancer's part of the connections that all balancers may place there during the warm-up.
+    /// Attempts at any one cold server, within any period of the allowance's span. The ratio of `units` to
+    /// `fleet_units` is also this balancer's part of the connections that all balancers may place there during the
+    /// warm-up.
     Cold,
     /// Concurrent connections of a class, with attempts in flight.
     Class(usize),
@@ -80,7 +81,8 @@
     Tenant(usize),
 }
 
-/// A balancer's part of such a quota: `units` until the lease ends at `until`, and `after` from then on.
+/// A balancer's part of a quota that several balancers share: `units` until the lease ends at `lease_end`, and
+/// `units_after_lease` from then on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
     pub units: u64,
@@ -122,7 +124,7 @@
     pub denied: u64,
 }
 
-/// The balancer's settings. Apart from events, they are its only input.
+/// The balancer's settings. Apart from events and the seed, they are its only input.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The number of balancers.
@@ -149,16 +151,17 @@
     /// The length of a server's warm-up.
     pub slow_start_window: Seconds,
     /// A cold server is overloaded by this multiple of the rate of new connections that its present capacity allows, if
-    /// that rate lasts for `fall_for`.
+    /// that rate lasts for `overload_duration`.
     pub overload_multiple: f64,
     /// The window of the overload limit.
     pub overload_duration: Seconds,
     /// Connections of one group share work on a server.
     pub group_affinity: bool,
-    /// The price of a request that crosses zones, the price of a probe relative to a request, and the factor on the
-    /// worth of a request beyond its tenant's share.
+    /// The price of a request that crosses zones.
     pub price_cross_zone: f64,
+    /// The price of a probe relative to a request.
     pub price_probe: f64,
+    /// The factor on the worth of a request beyond its tenant's share.
     pub over_share_worth: f64,
     pub retry_budget: Option<Budget>,
     /// The shortest target time for an answer on an open connection, where the settings give one.
@@ -210,7 +213,7 @@
     pub tenant: Option<usize>,
     /// A stable hash of the group's name.
     pub group: Option<u64>,
-    /// The expected load in seconds of work per second, where the site gives it.
+    /// The expected load in seconds of work per second, where the deployment provides it.
     pub hint: Option<f64>,
     /// The time until the client stops waiting.
     pub client_timeout: Seconds,
@@ -219,7 +222,7 @@
     pub is_repeat: bool,
 }
 
-/// A server's report of its load; each value is absent where the site does not report it.
+/// A server's report of its load; each value is absent where the deployment does not report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// Demanded load over the server's capacity.
@@ -316,8 +319,9 @@
 /// An output of the balancer, for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt, with its time-out. Where a repeat is harmless only for a time, or the attempt uses a leased
-    /// unit, the last value is how long from now it may begin at its server; the dial takes a part of that time.
+    /// Start an attempt, with its time-out. Where a repeat is harmless only for a limited time, or the attempt uses a
+    /// leased unit, the last value is the time from now within which the attempt must begin at its server; the dial
+    /// uses a part of that time.
     Send(RequestId, ServerId, Seconds, Option<Seconds>),
     /// Final answer: refused. A repeat is harmless; the value, if there is one, is the time to wait before it.
     Refuse(RequestId, Option<Seconds>),
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -20,7 +20,7 @@
 const COUNT_MOVE_RATIO: f64 = 1.3;
 /// Mean load of all servers, as a fraction of `LOAD_THRESHOLD`, at which room begins to be scarce.
 const SCARCITY_START: f64 = 0.7;
-/// Fraction of `LOAD_THRESHOLD` that is withheld from a request of no worth for its load.
+/// Fraction of `LOAD_THRESHOLD` that is withheld from a request whose worth is negligible for its load.
 const LOW_WORTH_RESERVE: f64 = 0.1;
 /// Where servers report no load: the probability of refusing a request, per unit of its worth deficit and
 /// of the level of connection resets.
@@ -55,7 +55,7 @@
 const CANDIDATES: usize = 32;
 /// Number of connections of mean load that a server is assumed to hold until its capacity is estimated.
 const DEFAULT_CAPACITY: f64 = 50.0;
-/// Weight of that assumption, in own connections on each server.
+/// Weight of `DEFAULT_CAPACITY` in the estimates, in own connections on each server.
 const DEFAULT_WEIGHT: f64 = 5.0;
 /// Highest reported load over capacity that is used as it is. Also the largest factor between the default
 /// capacity and one that is computed from reported connections.
@@ -63,7 +63,8 @@
 /// Factor by which a server's capacity is assumed to be smaller than the default, as far as it is not known
 /// from reports: while the server is cold, and shortly after a start of this balancer.
 const CONSERVATIVE_FACTOR: f64 = 3.0;
-/// How long a turn at a cold server may be used, in multiples of the overload window `Settings::fall_for`.
+/// How long a turn at a cold server may be used, in multiples of the overload window
+/// [`Settings::overload_duration`].
 const TURN_VALIDITY: f64 = 1.5;
 /// Time constant of the decay of failure counts, of a server and of the service as a whole.
 const FAILURE_DECAY: Seconds = 5.0;
@@ -88,7 +89,7 @@
 /// Time without an attempt that `TRIAL_REJECTIONS` requires.
 const TRIAL_INTERVAL: Seconds = 3.5;
 
-/// Least load assumed of a server while messages of own connections are late there.
+/// Minimum load that is assumed for a server while messages of own connections are late there.
 const SLOW_SERVER_LOAD: f64 = 1.2;
 /// How long a server counts as slow after the last late message.
 const SLOW_ANSWER_MAX_AGE: Seconds = 2.0;
@@ -234,8 +235,8 @@
             }
             server.entry = Some(entry);
             if is_new_process {
-                // Proxies learn of a cold server at the same time: a random phase spreads out their first
-                // connections.
+                // All proxies receive the list entry of a cold server at the same time: a random phase
+                // spreads out their first connections.
                 self.state
                     .reset_slow_start(id, self.rng.random_range(0.0..1.0));
             }
@@ -363,7 +364,7 @@
         let is_late = self
             .settings
             .message_delay_target
-            .is_some_and(|aim| delay > aim);
+            .is_some_and(|target| delay > target);
         let slow_answer_at = is_late.then_some(self.state.now);
         self.state
             .update_server(id, |server| server.last_slow_answer_at = slow_answer_at);
@@ -467,7 +468,7 @@
         let now = self.state.now;
         if was_in_flight && self.counts_against_server(&ended) {
             let is_unresponsive = matches!(outcome, Outcome::ConnectFailed | Outcome::TimedOut);
-            // An unreachable server says nothing about the dependencies that all servers share.
+            // An unreachable server is no sign of a failure of dependencies that all servers share.
             self.failures
                 .add(now, FAILURE_DECAY, f64::from(!is_unresponsive));
             self.state
@@ -499,8 +500,8 @@
         match ended.outcome {
             Outcome::Ok | Outcome::Cancelled | Outcome::NotSent | Outcome::LocalFailure => false,
             Outcome::TimedOut => self.state.connections.get(&ended.id).is_none_or(|conn| {
-                let aim = self.settings.classes[conn.request.class].setup_target;
-                conn.deadline - conn.sent_at >= aim * MIN_TIMEOUT_SHARE
+                let setup_target = self.settings.classes[conn.request.class].setup_target;
+                conn.deadline - conn.sent_at >= setup_target * MIN_TIMEOUT_SHARE
             }),
             _ => true,
         }
@@ -526,7 +527,7 @@
         };
         let now = self.state.now;
         let time_left = conn.deadline - now;
-        let aim = self.settings.classes[conn.request.class].setup_target;
+        let setup_target = self.settings.classes[conn.request.class].setup_target;
         let attempts = conn.tried_servers.len();
         let (waited, may_probe) = (
             conn.request.client_timeout - time_left,
@@ -536,7 +537,7 @@
             return self.give_up_request(id, reason, out);
         }
         if let Some((kind, max_wait)) = self.find_full_quota(id, waited < RETRY_INTERVAL / 2.0) {
-            return match waited < max_wait && time_left > aim {
+            return match waited < max_wait && time_left > setup_target {
                 true => self.enqueue_request(id, None, out),
                 false => self.give_up_request(id, GiveUpReason::Part(kind), out),
             };
@@ -549,7 +550,7 @@
                 .servers
                 .iter()
                 .any(|(id, s)| self.accepts_placement(*id, s));
-            if any_available || attempts > 0 || time_left <= aim {
+            if any_available || attempts > 0 || time_left <= setup_target {
                 return self.give_up_request(id, GiveUpReason::NoServer, out);
             }
             return self.enqueue_request(id, None, out);
@@ -590,7 +591,7 @@
                 .reserve_unit(id, QuotaKind::Cold, Some(target));
         }
         self.start_periodic_probes(target, out);
-        let timeout = time_left.min(aim.max(time_left / 2.0));
+        let timeout = time_left.min(setup_target.max(time_left / 2.0));
         // A leased unit may be granted to another balancer once the lease has expired.
         let retry = (attempts > 0).then_some((QuotaKind::Further, None));
         let cold = is_cold.then_some((QuotaKind::Cold, Some(target)));
@@ -607,8 +608,8 @@
         self.state.awaits_write(id)
     }
 
-    /// The reason for which a request gets no attempt now, whichever servers are available, if there is
-    /// one.
+    /// The reason why a request gets no attempt now, regardless of which servers are available; `None` if
+    /// there is no such reason.
     fn find_refusal_reason(&mut self, id: RequestId, time_left: Seconds) -> Option<GiveUpReason> {
         let attempts = self.state.connections[&id].tried_servers.len();
         if time_left <= 0.0 {
@@ -886,7 +887,8 @@
         now >= server.next_placement_at && self.cold_turns_at(server, now) >= turn
     }
 
-    /// Whether this balancer's quota for cold servers keeps it from using one of them.
+    /// Whether this balancer's quota for cold servers, or the turns that result from it, keep it from using
+    /// one of them.
     fn is_denied_cold_server(&self, key: u64) -> bool {
         if !self.state.quotas.is_limited(QuotaKind::Cold) {
             return false;
@@ -911,7 +913,8 @@
         let added =
             server.pending_load() * placers + conn.load + self.added_group_load(conn, server);
         let metric = server.metric_since(self.state.now - METRIC_MAX_AGE);
-        // A cold server without a metric counts as empty: the turns of all balancers limit what it holds.
+        // A cold server without a metric counts as empty: the turns of all balancers limit the number
+        // of connections on it.
         let is_cold = server.remaining_warm_up(self.state.now, &self.settings) > 0.0;
         let assumed_metric = if is_cold { 0.0 } else { self.state.mean_metric };
         self.effective_load(server, metric.unwrap_or(assumed_metric))
@@ -962,7 +965,7 @@
 
     /// The number of connections that all balancers together may have placed on a cold server from its
     /// listing to `at`. It grows with the server's capacity during the warm-up. Each connection is one
-    /// turn, and each balancer takes its own turns.
+    /// turn, and each balancer uses only its own turns.
     fn cold_turns_at(&self, server: &Server, at: Seconds) -> f64 {
         // The overload limit, based on a warm server that would fill up within the length of a warm-up.
         let capacity = 1.0
@@ -1048,8 +1051,8 @@
     /// there.
     fn load_freed_by(&self, conn: &Connection, server: &Server) -> f64 {
         let group = conn.request.group.filter(|_| self.settings.group_affinity);
-        let holders = group.and_then(|group| server.group_counts.get(&group));
-        let group_load = holders.map_or(0.0, |&n| GROUP_COST / n as f64);
+        let group_count = group.and_then(|group| server.group_counts.get(&group));
+        let group_load = group_count.map_or(0.0, |&n| GROUP_COST / n as f64);
         (conn.load + group_load * self.state.mean_load()).max(f64::MIN_POSITIVE)
     }
 }
--- a/crates/balancer/src/quotas.rs
+++ b/crates/balancer/src/quotas.rs
@@ -9,7 +9,7 @@
 
 use crate::api::{Allowance, QuotaKind, RequestId, Seconds, ServerId};
 
-/// Difference by which an observer at the server may see a line earlier or later than this balancer.
+/// Largest difference between the times at which this balancer and an observer at the server see a line.
 const COUNTING_TOLERANCE: Seconds = 0.05;
 
 /// The key under which units are counted: a quota as a whole, or a quota at one server.
@@ -81,7 +81,7 @@
         limit.map_or(0.0, |limit| limit.allowance.max_wait)
     }
 
-    /// Counts that a larger allowance would have been used.
+    /// Counts a denial: a larger allowance would have been used.
     pub fn record_denial(&mut self, kind: QuotaKind) {
         if let Some(limit) = self.limits.get_mut(&kind) {
             limit.denied += 1;
@@ -135,8 +135,8 @@
         counters
     }
 
-    /// How much longer a unit that was just taken may be used. Units beyond those that remain after the lease end with
-    /// it; `None` for the others.
+    /// How much longer a unit that has just come into use may be used. Units in excess of the allowance's
+    /// `units_after_lease` expire with the lease; `None` for the others.
     pub fn remaining_lease(
         &self,
         kind: QuotaKind,
@@ -204,7 +204,8 @@
         while spent.front().is_some_and(|at| *at < span_start) {
             spent.pop_front();
         }
-        // Counters whose spans are over are removed: a server that gets no more units is not cold forever.
+        // Counters whose spans are over are removed: a server does not stay cold, and its counter would never be used
+        // again.
         self.spent_at.retain(|other, spent_units| {
             other.kind != counter.kind || spent_units.back().is_some_and(|at| *at >= span_start)
         });
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -16,7 +16,7 @@
 pub struct KindTotals {
     pub servers: f64,
     pub metric_times_load: f64,
-    /// Sum of the metrics, and of the connections that servers report beside their load.
+    /// Sum of the metrics, and of the connections that servers report together with their load.
     pub metric: f64,
     pub connections: f64,
     pub load_squared: f64,
@@ -30,8 +30,8 @@
 /// Decayed number of load reports below which their mean is not reliable yet.
 const MIN_LOAD_REPORTS: f64 = 16.0;
 
-/// Difference by which an observer that checks the budget may see requests and attempts earlier or later than this
-/// balancer.
+/// Largest difference between the times at which this balancer and an observer that checks the budget see a request or
+/// an attempt.
 const COUNTING_TOLERANCE: Seconds = 0.05;
 
 /// Most requests that the budget counts: more than this allow no further retries.
@@ -47,7 +47,7 @@
     pub entry: Option<Entry>,
     /// The last reported metric, in the design's metric order: load, connections, queue.
     pub metric: Option<f64>,
-    /// The connections that were reported beside the load.
+    /// The connections that were reported together with the load.
     pub reported_connections: Option<f64>,
     /// Own placements that the metric may not include yet: when each was made, and the load that it adds. Ended
     /// connections are not subtracted: a server that has just dropped all its connections is not idle.
@@ -123,9 +123,9 @@
 
     /// The fraction of the warm-up that is left; 0 for a warm server.
     pub fn remaining_warm_up(&self, now: Seconds, settings: &Settings) -> f64 {
-        let born = self.entry.as_ref().and_then(|entry| entry.started_at);
-        let remaining = born.map_or(0.0, |born| {
-            (born + settings.slow_start_window - now) / settings.slow_start_window
+        let started_at = self.entry.as_ref().and_then(|entry| entry.started_at);
+        let remaining = started_at.map_or(0.0, |started_at| {
+            (started_at + settings.slow_start_window - now) / settings.slow_start_window
         });
         remaining.clamp(0.0, 1.0)
     }
@@ -133,17 +133,17 @@
     /// The time since the server was listed, weighted by the fraction of its capacity that it had at each moment.
     pub fn capacity_weighted_uptime(&self, now: Seconds, settings: &Settings) -> Seconds {
         let now = now.max(self.listed_at);
-        let lost_until = |at| {
+        let time_lost_until = |at| {
             (1.0 - settings.slow_start_min_share) * settings.slow_start_window / 2.0
                 * self.remaining_warm_up(at, settings).powi(2)
         };
-        now - self.listed_at + lost_until(now) - lost_until(self.listed_at)
+        now - self.listed_at + time_lost_until(now) - time_lost_until(self.listed_at)
     }
 
     /// Whether the server is known to be in another zone than `zone`.
     pub fn is_in_other_zone(&self, zone: Option<usize>) -> bool {
-        let own = self.entry.as_ref().and_then(|entry| entry.zone);
-        own.is_some() && own != zone
+        let server_zone = self.entry.as_ref().and_then(|entry| entry.zone);
+        server_zone.is_some() && server_zone != zone
     }
 
     pub fn kind(&self) -> Option<usize> {
@@ -151,7 +151,7 @@
     }
 }
 
-/// The phase of a request: without a server, attempted at one, or open on one.
+/// The phase of a request: waiting without a server, with an attempt in flight at a server, or open on a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
     Waiting,
@@ -168,7 +168,7 @@
     pub sent_at: Seconds,
     /// The number of attempts so far, which is also the number of the next one.
     pub attempts: usize,
-    /// The servers of the attempts that count: attempts that a resource shortage of this machine prevented don't.
+    /// The servers of all attempts except those that a resource shortage of this machine prevented.
     pub tried_servers: Vec<ServerId>,
     /// How many servers were probed on demand for this request.
     pub on_demand_probes: usize,
@@ -187,8 +187,8 @@
     pub connections: BTreeMap<RequestId, Connection>,
     /// The load of own connections and attempts.
     own_load: f64,
-    /// What one unit of load adds to the metric of a server of each kind, and of any kind (`None`): the likely and the
-    /// conservative estimate.
+    /// Estimated increase of a server's metric per unit of load, for each kind of server and for any kind (`None`): the
+    /// likely and the conservative estimate.
     pub metric_per_load: BTreeMap<Option<usize>, [f64; 2]>,
     /// When `metric_per_load` was last estimated.
     estimated_at: Option<Seconds>,
@@ -293,7 +293,7 @@
         self.servers.get_mut(&id).map(change);
     }
 
-    /// Marks the servers as gone that are missing from a complete list.
+    /// Marks as gone the servers that are missing from a complete list.
     pub fn mark_unlisted_gone(&mut self, entries: &[Entry]) {
         let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
         let is_unlisted = |(id, _): &(&ServerId, &mut Server)| !listed.contains(id);
@@ -304,17 +304,17 @@
         }
     }
 
-    /// The estimate in use of what one unit of load adds to a server's metric. A balancer that had no connections at
-    /// its first request has only default estimates, and all clients may reconnect at once, as after a restart: for
+    /// The estimate in use of a server's metric per unit of load. A balancer that had no connections at its first
+    /// request has only default estimates, and all clients may reconnect at once, as after a restart: for
     /// `CONSERVATIVE_SPAN` it uses the conservative estimate.
     pub fn metric_per_load_of(&self, server: &Server) -> f64 {
-        let is_young = self
+        let has_recently_started = self
             .started_empty_at
             .is_some_and(|at| self.now < at + CONSERVATIVE_SPAN);
-        self.metric_per_load_estimates(server)[usize::from(is_young)]
+        self.metric_per_load_estimates(server)[usize::from(has_recently_started)]
     }
 
-    /// The conservative estimate of what one unit of load adds to a server's metric.
+    /// The conservative estimate of a server's metric per unit of load.
     pub fn conservative_metric_per_load_of(&self, server: &Server) -> f64 {
         self.metric_per_load_estimates(server)[1]
     }
@@ -451,8 +451,8 @@
         Some(conn.attempts - 1)
     }
 
-    /// The number of retries that the budget allows now. Its span ends now. With `COUNTING_TOLERANCE`, requests that
-    /// arrived just after its start are not counted, and retries that were made just before its start are.
+    /// The number of retries that the budget allows now, for the span that ends now. With `COUNTING_TOLERANCE`,
+    /// requests that arrived just after its start are not counted, and retries that were made just before its start are.
     pub fn remaining_retry_budget(&mut self, budget: &Budget) -> f64 {
         let since = self.now - budget.span;
         while self
@@ -543,7 +543,7 @@
         units.is_none_or(|units| self.units_in_use(kind).saturating_sub(own_units) < units)
     }
 
-    /// As `has_quota_left`, and counts a denial if no unit is left.
+    /// Same as [`Self::has_quota_left`], but also counts a denial if no unit is left.
     pub fn check_quota(&mut self, kind: QuotaKind, own_units: u64) -> bool {
         let has_room = self.has_quota_left(kind, own_units);
         if !has_room {
@@ -562,8 +562,8 @@
         })
     }
 
-    /// The number of connections that all balancers together place on a cold server for each one of this balancer: the
-    /// fleet size or, with a quota, the ratio of the fleet's units to the allowed ones.
+    /// The number of connections that all balancers together place on a cold server for each connection that this
+    /// balancer places there: the fleet size or, with a quota, the ratio of the fleet's units to the allowed ones.
     pub fn fleet_turns_per_own_turn(&self, settings: &Settings) -> f64 {
         let units = self.quotas.allowed_units(QuotaKind::Cold, self.now);
         match units.zip(self.quotas.fleet_units(QuotaKind::Cold)) {
@@ -625,7 +625,7 @@
             let (Some(metric), own_load) = (server.metric, server.own_load) else {
                 continue;
             };
-            // A metric beyond one server's capacity says nothing about the others.
+            // The excess of one server over its capacity is no measure of the load of the others.
             let max_metric = if reports_load { 1.0 } else { f64::INFINITY };
             if server.has_result_since(self.now - max_age) {
                 (metric_sum, count) = (metric_sum + metric.min(max_metric), count + 1.0);
@@ -657,7 +657,7 @@
         sums
     }
 
-    /// The worth per second of all own connections and attempts.
+    /// The total worth of all own connections and attempts.
     pub fn worth_held(&self, settings: &Settings) -> f64 {
         let counts = settings.classes.iter().zip(&self.class_counts);
         counts.map(|(class, &n)| class.worth * n as f64).sum()
@@ -736,7 +736,7 @@
         id
     }
 
-    /// The mean load of a class, drawn towards that of all classes while few loads have been reported for it.
+    /// The mean load of a class, weighted towards the mean of all classes while few loads have been reported for it.
     fn expected_class_load(&self, class: usize) -> f64 {
         let (load_sum, report_count) = self.sum_reported_loads(&self.reported_loads[class..=class]);
         (load_sum + self.mean_reported_load()) / (report_count + 1.0)
@@ -824,7 +824,7 @@
         }
     }
 
-    /// Removes a request from its server and from the counts there. It waits again.
+    /// Removes a request from its server and from the counts there, and marks it as waiting again.
     pub fn detach_from_server(&mut self, id: RequestId) {
         let Some(conn) = self.connections.get_mut(&id) else {
             return;
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -10,10 +10,10 @@
     pub now: Seconds,
 }
 
-pub fn class(effect: Idempotency, scope: DedupScope) -> Class {
+pub fn class(idempotency: Idempotency, dedup_scope: DedupScope) -> Class {
     Class {
-        idempotency: effect,
-        dedup_scope: scope,
+        idempotency,
+        dedup_scope,
         dedup_window: 5.0,
         setup_target: 0.5,
         worth: 1.0,
@@ -177,14 +177,14 @@
         id: RequestId,
         server: ServerId,
         outcome: Outcome,
-        last: bool,
+        is_final: bool,
     ) -> Vec<Action> {
         let report = Report::default();
         self.handle_and_answer_probes(Event::Outcome(AttemptEnd {
             id,
             server,
             outcome,
-            is_final: last,
+            is_final,
             report,
         }))
     }
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -548,7 +548,10 @@
     };
     let (restarted, running) = (place_requests(&[]), place_requests(&[0.02; 5]));
     assert!((20..70).contains(&restarted), "{restarted} after a restart");
-    assert!(running > 2 * restarted, "{running} by the likely estimate");
+    assert!(
+        running > 2 * restarted,
+        "{running} with the likely estimate"
+    );
 }
 
 /// A server reports little load while messages are late there: its report is wrong, or does not apply to this balancer.
@@ -591,9 +594,9 @@
 /// no room elsewhere, or where the settings give no target time.
 #[test]
 fn late_messages_move_no_connections_without_room_elsewhere() {
-    for aim in [None, Some(0.15)] {
+    for delay_target in [None, Some(0.15)] {
         let mut settings = settings();
-        settings.message_delay_target = aim;
+        settings.message_delay_target = delay_target;
         let mut harness = BalancerHarness::new(settings, vec![entry(1), entry(2)], 3);
         for server in [1, 2] {
             harness.open_connections(server, 1000 * u64::from(server), &[0.1; 10]);
@@ -605,7 +608,9 @@
                 let actions = harness.handle_and_answer_probes(Event::DelayNote(server, 0.5));
                 // The first server is late while the other one still has room.
                 let both_late = harness.now > 100.15;
-                assert!(moved_requests(&actions).is_empty() || aim.is_some() && !both_late);
+                assert!(
+                    moved_requests(&actions).is_empty() || delay_target.is_some() && !both_late
+                );
             }
         }
     }
--- a/crates/balancer/tests/quotas.rs
+++ b/crates/balancer/tests/quotas.rs
@@ -9,11 +9,11 @@
 const COLD: ServerId = 9;
 const SPAN: Seconds = 20.0;
 
-fn allowance(units: u64, until: Seconds, after: u64) -> Allowance {
+fn allowance(units: u64, lease_end: Seconds, units_after_lease: u64) -> Allowance {
     Allowance {
         units,
-        lease_end: until,
-        units_after_lease: after,
+        lease_end,
+        units_after_lease,
         span: SPAN,
         fleet_units: units,
         max_wait: 0.0,
@@ -105,7 +105,8 @@
     assert!(send_request(&mut harness, 3).is_some());
 }
 
-/// A failed connect may have sent a part of the line, and the departure of a client says nothing about the line.
+/// A failed connect may have sent a part of the line, and the departure of a client does not show whether
+/// the line was written.
 #[test]
 fn a_unit_whose_line_may_have_been_written_counts() {
     let reset = attempt_ended(1, Outcome::Reset);
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -58,9 +58,9 @@
     assert!(timeout > 0.0 && timeout <= 2.0);
 }
 
-fn settings_with_class(effect: Idempotency, scope: DedupScope) -> Settings {
+fn settings_with_class(idempotency: Idempotency, dedup_scope: DedupScope) -> Settings {
     Settings {
-        classes: vec![class(effect, scope)],
+        classes: vec![class(idempotency, dedup_scope)],
         max_attempts: 9,
         ..settings()
     }
@@ -159,13 +159,13 @@
 }
 
 /// Returns how many of 60 requests in 2 s are sent to server 2, which is listed with this kind and start time.
-fn count_sends_to_cold_server(kind: usize, born: Seconds) -> usize {
+fn count_sends_to_cold_server(kind: usize, started_at: Seconds) -> usize {
     let mut harness = BalancerHarness::new(settings(), vec![entry(1)], 5);
     harness.open_connections(1, 1000, &[0.05; 40]);
     harness.report_load(1, 0.5);
     let cold_entry = Entry {
         kind: Some(kind),
-        started_at: Some(born),
+        started_at: Some(started_at),
         ..entry(2)
     };
     harness.handle_and_answer_probes(Event::Servers(ListKind::Update, vec![cold_entry]));
@@ -307,11 +307,11 @@
     }
 }
 
-fn allowance(units: u64, until: Seconds, after: u64) -> Allowance {
+fn allowance(units: u64, lease_end: Seconds, units_after_lease: u64) -> Allowance {
     Allowance {
         units,
-        lease_end: until,
-        units_after_lease: after,
+        lease_end,
+        units_after_lease,
         span: 5.0,
         fleet_units: 10,
         max_wait: 0.0,
@@ -573,8 +573,8 @@
     assert!(move_times_with(Some(0)).is_empty());
 }
 
-/// A request without a unit of its quota waits for an exchange among balancers, for at most the allowance's `wait`, and
-/// then gets its answer.
+/// A request without a unit of its quota waits for an exchange among balancers, for at most the allowance's
+/// `max_wait`, and then gets its answer.
 #[test]
 fn a_request_waits_for_a_growing_quota_up_to_the_allowed_time() {
     let mut harness = BalancerHarness::new(settings(), (1..9).map(entry).collect(), 1);
@@ -612,13 +612,15 @@
         [4]
     );
     assert_eq!(harness.balancer.quota_usage(harness.now)[0].denied, 2);
-    // Without a possible exchange, or without enough client patience, the answer comes at once.
-    let impatient_request = Request {
+    // Without a possible exchange, or if the client's timeout is too short, the answer comes at once.
+    let request_with_short_timeout = Request {
         client_timeout: 0.4,
         ..request(5)
     };
     assert_eq!(
-        refused_requests(&harness.handle_and_answer_probes(Event::Request(impatient_request))),
+        refused_requests(
+            &harness.handle_and_answer_probes(Event::Request(request_with_short_timeout))
+        ),
         [5]
     );
     harness.handle_and_answer_probes(Event::Allowance(QuotaKind::Class(0), allowance(3, 1e9, 0)));
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -98,9 +98,9 @@
     let mut harness = BalancerHarness::new(large_fleet_settings(), fleet_entries(), 3);
     for id in 0..600 {
         harness.now += 0.01;
-        let again = id % 100 > 0;
+        let is_repeat = id % 100 > 0;
         harness.handle_and_answer_probes(Event::Request(Request {
-            is_repeat: again,
+            is_repeat,
             ..request(id)
         }));
     }
@@ -188,14 +188,14 @@
         ..entry(1)
     };
     let mut fleet: Vec<BalancerHarness> = (0..300)
-        .map(|me| {
+        .map(|balancer_index| {
             BalancerHarness::new(
                 Settings {
-                    balancer_index: me,
+                    balancer_index,
                     ..large_fleet_settings()
                 },
                 vec![cold_entry(100.0)],
-                me,
+                balancer_index,
             )
         })
         .collect();
@@ -233,15 +233,15 @@
     };
     let mut sent = [0, 0];
     // More balancers than the fleet has, to reduce random variation.
-    for me in 0..3000 {
+    for balancer_index in 0..3000 {
         let warm = vec![entry_with_size(1, 0, 1.0), entry_with_size(2, 1, 4.0)];
         let mut harness = BalancerHarness::new(
             Settings {
-                balancer_index: me,
+                balancer_index,
                 ..large_fleet_settings()
             },
             warm,
-            me,
+            balancer_index,
         );
         // Both warm servers are full; a connection on each shows the capacity of its kind.
         harness.open_connections(1, 1000, &[0.1]);
@@ -407,7 +407,8 @@
 }
 
 /// While room was scarce, a cold server without a report counted at the mean of the full ones, and its turns were not
-/// used while the warm ones were overloaded. The turns of all balancers limit what a cold server holds.
+/// used while the warm ones were overloaded. The turns of all balancers limit the number of connections on a cold
+/// server.
 #[test]
 fn a_cold_server_without_a_report_is_used_when_the_others_are_full() {
     let mut settings = settings();
@@ -417,9 +418,9 @@
         harness.answer_periodic_probe(server, load_report(0.86));
     }
     assert_eq!(harness.place_request(1), None);
-    let born = harness.now;
+    let started_at = harness.now;
     let cold_entry = Entry {
-        started_at: Some(born),
+        started_at: Some(started_at),
         ..entry(9)
     };
     harness.handle_and_answer_probes(Event::Servers(ListKind::Update, vec![cold_entry]));
@@ -429,7 +430,7 @@
         let to = harness.place_request(id);
         assert!(to.is_none_or(|server| server == 9), "{to:?}");
         placed += usize::from(to.is_some());
-        placed_at_once += usize::from(to.is_some() && harness.now < born + 0.5);
+        placed_at_once += usize::from(to.is_some() && harness.now < started_at + 0.5);
     }
     assert!(placed >= 4, "{placed}");
     // Its turns still apply: it starts at a fifth of its capacity.
--- a/crates/balancer/tests/simulated_fleet.rs
+++ b/crates/balancer/tests/simulated_fleet.rs
@@ -13,18 +13,18 @@
 const FLEET_SIZE: usize = 100;
 /// Number of connections of mean load that fill a warm server.
 const WARM_CAPACITY: f64 = 50.0;
-const COLD_FOR: Seconds = 7.2;
-const COLD_FROM: f64 = 0.3;
+const SLOW_START_WINDOW: Seconds = 7.2;
+const SLOW_START_MIN_SHARE: f64 = 0.3;
 /// Interval at which servers update their reported load, each with its own phase.
 const REFRESH_INTERVAL: Seconds = 0.8;
 
-fn settings_of_balancer(me: u64) -> Settings {
+fn settings_of_balancer(balancer_index: u64) -> Settings {
     Settings {
         fleet_size: FLEET_SIZE,
-        balancer_index: me,
+        balancer_index,
         price_probe: 0.0005,
-        slow_start_min_share: COLD_FROM,
-        slow_start_window: COLD_FOR,
+        slow_start_min_share: SLOW_START_MIN_SHARE,
+        slow_start_window: SLOW_START_WINDOW,
         overload_multiple: 3.0,
         overload_duration: 1.5,
         max_attempts: 6,
@@ -32,7 +32,7 @@
     }
 }
 
-/// A request of mean load, which balancers don't know before it is reported.
+/// A request of mean load, which is unknown to balancers until it is reported.
 fn request_of_unknown_load(id: RequestId) -> Request {
     Request {
         hint: None,
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Server {
-    born: Option<Seconds>,
+    started_at: Option<Seconds>,
     connections: f64,
     reported: f64,
     refreshed_at: Seconds,
@@ -51,10 +51,10 @@
 
 impl Server {
     fn capacity_fraction(&self, now: Seconds) -> f64 {
-        let warmed_up = self
-            .born
-            .map_or(1.0, |born| ((now - born) / COLD_FOR).clamp(0.0, 1.0));
-        COLD_FROM + (1.0 - COLD_FROM) * warmed_up
+        let warmed_up = self.started_at.map_or(1.0, |started_at| {
+            ((now - started_at) / SLOW_START_WINDOW).clamp(0.0, 1.0)
+        });
+        SLOW_START_MIN_SHARE + (1.0 - SLOW_START_MIN_SHARE) * warmed_up
     }
 }
 
@@ -72,8 +72,13 @@
 impl Fleet {
     fn new(loads: &[(ServerId, f64)], seed: u64) -> Self {
         let entries: Vec<Entry> = loads.iter().map(|(id, _)| entry(*id)).collect();
-        let new_harness =
-            |me| BalancerHarness::new(settings_of_balancer(me), entries.clone(), seed * 1000 + me);
+        let new_harness = |balancer_index| {
+            BalancerHarness::new(
+                settings_of_balancer(balancer_index),
+                entries.clone(),
+                seed * 1000 + balancer_index,
+            )
+        };
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let new_server = |&(id, load): &(ServerId, f64)| {
             let server = Server {
@@ -98,10 +103,10 @@
 
     /// Adds servers that have just started to the lists of all balancers.
     fn add_cold_servers(&mut self, ids: std::ops::Range<ServerId>) {
-        let born = Some(self.now);
+        let started_at = Some(self.now);
         for id in ids.clone() {
             let server = Server {
-                born,
+                started_at,
                 refreshed_at: self.now,
                 ..Server::default()
             };
@@ -111,7 +116,7 @@
             let entries = ids
                 .clone()
                 .map(|id| Entry {
-                    started_at: born,
+                    started_at,
                     ..entry(id)
                 })
                 .collect();
@@ -198,16 +203,22 @@
             fleet.run(1.2, 100.0);
         }
         fleet.run(2.0, 100.0);
-        for server in fleet.servers.values().filter(|s| s.born.is_some()) {
-            let born = server.born.unwrap();
-            let cold_sends = || server.send_times.iter().filter(|at| **at < born + COLD_FOR);
+        for server in fleet.servers.values().filter(|s| s.started_at.is_some()) {
+            let started_at = server.started_at.unwrap();
+            let cold_sends = || {
+                server
+                    .send_times
+                    .iter()
+                    .filter(|at| **at < started_at + SLOW_START_WINDOW)
+            };
             for &at in cold_sends() {
                 let recent_sends = cold_sends().filter(|s| **s >= at && **s < at + 1.5).count();
-                let max_sends = 3.0 * server.capacity_fraction(at) * WARM_CAPACITY / COLD_FOR * 1.5;
+                let max_sends =
+                    3.0 * server.capacity_fraction(at) * WARM_CAPACITY / SLOW_START_WINDOW * 1.5;
                 assert!(
                     recent_sends as f64 <= max_sends,
                     "{recent_sends} of {max_sends} at {}",
-                    at - born
+                    at - started_at
                 );
             }
         }
@@ -235,7 +246,7 @@
     harness.now += 0.1;
     harness.report_load(1, 1.0);
     assert_eq!(harness.place_request(1), None);
-    harness.now += COLD_FOR;
+    harness.now += SLOW_START_WINDOW;
     harness.report_load(1, 1.0);
     harness.report_load(2, 0.0);
     assert_eq!(harness.place_request(2), Some(2));
@@ -281,8 +292,9 @@
         for balancer in 0..FLEET_SIZE {
             fleet.send_request(balancer);
         }
-        let max_placed =
-            3.0 * fleet.servers[&100].capacity_fraction(fleet.now) * WARM_CAPACITY / COLD_FOR * 1.5;
+        let max_placed = 3.0 * fleet.servers[&100].capacity_fraction(fleet.now) * WARM_CAPACITY
+            / SLOW_START_WINDOW
+            * 1.5;
         let placed = fleet.count_placements(100..101);
         assert!(
             placed as f64 <= max_placed,
--- a/crates/balancer/tests/unprobed.rs
+++ b/crates/balancer/tests/unprobed.rs
@@ -45,19 +45,19 @@
         group_affinity: true,
         ..settings_without_probes()
     };
-    let place_request = |again: bool, group: u64| {
+    let place_request = |is_repeat: bool, group: u64| {
         let mut harness = BalancerHarness::new(grouped_settings(), servers(), 3);
         harness.now += 2.0;
         let request = Request {
-            is_repeat: again,
+            is_repeat,
             ..grouped_request(1, group)
         };
         let actions = harness.handle_and_answer_probes(Event::Request(request));
         sent_to(&actions, 1)
     };
-    let count_at_cold = |again| {
+    let count_at_cold = |is_repeat| {
         (0..50)
-            .filter(|group| place_request(again, *group) == Some(9))
+            .filter(|group| place_request(is_repeat, *group) == Some(9))
             .count()
     };
     let (first, repeated) = (count_at_cold(false), count_at_cold(true));
--- a/crates/common/src/rows.rs
+++ b/crates/common/src/rows.rs
@@ -30,7 +30,7 @@
             size: self
                 .rating
                 .filter(|size| names.rating_is_size && *size > 0.0 && size.is_finite()),
-            started_at: self.started_at.filter(|born| *born != 0.0),
+            started_at: self.started_at.filter(|started_at| *started_at != 0.0),
         }
     }
 }
--- a/crates/common/src/settings.rs
+++ b/crates/common/src/settings.rs
@@ -55,14 +55,14 @@
 }
 
 /// Reads the shortest positive target time for messages, in seconds.
-fn read_message_aim(values: &impl NamedValues) -> Result<Option<f64>, String> {
+fn read_message_delay_target(values: &impl NamedValues) -> Result<Option<f64>, String> {
     let name = "family-info.message-aim-s";
     let mut shortest: Option<f64> = None;
     for text in values.list(name) {
-        let aim = text.parse::<f64>().ok().filter(|aim| aim.is_finite());
-        let aim = aim.ok_or_else(|| format!("{name}={text}: expected a number"))?;
-        if aim > 0.0 {
-            shortest = Some(shortest.map_or(aim, |current| current.min(aim)));
+        let target = text.parse::<f64>().ok().filter(|target| target.is_finite());
+        let target = target.ok_or_else(|| format!("{name}={text}: expected a number"))?;
+        if target > 0.0 {
+            shortest = Some(shortest.map_or(target, |current| current.min(target)));
         }
     }
     Ok(shortest)
@@ -163,7 +163,7 @@
         price_probe: values.number_or("prices.probe", 0.0)?,
         over_share_worth: values.number_or("over-share-worth", 1.0)?,
         retry_budget: read_budget(values)?,
-        message_delay_target: read_message_aim(values)?,
+        message_delay_target: read_message_delay_target(values)?,
     };
     Ok((settings, names))
 }
--- a/crates/common/tests/merge.rs
+++ b/crates/common/tests/merge.rs
@@ -22,9 +22,9 @@
     let mut values = BTreeMap::new();
     let mut insert = |key: String, value: &str| drop(values.insert(key, value.to_string()));
     insert("request-classes.count".into(), &classes.len().to_string());
-    for (index, (name, effect)) in classes.iter().enumerate() {
+    for (index, (name, idempotency)) in classes.iter().enumerate() {
         insert(format!("request-classes.{index}.name"), name);
-        insert(format!("request-classes.{index}.idempotency"), effect);
+        insert(format!("request-classes.{index}.idempotency"), idempotency);
     }
     insert("orgs.count".into(), &tenants.len().to_string());
     for (index, (name, _)) in tenants.iter().enumerate() {
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -73,7 +73,7 @@
             WallClock::System => SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0.0, |since| since.as_secs_f64()),
-            WallClock::Offset(by) => self.seconds_at(now) + by,
+            WallClock::Offset(offset) => self.seconds_at(now) + offset,
         }
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -102,7 +102,7 @@
     /// Identity and address of each server, by its number.
     addresses: HashMap<ServerId, (String, SocketAddr)>,
     start_times: StartTimes,
-    /// Sources that have given a list; the empty name stands for lists without a catalogue.
+    /// Sources that have given a list; the empty name is used for lists without a catalogue.
     sources_with_list: BTreeSet<Rc<str>>,
     /// Latest row of each server, before bans and work orders are applied.
     last_rows: HashMap<ServerId, ServerRow>,
@@ -947,7 +947,7 @@
     /// Returns why the balancer gave up a request, for the log.
     fn give_up_reason(&self, id: RequestId) -> Option<GiveUpReason> {
         let given_up = self.balancer.given_up_requests();
-        let found = given_up.iter().find(|(of, _)| *of == id);
+        let found = given_up.iter().find(|(given_up_id, _)| *given_up_id == id);
         found.map(|(_, reason)| *reason)
     }
 
--- a/crates/engine/src/engine/machines.rs
+++ b/crates/engine/src/engine/machines.rs
@@ -20,7 +20,7 @@
         (self.clock.seconds_at(self.now) * 1e3) as Millis
     }
 
-    /// Records a server that a list names while its machine is out as taken out with the machine.
+    /// Records the transition of a server that is listed while its machine is out of service.
     pub(super) fn record_if_out(&mut self, uid: &str) {
         if self.machines_out.is_out(uid) {
             self.machines_out
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -38,7 +38,7 @@
     SourceUpdate(Rc<str>, SourceUpdate),
     /// A client's request, with the command channel of its connection.
     Request(Request, mpsc::Sender<ConnectionCommand>),
-    /// A connection that was established at the server with this identity before the engine started asks to be
+    /// A connection that was established at the server with this identity before the engine started is to be
     /// re-established there.
     Resume(RequestId, String, mpsc::Sender<ConnectionCommand>),
     /// The connection of an earlier [`EngineEvent::Resume`] is established again.
@@ -126,7 +126,7 @@
     pub draining: bool,
     /// Whether an operator has banned the server.
     pub banned: bool,
-    /// Whether an operator has put the server back in use although a work order has its machine out.
+    /// Whether an operator has put the server back in use although a work order takes its machine out of service.
     pub opened: bool,
 }
 
@@ -178,7 +178,7 @@
     Fail,
     /// The client of the established connection is asked to reconnect elsewhere.
     Move,
-    /// A successor process serves: it takes over the connection if that is between two lines.
+    /// A successor process serves: it takes over the connection if the connection is between two lines.
     HandOver,
     /// Abandon the pending attempt.
     Cancel,
--- a/crates/engine/src/sources.rs
+++ b/crates/engine/src/sources.rs
@@ -12,8 +12,8 @@
 
 use crate::messages::ListedServer;
 
-/// Time after which an unavailable source is logged; it is logged again each time that time has doubled.
-const SILENCE_WARNING_AGE: Millis = 10_000;
+/// Time after which an unavailable source is logged; it is logged again each time this duration has doubled.
+const UNAVAILABILITY_WARNING_AGE: Millis = 10_000;
 
 /// Maximum number of servers that are logged by name for one update.
 const MAX_LOGGED_SERVERS: usize = 10;
@@ -59,7 +59,7 @@
                 Some(id) => {
                     let entry = SourceEntry {
                         id,
-                        next_warning_age: SILENCE_WARNING_AGE,
+                        next_warning_age: UNAVAILABILITY_WARNING_AGE,
                         is_distrusted: false,
                     };
                     self.sources.insert(name.clone(), entry);
@@ -140,8 +140,8 @@
                         "a source does not answer: its last list stays in force"
                     );
                 }
-                None if entry.next_warning_age > SILENCE_WARNING_AGE => {
-                    entry.next_warning_age = SILENCE_WARNING_AGE;
+                None if entry.next_warning_age > UNAVAILABILITY_WARNING_AGE => {
+                    entry.next_warning_age = UNAVAILABILITY_WARNING_AGE;
                     info!(source = source.name, "a source answers again");
                 }
                 _ => {}
--- a/crates/engine/src/start_times.rs
+++ b/crates/engine/src/start_times.rs
@@ -44,8 +44,9 @@
 }
 
 impl StartTimes {
-    /// Returns when the current process of a server started, in seconds of the monotonic clock. `listed` is the start
-    /// time in Unix seconds from the list. `None` means that the server started long ago or that no start is listed.
+    /// Returns when the current process of a server started, in seconds of the monotonic clock. `listed_start` is the
+    /// start time in Unix seconds from the list. `None` means that the server started long ago or that no start is
+    /// listed.
     pub fn resolve(
         &mut self,
         uid: &str,
@@ -68,13 +69,13 @@
             last_seen: context.now,
         };
         self.starts.insert(uid.to_string(), record);
-        self.forget_oldest();
+        self.remove_oldest();
         record.started_at
     }
 
     /// Removes the records that were listed least recently if there are more than [`MAX_STARTS`]; at least half are
     /// kept.
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         if self.starts.len() <= MAX_STARTS {
             return;
         }
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -164,7 +164,7 @@
         self.handle_event(EngineEvent::ServerList(kind, rows));
     }
 
-    /// Advances the time and wakes the engine at each time it asks for.
+    /// Advances the time and calls the engine at each of its wake-up times.
     pub fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         while let Some(at) = self.engine.next_wakeup().filter(|at| *at <= until) {
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -493,8 +493,9 @@
     let statuses = prop::collection::vec(prop::option::weighted(0.8, reported_status()), 8);
     prop_oneof![
         6 => Just(Step::SendRequest),
-        4 => (0..2_usize, 0..8_u8, reported_status()).prop_map(|(s, n, w)| Step::StatusReport(s, n, w)),
-        1 => (0..2_usize, statuses).prop_map(|(s, w)| Step::FullList(s, w)),
+        4 => (0..2_usize, 0..8_u8, reported_status())
+            .prop_map(|(source, server, status)| Step::StatusReport(source, server, status)),
+        1 => (0..2_usize, statuses).prop_map(|(source, statuses)| Step::FullList(source, statuses)),
         1 => (0..2_usize).prop_map(Step::SourceUnavailable),
         1 => (0..8_u8).prop_map(Step::ServerDies),
         2 => (0..8_u8).prop_map(Step::ServerRecovers),
--- a/crates/engine/tests/service.rs
+++ b/crates/engine/tests/service.rs
@@ -94,7 +94,7 @@
         harness.next_command(connected),
         Some(ConnectionCommand::Move)
     ));
-    // The ban of the last server is obeyed, and no request is served.
+    // A ban applies to the last server too, so no request is served.
     assert_eq!(harness.place_and_close(), None);
 }
 
--- a/crates/net/src/exhaustion.rs
+++ b/crates/net/src/exhaustion.rs
@@ -8,7 +8,8 @@
 const EMFILE: i32 = 24;
 const ENOBUFS: i32 = 105;
 
-/// Whether a call failed because this machine lacks resources: descriptors, memory, buffers or local ports.
+/// Whether a call failed because this machine lacks resources (descriptors, memory, buffers or local ports) or because
+/// the call was interrupted.
 pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
         || matches!(
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -3,7 +3,7 @@
 //! A call may be interrupted (`EINTR`) at any time and is repeated then. A read or a write may be short while the
 //! socket remains ready. The runtime's own `AsyncRead` and `AsyncWrite` treat a short call as a sign that the socket is
 //! no longer ready, and wait for an edge that may never come; the functions here rely on `EAGAIN` alone. A call may
-//! fail because this machine lacks descriptors, buffers or ports. Such a failure says nothing about the peer;
+//! fail because this machine lacks descriptors, buffers or ports. Such a failure is not caused by the peer;
 //! [`is_resource_exhaustion`] recognises it.
 
 mod dial;
--- a/crates/net/tests/exhaustion.rs
+++ b/crates/net/tests/exhaustion.rs
@@ -1,4 +1,4 @@
-//! Tells local resource exhaustion from failures of the peer.
+//! Local resource exhaustion is distinguished from failures of the peer.
 
 use std::io;
 use std::time::{Duration, Instant};
