--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -97,7 +97,7 @@
     pub max_wait: Seconds,
 }
 
-/// The reason for which a request was given up, for the log.
+/// The reason why a request was given up, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
     /// The balancer accepts no more requests.
@@ -164,7 +164,7 @@
     /// The factor on the worth of a request beyond its tenant's share.
     pub over_share_worth: f64,
     pub retry_budget: Option<Budget>,
-    /// The shortest target time for an answer on an open connection, where the settings give one.
+    /// The shortest target time for an answer on an open connection, if the settings define one.
     pub message_delay_target: Option<Seconds>,
 }
 
@@ -186,7 +186,7 @@
     pub zone: Option<usize>,
     pub kind: Option<usize>,
     pub cell: u64,
-    /// The size relative to other servers in the list, where the list gives sizes.
+    /// The size relative to other servers in the list, where the list contains sizes.
     pub size: Option<f64>,
     /// When the server's process last started, unless that is long ago.
     pub started_at: Option<Seconds>,
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -60,8 +60,8 @@
 /// Highest reported load over capacity that is used as it is. Also the largest factor between the default
 /// capacity and one that is computed from reported connections.
 const MAX_PLAUSIBLE_LOAD: f64 = 10.0;
-/// Factor by which a server's capacity is assumed to be smaller than the default, as far as it is not known
-/// from reports: while the server is cold, and shortly after a start of this balancer.
+/// Factor by which a server's capacity is assumed to be smaller than the default where reports do not
+/// determine it: while the server is cold, and shortly after a start of this balancer.
 const CONSERVATIVE_FACTOR: f64 = 3.0;
 /// How long a turn at a cold server may be used, in multiples of the overload window
 /// [`Settings::overload_duration`].
@@ -80,7 +80,7 @@
 const RETRY_INTERVAL: Seconds = 0.05;
 /// Decayed number of failures above which a server is ejected, until it has decayed below that.
 const EJECTION_THRESHOLD: f64 = 3.0;
-/// Fraction of the target set-up time that an attempt must have been given for its time-out to count
+/// Minimum time-out of an attempt, as a fraction of the target set-up time, at which a time-out counts
 /// against the server.
 const MIN_TIMEOUT_SHARE: f64 = 0.5;
 /// Consecutive refusals after which one request is sent in spite of the load limit, if no attempt was made
@@ -434,7 +434,7 @@
             let estimate = |default_sum| {
                 (sum.metric_times_load / peers + default_sum) / (sum.load_squared + weight)
             };
-            // Where servers report their connections beside the load, the default is not needed.
+            // Where servers report their connections together with the load, the default is not needed.
             let from_connections = sum.metric / (sum.connections * mean_load);
             let measured = [from_connections.clamp(
                 default_estimate / MAX_PLAUSIBLE_LOAD,
@@ -1047,8 +1047,8 @@
         }
     }
 
-    /// The load that a move of the connection takes off the server, with its part of the group's cost
-    /// there.
+    /// The load that a move of the connection removes from the server, including its part of the group's
+    /// cost there.
     fn load_freed_by(&self, conn: &Connection, server: &Server) -> f64 {
         let group = conn.request.group.filter(|_| self.settings.group_affinity);
         let group_count = group.and_then(|group| server.group_counts.get(&group));
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -201,7 +201,7 @@
     new_requests: DecayingSum,
     attempts: DecayingSum,
     first_request_at: Option<Seconds>,
-    /// When requests arrived and when retries were made, as far as the budget needs them.
+    /// When requests arrived and when retries were made, kept only for the span of the budget.
     request_times: VecDeque<Seconds>,
     retry_times: VecDeque<Seconds>,
     /// This balancer's allowances of the quotas that balancers share, and their use.
--- a/crates/balancer/tests/scale.rs
+++ b/crates/balancer/tests/scale.rs
@@ -207,7 +207,7 @@
                 f64::from(harness.place_request(id).is_some());
         }
     }
-    // A warm server holds about 50 connections and fills up in 10 s: 5 per second. A cold one can take a fifth of that
+    // A warm server holds about 50 connections and fills up in 10 s: 5 per second. A cold one accepts a fifth of that
     // at first and is overloaded by three times as many, 6 in 2 s; twice that is allowed on purpose.
     for (window, sent) in (1..).zip(sent_per_window) {
         let capacity = 0.2 + 0.8 * f64::from(window) / 5.0;
@@ -304,8 +304,8 @@
     }
 }
 
-/// Capacities were assumed, at 50 connections of mean load, although servers reported their connections beside their
-/// load.
+/// Capacities were assumed, at 50 connections of mean load, although servers reported their connections together with
+/// their load.
 #[test]
 fn connections_reported_beside_the_load_give_the_capacity() {
     let load_and_connections = |load, connections| Report {
--- a/crates/common/src/merge.rs
+++ b/crates/common/src/merge.rs
@@ -1,8 +1,8 @@
 //! Replacement of settings while connections continue: classes, tenants, zones and kinds keep their indices.
 //!
 //! A class is identified by its name and all of its values, so a connection keeps the class under which it was
-//! accepted, whatever the name means now. Indices are never reused, as a request may be under way with one; a class
-//! that is added again with the same values gets its old index.
+//! accepted, even if the name is defined differently now. Indices are never reused, as a request may be
+//! under way with one; a class that is added again with the same values gets its old index.
 
 use violetwind_balancer::api::{Settings, Tenant};
 
--- a/crates/common/tests/merge.rs
+++ b/crates/common/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Replacement of settings: indices stay with the same classes, tenants and zones, whatever their position.
+//! Replacement of settings: indices stay with the same classes, tenants and zones, regardless of their position.
 
 use std::collections::BTreeMap;
 
--- a/crates/engine/src/engine/machines.rs
+++ b/crates/engine/src/engine/machines.rs
@@ -1,4 +1,4 @@
-//! Machines that the fleet's work orders take out of service: in force in this proxy once
+//! Machines that the fleet's work orders take out of service. A change is in force in this proxy once
 //! [`Engine::set_machines_out`] returns.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -28,7 +28,8 @@
 /// Input of the engine, sent by protocol front ends, service discovery sources and management code.
 #[derive(Debug)]
 pub enum EngineEvent {
-    /// A server list that is passed to the balancer unchanged; used without a catalogue.
+    /// A server list for an engine without a catalogue. Start times are resolved, and bans and work orders applied,
+    /// before it is passed to the balancer.
     ServerList(ListKind, Vec<ListedServer>),
     /// No server list can be obtained at present; used without a catalogue.
     ListUnavailable,
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -308,7 +308,7 @@
     );
 }
 
-/// One of the dropped servers is really dead: its clients are moved within 3 s, those of the others stay.
+/// One of the dropped servers no longer answers: its clients are moved within 3 s, those of the others stay.
 #[test]
 fn only_clients_of_dead_servers_are_moved_when_a_source_drops_half_of_the_servers() {
     let mut sim = Simulation::new(6, &["one"]);
