--- a/crates/catalogue/benches/whole.rs
+++ b/crates/catalogue/benches/whole.rs
@@ -19,8 +19,8 @@
             kind: Some("m".into()),
             cell: 0,
             weight: Some(1.0),
-            born: None,
-            epoch: index as u64,
+            started_at: None,
+            registration_index: index as u64,
         }),
     };
     (0..servers).map(new_row).collect()
--- a/crates/catalogue/src/catalogue.rs
+++ b/crates/catalogue/src/catalogue.rs
@@ -356,7 +356,7 @@
                 status: EffectiveStatus::Gone,
                 reason,
                 instance: instance.clone(),
-                born: None,
+                started_at: None,
             });
         }
     }
@@ -400,9 +400,13 @@
                 let mut changed = report.status != status;
                 if let Some(instance) = instance.filter(|instance| *instance != report.instance) {
                     let address_changed = instance.endpoint != report.instance.endpoint;
-                    let reregistered =
-                        instance.epoch != report.instance.epoch && !report.status.is_listed();
-                    if address_changed || reregistered || instance.epoch > report.instance.epoch {
+                    let reregistered = instance.registration_index
+                        != report.instance.registration_index
+                        && !report.status.is_listed();
+                    if address_changed
+                        || reregistered
+                        || instance.registration_index > report.instance.registration_index
+                    {
                         // A new process runs under the same uid.
                         record.observed_start = Some(now);
                         record.missed_responses = 0;
@@ -691,7 +695,7 @@
                 continue;
             };
             let observed_start = record.observed_start;
-            let started_at = report.instance.born.max(observed_start);
+            let started_at = report.instance.started_at.max(observed_start);
             let is_unchanged = |published: &PublishedStatus| {
                 published.status == status
                     && published.started_at == started_at
@@ -716,7 +720,7 @@
                 status,
                 reason,
                 instance,
-                born: started_at,
+                started_at: started_at,
             });
         }
         self.dirty = deferred;
--- a/crates/catalogue/src/types.rs
+++ b/crates/catalogue/src/types.rs
@@ -18,9 +18,9 @@
     pub weight: Option<f64>,
     /// When the server's process started, if the source reports it. Consul reports Unix time; the engine converts it to
     /// the time of the catalogue's clock before it applies the update.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Changes with each registration, if the source reports it (Consul's `CreateIndex`).
-    pub epoch: u64,
+    pub registration_index: u64,
 }
 
 /// The status of one server in a row of a source.
@@ -176,7 +176,7 @@
     pub instance: Instance,
     /// When the server's process started: the later of the reported and the observed time. A server that is new,
     /// at a new address or back after it was gone counts as cold.
-    pub born: Option<Millis>,
+    pub started_at: Option<Millis>,
 }
 
 /// A view of one server, with the reports of all sources.
--- a/crates/catalogue/tests/effective_status.rs
+++ b/crates/catalogue/tests/effective_status.rs
@@ -21,8 +21,8 @@
             kind: None,
             cell: 0,
             weight: None,
-            born: None,
-            epoch: 1,
+            started_at: None,
+            registration_index: 1,
         }),
     }
 }
@@ -56,7 +56,7 @@
             .all(|change| change.status == EffectiveStatus::Ready)
     );
     // Servers in the first snapshot may have been running for a long time, so none of them counts as cold.
-    assert!(changes.iter().all(|change| change.born.is_none()));
+    assert!(changes.iter().all(|change| change.started_at.is_none()));
     (catalogue, source, names)
 }
 
@@ -119,7 +119,7 @@
         delta(vec![row(&names[3], ReportedStatus::Ready)]),
     );
     assert_eq!(statuses(&changes), [(&*names[3], EffectiveStatus::Ready)]);
-    assert_eq!(changes[0].born, Some(START + 700_000));
+    assert_eq!(changes[0].started_at, Some(START + 700_000));
 }
 
 #[test]
@@ -305,7 +305,7 @@
     assert!(
         changes
             .iter()
-            .all(|change| change.uid.starts_with("new-") && change.born == Some(resumed_at))
+            .all(|change| change.uid.starts_with("new-") && change.started_at == Some(resumed_at))
     );
     // The missing servers still answer. Once the maximum distrust time is over they expire, two of a hundred per
     // second.
@@ -420,7 +420,7 @@
     );
     assert_eq!(statuses(&changes), [(&*names[2], EffectiveStatus::Ready)]);
     assert_eq!(changes[0].instance.endpoint.port(), 4000);
-    assert_eq!(changes[0].born, Some(START + 3000));
+    assert_eq!(changes[0].started_at, Some(START + 3000));
 }
 
 #[test]
--- a/crates/catalogue/tests/properties.rs
+++ b/crates/catalogue/tests/properties.rs
@@ -58,8 +58,8 @@
             kind: None,
             cell: 0,
             weight: None,
-            born: None,
-            epoch: 0,
+            started_at: None,
+            registration_index: 0,
         }),
     }
 }
--- a/crates/consul/src/rows.rs
+++ b/crates/consul/src/rows.rs
@@ -433,10 +433,10 @@
             kind: checked_field(self.lookup_field(&self.rules.kind, row))?,
             cell: group.map_or(0, group_number),
             weight: weight.filter(|weight| weight.is_finite() && *weight > 0.0),
-            born: boot_ms
+            started_at: boot_ms
                 .and_then(|text| text.parse().ok())
                 .filter(|ms| *ms > 0),
-            epoch: row.service.create_index,
+            registration_index: row.service.create_index,
         })
     }
 
--- a/crates/consul/tests/source.rs
+++ b/crates/consul/tests/source.rs
@@ -322,7 +322,7 @@
                 (first.zone.as_deref(), first.kind.as_deref()),
                 (Some("a"), Some("m2"))
             );
-            assert_eq!((first.cell, first.born), (7, Some(1_700_000_000_000)));
+            assert_eq!((first.cell, first.started_at), (7, Some(1_700_000_000_000)));
             // Without checks there is no warning, so the weight for passing checks applies.
             assert_eq!(
                 first.weight,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -297,9 +297,9 @@
             let Some(instance) = &mut row.instance else {
                 continue;
             };
-            let listed_start = instance.born.map(|ms| ms as Seconds / 1e3);
+            let listed_start = instance.started_at.map(|ms| ms as Seconds / 1e3);
             let start = self.start_times.resolve(&row.uid, listed_start, context);
-            instance.born = start.map(|at| (at * 1e3) as u64);
+            instance.started_at = start.map(|at| (at * 1e3) as u64);
         }
         if completes && &**source != LAST_RUN {
             self.sources_with_list.insert(source.clone());
@@ -1043,11 +1043,11 @@
         kind: row.kind.map(Into::into),
         cell: row.cell,
         weight: row.rating,
-        born: row
+        started_at: row
             .started_at
             .filter(|at| *at > 0.0)
             .map(|at| (at * 1e3) as u64),
-        epoch: 0,
+        registration_index: 0,
     });
     // Only a server that has left needs no address.
     (instance.is_some() || status == ReportedStatus::Left).then(|| violetwind_catalogue::Row {
--- a/crates/engine/src/sources.rs
+++ b/crates/engine/src/sources.rs
@@ -202,7 +202,7 @@
             },
             kind: instance.kind.map(String::from),
             zone: instance.zone.map(String::from),
-            started_at: change.born.map(|ms| ms as Seconds / 1e3),
+            started_at: change.started_at.map(|ms| ms as Seconds / 1e3),
             rating: instance.weight,
         },
         uid: change.uid.into(),
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -137,8 +137,8 @@
                 kind: None,
                 cell: 0,
                 weight: None,
-                born: None,
-                epoch: 0,
+                started_at: None,
+                registration_index: 0,
             }),
         }
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -436,7 +436,7 @@
             if real {
                 let script = script.unwrap_or_else(|| Script::generate(first, parameters));
                 let program = proxy_program(proxy);
-                let result = storm_processes::play_on_processes(&script, &program);
+                let result = storm_processes::run_on_processes(&script, &program);
                 println!("{result:#?}");
                 return Ok(if result.wrong.is_empty() {
                     ExitCode::SUCCESS
--- a/crates/lab/src/storm_processes.rs
+++ b/crates/lab/src/storm_processes.rs
@@ -187,7 +187,7 @@
 }
 
 /// Runs a script in real time and checks the guarantees.
-pub fn play_on_processes(script: &Script, program: &Path) -> RealPlayed {
+pub fn run_on_processes(script: &Script, program: &Path) -> RealPlayed {
     let members = script.voters + script.others;
     let lines = format!(
         "[[fleet.duty]]\nname = \"export\"\n[[fleet.budget]]\nname = \"held\"\nkind = \"held\"\nwhole = {}\nfloor = 1\n",
--- a/crates/proxy/benches/sources.rs
+++ b/crates/proxy/benches/sources.rs
@@ -11,7 +11,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Discovery, LineConnection, Proxy, Server, unused_addr, without_loads};
+use common::{Discovery, LineConnection, Proxy, Server, disable_load_reports, unused_addr};
 use serde_json::{Value, json};
 use violetwind_standins::consul::{Check, Consul, Instance, Maintenance};
 
@@ -39,19 +39,19 @@
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
     for _ in 0..rounds {
-        let proxy = Proxy::start_roomy(&discovery);
-        let before = proxy.cpu();
+        let proxy = Proxy::start_without_loads(&discovery);
+        let before = proxy.cpu_time();
         for _ in 0..2000 {
-            let _ = proxy.up(&server);
+            let _ = proxy.establish_connection(&server);
         }
-        let elapsed = proxy.cpu() - before;
+        let elapsed = proxy.cpu_time() - before;
         println!("{:.1} us an open", elapsed.as_secs_f64() * 1e6 / 2000.0);
     }
 }
 
 /// Disables the balancer's probes: their cost in a large fleet is not part of this measurement.
 fn disable_probes(config: &mut Value) {
-    without_loads(config);
+    disable_load_reports(config);
     config["settings"]["permissions"]["probes"] = json!(false);
 }
 
@@ -77,7 +77,7 @@
          name = \"agenda\"\nkind = \"consul\"\naddress = \"{}\"\nservice = \"agenda\"\ngap = \"{gap}\"\n",
         consul.addr
     );
-    let proxy = Proxy::start_with(unused_addr(), &file, disable_probes);
+    let proxy = Proxy::start_with_operator_file(unused_addr(), &file, disable_probes);
     Setup {
         servers,
         consul,
@@ -88,9 +88,9 @@
 
 fn measure_scale(instances: usize, changes: usize, seconds: usize) {
     let setup = start_setup(instances, "100ms");
-    let memory_after_list = setup.proxy.memory_kib();
+    let memory_after_list = setup.proxy.peak_memory_kib();
     let requests_before = setup.consul.request_count();
-    let (before, start) = (setup.proxy.cpu(), Instant::now());
+    let (before, start) = (setup.proxy.cpu_time(), Instant::now());
     let mut next = 0;
     let mut slowest = Duration::ZERO;
     for tick in 0..seconds * 10 {
@@ -112,7 +112,7 @@
         std::thread::sleep(sleep_until.saturating_duration_since(Instant::now()));
     }
     let elapsed = start.elapsed();
-    let cpu = setup.proxy.cpu() - before;
+    let cpu = setup.proxy.cpu_time() - before;
     let lists = setup.consul.request_count() - requests_before;
     println!(
         "{instances} instances, {changes} changes a second, {:.0} s: {:.1}% of a core, {lists} lists, \
@@ -122,7 +122,7 @@
         1e3 * cpu.as_secs_f64() / lists.max(1) as f64,
         1e3 * slowest.as_secs_f64(),
         memory_after_list as f64 / 1024.0,
-        setup.proxy.memory_kib() as f64 / 1024.0,
+        setup.proxy.peak_memory_kib() as f64 / 1024.0,
     );
 }
 
--- a/crates/proxy/tests/bad_clients.rs
+++ b/crates/proxy/tests/bad_clients.rs
@@ -6,7 +6,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    ConnectionEnd, Discovery, LineConnection, Pingable, Proxy, Server, one_server, without_loads,
+    ConnectionEnd, Discovery, LineConnection, Pingable, Proxy, Server, disable_load_reports,
+    one_server,
 };
 use serde_json::json;
 
@@ -20,7 +21,7 @@
     let proxy = Proxy::launch(discovery.addr, |config| {
         config["limits"]["sockets"] = json!(sockets);
         config["limits"]["memory_mb"] = json!(32);
-        without_loads(config);
+        disable_load_reports(config);
     });
     proxy.wait_ready();
     (server, discovery, proxy)
@@ -75,7 +76,7 @@
     assert_rejected(&proxy, &[0, 255, 254, b'\n']);
     assert_rejected(&proxy, &[b'x'; 5000]);
     assert!(server.no_pending_open());
-    proxy.up(&server);
+    proxy.establish_connection(&server);
 }
 
 /// The forms that regular clients were observed to send, and others that the protocol allows.
@@ -189,7 +190,11 @@
     let sent = client.send_until_blocked(&huge, Duration::from_secs(2));
     assert!(sent < huge.len(), "the proxy read all bytes");
     assert!(start.elapsed() < ANSWER_DEADLINE, "{:?}", start.elapsed());
-    assert!(proxy.memory_kib() < 24 << 10, "{}", proxy.memory_kib());
+    assert!(
+        proxy.peak_memory_kib() < 24 << 10,
+        "{}",
+        proxy.peak_memory_kib()
+    );
 }
 
 /// Hundreds of clients send nothing, or one request and stay connected, while a third of the descriptors serve
@@ -233,8 +238,12 @@
         conn.send_line("OK on");
         assert_eq!(client.read_line(), "OK on");
     }
-    assert!(proxy.memory_kib() < 24 << 10, "{}", proxy.memory_kib());
-    assert!(proxy.alive());
+    assert!(
+        proxy.peak_memory_kib() < 24 << 10,
+        "{}",
+        proxy.peak_memory_kib()
+    );
+    assert!(proxy.is_running());
 }
 
 /// Clients that repeat a bad request as soon as it is rejected must neither fill the disk with log lines nor go
@@ -262,5 +271,5 @@
         assert!(Instant::now() < until, "{}", proxy.log());
         assert_rejected(&proxy, b"frob\r\n");
     }
-    proxy.up(&server);
+    proxy.establish_connection(&server);
 }
--- a/crates/proxy/tests/clauses.rs
+++ b/crates/proxy/tests/clauses.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    ConnectionEnd, Discovery, DiscoveryMode, LineConnection, Proxy, Server, target_row,
-    without_loads,
+    ConnectionEnd, Discovery, DiscoveryMode, LineConnection, Proxy, Server, disable_load_reports,
+    target_row,
 };
 use serde_json::json;
 use violetwind_standins::soak::{ClientBehaviour, RequestOutcome, SoakServer, Traffic};
@@ -24,7 +24,7 @@
     change: impl FnOnce(&mut serde_json::Value),
 ) -> Proxy {
     let proxy = Proxy::launch(discovery.addr, |config| {
-        without_loads(config);
+        disable_load_reports(config);
         config["settings"]["permissions"]["probes"] = json!(false);
         change(config);
     });
@@ -47,7 +47,7 @@
         let discovery = Discovery::start(&targets);
         let proxy = Proxy::launch(discovery.addr, |config| {
             // Without load reports no request is refused for lack of capacity.
-            without_loads(config);
+            disable_load_reports(config);
             config["settings"]["permissions"]["probes"] = json!(probes);
         });
         proxy.wait_ready();
@@ -235,14 +235,14 @@
     let discovery = Discovery::start(&[old.target_row("ready")]);
     let proxy = start_without_probes(&discovery, |_| {});
     discovery.upsert_target(new.target_row("ready"));
-    proxy.logged("version=2");
+    proxy.wait_for_log("version=2");
     let mut client = proxy.open("watch");
     let (_, mut conn) = new.next_open();
     conn.send_line("UP 77aa");
     assert_eq!(client.read_line(), "UP 77aa");
     assert!(old.no_pending_open());
     discovery.upsert_target(new.target_row("draining"));
-    proxy.logged("version=3");
+    proxy.wait_for_log("version=3");
     assert!(
         proxy
             .open_with("c=watch,d=200")
@@ -259,7 +259,7 @@
     let discovery = Discovery::start(&[removed.target_row("ready"), staying.target_row("ready")]);
     let proxy = start_without_probes(&discovery, |_| {});
     discovery.remove_target("s-1");
-    proxy.logged("whole=true rows=1");
+    proxy.wait_for_log("whole=true rows=1");
     thread::sleep(MS(300));
     for _ in 0..10 {
         let mut client = proxy.open("watch");
@@ -276,7 +276,7 @@
     let server = SoakServer::start("s-1", 400);
     let discovery = Discovery::start(&[server.target_row("ready", 0)]);
     let mut proxy = start_without_probes(&discovery, |_| {});
-    proxy.stop();
+    proxy.stop_process();
     let mut clients: Vec<LineConnection> =
         (0..40).map(|_| proxy.open_with("c=watch,d=1500")).collect();
     // Two more idle connections: one has sent nothing, one half a line.
@@ -301,7 +301,7 @@
         half.try_read_line().as_deref(),
         Ok("ERR" | "BUSY") | Err(ConnectionEnd::Closed)
     ));
-    assert!(proxy.ended().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(
         signalled_at.elapsed() < MS(2700),
         "{:?}",
@@ -342,7 +342,7 @@
             }
             assert_eq!(client.expect_end(), ConnectionEnd::Closed);
         }
-        assert!(proxy.ended().success());
+        assert!(proxy.wait_for_exit().success());
         assert!(signalled_at.elapsed() < MS(2700));
     }
 }
@@ -421,7 +421,7 @@
         }
     });
     let proxy = Proxy::launch(addr, |config| {
-        without_loads(config);
+        disable_load_reports(config);
         config["settings"]["permissions"]["probes"] = json!(false);
     });
     proxy.wait_ready();
@@ -466,7 +466,7 @@
     let proxy = start_without_probes(&discovery, |_| {});
     let gone = target_row("s-1", &back.addr.to_string(), "gone");
     discovery.upsert_target(gone);
-    proxy.logged("version=3");
+    proxy.wait_for_log("version=3");
     assert!(
         proxy
             .open_with("c=watch,d=200")
@@ -474,7 +474,7 @@
             .starts_with("BUSY")
     );
     discovery.upsert_target(back.target_row("ready"));
-    proxy.logged("version=4");
+    proxy.wait_for_log("version=4");
     let mut client = proxy.open("watch");
     let (_, mut conn) = back.next_open();
     conn.send_line("UP 77aa");
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -73,8 +73,8 @@
     }
 
     /// Same as [`Proxy::start`], without load reports, so that any number of clients is admitted.
-    pub fn start_roomy(discovery: &Discovery) -> Self {
-        let proxy = Self::launch(discovery.addr, without_loads);
+    pub fn start_without_loads(discovery: &Discovery) -> Self {
+        let proxy = Self::launch(discovery.addr, disable_load_reports);
         proxy.wait_ready();
         proxy
     }
@@ -109,7 +109,7 @@
     }
 
     /// Starts a process with an operator's file and waits until it is ready.
-    pub fn start_with(
+    pub fn start_with_operator_file(
         discovery: SocketAddr,
         operator_text: &str,
         change: impl FnOnce(&mut Value),
@@ -223,7 +223,7 @@
     }
 
     /// Starts a process with an operators' address and a changed configuration, and waits until it is ready.
-    pub fn managed(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> Self {
+    pub fn start_with_management(discovery: &Discovery, change: impl FnOnce(&mut Value)) -> Self {
         let proxy = Self::launch(discovery.addr, |config| {
             config["management"] = json!(unused_addr().to_string());
             change(config);
@@ -233,7 +233,7 @@
     }
 
     /// Starts a second process on the same configuration with another operators' address, as an upgrade does.
-    pub fn successor(&self, discovery: SocketAddr) -> Self {
+    pub fn start_successor(&self, discovery: SocketAddr) -> Self {
         let path = self.dir.join("config.json");
         let mut config: Value = serde_json::from_str(&self.config_text()).unwrap();
         config["management"] = json!(unused_addr().to_string());
@@ -271,7 +271,7 @@
     }
 
     /// Same as [`Proxy::call`]; the answer must be `200`.
-    pub fn yes(&self, line: &str) -> String {
+    pub fn call_expecting_ok(&self, line: &str) -> String {
         let answer = self.call(line);
         assert!(
             answer.starts_with("200 "),
@@ -282,7 +282,7 @@
     }
 
     /// Same as [`Proxy::call`]; the answer must be `400`.
-    pub fn no(&self, line: &str) -> String {
+    pub fn call_expecting_refusal(&self, line: &str) -> String {
         let answer = self.call(line);
         assert!(answer.starts_with("400 "), "{line}: {answer}");
         answer
@@ -315,7 +315,7 @@
     }
 
     /// Establishes a connection to `server` and returns the client's side and the server's side.
-    pub fn up(&self, server: &Server) -> (LineConnection, LineConnection) {
+    pub fn establish_connection(&self, server: &Server) -> (LineConnection, LineConnection) {
         let mut client = self.open("watch");
         let (_, mut conn) = server.next_open();
         conn.send_line("UP 77aa");
@@ -329,7 +329,7 @@
     }
 
     /// Waits until the log contains `text`.
-    pub fn logged(&self, text: &str) {
+    pub fn wait_for_log(&self, text: &str) {
         let log = self.log.0.lock().unwrap();
         let wait = self
             .log
@@ -356,7 +356,7 @@
     }
 
     /// Replaces the operator's file atomically by `text` and sends SIGHUP.
-    pub fn reload_operators(&self, text: &str) {
+    pub fn reload_operator_file(&self, text: &str) {
         let new = self.dir.join("new.toml");
         std::fs::write(&new, text).unwrap();
         std::fs::rename(&new, self.dir.join("operator.toml")).unwrap();
@@ -376,7 +376,7 @@
     }
 
     /// Sends SIGSTOP and waits until the process is stopped.
-    pub fn stop(&self) {
+    pub fn stop_process(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         let deadline = Instant::now() + WAIT_TIMEOUT;
@@ -391,7 +391,7 @@
     }
 
     /// The CPU time that the process has used, user and system.
-    pub fn cpu(&self) -> Duration {
+    pub fn cpu_time(&self) -> Duration {
         let path = format!("/proc/{}/stat", self.child.id());
         let stat = std::fs::read_to_string(path).unwrap();
         // The command name in brackets may contain spaces, so split behind it; field 3 of proc(5) is then at index 1.
@@ -402,13 +402,13 @@
     }
 
     /// The number of open file descriptors.
-    pub fn descriptors(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         let path = format!("/proc/{}/fd", self.child.id());
         std::fs::read_dir(path).unwrap().count()
     }
 
     /// The peak resident set size in KiB.
-    pub fn memory_kib(&self) -> u64 {
+    pub fn peak_memory_kib(&self) -> u64 {
         let path = format!("/proc/{}/status", self.child.id());
         let status = std::fs::read_to_string(path).unwrap();
         let line = status
@@ -419,7 +419,7 @@
     }
 
     /// Waits until the process has ended and returns its exit status.
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
@@ -434,7 +434,7 @@
     }
 
     /// Whether the process is still running.
-    pub fn alive(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
 }
@@ -464,7 +464,7 @@
 }
 
 /// Removes the load reports of servers from the configuration: the balancer then admits any number of clients.
-pub fn without_loads(config: &mut Value) {
+pub fn disable_load_reports(config: &mut Value) {
     config["settings"]["reporting"]["fields"] = json!([]);
 }
 
--- a/crates/proxy/tests/consul.rs
+++ b/crates/proxy/tests/consul.rs
@@ -7,7 +7,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    Discovery, LineConnection, Pingable, Proxy, Server, WAIT_TIMEOUT, unused_addr, without_loads,
+    Discovery, LineConnection, Pingable, Proxy, Server, WAIT_TIMEOUT, disable_load_reports,
+    unused_addr,
 };
 use violetwind_standins::consul::{Check, Consul, ConsulMode, Instance, Maintenance};
 
@@ -35,10 +36,10 @@
         let consul = Consul::start("agenda");
         consul.register_all(servers.iter().map(|s| Instance::new(&s.uid, s.addr)));
         // The platform's discovery is unreachable.
-        let proxy = Proxy::start_with(
+        let proxy = Proxy::start_with_operator_file(
             unused_addr(),
             &operators_file(consul.addr, more),
-            without_loads,
+            disable_load_reports,
         );
         Self {
             servers,
@@ -112,7 +113,7 @@
     setup
         .consul
         .set_check(&setup.first_half_uids(), Check::Critical);
-    setup.proxy.logged("is doubted");
+    setup.proxy.wait_for_log("is doubted");
     let until = Instant::now() + Duration::from_secs(2);
     while Instant::now() < until {
         setup.assert_all_served();
@@ -142,7 +143,7 @@
     setup
         .consul
         .update_instances(&["s-1"], |i| i.maintenance = Maintenance::Service);
-    setup.proxy.logged("a server leaves");
+    setup.proxy.wait_for_log("a server leaves");
     for _ in 0..20 {
         assert_ne!(setup.open(), 1);
     }
@@ -193,7 +194,7 @@
     let consul = Consul::start("agenda");
     consul.register_all(servers.iter().map(|s| Instance::new(&s.uid, s.addr)));
     let text = "[[source]]\nname = \"platform\"\nkind = \"registry\"\n";
-    let proxy = Proxy::start_with(discovery.addr, text, without_loads);
+    let proxy = Proxy::start_with_operator_file(discovery.addr, text, disable_load_reports);
     let mut setup = Setup {
         servers,
         consul,
@@ -202,14 +203,16 @@
     };
     setup.open_many(12);
     // An invalid file changes nothing, and the log says so.
-    setup.proxy.reload_operators("[[source]]\nname = 1\n");
-    setup.proxy.logged("the operator's file stays as it was");
+    setup.proxy.reload_operator_file("[[source]]\nname = 1\n");
+    setup
+        .proxy
+        .wait_for_log("the operator's file stays as it was");
     setup.assert_all_served();
     setup
         .proxy
-        .reload_operators(&operators_file(setup.consul.addr, ""));
+        .reload_operator_file(&operators_file(setup.consul.addr, ""));
     setup.consul.wait_until_changes_served();
-    setup.proxy.logged("a source is let go");
+    setup.proxy.wait_for_log("a source is let go");
     setup.assert_all_served();
     setup.open_many(6);
     // From now on Consul is the source in use, and the registry is not.
@@ -217,7 +220,7 @@
     setup
         .consul
         .update_instances(&["s-2"], |i| i.maintenance = Maintenance::Node);
-    setup.proxy.logged("a server leaves");
+    setup.proxy.wait_for_log("a server leaves");
     for _ in 0..6 {
         assert_ne!(setup.open(), 2);
     }
--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -10,13 +10,13 @@
 
 use common::{
     ConnectionEnd, Discovery, DiscoveryMode, LineConnection, Proxy, Server, UnresponsiveHost,
-    target_row, without_loads,
+    disable_load_reports, target_row,
 };
 use serde_json::{Value, json};
 
 /// Turns off probes and load reports, so that every request is forwarded at once.
 fn disable_probes_and_loads(config: &mut Value) {
-    without_loads(config);
+    disable_load_reports(config);
     config["settings"]["permissions"]["probes"] = json!(false);
     config["settings"]["permissions"]["connect-timeout-s"] = json!(5.0);
 }
@@ -57,7 +57,7 @@
     let proxy = start_proxy(&discovery, |_| {});
     let clients: Vec<LineConnection> = (0..8).map(|_| proxy.open_with("c=watch,d=6000")).collect();
     slow_host.wait_for_dials(clients.len());
-    proxy.stop();
+    proxy.stop_process();
     let streams: Vec<TcpStream> = clients
         .iter()
         .map(|_| slow_host.recover_and_accept())
@@ -83,7 +83,7 @@
     let mut client = proxy.open_with("c=watch,d=6000");
     let (_, conn) = first.next_open();
     discovery.upsert_target(target_row("s-2", &slow_host.addr.to_string(), "ready"));
-    proxy.logged("version=2 whole=false");
+    proxy.wait_for_log("version=2 whole=false");
     // The server has read the whole line, so the request may have run.
     let closed_at = Instant::now();
     drop(conn);
@@ -106,7 +106,7 @@
     let mut client = proxy.open_with("c=book,d=6000");
     slow_host.wait_for_dials(1);
     discovery.upsert_target(row("draining"));
-    proxy.logged("a server leaves");
+    proxy.wait_for_log("a server leaves");
     assert_eq!(read_all(slow_host.recover_and_accept()), b"");
     // The request never ran, so a retry is safe.
     assert!(client.read_line().starts_with("BUSY"));
@@ -119,7 +119,7 @@
     let (server, _discovery, proxy) = start_with_one_server(|_| {});
     let mut client = proxy.open("watch");
     let (_, mut conn) = server.next_open();
-    proxy.stop();
+    proxy.stop_process();
     conn.send_bytes(b"UP 1a2b\r\nOK one\r\n");
     conn.reset();
     proxy.signal("-CONT");
@@ -133,10 +133,10 @@
 #[test]
 fn a_servers_last_line_is_delivered_when_a_client_line_crosses_it() {
     let (server, _discovery, proxy) = start_with_one_server(|_| {});
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     client.send_line("SAY one");
     conn.wait_readable();
-    proxy.stop();
+    proxy.stop_process();
     conn.send_line("BYE");
     drop(conn);
     client.send_line("SAY two");
@@ -149,13 +149,13 @@
 #[test]
 fn an_incomplete_line_of_a_hanging_server_is_held_back_for_a_move() {
     let (server, _discovery, mut proxy) = start_with_one_server(|_| {});
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     conn.send_bytes(b"OK one\r\nOK ha");
     assert_eq!(client.read_line(), "OK one");
     proxy.signal("-TERM");
     assert_eq!(client.read_line(), "MOVE");
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
-    assert!(proxy.ended().success());
+    assert!(proxy.wait_for_exit().success());
 }
 
 /// After an invalid answer the request may have run, so it is not retried, and nothing of the answer is forwarded.
@@ -174,7 +174,7 @@
         let (_, mut conn) = server.next_open();
         let other = Server::start("s-2");
         discovery.upsert_target(other.target_row("ready"));
-        proxy.logged("version=2 whole=false");
+        proxy.wait_for_log("version=2 whole=false");
         conn.send_bytes(invalid.as_bytes());
         assert_eq!(
             client.read_line(),
@@ -248,8 +248,9 @@
             config["settings"]["request-classes"][class]["target-s"] = json!(0.1);
         }
     });
-    let mut pairs: Vec<(LineConnection, LineConnection)> =
-        (0..6).map(|_| proxy.up(&server)).collect();
+    let mut pairs: Vec<(LineConnection, LineConnection)> = (0..6)
+        .map(|_| proxy.establish_connection(&server))
+        .collect();
     // Each client waits for an answer, and a move waits for that answer too.
     for (client, conn) in &mut pairs {
         client.send_line("SAY one");
@@ -261,7 +262,7 @@
         assert_eq!(client.read_line(), "MOVE");
         assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     }
-    assert!(proxy.ended().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(
         signalled_at.elapsed() < Duration::from_millis(1000),
         "{:?}",
@@ -282,7 +283,7 @@
     let (mut late_client, mut idle_client) = (connect_idle(), connect_idle());
     let signalled_at = Instant::now();
     proxy.signal("-TERM");
-    proxy.logged("told to end");
+    proxy.wait_for_log("told to end");
     while signalled_at.elapsed() < Duration::from_millis(1200) {
         assert_eq!(ping(&mut idle_client), "PONG");
         std::thread::sleep(Duration::from_millis(50));
@@ -294,7 +295,7 @@
     assert_eq!(late_client.expect_end(), ConnectionEnd::Closed);
     assert_eq!(idle_client.read_line(), "BUSY");
     assert_eq!(idle_client.expect_end(), ConnectionEnd::Closed);
-    assert!(proxy.ended().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(
         signalled_at.elapsed() < Duration::from_millis(2700),
         "{:?}",
@@ -313,17 +314,17 @@
 fn a_signal_during_startup_is_handled_once_the_process_serves() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let old = Proxy::managed(&discovery, |_| {});
-    old.logged("successors are awaited");
+    let old = Proxy::start_with_management(&discovery, |_| {});
+    old.wait_for_log("successors are awaited");
     // Another listener replaces the predecessor's socket and never answers.
     let path = old.dir().join("violetwind.sock");
     std::fs::remove_file(&path).unwrap();
     let silent_listener = UnixListener::bind(&path).unwrap();
-    let mut new = old.successor(discovery.addr);
+    let mut new = old.start_successor(discovery.addr);
     let _connection = silent_listener.accept().unwrap();
     new.signal("-TERM");
-    assert!(new.ended().success());
-    new.logged("told to end");
+    assert!(new.wait_for_exit().success());
+    new.wait_for_log("told to end");
 }
 
 /// The oldest connection is due to be closed in favour of the next one while its request is still unread, because the
@@ -339,7 +340,7 @@
         .collect();
     // Each of them may be closed once it is 25 ms old.
     assert!(silent[0].is_quiet_for(Duration::from_millis(60)));
-    proxy.stop();
+    proxy.stop_process();
     let _next = [
         LineConnection::connect(proxy.addr),
         LineConnection::connect(proxy.addr),
@@ -370,7 +371,7 @@
         .for_each(|peer| assert_eq!(peer.read_line(), "ERR"));
     // Each new connection takes the reserved slot, and the next one needs another.
     let _in_reserved_slot = LineConnection::connect(proxy.addr);
-    proxy.up(&server);
+    proxy.establish_connection(&server);
     assert!(
         start.elapsed() < Duration::from_millis(350),
         "{:?}",
@@ -437,7 +438,7 @@
     let start = Instant::now();
     let proxies = restart_proxies(&discovery, &server, 8);
     for proxy in &proxies {
-        proxy.logged("a server leaves");
+        proxy.wait_for_log("a server leaves");
     }
     // The limit is 2 s; the rest allows for eight processes that start on a busy machine.
     assert!(
@@ -491,13 +492,13 @@
             config["settings"]["request-classes"][1]["window-s"] = json!(5.0);
             *config.pointer_mut(path).unwrap() = value;
         });
-        assert!(!proxy.ended().success(), "{path}");
+        assert!(!proxy.wait_for_exit().success(), "{path}");
         let keys: Vec<&str> = path.split('/').skip(2).collect();
         let expected_name = if path.ends_with("name") {
             "settings.request-classes.1".to_string()
         } else {
             format!("settings.{}", keys.join("."))
         };
-        proxy.logged(&expected_name);
+        proxy.wait_for_log(&expected_name);
     }
 }
--- a/crates/proxy/tests/discovery_outages.rs
+++ b/crates/proxy/tests/discovery_outages.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{Discovery, DiscoveryMode, Proxy, Server, without_loads};
+use common::{Discovery, DiscoveryMode, Proxy, Server, disable_load_reports};
 use serde_json::json;
 
 /// Six seconds, plus the drain's grace period (0.3 s) and an allowance for sockets.
@@ -19,7 +19,7 @@
     let fleet: Vec<Proxy> = (0..proxies)
         .map(|number| {
             let proxy = Proxy::launch(discovery.addr, |config| {
-                without_loads(config);
+                disable_load_reports(config);
                 config["settings"]["fleet-size"] = json!(300);
                 config["settings"]["me"] = json!(number * 300 / proxies);
                 config["settings"]["rules"]["ask-within-s"] = json!(10.0);
--- a/crates/proxy/tests/disk_faults.rs
+++ b/crates/proxy/tests/disk_faults.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use common::{Discovery, Proxy, Server, without_loads};
+use common::{Discovery, Proxy, Server, disable_load_reports};
 use serde_json::json;
 
 use violetwind_standins::duty_history;
@@ -375,7 +375,7 @@
         "fail rename EIO 1000 violetwind.bans",
     ] {
         let proxy = Proxy::launch_faulty(discovery.addr, "", |config| {
-            without_loads(config);
+            disable_load_reports(config);
             config["management"] = json!(unused_addr().to_string());
         });
         proxy.wait_ready();
@@ -391,7 +391,7 @@
         proxy.set_faults("");
         thread::sleep(Duration::from_millis(1000));
         proxy.signal("-KILL");
-        let next = proxy.successor(discovery.addr);
+        let next = proxy.start_successor(discovery.addr);
         next.wait_ready();
         assert!(
             next.open_with("c=watch,d=200")
--- a/crates/proxy/tests/growth.rs
+++ b/crates/proxy/tests/growth.rs
@@ -78,11 +78,11 @@
         let state = if turn % 2 == 0 { "draining" } else { "ready" };
         discovery.upsert_target(row(turn / 2, state));
         thread::sleep(Duration::from_millis(250));
-        descriptors = descriptors.max(proxy.descriptors());
+        descriptors = descriptors.max(proxy.descriptor_count());
     }
     let usage = ResourceUsage {
-        cpu_s: proxy.cpu().as_secs_f64(),
-        memory_mb: proxy.memory_kib() as f64 / 1024.0,
+        cpu_s: proxy.cpu_time().as_secs_f64(),
+        memory_mb: proxy.peak_memory_kib() as f64 / 1024.0,
         descriptors,
         connections: sockets.iter().map(SoakServer::connection_count).sum(),
         list_bytes: discovery.list_bytes_sent() - list_bytes_before,
--- a/crates/proxy/tests/recording.rs
+++ b/crates/proxy/tests/recording.rs
@@ -4,7 +4,7 @@
 
 use std::fs::File;
 
-use common::{Discovery, Proxy, Server, unused_addr, without_loads};
+use common::{Discovery, Proxy, Server, disable_load_reports, unused_addr};
 use violetwind_record::{Answer, Reader, Record, RecordingEnd};
 
 #[test]
@@ -13,8 +13,9 @@
     let discovery = Discovery::start(&[server.target_row("ready")]);
     let path = std::env::temp_dir().join(format!("violetwind-requests-{}", std::process::id()));
     let operator_text = format!("[record]\nfile = \"{}\"\n", path.display());
-    let mut proxy = Proxy::start_with(discovery.addr, &operator_text, without_loads);
-    let (client, mut conn) = proxy.up(&server);
+    let mut proxy =
+        Proxy::start_with_operator_file(discovery.addr, &operator_text, disable_load_reports);
+    let (client, mut conn) = proxy.establish_connection(&server);
     conn.send_line("LOAD 11000");
     drop((client, conn));
     // A client that disconnects before it gets an answer.
@@ -23,7 +24,7 @@
     let _open_conn = server.next_open();
     drop(leaving_client);
     proxy.signal("-TERM");
-    assert!(proxy.ended().success());
+    assert!(proxy.wait_for_exit().success());
     let mut reader = Reader::new(File::open(&path).unwrap());
     let records: Vec<Record> = reader.by_ref().collect();
     assert_eq!(reader.end(), Some(RecordingEnd::Whole));
@@ -58,10 +59,11 @@
     let discovery = Discovery::start(&[server.target_row("ready")]);
     let missing_dir = std::env::temp_dir().join(format!("violetwind-none-{}", unused_addr().ip()));
     let operator_text = format!("[record]\nfile = \"{}/requests\"\n", missing_dir.display());
-    let proxy = Proxy::start_with(discovery.addr, &operator_text, without_loads);
+    let proxy =
+        Proxy::start_with_operator_file(discovery.addr, &operator_text, disable_load_reports);
     for _ in 0..5 {
-        let _ = proxy.up(&server);
+        let _ = proxy.establish_connection(&server);
     }
-    proxy.logged("recording pauses");
-    let _ = proxy.up(&server);
+    proxy.wait_for_log("recording pauses");
+    let _ = proxy.establish_connection(&server);
 }
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -42,7 +42,7 @@
     let (server, other, _old, new, proxy) = start_with_two_discoveries();
     // Clients notice no difference between lists that agree on the servers in use.
     new.upsert_target(server.target_row("ready"));
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     proxy.reload(with_discovery(new.addr));
     let calls = new.wait_for_requests(2);
     assert_eq!(calls[0].1, "/registry/instances");
@@ -151,7 +151,7 @@
             );
             assert!(proxy.answers_ping());
         }
-        proxy.up(&server);
+        proxy.establish_connection(&server);
     }
     // The old watch continues unaffected.
     let calls_before = old.wait_for_requests(1).len();
@@ -176,9 +176,9 @@
         config["limits"]["sockets"] = json!(300);
         config["seed"] = json!("00000000000000ff");
     });
-    proxy.logged("these changes need a restart restart=[\"limits\"]");
-    proxy.logged("moved=false");
-    proxy.up(&server);
+    proxy.wait_for_log("these changes need a restart restart=[\"limits\"]");
+    proxy.wait_for_log("moved=false");
+    proxy.establish_connection(&server);
     assert_eq!(discovery.wait_for_requests(0).len(), calls_before);
 }
 
@@ -188,7 +188,7 @@
 fn consecutive_reloads_under_load_lose_no_line() {
     let server = Server::start("s-1");
     let discoveries = [0, 1].map(|_| Discovery::start(&[server.target_row("ready")]));
-    let mut proxy = Proxy::start_roomy(&discoveries[0]);
+    let mut proxy = Proxy::start_without_loads(&discoveries[0]);
     let mut pairs: Vec<(LineConnection, LineConnection)> = Vec::new();
     for round in 0..20 {
         proxy.reload(with_discovery(discoveries[round % 2].addr));
@@ -205,7 +205,7 @@
             assert_eq!(client.read_line(), "OK on");
         }
     }
-    assert!(proxy.alive());
+    assert!(proxy.is_running());
     // The proxy watches the discovery that was configured last.
     let last = &discoveries[1];
     let calls_before = last.wait_for_requests(1).len();
@@ -219,14 +219,14 @@
 #[test]
 fn a_reload_does_not_affect_a_shutdown_in_progress() {
     let (server, _other, _old, new, mut proxy) = start_with_two_discoveries();
-    let (mut client, _conn) = proxy.up(&server);
+    let (mut client, _conn) = proxy.establish_connection(&server);
     proxy.signal("-TERM");
-    proxy.logged("told to end");
+    proxy.wait_for_log("told to end");
     proxy.reload(with_discovery(new.addr));
     proxy.signal("-HUP");
     assert_eq!(client.read_line(), "MOVE");
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
-    assert!(proxy.ended().success());
+    assert!(proxy.wait_for_exit().success());
 }
 
 fn class(name: &str, effect: &str) -> Value {
@@ -237,7 +237,7 @@
 #[test]
 fn classes_are_added_and_removed_while_connections_continue() {
     let (server, _discovery, proxy) = one_server();
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     assert_eq!(proxy.open("new").read_line(), "ERR");
     let reloaded_at = Instant::now();
     proxy.reload(|config| {
@@ -313,7 +313,7 @@
             rejections()[number]
         );
     }
-    proxy.up(&server);
+    proxy.establish_connection(&server);
     assert!(new.wait_for_requests(0).is_empty());
     assert!(old.wait_for_requests(1).len() > 1);
     // A valid file after the invalid ones is applied completely.
@@ -330,9 +330,9 @@
     let servers = ["s-1", "s-2", "s-3"].map(Server::start);
     let targets = servers.each_ref().map(|s| s.target_row("ready"));
     let discovery = Discovery::start(&targets);
-    let proxy = Proxy::start_roomy(&discovery);
+    let proxy = Proxy::start_without_loads(&discovery);
     proxy.reload(|config| config["settings"]["permissions"]["max-attempts"] = json!(1));
-    proxy.logged("settings=true");
+    proxy.wait_for_log("settings=true");
     let mut client = proxy.open("watch");
     let until = Instant::now() + Duration::from_secs(5);
     let mut conn = loop {
--- a/crates/proxy/tests/service.rs
+++ b/crates/proxy/tests/service.rs
@@ -5,14 +5,16 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use common::{ConnectionEnd, Discovery, LineConnection, Pingable, Proxy, Server, without_loads};
+use common::{
+    ConnectionEnd, Discovery, LineConnection, Pingable, Proxy, Server, disable_load_reports,
+};
 use serde_json::json;
 
 /// Starts a managed proxy for the given servers.
 fn start_managed(servers: &[&Server]) -> (Discovery, Proxy) {
     let targets: Vec<_> = servers.iter().map(|s| s.target_row("ready")).collect();
     let discovery = Discovery::start(&targets);
-    let proxy = Proxy::managed(&discovery, without_loads);
+    let proxy = Proxy::start_with_management(&discovery, disable_load_reports);
     (discovery, proxy)
 }
 
@@ -20,7 +22,7 @@
 fn calls_are_answered_and_invalid_ones_rejected() {
     let server = Server::start("s-1");
     let (_discovery, proxy) = start_managed(&[&server]);
-    assert!(proxy.yes("HEALTH").contains("1 servers"));
+    assert!(proxy.call_expecting_ok("HEALTH").contains("1 servers"));
     for line in [
         "",
         "health",
@@ -29,7 +31,7 @@
         "ONLINE nobody",
         "LEAVE now",
     ] {
-        proxy.no(line);
+        proxy.call_expecting_refusal(line);
     }
     let addr = proxy.management.unwrap();
     // A line that ends with LF alone, sent byte by byte, with more bytes after it.
@@ -69,7 +71,7 @@
         .collect();
     for _ in 0..5 {
         let called_at = Instant::now();
-        proxy.yes("HEALTH");
+        proxy.call_expecting_ok("HEALTH");
         assert!(
             called_at.elapsed() < Duration::from_secs(1),
             "{:?}",
@@ -85,8 +87,8 @@
 fn a_full_proxy_answers_its_operators() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let proxy = Proxy::managed(&discovery, |config| {
-        without_loads(config);
+    let proxy = Proxy::start_with_management(&discovery, |config| {
+        disable_load_reports(config);
         config["limits"]["sockets"] = json!(80);
     });
     let mut pairs = Vec::new();
@@ -101,25 +103,25 @@
             None => break assert_eq!(client.read_line(), "BUSY"),
         }
     }
-    proxy.yes("HEALTH");
-    proxy.yes("OFFLINE s-1");
+    proxy.call_expecting_ok("HEALTH");
+    proxy.call_expecting_ok("OFFLINE s-1");
 }
 
 #[test]
 fn a_banned_server_gets_no_request_until_the_ban_is_lifted() {
     let servers = ["s-1", "s-2"].map(Server::start);
     let (discovery, proxy) = start_managed(&[&servers[0], &servers[1]]);
-    proxy.yes("OFFLINE s-1");
-    proxy.yes("OFFLINE s-1");
+    proxy.call_expecting_ok("OFFLINE s-1");
+    proxy.call_expecting_ok("OFFLINE s-1");
     // Discovery lists the server as ready again, removes it and lists it once more.
     discovery.upsert_target(servers[0].target_row("ready"));
     discovery.remove_target("s-1");
     discovery.upsert_target(servers[0].target_row("ready"));
     for _ in 0..10 {
-        proxy.up(&servers[1]);
+        proxy.establish_connection(&servers[1]);
     }
     assert!(servers[0].no_pending_open());
-    proxy.yes("ONLINE s-1");
+    proxy.call_expecting_ok("ONLINE s-1");
     let until = Instant::now() + Duration::from_secs(5);
     while servers[0].no_pending_open() {
         assert!(Instant::now() < until, "the server got no request for 5 s");
@@ -138,14 +140,14 @@
 fn a_ban_is_persisted_before_the_answer_and_a_corrupt_file_is_ignored() {
     let servers = ["s-1", "s-2"].map(Server::start);
     let (discovery, mut proxy) = start_managed(&[&servers[0], &servers[1]]);
-    proxy.yes("OFFLINE s-1");
+    proxy.call_expecting_ok("OFFLINE s-1");
     proxy.signal("-KILL");
-    proxy.ended();
-    let second = proxy.successor(discovery.addr);
+    proxy.wait_for_exit();
+    let second = proxy.start_successor(discovery.addr);
     second.wait_ready();
-    assert!(second.yes("OFFLINE s-1").contains("already"));
+    assert!(second.call_expecting_ok("OFFLINE s-1").contains("already"));
     for _ in 0..5 {
-        second.up(&servers[1]);
+        second.establish_connection(&servers[1]);
     }
     assert!(servers[0].no_pending_open());
     second.signal("-KILL");
@@ -154,25 +156,26 @@
     let mut bytes = std::fs::read(&file).unwrap();
     bytes[12] ^= 1;
     std::fs::write(&file, bytes).unwrap();
-    let third = proxy.successor(discovery.addr);
+    let third = proxy.start_successor(discovery.addr);
     third.wait_ready();
-    third.logged("bans of an earlier process can't be read");
-    assert!(!third.yes("OFFLINE s-1").contains("already"));
+    third.wait_for_log("bans of an earlier process can't be read");
+    assert!(!third.call_expecting_ok("OFFLINE s-1").contains("already"));
 }
 
 #[test]
 fn a_proxy_that_left_rejects_and_moves_clients_and_rejoins_at_once() {
     let server = Server::start("s-1");
     let (_discovery, proxy) = start_managed(&[&server]);
-    let mut pairs: Vec<(LineConnection, LineConnection)> =
-        (0..20).map(|_| proxy.up(&server)).collect();
+    let mut pairs: Vec<(LineConnection, LineConnection)> = (0..20)
+        .map(|_| proxy.establish_connection(&server))
+        .collect();
     let left_at = Instant::now();
-    proxy.yes("LEAVE");
+    proxy.call_expecting_ok("LEAVE");
     assert!(!proxy.answers_ping());
-    assert!(proxy.yes("HEALTH").contains("left"));
+    assert!(proxy.call_expecting_ok("HEALTH").contains("left"));
     // The front load balancer reacts with a delay: clients that arrive until then are served, and moved with the
     // others.
-    pairs.push(proxy.up(&server));
+    pairs.push(proxy.establish_connection(&server));
     let mut moved = Vec::new();
     for (client, _conn) in pairs.iter_mut().rev() {
         assert_eq!(client.read_line(), "MOVE");
@@ -189,23 +192,23 @@
     let sent_at = Instant::now();
     assert!(proxy.open("book").read_line().starts_with("BUSY"));
     assert!(sent_at.elapsed() < Duration::from_millis(500));
-    proxy.yes("JOIN");
+    proxy.call_expecting_ok("JOIN");
     assert!(proxy.answers_ping());
-    proxy.up(&server);
+    proxy.establish_connection(&server);
 }
 
 #[test]
 fn a_proxy_that_left_still_handles_signals() {
     let server = Server::start("s-1");
     let (_discovery, mut proxy) = start_managed(&[&server]);
-    let (mut client, _conn) = proxy.up(&server);
-    proxy.yes("LEAVE");
+    let (mut client, _conn) = proxy.establish_connection(&server);
+    proxy.call_expecting_ok("LEAVE");
     proxy.signal("-HUP");
-    proxy.logged("moved=false");
+    proxy.wait_for_log("moved=false");
     assert!(!proxy.answers_ping());
     proxy.signal("-TERM");
-    proxy.logged("told to end");
-    proxy.no("JOIN");
+    proxy.wait_for_log("told to end");
+    proxy.call_expecting_refusal("JOIN");
     assert_eq!(client.read_line(), "MOVE");
-    assert!(proxy.ended().success());
+    assert!(proxy.wait_for_exit().success());
 }
--- a/crates/proxy/tests/serving.rs
+++ b/crates/proxy/tests/serving.rs
@@ -49,7 +49,7 @@
 #[test]
 fn a_servers_bye_and_close_are_forwarded_to_the_client() {
     let (server, _discovery, proxy) = one_server();
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     conn.send_line("BYE");
     drop(conn);
     assert_eq!(client.read_line(), "BYE");
@@ -60,7 +60,7 @@
 #[test]
 fn a_server_reset_is_forwarded_as_a_reset() {
     let (server, _discovery, proxy) = one_server();
-    let (mut client, conn) = proxy.up(&server);
+    let (mut client, conn) = proxy.establish_connection(&server);
     client.send_line("SAY unread");
     // Closing with unread bytes resets the connection.
     conn.wait_readable();
@@ -73,14 +73,14 @@
 #[test]
 fn half_closes_are_forwarded_and_the_other_direction_stays_open() {
     let (server, _discovery, proxy) = one_server();
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     client.half_close();
     assert_eq!(conn.expect_end(), ConnectionEnd::Closed);
     conn.send_line("OK still");
     assert_eq!(client.read_line(), "OK still");
     drop(conn);
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     conn.half_close();
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     client.send_line("SAY still");
@@ -94,7 +94,7 @@
     let (_, mut conn) = server.next_open();
     drop(waiting_client);
     assert_eq!(conn.expect_end(), ConnectionEnd::Closed);
-    let (client, mut conn) = proxy.up(&server);
+    let (client, mut conn) = proxy.establish_connection(&server);
     drop(client);
     assert_eq!(conn.expect_end(), ConnectionEnd::Closed);
 }
@@ -103,14 +103,14 @@
 #[test]
 fn a_full_buffer_stops_reads_from_the_server() {
     let (server, _discovery, proxy) = one_server();
-    let (client, mut conn) = proxy.up(&server);
+    let (client, mut conn) = proxy.establish_connection(&server);
     let line = "x".repeat(998) + "\r\n";
     let lines = line.repeat(64 << 10);
     let sent = conn.send_until_blocked(lines.as_bytes(), Duration::from_millis(300));
     assert!(sent < lines.len(), "the proxy read all bytes");
-    assert!(proxy.memory_kib() < 64 << 10);
+    assert!(proxy.peak_memory_kib() < 64 << 10);
     // Other clients are served meanwhile.
-    let (mut other_client, mut other_conn) = proxy.up(&server);
+    let (mut other_client, mut other_conn) = proxy.establish_connection(&server);
     other_conn.send_line("OK");
     assert_eq!(other_client.read_line(), "OK");
     drop(client);
@@ -119,7 +119,7 @@
 #[test]
 fn long_streams_are_relayed_completely_and_in_order() {
     let (server, _discovery, proxy) = one_server();
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     let writer = std::thread::spawn(move || {
         for number in 0..20_000 {
             conn.send_line(&format!("LINE {number} {}", "y".repeat(number % 300)));
@@ -155,7 +155,7 @@
         config["known"] = json!({"rev": 7, "all": true, "targets": [server.target_row("ready")]});
     });
     proxy.wait_ready();
-    proxy.up(&server);
+    proxy.establish_connection(&server);
 }
 
 /// Many proxies restarted at once that all waited for whole lists were not ready for seconds, and overloaded discovery
@@ -169,7 +169,7 @@
         config["known"] = json!({"rev": 1, "all": true, "targets": [old.target_row("ready")]});
     });
     proxy.wait_ready();
-    proxy.up(&old);
+    proxy.establish_connection(&old);
     let calls = discovery.wait_for_requests(2);
     let whole_list_calls = calls.iter().filter(|(_, path)| !path.contains("after=1&"));
     assert_eq!(whole_list_calls.count(), 0, "{calls:?}");
@@ -212,7 +212,7 @@
         let calls = discovery.wait_for_requests(2);
         assert!(calls[0].1.contains(&format!("after={rev}&")), "{calls:?}");
         assert_eq!(calls[1].1, "/registry/instances");
-        proxy.logged("whole=true");
+        proxy.wait_for_log("whole=true");
         let mut client = proxy.open("watch");
         new.next_open().1.send_line("UP 1");
         assert_eq!(client.read_line(), "UP 1");
@@ -245,12 +245,12 @@
     let (old, new) = (Server::start("s-1"), Server::start("s-1"));
     let discovery = Discovery::start(&[old.target_row("ready")]);
     let proxy = Proxy::start(&discovery);
-    proxy.up(&old);
+    proxy.establish_connection(&old);
     discovery.upsert_target(target_row("s-1", &new.addr.to_string(), "ready"));
     // The call after the one that returned the change shows that the proxy has read the change.
     let calls = discovery.wait_for_requests(3);
     assert!(calls[2].1.contains("after=2"), "{calls:?}");
-    proxy.up(&new);
+    proxy.establish_connection(&new);
     assert!(old.no_pending_open());
 }
 
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/shutdown.rs
@@ -13,15 +13,16 @@
 fn every_client_is_moved_in_time_and_the_exit_status_is_success() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let mut proxy = Proxy::start_roomy(&discovery);
-    let mut pairs: Vec<(LineConnection, LineConnection)> =
-        (0..20).map(|_| proxy.up(&server)).collect();
+    let mut proxy = Proxy::start_without_loads(&discovery);
+    let mut pairs: Vec<(LineConnection, LineConnection)> = (0..20)
+        .map(|_| proxy.establish_connection(&server))
+        .collect();
     let signalled_at = Instant::now();
     proxy.signal("-TERM");
-    proxy.logged("told to end");
+    proxy.wait_for_log("told to end");
     // New connections keep arriving for a while and are served.
     assert!(proxy.answers_ping());
-    pairs.push(proxy.up(&server));
+    pairs.push(proxy.establish_connection(&server));
     let mut moved = Vec::new();
     // The newest connections are moved first.
     for (client, _conn) in pairs.iter_mut().rev() {
@@ -29,7 +30,7 @@
         assert_eq!(client.expect_end(), ConnectionEnd::Closed);
         moved.push(signalled_at.elapsed());
     }
-    assert!(proxy.ended().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(
         signalled_at.elapsed() < KILL_DELAY,
         "{:?}",
@@ -52,12 +53,12 @@
     let (_, _unanswered) = server.next_open();
     let signalled_at = Instant::now();
     proxy.signal("-TERM");
-    proxy.logged("told to end");
+    proxy.wait_for_log("told to end");
     late_conn.send_line("UP 9");
     assert_eq!(served.read_line(), "UP 9");
     assert_eq!(served.read_line(), "MOVE");
     assert_eq!(silent.read_line(), "ERR");
-    assert!(proxy.ended().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(
         signalled_at.elapsed() < KILL_DELAY,
         "{:?}",
@@ -71,20 +72,20 @@
 fn clients_that_arrive_up_to_0_4_s_after_sigterm_are_served_and_moved() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let mut proxy = Proxy::start_roomy(&discovery);
+    let mut proxy = Proxy::start_without_loads(&discovery);
     proxy.signal("-TERM");
-    proxy.logged("told to end");
+    proxy.wait_for_log("told to end");
     let start = Instant::now();
     let mut arrived = Vec::new();
     while start.elapsed() < Duration::from_millis(400) {
-        arrived.push(proxy.up(&server));
+        arrived.push(proxy.establish_connection(&server));
         std::thread::sleep(Duration::from_millis(40));
     }
     for (client, _conn) in &mut arrived {
         assert_eq!(client.read_line(), "MOVE");
         assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     }
-    assert!(proxy.ended().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(start.elapsed() < KILL_DELAY, "{:?}", start.elapsed());
 }
 
@@ -93,7 +94,7 @@
     let (_server, _discovery, mut proxy) = one_server();
     let signalled_at = Instant::now();
     proxy.signal("-TERM");
-    assert!(proxy.ended().success());
+    assert!(proxy.wait_for_exit().success());
     assert!(
         signalled_at.elapsed() < Duration::from_millis(1500),
         "{:?}",
--- a/crates/proxy/tests/storm.rs
+++ b/crates/proxy/tests/storm.rs
@@ -1,6 +1,6 @@
 //! Runs one of the few fault scripts that CI plays on real processes; `violetwind-lab storm --real` plays any script.
 
-use violetwind_lab::storm_processes::play_on_processes;
+use violetwind_lab::storm_processes::run_on_processes;
 use violetwind_storm::script::Script;
 
 /// This script found that a member without a vote that operators had put out was missing from the members' view.
@@ -8,7 +8,7 @@
 fn a_script_with_kills_stalls_partitions_and_a_member_put_out_violates_no_invariant() {
     let script = include_str!("../../storm/scripts/put-out.toml");
     let script = Script::parse(script).expect("a valid script");
-    let outcome = play_on_processes(&script, env!("CARGO_BIN_EXE_violetwind").as_ref());
+    let outcome = run_on_processes(&script, env!("CARGO_BIN_EXE_violetwind").as_ref());
     assert_eq!(outcome.wrong, Vec::<String>::new());
     assert!(
         outcome.faults >= 25
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{Discovery, Proxy, without_loads};
+use common::{Discovery, Proxy, disable_load_reports};
 use serde_json::json;
 use violetwind_standins::soak::{
     CheckSettings, ClientBehaviour, Idempotency, RequestOutcome, RequestRecord, RunRecord,
@@ -74,7 +74,7 @@
         let discovery = Discovery::start(&targets);
         let proxy = Proxy::launch_faulty(discovery.addr, "", |config| {
             if !loads {
-                without_loads(config);
+                disable_load_reports(config);
             }
             config["settings"]["permissions"]["connect-timeout-s"] = json!(0.5);
         });
--- a/crates/proxy/tests/troubles.rs
+++ b/crates/proxy/tests/troubles.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use common::{
-    ConnectionEnd, Discovery, DiscoveryMode, LineConnection, Proxy, Server, one_server, target_row,
-    without_loads,
+    ConnectionEnd, Discovery, DiscoveryMode, LineConnection, Proxy, Server, disable_load_reports,
+    one_server, target_row,
 };
 use serde_json::json;
 
@@ -14,8 +14,8 @@
 #[test]
 fn the_client_of_a_silent_server_is_moved_within_seven_seconds() {
     let (server, _discovery, proxy) = one_server();
-    let (mut idle, _idle_conn) = proxy.up(&server);
-    let (mut client, conn) = proxy.up(&server);
+    let (mut idle, _idle_conn) = proxy.establish_connection(&server);
+    let (mut client, conn) = proxy.establish_connection(&server);
     client.send_line("SAY one");
     let sent_at = Instant::now();
     assert_eq!(client.read_line(), "MOVE");
@@ -29,7 +29,7 @@
 #[test]
 fn a_connection_with_answered_lines_stays_open() {
     let (server, _discovery, proxy) = one_server();
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     let until = Instant::now() + Duration::from_secs(4);
     while Instant::now() < until {
         client.send_line("SAY on");
@@ -44,9 +44,10 @@
 #[test]
 fn clients_of_a_draining_server_are_moved_between_two_lines() {
     let (server, discovery, proxy) = one_server();
-    let mut pairs: Vec<(LineConnection, LineConnection)> =
-        (0..5).map(|_| proxy.up(&server)).collect();
-    let (mut mid_line_client, mut mid_line_conn) = proxy.up(&server);
+    let mut pairs: Vec<(LineConnection, LineConnection)> = (0..5)
+        .map(|_| proxy.establish_connection(&server))
+        .collect();
+    let (mut mid_line_client, mut mid_line_conn) = proxy.establish_connection(&server);
     mid_line_conn.send_bytes(b"OK half a ");
     discovery.upsert_target(server.target_row("draining"));
     for (client, conn) in &mut pairs {
@@ -70,7 +71,7 @@
 #[test]
 fn a_servers_own_move_is_forwarded() {
     let (server, _discovery, proxy) = one_server();
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     conn.send_line("MOVE");
     drop(conn);
     assert_eq!(client.read_line(), "MOVE");
@@ -82,7 +83,7 @@
 #[test]
 fn a_client_is_moved_off_a_server_whose_load_passes_the_threshold() {
     let (server, discovery, proxy) = one_server();
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     let other = Server::start("s-2");
     discovery.upsert_target(other.target_row("ready"));
     conn.send_line("LOAD 1000");
@@ -128,7 +129,7 @@
         // The interval between retries grows with consecutive failures.
         let span = calls[before + 3].0 - calls[before].0;
         assert!(span > Duration::from_millis(150), "{mode:?} {span:?}");
-        proxy.up(&server);
+        proxy.establish_connection(&server);
         discovery.set_mode(DiscoveryMode::Works);
         let second = Server::start("s-2");
         discovery.upsert_target(server.target_row("draining"));
@@ -151,7 +152,7 @@
         discovery.upsert_target(server.target_row("ready"));
         discovery.wait_for_requests(calls_before + 1);
     }
-    proxy.up(&server);
+    proxy.establish_connection(&server);
     assert!(!proxy.log().contains("WARN"), "{}", proxy.log());
 }
 
@@ -159,7 +160,7 @@
 #[test]
 fn clients_of_a_server_missing_from_a_whole_list_are_moved() {
     let (server, discovery, proxy) = one_server();
-    let (mut client, _conn) = proxy.up(&server);
+    let (mut client, _conn) = proxy.establish_connection(&server);
     discovery.remove_target("s-1");
     assert_eq!(client.read_line(), "MOVE");
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
@@ -192,9 +193,9 @@
         extreme,
     ]);
     let proxy = Proxy::start(&discovery);
-    proxy.logged("s-4");
-    proxy.logged("s-5");
-    proxy.up(&server);
+    proxy.wait_for_log("s-4");
+    proxy.wait_for_log("s-5");
+    proxy.establish_connection(&server);
 }
 
 #[test]
@@ -209,7 +210,7 @@
         "WHAT",
     ] {
         server.set_probe_answer(Some(probe_answer));
-        let (mut client, mut conn) = proxy.up(&server);
+        let (mut client, mut conn) = proxy.establish_connection(&server);
         conn.send_line("LOAD NaN");
         conn.send_line("LOAD -5");
         conn.send_line("LOAD 1e300");
@@ -247,8 +248,8 @@
     partial_client.half_close();
     assert_eq!(partial_client.read_line(), "ERR");
     assert!(server.no_pending_open());
-    proxy.up(&server);
-    assert!(proxy.alive());
+    proxy.establish_connection(&server);
+    assert!(proxy.is_running());
 }
 
 #[test]
@@ -260,7 +261,7 @@
     for peer in &mut slow_clients {
         peer.send_bytes(b"OPEN 1 ");
     }
-    proxy.up(&server);
+    proxy.establish_connection(&server);
     for peer in &mut slow_clients {
         assert_eq!(peer.read_line(), "ERR");
     }
@@ -274,7 +275,7 @@
     let mut proxy = Proxy::launch(discovery.addr, |config| {
         config["limits"]["sockets"] = json!(100);
         // Only a lack of descriptors leads to rejections.
-        without_loads(config);
+        disable_load_reports(config);
     });
     proxy.wait_ready();
     let mut held = Vec::new();
@@ -315,15 +316,15 @@
         "{:?}",
         start.elapsed()
     );
-    assert!(proxy.alive());
+    assert!(proxy.is_running());
 }
 
 #[test]
 fn an_invalid_configuration_ends_the_process_with_an_error_message() {
     for config in ["{", "{}", r#"{"name":"n0","listen":"here"}"#] {
         let mut proxy = Proxy::run("127.0.0.1:1".parse().unwrap(), config);
-        assert!(!proxy.ended().success());
-        proxy.logged("violetwind: ");
+        assert!(!proxy.wait_for_exit().success());
+        proxy.wait_for_log("violetwind: ");
     }
 }
 
@@ -333,6 +334,6 @@
     let mut second = Proxy::launch(discovery.addr, |config| {
         config["listen"] = json!(proxy.addr.to_string());
     });
-    assert!(!second.ended().success());
-    second.logged(&format!("violetwind: {}", proxy.addr));
+    assert!(!second.wait_for_exit().success());
+    second.wait_for_log(&format!("violetwind: {}", proxy.addr));
 }
--- a/crates/proxy/tests/upgrade.rs
+++ b/crates/proxy/tests/upgrade.rs
@@ -7,22 +7,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{ConnectionEnd, Discovery, LineConnection, Pingable, Proxy, Server, without_loads};
+use common::{
+    ConnectionEnd, Discovery, LineConnection, Pingable, Proxy, Server, disable_load_reports,
+};
 use serde_json::json;
 use violetwind_service::handover::{self, Message, MessageDecoder};
 
 /// Starts a managed proxy for one server and waits until it accepts successors.
 fn start_managed(server: &Server) -> (Discovery, Proxy) {
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let proxy = Proxy::managed(&discovery, without_loads);
+    let proxy = Proxy::start_with_management(&discovery, disable_load_reports);
     // The handover socket exists from here on.
-    proxy.logged("successors are awaited");
+    proxy.wait_for_log("successors are awaited");
     (discovery, proxy)
 }
 
 /// Waits until `HEALTH` reports that the proxy serves.
 fn wait_healthy(proxy: &Proxy) {
-    proxy.logged("operators are heard");
+    proxy.wait_for_log("operators are heard");
     let until = Instant::now() + Duration::from_secs(6);
     while !proxy.call("HEALTH").starts_with("200") {
         assert!(
@@ -41,23 +43,23 @@
     let server = Server::start("s-1");
     let (discovery, mut old) = start_managed(&server);
     let mut established: Vec<(LineConnection, LineConnection)> =
-        (0..10).map(|_| old.up(&server)).collect();
+        (0..10).map(|_| old.establish_connection(&server)).collect();
     let mut waiting_client = old.open("book");
     let (_, mut late_conn) = server.next_open();
     let mut partial_client = LineConnection::connect(old.addr);
     partial_client.send_bytes(b"OPEN 00000000000000aa 7f3a9c21e0b4");
-    let new = old.successor(discovery.addr);
-    let mut newcomers = vec![old.up(&server)];
-    new.logged("operators are heard");
+    let new = old.start_successor(discovery.addr);
+    let mut newcomers = vec![old.establish_connection(&server)];
+    new.wait_for_log("operators are heard");
     let until = Instant::now() + Duration::from_secs(6);
     loop {
-        newcomers.push(old.up(&server));
+        newcomers.push(old.establish_connection(&server));
         if new.call("HEALTH").starts_with("200") {
             break;
         }
         assert!(Instant::now() < until, "{}", new.log());
     }
-    assert!(old.no("HEALTH").contains("successor"));
+    assert!(old.call_expecting_refusal("HEALTH").contains("successor"));
     old.signal("-TERM");
     let signalled_at = Instant::now();
     partial_client.send_bytes(b"d655 c=watch,d=2000\r\n");
@@ -66,12 +68,12 @@
     assert_eq!(partial_client.read_line(), "UP 5");
     late_conn.send_line("UP 7");
     assert_eq!(waiting_client.read_line(), "UP 7");
-    while old.alive() {
-        newcomers.push(new.up(&server));
+    while old.is_running() {
+        newcomers.push(new.establish_connection(&server));
         assert!(new.answers_ping());
         thread::sleep(Duration::from_millis(20));
     }
-    assert!(old.ended().success());
+    assert!(old.wait_for_exit().success());
     assert!(
         signalled_at.elapsed() < Duration::from_millis(2700),
         "{:?}",
@@ -85,10 +87,10 @@
     assert_relayed(&mut waiting_client, &mut late_conn);
     assert_relayed(&mut partial_client, &mut partial_conn);
     // A second upgrade.
-    let mut newest = new.successor(discovery.addr);
+    let mut newest = new.start_successor(discovery.addr);
     wait_healthy(&newest);
     new.signal("-TERM");
-    newest.up(&server);
+    newest.establish_connection(&server);
     for (client, conn) in &mut established {
         assert_relayed(client, conn);
     }
@@ -98,7 +100,7 @@
         assert_eq!(client.read_line(), "MOVE");
         assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     }
-    assert!(newest.ended().success());
+    assert!(newest.wait_for_exit().success());
 }
 
 /// Sends a line in each direction and asserts that both arrive.
@@ -116,7 +118,7 @@
     let server = Server::start("s-1");
     let (discovery, mut old) = start_managed(&server);
     let mut pairs: Vec<(LineConnection, LineConnection)> =
-        (0..3).map(|_| old.up(&server)).collect();
+        (0..3).map(|_| old.establish_connection(&server)).collect();
     let (client, conn) = &mut pairs[0];
     client.send_bytes(b"SAY ");
     assert_eq!(conn.read_bytes(4), b"SAY ");
@@ -127,7 +129,7 @@
     let (client, conn) = &mut pairs[2];
     client.send_bytes(b"SAY never");
     assert_eq!(conn.read_bytes(9), b"SAY never");
-    let new = old.successor(discovery.addr);
+    let new = old.start_successor(discovery.addr);
     wait_healthy(&new);
     old.signal("-TERM");
     let (client, conn) = &mut pairs[0];
@@ -137,7 +139,7 @@
     conn.send_bytes(b"n\r\n");
     assert_eq!(client.read_line(), "OK on");
     assert_eq!(pairs[2].0.read_line(), "MOVE");
-    assert!(old.ended().success());
+    assert!(old.wait_for_exit().success());
     for (client, conn) in &mut pairs[..2] {
         assert_relayed(client, conn);
     }
@@ -161,7 +163,7 @@
         Some(Message::ConnectionAccepted(7)),
     ] {
         let (_discovery, old) = start_managed(&server);
-        let (mut client, mut conn) = old.up(&server);
+        let (mut client, mut conn) = old.establish_connection(&server);
         let mut stream = UnixStream::connect(old.dir().join("violetwind.sock")).unwrap();
         stream
             .set_read_timeout(Some(Duration::from_secs(10)))
@@ -204,28 +206,28 @@
     let servers = ["s-1", "s-2"].map(Server::start);
     let targets = servers.each_ref().map(|s| s.target_row("ready"));
     let discovery = Discovery::start(&targets);
-    let old = Proxy::managed(&discovery, without_loads);
-    old.logged("successors are awaited");
-    old.yes("OFFLINE s-1");
-    let new = old.successor(discovery.addr);
+    let old = Proxy::start_with_management(&discovery, disable_load_reports);
+    old.wait_for_log("successors are awaited");
+    old.call_expecting_ok("OFFLINE s-1");
+    let new = old.start_successor(discovery.addr);
     wait_healthy(&new);
-    assert!(new.yes("OFFLINE s-1").contains("already"));
-    assert!(new.yes("ONLINE s-1").contains("in use"));
-    assert!(old.yes("ONLINE s-1").contains("already"));
-    assert!(old.yes("OFFLINE s-2").contains("is out"));
-    assert!(new.yes("OFFLINE s-2").contains("already"));
+    assert!(new.call_expecting_ok("OFFLINE s-1").contains("already"));
+    assert!(new.call_expecting_ok("ONLINE s-1").contains("in use"));
+    assert!(old.call_expecting_ok("ONLINE s-1").contains("already"));
+    assert!(old.call_expecting_ok("OFFLINE s-2").contains("is out"));
+    assert!(new.call_expecting_ok("OFFLINE s-2").contains("already"));
     for _ in 0..5 {
-        new.up(&servers[0]);
+        new.establish_connection(&servers[0]);
     }
     assert!(servers[1].no_pending_open());
-    old.yes("LEAVE");
+    old.call_expecting_ok("LEAVE");
     assert!(!new.answers_ping());
-    assert!(new.yes("HEALTH").contains("left"));
-    new.yes("JOIN");
+    assert!(new.call_expecting_ok("HEALTH").contains("left"));
+    new.call_expecting_ok("JOIN");
     assert!(new.answers_ping());
     old.signal("-KILL");
-    new.logged("the earlier process has gone");
-    assert!(new.yes("OFFLINE s-2").contains("already"));
+    new.wait_for_log("the earlier process has gone");
+    assert!(new.call_expecting_ok("OFFLINE s-2").contains("already"));
 }
 
 /// The successor of a proxy that has left has left too, until `JOIN`.
@@ -233,14 +235,14 @@
 fn a_successor_of_a_proxy_that_left_has_left_too() {
     let server = Server::start("s-1");
     let (discovery, old) = start_managed(&server);
-    old.yes("LEAVE");
-    let new = old.successor(discovery.addr);
+    old.call_expecting_ok("LEAVE");
+    let new = old.start_successor(discovery.addr);
     wait_healthy(&new);
     assert!(!new.answers_ping());
     assert!(new.open("watch").read_line().starts_with("BUSY"));
-    new.yes("JOIN");
+    new.call_expecting_ok("JOIN");
     assert!(new.answers_ping());
-    new.up(&server);
+    new.establish_connection(&server);
 }
 
 /// When the configuration file is invalid or the new process is killed, the old process continues unchanged.
@@ -248,33 +250,33 @@
 fn a_failed_successor_leaves_the_old_process_unchanged() {
     let server = Server::start("s-1");
     let (discovery, old) = start_managed(&server);
-    let (mut client, mut conn) = old.up(&server);
+    let (mut client, mut conn) = old.establish_connection(&server);
     let good = old.config_text();
     let path = old.dir().join("config.json");
     std::fs::write(&path, good.replace("\"seed\"", "\"sead\"")).unwrap();
-    let mut bad = old.successor(discovery.addr);
-    assert!(!bad.ended().success());
+    let mut bad = old.start_successor(discovery.addr);
+    assert!(!bad.wait_for_exit().success());
     std::fs::write(&path, &good).unwrap();
-    old.yes("HEALTH");
+    old.call_expecting_ok("HEALTH");
     // A successor that is killed after it has started to serve.
-    let mut new = old.successor(discovery.addr);
+    let mut new = old.start_successor(discovery.addr);
     wait_healthy(&new);
-    old.no("HEALTH");
+    old.call_expecting_refusal("HEALTH");
     new.signal("-KILL");
-    new.ended();
-    old.logged("clients are served here again");
-    old.yes("HEALTH");
-    old.up(&server);
+    new.wait_for_exit();
+    old.wait_for_log("clients are served here again");
+    old.call_expecting_ok("HEALTH");
+    old.establish_connection(&server);
     assert!(old.answers_ping());
     // The old process can be succeeded again, also by a process with other settings, and with a reload meanwhile.
     old.signal("-HUP");
-    let again = old.successor(discovery.addr);
+    let again = old.start_successor(discovery.addr);
     wait_healthy(&again);
-    again.logged("the earlier process has handed over");
+    again.wait_for_log("the earlier process has handed over");
     again.reload(|config| config["settings"]["permissions"]["max-attempts"] = json!(2));
-    again.logged("settings=true");
+    again.wait_for_log("settings=true");
     old.signal("-HUP");
-    again.up(&server);
+    again.establish_connection(&server);
     // Connections that the killed successor had taken over are lost with it.
     assert!(client.try_read_line().is_err());
     assert!(conn.try_read_line().is_err());
@@ -284,16 +286,16 @@
 fn killing_the_old_process_does_not_affect_handed_over_connections() {
     let server = Server::start("s-1");
     let (discovery, mut old) = start_managed(&server);
-    let (mut client, mut conn) = old.up(&server);
-    let new = old.successor(discovery.addr);
+    let (mut client, mut conn) = old.establish_connection(&server);
+    let new = old.start_successor(discovery.addr);
     wait_healthy(&new);
-    new.logged("connections were taken over count=1");
+    new.wait_for_log("connections were taken over count=1");
     old.signal("-KILL");
-    old.ended();
+    old.wait_for_exit();
     assert_relayed(&mut client, &mut conn);
-    new.up(&server);
+    new.establish_connection(&server);
     assert!(new.answers_ping());
-    new.yes("OFFLINE s-1");
+    new.call_expecting_ok("OFFLINE s-1");
 }
 
 /// The directory may hold anything: half a message, invalid bytes, a socket without a listener, a listener that never
@@ -314,12 +316,12 @@
         stream.write_all(invalid_bytes).unwrap();
     }
     let _silent = UnixStream::connect(&socket).unwrap();
-    let new = old.successor(discovery.addr);
+    let new = old.start_successor(discovery.addr);
     wait_healthy(&new);
-    new.logged("the earlier process has handed over");
+    new.wait_for_log("the earlier process has handed over");
     drop(new);
     // The old process serves again before further successors start.
-    old.logged("clients are served here again");
+    old.wait_for_log("clients are served here again");
     let until = Instant::now() + Duration::from_secs(5);
     while old.log().matches("successors are awaited").count() < 2 {
         assert!(Instant::now() < until);
@@ -336,11 +338,11 @@
         let _ = std::fs::remove_file(&socket);
         let _ = std::fs::remove_file(&quiet);
         kind();
-        let alone = old.successor(discovery.addr);
+        let alone = old.start_successor(discovery.addr);
         wait_healthy(&alone);
-        alone.logged("nobody hands over");
+        alone.wait_for_log("nobody hands over");
     }
-    old.yes("HEALTH");
+    old.call_expecting_ok("HEALTH");
 }
 
 /// The descriptors of both processes together stay within one limit.
@@ -348,13 +350,14 @@
 fn both_processes_share_one_limit_on_descriptors() {
     let server = Server::start("s-1");
     let discovery = Discovery::start(&[server.target_row("ready")]);
-    let old = Proxy::managed(&discovery, |config| {
-        without_loads(config);
+    let old = Proxy::start_with_management(&discovery, |config| {
+        disable_load_reports(config);
         config["limits"]["sockets"] = json!(120);
     });
-    old.logged("successors are awaited");
-    let _held: Vec<(LineConnection, LineConnection)> = (0..10).map(|_| old.up(&server)).collect();
-    let new = old.successor(discovery.addr);
+    old.wait_for_log("successors are awaited");
+    let _held: Vec<(LineConnection, LineConnection)> =
+        (0..10).map(|_| old.establish_connection(&server)).collect();
+    let new = old.start_successor(discovery.addr);
     wait_healthy(&new);
     let mut pairs = Vec::new();
     loop {
@@ -367,7 +370,7 @@
         conn.send_line("UP 1");
         assert_eq!(client.read_line(), "UP 1");
         pairs.push((client, conn));
-        assert!(old.descriptors() + new.descriptors() <= 120);
+        assert!(old.descriptor_count() + new.descriptor_count() <= 120);
     }
 }
 
@@ -380,11 +383,11 @@
     std::fs::remove_file(&socket).unwrap();
     std::fs::create_dir(&socket).unwrap();
     std::fs::write(socket.join("x"), "").unwrap();
-    let new = old.successor(discovery.addr);
+    let new = old.start_successor(discovery.addr);
     wait_healthy(&new);
-    new.logged("no successor can be handed over to");
+    new.wait_for_log("no successor can be handed over to");
     for _ in 0..8 {
-        old.up(&server);
+        old.establish_connection(&server);
     }
     old.signal("-TERM");
     wait_healthy(&new);
