--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -13,7 +13,7 @@
 //! - *Sync Before Answer*: a vote, a term or an entry is acknowledged only after the write that contains it is
 //!   acknowledged ([`Input::Persisted`]); a leader counts its own copy only then, too.
 //! - *Vouched For*: a node that starts from a directory neither votes nor acknowledges until a majority has confirmed
-//!   that no member has seen a later write of this directory. A node whose later write was seen is stale for good.
+//!   that no member has seen a later write of this directory. If a member has seen one, the node is permanently stale.
 
 mod limits;
 mod log;
--- a/crates/consensus/src/messages.rs
+++ b/crates/consensus/src/messages.rs
@@ -185,7 +185,7 @@
     pub seq: WriteSeq,
     pub term: Term,
     pub voted_for: Option<NodeId>,
-    /// The highest `durable_seq` received from other members, where it has changed.
+    /// The highest `durable_seq` received from each other member for which it has changed.
     pub seen_seqs: Vec<(NodeId, WriteSeq)>,
     pub snapshot: Option<Snapshot>,
     /// Whether the entries after the snapshot are kept.
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -28,7 +28,7 @@
 /// Why a call was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// This node is not the leader; the leader's id, if this node knows it.
+    /// This node is not the leader; contains the leader's id, if it is known.
     NotLeader(Option<NodeId>),
     /// The leader is transferring leadership, or has not committed an entry of its own term yet.
     NotNow,
@@ -52,7 +52,7 @@
     pub snapshot_index: Index,
     /// Whether the staleness check after the start is still running: the node neither votes nor acknowledges.
     pub awaits_staleness_check: bool,
-    /// Whether the directory is an older copy; the node then takes no further part.
+    /// Whether the directory is an older copy; the node then ignores all inputs.
     pub is_stale: bool,
 }
 
@@ -146,7 +146,7 @@
     seen_seqs: BTreeMap<NodeId, WriteSeq>,
     /// Members whose entry in `seen_seqs` is not written yet.
     unsaved_seen_ids: BTreeSet<NodeId>,
-    /// Members that have not seen this directory at a later write than its own.
+    /// Members that have confirmed that they have seen no write of this directory later than its last one.
     staleness_confirmations: BTreeSet<NodeId>,
     awaits_staleness_check: bool,
     next_staleness_request_at: Millis,
@@ -755,7 +755,7 @@
                 message.body,
                 MessageBody::AppendRequest { .. } | MessageBody::SnapshotChunk { .. }
             ) {
-                // Notifies a leader of an older term of the current term.
+                // Informs the leader of an older term that a newer term has begun.
                 self.send(
                     from,
                     MessageBody::AppendResponse {
@@ -830,8 +830,8 @@
         }
     }
 
-    /// Whether this node leads or received a leader's message within `election_timeout`. It then rejects requests for
-    /// votes, except those of a leadership transfer.
+    /// Whether this node leads or received a leader's message within `election_timeout`. It then grants no
+    /// vote, except in a leadership transfer.
     fn has_leader(&self) -> bool {
         let is_recent = |contact_at: Millis| self.now < contact_at + self.limits.election_timeout;
         self.role == Role::Leader
@@ -1226,9 +1226,9 @@
             return;
         }
         let from = self.commit_index + 1;
-        let committed = (from..=index).map(|at| {
+        let committed = (from..=index).map(|entry_index| {
             self.log
-                .get(at)
+                .get(entry_index)
                 .expect("an entry to commit is in the log")
                 .clone()
         });
@@ -1377,7 +1377,7 @@
             },
         );
         if is_complete {
-            let incoming = self.incoming_snapshot.take().expect("present until here");
+            let incoming = self.incoming_snapshot.take().expect("created above");
             self.install_snapshot(incoming.snapshot);
         }
     }
--- a/crates/consensus/tests/cases.rs
+++ b/crates/consensus/tests/cases.rs
@@ -125,7 +125,7 @@
         world.kill_process(leader);
         world.run_for(3000);
         assert!(
-            world.leader().is_some_and(|now| now != leader),
+            world.leader().is_some_and(|current| current != leader),
             "seed {seed}"
         );
         world.start_process(leader);
@@ -234,11 +234,11 @@
     let removed = other_ids(&world, leader)[0];
     world.kill_process(removed);
     world.hosts.remove(&removed);
-    let stranger = NodeId(99);
-    world.add_host(stranger, DurableState::default());
+    let added = NodeId(99);
+    world.add_host(added, DurableState::default());
     world.run_for(3000);
     assert_eq!(
-        world.hosts[&stranger]
+        world.hosts[&added]
             .node
             .as_ref()
             .unwrap()
@@ -253,29 +253,29 @@
     world
         .change_membership(
             leader,
-            MembershipChange::AddLearner(stranger, "node-99".into()),
+            MembershipChange::AddLearner(added, "node-99".into()),
         )
         .unwrap();
     assert_eq!(
-        world.change_membership(leader, MembershipChange::Promote(stranger)),
+        world.change_membership(leader, MembershipChange::Promote(added)),
         Err(Rejection::Changing)
     );
     // Promotion requires that the member has acknowledged the entry that added it, however short the log is.
-    world.cut_links.insert((stranger, leader));
+    world.cut_links.insert((added, leader));
     world.run_for(500);
     assert_eq!(
-        world.change_membership(leader, MembershipChange::Promote(stranger)),
+        world.change_membership(leader, MembershipChange::Promote(added)),
         Err(Rejection::Senseless)
     );
     world.cut_links.clear();
     world.run_for(1000);
     world
-        .change_membership(leader, MembershipChange::Promote(stranger))
+        .change_membership(leader, MembershipChange::Promote(added))
         .unwrap();
     world.run_for(1000);
     let third_voter = other_ids(&world, leader)
         .into_iter()
-        .find(|id| *id != stranger)
+        .find(|id| *id != added)
         .unwrap();
     world.kill_process(third_voter);
     world.propose(leader).unwrap();
@@ -346,7 +346,7 @@
     assert!(
         world
             .leader()
-            .is_some_and(|now| now != leader && now != removed)
+            .is_some_and(|current| current != leader && current != removed)
     );
     assert_eq!(world.violation, None);
 }
--- a/crates/proxy/src/fleet/allowances.rs
+++ b/crates/proxy/src/fleet/allowances.rs
@@ -150,7 +150,7 @@
                     config.names.tenant_index(Some(name)).map(QuotaKind::Tenant)
                 }
             };
-            // The settings may name the class or tenant later.
+            // The class or tenant may be added by a later reload of the settings.
             let Some(quota) = quota else {
                 continue;
             };
@@ -217,7 +217,8 @@
 
 impl CountedBudget {
     /// Returns the part in force and its number: the fleet's latest part, or the floor alone. During an upgrade, while
-    /// the predecessor process still runs, the floor belongs to the predecessor.
+    /// the predecessor process still runs, the floor belongs to the predecessor. Without a part from the fleet, the
+    /// floor of a rate budget is 0 during the first window after the start.
     fn effective_part(&self, has_predecessor: bool, started: Instant) -> (Number, Part) {
         let window = self.definition.window + self.definition.window / 50 + 1;
         let is_first_window = self.definition.kind == BudgetKind::Rate
--- a/crates/proxy/src/fleet/frames.rs
+++ b/crates/proxy/src/fleet/frames.rs
@@ -86,8 +86,8 @@
 }
 
 /// Encodes a message to a peer.
-pub fn encode_peer(peer: &PeerMessage) -> Bytes {
-    with_checksum(postcard::to_extend(peer, vec![0; 4]).expect("plain data can be serialized"))
+pub fn encode_peer(message: &PeerMessage) -> Bytes {
+    with_checksum(postcard::to_extend(message, vec![0; 4]).expect("plain data can be serialized"))
 }
 
 /// Decodes a frame after the handshake; `None` for a ping.
--- a/crates/proxy/src/fleet/links.rs
+++ b/crates/proxy/src/fleet/links.rs
@@ -295,11 +295,11 @@
             };
             match frames::decode_peer(&frame) {
                 Ok(None) => {}
-                Ok(Some(peer)) => {
+                Ok(Some(message)) => {
                     // Backpressure: while the inbox is full, the peer's data waits in the socket.
                     if self
                         .inbox
-                        .send(Input::PeerMessage(from.to_string(), peer))
+                        .send(Input::PeerMessage(from.to_string(), message))
                         .await
                         .is_err()
                     {
--- a/crates/proxy/src/fleet/maintenance.rs
+++ b/crates/proxy/src/fleet/maintenance.rs
@@ -1,6 +1,6 @@
-//! Work on machines at this proxy, on the engine's thread. A list of machines that are out, that is, out of service for
-//! work on them, is written to disk, then put in force in the engine, then confirmed to the fleet. Runs only with the
-//! section `[fleet.work]`.
+//! Takes machines out of service at this proxy while they are worked on; runs on the engine's thread. A list of the
+//! machines that are out (of service) is written to disk, then put in force in the engine, then confirmed to the fleet.
+//! Runs only with the section `[fleet.work]`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, File};
@@ -25,7 +25,7 @@
 /// The start of the state file; the checksum of the remaining lines follows it.
 const MAGIC: &str = "violetwind out 1 ";
 
-/// Reads the state file: for operators, and for the start of a process. Returns `None` if there is none.
+/// Reads the state file. Returns `None` if it does not exist.
 ///
 /// # Errors
 /// If the file can't be read, is too large or is damaged.
@@ -39,11 +39,11 @@
         Ok(_) => fs::read_to_string(path).map_err(|error| with_path(&error))?,
         Err(error) => return Err(with_path(&error)),
     };
-    let body = text
+    let checksum_and_body = text
         .strip_prefix(MAGIC)
         .and_then(|rest| rest.split_once('\n'));
     let (checksum, body) =
-        body.ok_or_else(|| with_path(&"line 1: this is no machine list file"))?;
+        checksum_and_body.ok_or_else(|| with_path(&"line 1: this is no machine list file"))?;
     let expected_checksum = u32::from_str_radix(checksum, 16).ok();
     if expected_checksum != Some(crc32fast::hash(body.as_bytes())) {
         return Err(with_path(
@@ -111,7 +111,7 @@
     availability: MachineAvailability,
     /// Whether this proxy has left service because its own machine is out.
     has_left: bool,
-    /// Whether the last list could not be written; logged once.
+    /// Whether the last list could not be written; only the first such failure in a row is logged.
     is_write_failing: bool,
     /// Whether the state file was removed because this proxy has stopped serving.
     is_state_file_removed: bool,
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Puts the state in force that the predecessor process wrote last.
+    /// Applies the state that the predecessor process wrote last, if it is newer.
     pub async fn reload_state(&mut self) {
         if let Ok(Some(availability)) = read_state_file(
             &self.settings.state_file,
@@ -272,8 +272,8 @@
         }
     }
 
-    /// Writes a newer list to disk, then puts it in force. Returns `false` if it can't be written; it is then not
-    /// confirmed.
+    /// Writes a list to disk, then puts it in force; an older list is ignored. Returns `false` if the list can't be
+    /// written; it is then not confirmed.
     async fn apply_list(&mut self, version: Number, list: MachineList) -> bool {
         if version < self.availability.list_version() || self.is_state_file_removed {
             return true;
@@ -472,7 +472,11 @@
             room: match observed.draining {
                 true => 0,
                 false => {
-                    (observed.rating.filter(|room| *room > 0.0).unwrap_or(1.0) * 1000.0) as u64
+                    (observed
+                        .rating
+                        .filter(|rating| *rating > 0.0)
+                        .unwrap_or(1.0)
+                        * 1000.0) as u64
                 }
             },
         };
--- a/crates/proxy/src/fleet/mod.rs
+++ b/crates/proxy/src/fleet/mod.rs
@@ -53,7 +53,7 @@
 enum Participation {
     Inactive,
     /// The process is ending: a member that takes part in work on machines stays until the proxy has stopped serving,
-    /// if that is soon, so that it can report this.
+    /// for at most the drain timeout, so that it can report this.
     Draining,
     Active,
 }
@@ -62,8 +62,8 @@
 #[derive(Clone)]
 pub struct FleetHandle {
     commands: mpsc::Sender<Command>,
-    /// The requested participation. A member that is to stop hands over its duties and stays away until it is activated
-    /// again.
+    /// The requested participation. A member that is requested to stop hands over its duties, and is not started again
+    /// before the next activation.
     participation: watch::Sender<Participation>,
     /// Whether a member is running, including one that is still handing over.
     is_active: watch::Receiver<bool>,
@@ -142,9 +142,10 @@
         self.participation.send_replace(Participation::Active);
     }
 
-    /// Requests that the member stops; `ending` tells whether the process ends without a successor.
-    pub fn deactivate(&self, ending: bool) {
-        self.participation.send_replace(match ending {
+    /// Requests that the member stops. With `drains_first`, because the process ends without a successor, a member that
+    /// takes part in work on machines stays until the proxy has stopped serving, for at most the drain timeout.
+    pub fn deactivate(&self, drains_first: bool) {
+        self.participation.send_replace(match drains_first {
             true => Participation::Draining,
             false => Participation::Inactive,
         });
@@ -196,11 +197,11 @@
 enum ExitReason {
     /// It was requested to stop, and has handed over.
     Quit,
-    /// The data directory is an older copy of itself.
+    /// The data directory is an older copy: another member has seen a later write of it.
     Stale,
     /// Too many bytes wait to be written to disk.
     DiskBehind,
-    /// An error that a retry does not remove.
+    /// A permanent error: a retry would fail too.
     Failed(String),
     /// All handles are dropped: the program ends.
     HandleDropped,
@@ -296,13 +297,13 @@
         Some(dir) => {
             let opened = open_with_retry(settings, inbox, || {
                 let new_id = NodeId(rand::random::<u64>().max(1));
-                let store = violetwind_store::Settings {
+                let store_settings = violetwind_store::Settings {
                     fleet: settings.name.clone(),
                     node: node.to_string(),
                     compaction_threshold_bytes: settings.link_limits.max_segment_bytes,
                     sync_writes: settings.fsync,
                 };
-                Store::open(dir, store, new_id)
+                Store::open(dir, store_settings, new_id)
                     .map_err(|error| (error.is_transient(), error.to_string()))
             });
             match opened.await {
@@ -391,7 +392,7 @@
         }
     }
     let exit_reason = runtime.exit_reason.take().unwrap_or(ExitReason::Quit);
-    // Allow time for the last frames to be sent.
+    // Allows time for the last frames to be sent.
     if matches!(exit_reason, ExitReason::Quit) {
         sleep(settings.link_limits.tick_interval).await;
     }
@@ -420,7 +421,7 @@
     /// The channels to the engine's thread.
     updates: Rc<UpdateSenders>,
     links: Rc<PeerLinks>,
-    records: Option<RecordSender>,
+    record_sender: Option<RecordSender>,
     /// Records that are not on disk yet, with their sizes in bytes.
     unsynced_records: VecDeque<(Number, usize)>,
     unsynced_bytes: usize,
@@ -435,7 +436,7 @@
         settings: &FleetSettings,
         node: &str,
         saved_state: Option<SavedState>,
-        (links, records): (Rc<PeerLinks>, Option<RecordSender>),
+        (links, record_sender): (Rc<PeerLinks>, Option<RecordSender>),
         updates: Rc<UpdateSenders>,
     ) -> Self {
         let config = Config {
@@ -457,7 +458,7 @@
             member: Member::new(config, saved_state, seed, boottime_ms()),
             updates,
             links,
-            records,
+            record_sender,
             unsynced_records: VecDeque::new(),
             unsynced_bytes: 0,
             max_unsynced_bytes: settings.link_limits.max_unsynced_bytes,
@@ -475,7 +476,10 @@
     }
 
     fn handle_records_saved(&mut self, number: Number) {
-        while let Some((_, bytes)) = self.unsynced_records.pop_front_if(|(at, _)| *at <= number) {
+        while let Some((_, bytes)) = self
+            .unsynced_records
+            .pop_front_if(|(queued_number, _)| *queued_number <= number)
+        {
             self.unsynced_bytes -= bytes;
         }
         self.handle_input(Input::RecordsSaved(number));
@@ -484,7 +488,7 @@
     fn handle_input(&mut self, input: Input) {
         for output in self.member.handle(boottime_ms(), input) {
             match output {
-                Output::Send(to, peer) => self.links.send(&to, &peer),
+                Output::Send(to, message) => self.links.send(&to, &message),
                 Output::SaveRecord(number, record) => self.save_record(number, record),
                 Output::Answer(number, answer) => {
                     if let Some(reply) = self.pending_calls.remove(&number) {
@@ -550,9 +554,9 @@
             self.exit_reason = Some(ExitReason::DiskBehind);
             return;
         }
-        if let Some(records) = &self.records {
-            // If the thread has ended, its event reports the reason.
-            let _ = records.send((number, record));
+        if let Some(record_sender) = &self.record_sender {
+            // If the disk thread has ended, its last event reports the reason.
+            let _ = record_sender.send((number, record));
         }
     }
 
--- a/crates/proxy/src/fleet/settings.rs
+++ b/crates/proxy/src/fleet/settings.rs
@@ -48,23 +48,24 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MaintenanceSettings {
     pub machines: MachineMap,
-    /// Machines that the file names with a zone or a proxy: zone and proxy of each.
+    /// The machines listed in the file, each with its zone and its proxy, where given.
     pub named_machines: BTreeMap<Name, (Option<Name>, Option<Name>)>,
     /// The file for the latest list of machines that are out.
     pub state_file: PathBuf,
     /// The largest file that is read, in bytes.
     pub max_state_file_bytes: u64,
-    /// Without such a file, how long the start waits for a list from the fleet before the first client is admitted.
+    /// How long the start waits for a list from the fleet, if there is no such file, before the first client is
+    /// admitted.
     pub machine_list_timeout: Duration,
     /// The time between two reports of the machines' state.
     pub report_interval: Duration,
-    /// The same while there are no orders.
+    /// The time between two reports while there are no orders.
     pub idle_report_interval: Duration,
     /// Queued lists from the fleet's thread.
     pub list_queue_capacity: usize,
 }
 
-/// What the balancer counts for a budget.
+/// The use that the balancer counts against a budget.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BudgetSubject {
     /// Attempts after a request's first.
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Reads the section, and reports problems to its reader; `None` without the section.
+    /// Reads the section, and reports its problems through `root`; `None` without the section.
     pub fn read(root: &Section<'_>) -> Option<Self> {
         let section = root.section("fleet");
         if !section.is_present() {
@@ -396,7 +397,7 @@
     Some((maintenance, may_conduct))
 }
 
-/// The kinds of values of `of`.
+/// The values of the key `of`, by the kind of budget that they require.
 #[derive(Clone)]
 enum SubjectKind {
     /// Counted by programs that call the operators' address.
@@ -404,7 +405,7 @@
     /// A rate that the balancer counts.
     Rate(BudgetSubject),
     /// Concurrent connections of a named class or tenant.
-    Held(fn(Name) -> BudgetSubject),
+    Concurrent(fn(Name) -> BudgetSubject),
 }
 
 /// Reads the budgets of the fleet, and the subjects of those that the balancer counts. The key `members` is the maximum
@@ -445,8 +446,8 @@
             ("moves", SubjectKind::Rate(BudgetSubject::Moves)),
             ("probes", SubjectKind::Rate(BudgetSubject::Probes)),
             ("cold", SubjectKind::Rate(BudgetSubject::Cold)),
-            ("class", SubjectKind::Held(BudgetSubject::Class)),
-            ("tenant", SubjectKind::Held(BudgetSubject::Tenant)),
+            ("class", SubjectKind::Concurrent(BudgetSubject::Class)),
+            ("tenant", SubjectKind::Concurrent(BudgetSubject::Tenant)),
         ];
         let subject = section.choice("of", &choices, SubjectKind::Callers);
         section.report_unknown_keys();
@@ -457,10 +458,10 @@
         let (kind, subject) = match (subject, name_suffix) {
             (SubjectKind::Callers, _) => (definition.kind, None),
             (SubjectKind::Rate(subject), _) => (BudgetKind::Rate, Some(subject)),
-            (SubjectKind::Held(make_subject), Some(name)) => {
+            (SubjectKind::Concurrent(make_subject), Some(name)) => {
                 (BudgetKind::Concurrent, Some(make_subject(name)))
             }
-            (SubjectKind::Held(_), None) => {
+            (SubjectKind::Concurrent(_), None) => {
                 section.report_problem(
                     "name",
                     "expected the name of a class or tenant after `:`, such as \"tenant:clinica-sur\"",
@@ -506,7 +507,8 @@
 /// Reads a required name. Its characters are restricted because it goes into frames, calls and logs.
 fn read_name(section: &Section<'_>, key: &str) -> Name {
     let name = section.required_text(key);
-    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
+    let is_allowed =
+        |character: char| character.is_ascii_alphanumeric() || "-_.:".contains(character);
     if section.has_key(key)
         && (name.is_empty()
             || name.len() > StateLimits::MAX_NAME_BYTES
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -21,7 +21,7 @@
 /// Decodes the record at the start of `bytes`, and returns it with its length in bytes.
 ///
 /// # Errors
-/// The reason why the bytes hold no valid record.
+/// If the bytes don't start with a valid record; the text states the reason.
 pub(crate) fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<(T, usize), String> {
     if bytes.len() < HEADER_BYTES {
         return Err("the record is truncated".into());
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -10,11 +10,11 @@
 //! Assumptions about the disk: a successful sync makes durable what was written since the last successful sync; after
 //! a failed sync it is unknown what is durable, even if the next sync succeeds. Data that no successful sync has
 //! covered is therefore written again before it is acknowledged, and a process that starts on a segment with records
-//! beyond the `acked` offset writes a new segment first. Once a newer segment may have its name, nothing is appended to
-//! the older one.
+//! beyond the `acked` offset writes a new segment first. Once a newer segment may have been renamed to its final
+//! name, nothing is appended to the older one.
 //!
 //! A truncated record beyond the `acked` offset was never acknowledged and is dropped. Anything else that can't be read
-//! is an error with file and byte offset; the store never guesses.
+//! is an error with file and byte offset; the store never guesses the lost content.
 
 mod directory;
 mod error;
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -286,7 +286,8 @@
         }
     }
 
-    /// Writes the whole state as a snapshot into a new segment, and switches to it once it has its name.
+    /// Writes the whole state as a snapshot into a new segment, and switches to it once it is renamed to its
+    /// final name.
     fn write_snapshot_segment(&mut self) -> Result<(), StoreError> {
         let bytes = frame::encode(&LogRecord::Snapshot(self.state.clone()));
         let segment = self.segment + 1;
@@ -337,7 +338,7 @@
             self.write_acked_position();
             for older in self.directory.segment_numbers()? {
                 if older < self.segment {
-                    // A remaining segment is ignored at the next start.
+                    // An older segment that can't be removed is ignored at the next start.
                     let _ = fs::remove_file(self.directory.segment_path(older));
                 }
             }
@@ -362,8 +363,8 @@
     bytes: u64,
 }
 
-/// Replays a segment's records. An unreadable record before `acked_bytes` is an error; one beyond it was never
-/// acknowledged and is dropped.
+/// Replays a segment's records. An unreadable record before `acked_bytes` is an error; an unreadable record
+/// beyond it was never acknowledged and is dropped.
 fn replay_segment(
     path: &Path,
     bytes: &[u8],
@@ -379,7 +380,7 @@
         let detail = format!("the segment ends before the acknowledged byte {acked_bytes}");
         return Err(corrupted(bytes.len(), detail));
     }
-    // The first record was complete before the segment got its name.
+    // A segment is renamed to its final name only after its first record is complete.
     let (mut state, snapshot_bytes) = match frame::decode::<LogRecord>(bytes) {
         Ok((LogRecord::Snapshot(state), _)) if state.id != owner_id => {
             return Err(corrupted(
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -85,7 +85,7 @@
         thread::sleep(retry_interval);
         loop {
             match receiver.try_recv() {
-                Ok(more) => batch.push(more),
+                Ok(numbered_record) => batch.push(numbered_record),
                 Err(TryRecvError::Empty) => break,
                 Err(TryRecvError::Disconnected) => return Ok(None),
             }
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -18,11 +18,16 @@
         Self(path)
     }
 
-    fn open_as(&self, node: &str, id: u64, segment_bytes: u64) -> Result<Store, StoreError> {
+    fn open_as(
+        &self,
+        node: &str,
+        id: u64,
+        compaction_threshold_bytes: u64,
+    ) -> Result<Store, StoreError> {
         let settings = Settings {
             fleet: "f".into(),
             node: node.into(),
-            compaction_threshold_bytes: segment_bytes,
+            compaction_threshold_bytes,
             sync_writes: true,
         };
         Store::open(&self.0, settings, NodeId(id))
