--- a/crates/fleet/src/budget/meter.rs
+++ b/crates/fleet/src/budget/meter.rs
@@ -20,8 +20,8 @@
     UnknownBudget,
 }
 
-/// What another component of this process, one that counts a budget itself, may use of it: `units` before the time
-/// `until` of this member's clock, and `after` from then on.
+/// The units of a budget that another component of this process, which counts the budget itself, may use: `units`
+/// before the time `until` of this member's clock, and `after` from then on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
     /// Units that may be used before `until`.
@@ -33,8 +33,8 @@
     /// Of a rate budget: the span in which the units are counted, longer than the window to allow for clocks that run
     /// fast.
     pub span: Millis,
-    /// Whether an exchange with the leader may bring more units: no need has been unmet for as long as an exchange
-    /// takes, the share is not the whole pool already, and it is not being lowered.
+    /// Whether an exchange with the leader may bring more units: the lease is valid, the leader has not left a need
+    /// unmet for the unmet-need timeout, the share is not the whole pool already, and it is not being lowered.
     pub hopeful: bool,
 }
 
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 struct Meter {
     definition: BudgetDefinition,
-    /// When the floor becomes usable. What an earlier process used of a rate budget is unknown to this one.
+    /// When the floor becomes usable. An earlier process's use of a rate budget is unknown here.
     floor_valid_from: Millis,
     share: Share,
     /// Set while renewals are answered with less than was needed, until the share is raised.
@@ -494,7 +494,7 @@
         }
     }
 
-    /// Applies a share as the log has it after this member's request to lower it.
+    /// Applies a share as recorded in the log after this member's request to lower it.
     pub fn update_share(&mut self, budget: &str, share: Share) {
         if let Some(meter) = self.meters.get_mut(budget) {
             let known = meter.share;
--- a/crates/fleet/src/budget/mod.rs
+++ b/crates/fleet/src/budget/mod.rs
@@ -47,7 +47,7 @@
     pub window: Millis,
     /// The largest number of members; a floor is reserved for each.
     pub max_members: u64,
-    /// Of two definitions the one with the larger version is in force.
+    /// The definition with the largest version is in force.
     pub version: u64,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// What a member reports of a budget with a renewal, in units beyond its floor.
+/// A member's report on one budget, sent with a renewal, in units beyond the member's floor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Need {
     pub budget: Name,
--- a/crates/fleet/src/budget/shares.rs
+++ b/crates/fleet/src/budget/shares.rs
@@ -66,7 +66,7 @@
     }
 
     /// Merges the definition of another member's file. The larger version is in force; of two definitions that differ
-    /// under the same version the stricter values are, so that no member uses the larger total.
+    /// under the same version the stricter values apply, so that no member uses the larger total.
     pub fn merge_definition(&mut self, definition: &BudgetDefinition) {
         self.reserved_floor = self.reserved_floor.max(definition.floor);
         self.reserved_members = self.reserved_members.max(definition.max_members);
@@ -119,7 +119,7 @@
     }
 
     /// Raises a share to `units`. Returns false and changes nothing if the free units don't suffice, the share is of
-    /// another version, or it already has as many.
+    /// another version, or it already has at least `units`.
     pub fn raise_share(&mut self, session: SessionId, units: u64, version: u64) -> bool {
         let known = self.share(session);
         if known.version != version || units <= known.units || units - known.units > self.free() {
--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -83,7 +83,8 @@
     Stale { own: u64, seen: u64 },
     /// This leader has ended the session of a member.
     Ended { name: Name, why: LossReason },
-    /// The log contains an entry or a snapshot that this program can't read: it votes, and applies nothing.
+    /// The log contains an entry or a snapshot that this program can't read: the member votes, but applies
+    /// nothing.
     Halted { why: String },
     /// A request was refused at a limit.
     Full { what: &'static str },
--- a/crates/fleet/src/limits.rs
+++ b/crates/fleet/src/limits.rs
@@ -29,8 +29,8 @@
     /// that it can't meet.
     pub unmet_need_timeout: Millis,
     pub unmet_need_min_answers: u32,
-    /// How long after the first such answer the need counts as unmet: where an exchange with the leader has brought no
-    /// units, requests don't wait for another exchange sooner.
+    /// How long after the first such answer the need counts as unmet. Until then requests don't wait for another
+    /// exchange with the leader, since the previous ones have brought no units.
     pub unmet_need_cooldown: Millis,
     /// The largest number of calls that wait for a unit of a budget; further ones are refused at once.
     pub max_unit_waiters: usize,
--- a/crates/fleet/src/member/leader.rs
+++ b/crates/fleet/src/member/leader.rs
@@ -326,7 +326,7 @@
             return self.fleet_view_without_leader("no log here".into());
         }
         let running = self.running().expect("checked above");
-        let (log, status, limits) = (
+        let (log_members, status, limits) = (
             running.node.members(),
             running.node.status(),
             &self.config.limits,
@@ -337,12 +337,12 @@
         // An evicted member that never votes may be neither configured here nor have a session, but operators still
         // have to see it.
         names.extend(running.state.blocked_members());
-        names.extend(log.0.values().map(|member| &member.name));
+        names.extend(log_members.0.values().map(|member| &member.name));
         let members = names.into_iter().map(|name| {
             let session = running.state.session_by_name(name);
             let renewed_at = session.and_then(|(id, _)| running.leases.last_renewed_at(id));
             let silence = renewed_at.map(|renewed_at| self.now.saturating_sub(renewed_at));
-            let id_in_log = log.id_by_name(name);
+            let id_in_log = log_members.id_by_name(name);
             let is_configured_voter = self.config.peers.get(name).copied().unwrap_or(false);
             let state = if running.state.blocked_members().contains(name) {
                 "out"
@@ -363,7 +363,7 @@
             };
             MemberView {
                 node: name.clone(),
-                votes: id_in_log.is_some_and(|id| log.is_voter(id)),
+                votes: id_in_log.is_some_and(|id| log_members.is_voter(id)),
                 state: state.into(),
                 since_ms: silence,
             }
@@ -404,7 +404,7 @@
             majority: running
                 .node
                 .active_voter_count(limits.consensus.election_timeout)
-                >= log.majority(),
+                >= log_members.majority(),
             members: members.collect(),
             duties: duties.collect(),
             budgets: budgets.collect(),
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -250,7 +250,8 @@
         self.id
     }
 
-    /// The fencing number of a duty that this process holds at `now`, which has to be read from the clock right before.
+    /// The fencing number of a duty that this process holds at `now`, which has to be read from the clock immediately
+    /// before the call.
     pub fn held_fence(&self, duty: &str, now: Millis) -> Option<Number> {
         let held = self
             .session_client
@@ -559,7 +560,7 @@
         }
     }
 
-    /// The leader that this member's log knows.
+    /// The leader according to this member's log.
     fn known_leader(&self) -> Option<Name> {
         let running = self.running()?;
         let leader = running.node.status().leader?;
--- a/crates/fleet/src/member/operators.rs
+++ b/crates/fleet/src/member/operators.rs
@@ -155,7 +155,7 @@
         self.outputs.push(Output::Answer(call.call_number, answer));
     }
 
-    /// The reason why no leader answers, as far as this member knows it.
+    /// The reason why no leader answers, according to this member.
     pub(super) fn no_majority_reason(&self) -> String {
         match &self.voter {
             Some(Voter::Forming(formation)) => formation.pending_reason(),
@@ -188,7 +188,7 @@
         }
     }
 
-    /// The view of the fleet from this member's own knowledge, without a leader: it does not include the duties and
+    /// The view of the fleet from this member's own state, without a leader: it does not include the duties and
     /// shares of other members.
     pub(super) fn fleet_view_without_leader(&mut self, why: String) -> FleetView {
         let definitions = self.config.budgets.clone();
@@ -210,7 +210,7 @@
             }
         });
         let budgets = budgets.collect();
-        let log = self.consensus_status();
+        let status = self.consensus_status();
         let members = self.config.peers.iter().map(|(node, votes)| MemberView {
             node: node.clone(),
             votes: *votes,
@@ -236,8 +236,8 @@
         FleetView {
             node: self.config.node.clone(),
             leader: None,
-            term: log.as_ref().map_or(0, |log| log.term),
-            commit: log.as_ref().map_or(0, |log| log.commit_index),
+            term: status.as_ref().map_or(0, |status| status.term),
+            commit: status.as_ref().map_or(0, |status| status.commit_index),
             majority: false,
             members: members.collect(),
             duties: duties.collect(),
--- a/crates/fleet/src/member/work_orders.rs
+++ b/crates/fleet/src/member/work_orders.rs
@@ -31,7 +31,7 @@
     has_stopped_serving: bool,
 }
 
-/// The coordinator's copy of the work orders, and what it needs to plan on it.
+/// The coordinator's copy of the work orders, and the other data that its plans are based on.
 #[derive(Clone, Debug, Default)]
 struct Coordinator {
     /// The fencing number of the duty; 0 while this member does not hold it.
@@ -59,7 +59,7 @@
     closed_machines: BTreeSet<Name>,
 }
 
-/// What the members and the coordinator have reported to this leader.
+/// The reports of the members and the coordinator to this leader.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WorkReports {
     by_session: BTreeMap<SessionId, MemberReport>,
@@ -73,9 +73,9 @@
         *self = Self::default();
     }
 
-    pub(super) fn retain_sessions(&mut self, is_there: impl Fn(SessionId) -> bool) {
-        self.by_session.retain(|id, _| is_there(*id));
-        self.proposed_serving.retain(|id| is_there(*id));
+    pub(super) fn retain_sessions(&mut self, exists: impl Fn(SessionId) -> bool) {
+        self.by_session.retain(|id, _| exists(*id));
+        self.proposed_serving.retain(|id| exists(*id));
     }
 }
 
@@ -133,7 +133,7 @@
             None => participant.coordinator.fence = 0,
             Some((fence, _)) => {
                 if participant.coordinator.fence != fence {
-                    // The knowledge of a previous coordinator is not available here.
+                    // The state of a previous coordinator is not available here.
                     participant.coordinator = Coordinator {
                         fence,
                         ..Coordinator::default()
@@ -222,7 +222,7 @@
             return;
         };
         let coordinator = &mut participant.coordinator;
-        // Without any known machine every machine would be taken as unavailable.
+        // With an empty list of machines, every machine would count as unavailable.
         let knows_no_machines = local_status.machines.is_empty();
         if fence != coordinator.fence || update.version < coordinator.version || knows_no_machines {
             return;
--- a/crates/fleet/src/messages.rs
+++ b/crates/fleet/src/messages.rs
@@ -53,7 +53,7 @@
     pub known_ids: BTreeMap<Name, NodeId>,
     /// The initial members that this voter has recorded on disk.
     pub agreed_members: Option<Members>,
-    /// Whether this voter has seen all initial members agree.
+    /// Whether this voter has recorded on disk that the fleet is formed.
     pub is_formed: bool,
 }
 
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaderRequest {
     /// Requests a session. `nonce` is new for each session that is wanted. `replaced_session` is an earlier session
-    /// of the same process, which has stopped everything that it held under it.
+    /// of the same process, under which the process has stopped everything that it held.
     Join {
         nonce: Number,
         wanted_duties: Vec<Name>,
@@ -69,7 +69,7 @@
         /// Identifies the process; constant for as long as it runs.
         incarnation: Number,
         /// The last number that the log had assigned when the leader reported it. A process that died before then
-        /// can't know it.
+        /// can't have received it.
         last_seen_number: Number,
         weight: u64,
         budgets: Vec<BudgetDefinition>,
@@ -159,7 +159,7 @@
 /// A reply to a [`LeaderRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaderReply {
-    /// The receiver does not lead; the leader that it knows, if any.
+    /// The receiver of the request does not lead; carries the leader according to its log, if there is one.
     NotLeader(Option<Name>),
     /// Refused for a temporary reason: the sender retries.
     RetryLater(String),
@@ -180,7 +180,7 @@
         shares: Option<VersionedShares>,
         /// Shares that the session has to lower, with their new units.
         lower_targets: Vec<(Name, u64)>,
-        /// The leader's term. A new leader knows no needs, so they are reported to it again.
+        /// The leader's term. A new leader has no record of needs, so they are reported to it again.
         term: Term,
     },
     /// A session of this name has begun or ended since the number that the sender has seen; it retries with this
@@ -352,8 +352,8 @@
     WorkView(WorkView),
     /// The call has been carried out.
     Done,
-    /// The duty is held here, and was before the call. The program may work on it for `remaining`, and longer only if
-    /// it calls again.
+    /// The duty has been held here since before the call. The program may work on it for `remaining`, and longer only
+    /// if it calls again.
     Held {
         fence: Number,
         remaining: Millis,
--- a/crates/fleet/src/session_client.rs
+++ b/crates/fleet/src/session_client.rs
@@ -16,7 +16,7 @@
 /// renewal whose reply extends the lease.
 const MAX_PENDING_LOWERS: usize = 16;
 
-/// The kind of a pending request, with what identifies its subject.
+/// The kind of a pending request, with the identifiers of its subject.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum RequestKind {
     Join,
@@ -224,8 +224,8 @@
         self.renew_early_if_needed(now, limits);
     }
 
-    /// Brings the next renewal forward if there is a need that the leader does not know, to at most eight renewals in a
-    /// renewal interval.
+    /// Brings the next renewal forward if there is a need that the leader has no report of, to at most eight renewals
+    /// in a renewal interval.
     fn renew_early_if_needed(&mut self, now: Millis, limits: &Limits) {
         if self.meters.has_unreported_need() {
             self.next_request_at = self
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -38,7 +38,8 @@
     /// The process of the session is shutting down: the session is assigned no more duties, and its duties go to
     /// others.
     BeginLeave { session: SessionId },
-    /// The process of the session has stopped everything; `units_in_use` is what is still in use of its shares.
+    /// The process of the session has stopped everything; `units_in_use` are the units of its shares that are still
+    /// in use.
     Leave {
         session: SessionId,
         units_in_use: Vec<(Name, u64)>,
@@ -47,7 +48,7 @@
     RaiseShares {
         changes: Vec<(Name, SessionId, u64, u64)>,
     },
-    /// The session's member uses no more than `units` any more.
+    /// From now on the session's member uses at most `units` of the budget.
     LowerShare {
         session: SessionId,
         budget: Name,
--- a/crates/fleet/src/work_orders.rs
+++ b/crates/fleet/src/work_orders.rs
@@ -21,7 +21,7 @@
 pub struct WorkState {
     pub orders: WorkOrders,
     /// Proxies that may serve clients, whether or not they are reachable, each with the last session in which it
-    /// reported so. Each of them has to confirm. A proxy is removed when it reports that it no longer serves clients,
+    /// reported that. Each of them has to confirm. A proxy is removed when it reports that it no longer serves clients,
     /// or when an operator declares its machine gone.
     pub serving: BTreeMap<Name, SessionId>,
     /// Incremented whenever a process may have started to serve: a proxy that was not asked can't have confirmed.
@@ -110,7 +110,7 @@
 /// out.
 pub type ServingMember = (Name, bool, Vec<(Name, MachineReport)>);
 
-/// What the leader sends to the coordinator.
+/// The state that the leader sends to the coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinatorUpdate {
     pub version: Number,
@@ -208,14 +208,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkView {
     /// Whether this is the replicated state from the leader; if false, it is the list that this proxy has, and `why`
-    /// tells the reason.
+    /// is the reason.
     pub settled: bool,
     pub why: Option<String>,
     /// The member that coordinates the orders.
     pub conductor: Option<Name>,
     pub orders: Vec<OrderView>,
     pub ended: Vec<EndedOrderView>,
-    /// Machines that are out, or that some proxy may regard as out.
+    /// Machines that are out, or that may be out at some proxy.
     pub out: Vec<Name>,
     /// Machines that operators have closed at some proxy; they count as out.
     pub shut: Vec<Name>,
--- a/crates/fleet/tests/budgets.rs
+++ b/crates/fleet/tests/budgets.rs
@@ -40,7 +40,7 @@
         world = world.with_external_budgets(&["tenant", "retries"]);
     }
     world.demand = (0..voters + others)
-        .map(|at| (node_name(at), 0.2))
+        .map(|index| (node_name(index), 0.2))
         .collect();
     world.run_for(4000);
     for _ in 0..2 {
@@ -180,7 +180,7 @@
     let mut world = World::with_budgets(seed, voters, others, InjectedBug::Nothing, vec![budget]);
     world.run_for(4000);
     world.demand = (0..voters + others)
-        .map(|at| (node_name(at), demand))
+        .map(|index| (node_name(index), demand))
         .collect();
     world
 }
@@ -223,7 +223,7 @@
     world.run_for(2000);
     assert!(mean_use(&mut world, 3000) > 0.9, "even");
     world.demand = (0..5)
-        .map(|at| (node_name(at), if at == 3 { 2.0 } else { 0.0 }))
+        .map(|index| (node_name(index), if index == 3 { 2.0 } else { 0.0 }))
         .collect();
     world.run_for(3000);
     assert!(
@@ -233,7 +233,7 @@
     let mut moving = 0.0;
     for turn in 0..6 {
         world.demand = (0..5)
-            .map(|at| (node_name(at), if at == turn % 5 { 2.0 } else { 0.02 }))
+            .map(|index| (node_name(index), if index == turn % 5 { 2.0 } else { 0.02 }))
             .collect();
         moving += mean_use(&mut world, 1000) / 6.0;
     }
@@ -299,7 +299,7 @@
         assert!(in_use >= 70, "seed {seed}: {in_use}");
         let lease = world.limits.lease_duration;
         world.hosts.get_mut(&node_name(4)).unwrap().stopped_until = world.now + 3 * lease;
-        world.demand = (0..4).map(|at| (node_name(at), 1.0)).collect();
+        world.demand = (0..4).map(|index| (node_name(index), 1.0)).collect();
         world.run_for(2 * lease);
         // Its connections stay open; other members get the units that it never had.
         let (_, stranded, _) = allocation(&world);
@@ -411,14 +411,14 @@
 
 /// Restarts all members one after the other with other budgets in their files.
 fn restart_with_budgets(world: &mut World, budgets: Vec<BudgetDefinition>) {
-    for at in 0..5 {
+    for index in 0..5 {
         world
             .budget_overrides
-            .insert(node_name(at), budgets.clone());
-        world.shut_down_process(&node_name(at));
+            .insert(node_name(index), budgets.clone());
+        world.shut_down_process(&node_name(index));
         world.run_for(2600);
-        world.kill_process(&node_name(at));
-        world.start_process(&node_name(at));
+        world.kill_process(&node_name(index));
+        world.start_process(&node_name(index));
         world.run_for(1500);
     }
 }
@@ -498,8 +498,8 @@
 
 #[test]
 fn a_thousand_tenant_budgets_with_fewer_units_than_members() {
-    let tenant = |at: usize| BudgetDefinition {
-        name: format!("t-{at}"),
+    let tenant = |index: usize| BudgetDefinition {
+        name: format!("t-{index}"),
         ..concurrent_budget(3, 0, 43)
     };
     let budgets: Vec<BudgetDefinition> = (0..1000).map(tenant).collect();
@@ -508,8 +508,8 @@
     world.demanded_budget_count = 40;
     let sessions = |world: &World| {
         (0..43)
-            .map(|at| {
-                world.hosts[&node_name(at)]
+            .map(|index| {
+                world.hosts[&node_name(index)]
                     .member
                     .as_ref()
                     .unwrap()
@@ -518,7 +518,7 @@
             .collect::<Vec<_>>()
     };
     let before = sessions(&world);
-    world.demand = (0..43).map(|at| (node_name(at), 0.01)).collect();
+    world.demand = (0..43).map(|index| (node_name(index), 0.01)).collect();
     world.run_for(3000);
     // All members kept their sessions.
     assert_eq!(sessions(&world), before);
@@ -547,7 +547,7 @@
     };
     let mut world = World::with_budgets(7, 3, 2, InjectedBug::Nothing, vec![budget]);
     world.run_for(5000);
-    world.demand = (0..5).map(|at| (node_name(at), 1.0)).collect();
+    world.demand = (0..5).map(|index| (node_name(index), 1.0)).collect();
     world.run_for(10_000);
     assert_eq!(world.violation, None);
     assert_eq!(
--- a/crates/fleet/tests/cases.rs
+++ b/crates/fleet/tests/cases.rs
@@ -235,9 +235,9 @@
     for seed in 0..10 {
         let mut world = world_with_held_duties(seed, 3, 3);
         for _ in 0..3 {
-            for at in 0..6 {
-                world.kill_process(&node_name(at));
-                world.hosts.get_mut(&node_name(at)).unwrap().restart_at = Some(world.now + 20);
+            for index in 0..6 {
+                world.kill_process(&node_name(index));
+                world.hosts.get_mut(&node_name(index)).unwrap().restart_at = Some(world.now + 20);
             }
             world.run_for(6000);
             assert!(
@@ -255,10 +255,10 @@
     for seed in 0..10 {
         let mut world = world_with_held_duties(seed, 3, 0);
         world.longest_unheld = 0;
-        for at in 0..3 {
-            world.shut_down_process(&node_name(at));
+        for index in 0..3 {
+            world.shut_down_process(&node_name(index));
             world.run_for(300);
-            world.start_process(&node_name(at));
+            world.start_process(&node_name(index));
             world.run_for(2000);
         }
         assert_eq!(world.violation, None, "seed {seed}");
--- a/crates/fleet/tests/lowered_wholes.rs
+++ b/crates/fleet/tests/lowered_wholes.rs
@@ -59,7 +59,7 @@
 
 /// Sets an even demand at all members.
 fn set_demand(world: &mut World) {
-    world.demand = (0..MEMBERS).map(|at| (node_name(at), 0.2)).collect();
+    world.demand = (0..MEMBERS).map(|index| (node_name(index), 0.2)).collect();
 }
 
 /// Restarts a member with a file that lowers the total, before, during or after other faults; then links are up and
--- a/crates/fleet/tests/work.rs
+++ b/crates/fleet/tests/work.rs
@@ -83,7 +83,9 @@
     let sums = parts
         .into_iter()
         .map(|part| part.join().expect("a seed failed"));
-    let (steps, done) = sums.fold((0, 0), |(a, b), (c, d)| (a + c, b + d));
+    let (steps, done) = sums.fold((0, 0), |(steps, done), (more_steps, more_done)| {
+        (steps + more_steps, done + more_done)
+    });
     println!("{steps} steps, {done} machines worked on, no violation");
 }
 
@@ -107,19 +109,19 @@
 
 /// Sets `count` machines, each with one server in a zone of its own.
 fn set_machines(count: usize) -> WorkOrderChange {
-    let machine = |at: usize| {
+    let machine = |index: usize| {
         let server = Server {
-            name: format!("s-{at}"),
+            name: format!("s-{index}"),
             kind: "k".into(),
             cell: 0,
             room: 10,
         };
         let machine = Machine {
-            zone: format!("z-{at}"),
+            zone: format!("z-{index}"),
             servers: vec![server],
             proxy: None,
         };
-        (format!("m-{at}"), machine)
+        (format!("m-{index}"), machine)
     };
     WorkOrderChange::SetMachines((0..count).map(machine).collect())
 }
@@ -223,10 +225,10 @@
     let (mut state, session, fence) = state_with_coordinator();
     let plan = operator_command(&state, &WorkAction::Plan(order(&["m-0"])));
     assert_eq!(state.apply(plan), Effect::Done);
-    let out = step(&state, "m-0", Step::TakeOut, (session, fence), 0);
-    assert_eq!(state.apply(out), Effect::Done);
+    let take_out = step(&state, "m-0", Step::TakeOut, (session, fence), 0);
+    assert_eq!(state.apply(take_out), Effect::Done);
     let roster_version = state.work().roster_version;
-    let empty = step(
+    let mark_drained = step(
         &state,
         "m-0",
         Step::MarkDrained,
@@ -235,10 +237,10 @@
     );
     let other = join(&mut state, "node-b", 2);
     state.apply(Command::StartServing { session: other });
-    assert!(matches!(state.apply(empty), Effect::WorkRefused(_)));
-    // The name has a new process, which may not have read what the previous one confirmed.
+    assert!(matches!(state.apply(mark_drained), Effect::WorkRefused(_)));
+    // A new process of that name may not have read the confirmations of the previous one.
     let roster_version = state.work().roster_version;
-    let empty = step(
+    let mark_drained = step(
         &state,
         "m-0",
         Step::MarkDrained,
@@ -250,16 +252,16 @@
         avoided_sessions: vec![],
     });
     join(&mut state, "node-b", 3);
-    assert!(matches!(state.apply(empty), Effect::WorkRefused(_)));
+    assert!(matches!(state.apply(mark_drained), Effect::WorkRefused(_)));
     let roster_version = state.work().roster_version;
-    let empty = step(
+    let mark_drained = step(
         &state,
         "m-0",
         Step::MarkDrained,
         (session, fence),
         roster_version,
     );
-    assert_eq!(state.apply(empty), Effect::Done);
+    assert_eq!(state.apply(mark_drained), Effect::Done);
 }
 
 /// A coordinator that stalls before it sends a step must not change anything after it was replaced. Only the
@@ -281,9 +283,9 @@
         .holder
         .expect("the duty is held again");
     assert_eq!(next.0, other);
-    // An operator's step with a fencing number, and an order by the coordinator.
-    let done = step(&state, "m-0", Step::CompleteWork, next, 0);
-    assert!(matches!(state.apply(done), Effect::WorkRefused(_)));
+    // An operator's step with a fencing number, and an order by the coordinator, are refused.
+    let complete_work = step(&state, "m-0", Step::CompleteWork, next, 0);
+    assert!(matches!(state.apply(complete_work), Effect::WorkRefused(_)));
     let Command::ChangeWorkOrders { changes, .. } = plan else {
         panic!("a plan is a change of work orders")
     };
@@ -294,8 +296,8 @@
     };
     assert!(matches!(state.apply(plan), Effect::WorkRefused(_)));
     assert_eq!(*state.work(), before);
-    let out = step(&state, "m-0", Step::TakeOut, next, 0);
-    assert_eq!(state.apply(out), Effect::Done);
+    let take_out = step(&state, "m-0", Step::TakeOut, next, 0);
+    assert_eq!(state.apply(take_out), Effect::Done);
 }
 
 /// A fleet without work orders has to write what members with the oldest format version can read.
--- a/crates/workorders/src/availability.rs
+++ b/crates/workorders/src/availability.rs
@@ -1,4 +1,5 @@
-//! The availability of machines at one proxy: which machines it sends no connections to, and what it confirms of them.
+//! The availability of machines at one proxy: the machines to which it sends no connections, and its reports that
+//! confirm this.
 
 use std::collections::BTreeMap;
 
--- a/crates/workorders/src/lib.rs
+++ b/crates/workorders/src/lib.rs
@@ -14,7 +14,7 @@
 //!   has confirmed that it is back.
 //! - *Empty Means Empty*: a machine is reported as drained only after every proxy that may serve has confirmed, for
 //!   this version of the machine's progress, that it sends no new connections there and has none left there.
-//! - *Once*: each machine of an ended order was reported as drained once, or the list of what is left tells why not.
+//! - *Once*: each machine of an ended order was reported as drained once, or the list of remaining work states why not.
 //! - *Floor Held*: the machines that are planned to be in service have the capacity that the order's floor requires,
 //!   and some capacity of each kind.
 //! - *Nobody Forgotten*: however an order ends, the machines that are still out are listed.
--- a/crates/workorders/src/limits.rs
+++ b/crates/workorders/src/limits.rs
@@ -10,6 +10,6 @@
     pub const MAX_MACHINES: usize = 10_000;
     /// Servers of one machine.
     pub const MAX_SERVERS_PER_MACHINE: usize = 1_000;
-    /// The length of the name of an order or a machine.
+    /// The longest name of an order or a machine, in bytes.
     pub const MAX_NAME_BYTES: usize = 64;
 }
--- a/crates/workorders/src/orders.rs
+++ b/crates/workorders/src/orders.rs
@@ -94,7 +94,7 @@
     orders: BTreeMap<Number, (WorkOrder, BTreeMap<Name, MachineProgress>)>,
     /// Ended orders, the newest last: number, name, machines done, machines skipped.
     ended_orders: VecDeque<(Number, Name, usize, usize)>,
-    /// The last number given to an order or a version.
+    /// The last number assigned to an order or a version.
     last_number: Number,
     /// The highest fencing number of a coordinator so far.
     highest_fence: Number,
@@ -115,7 +115,7 @@
         &self.ended_orders
     }
 
-    /// Machines that some proxy may regard as out, each with its order and progress. An order is kept until all of its
+    /// Machines that may be out at some proxy, each with its order and progress. An order is kept until all of its
     /// machines are in a terminal phase, so that no machine that is out is missing here, even if its order is
     /// cancelled.
     pub fn machines_out(&self) -> BTreeMap<&Name, (Number, &MachineProgress)> {
@@ -183,7 +183,10 @@
                     .get_mut(&number)
                     .ok_or(Refusal::NotFound("order"))?;
                 order.cancelled = true;
-                for progress in machines.values_mut().filter(|p| p.phase == Phase::Waiting) {
+                for progress in machines
+                    .values_mut()
+                    .filter(|progress| progress.phase == Phase::Waiting)
+                {
                     progress.phase = Phase::Skipped;
                 }
                 self.archive_ended_orders();
@@ -374,7 +377,8 @@
             return Err(Refusal::TooManyOut { out, max });
         }
         let find_machine = |name: &Name| self.machines.get(name);
-        let is_in_zone = |name: &&&Name| find_machine(name).is_some_and(|m| m.zone == machine.zone);
+        let is_in_zone =
+            |name: &&&Name| find_machine(name).is_some_and(|other| other.zone == machine.zone);
         let out_in_zone = out.iter().filter(is_in_zone).count();
         if out_in_zone >= bounds.max_out_per_zone as usize {
             return Err(Refusal::TooManyOutInZone {
--- a/crates/workorders/src/planner.rs
+++ b/crates/workorders/src/planner.rs
@@ -29,8 +29,8 @@
     pub reports: BTreeMap<Name, MachineReport>,
 }
 
-/// What the coordinator knows of proxies and machines. It may be outdated or wrong; the replicated state checks each
-/// step again.
+/// The coordinator's information about proxies and machines. It may be outdated or wrong; the replicated state checks
+/// each step again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlannerInput {
     pub members: BTreeMap<Name, Member>,
@@ -41,11 +41,11 @@
     /// Clients at each machine that has not been taken out, summed over all proxies; for those machines the individual
     /// reports are not needed.
     pub client_counts: BTreeMap<Name, u64>,
-    /// How long each version of a machine's progress has existed, in milliseconds, as far as the coordinator knows.
+    /// How long each version of a machine's progress has existed, in milliseconds, according to the coordinator.
     pub version_ages: BTreeMap<Number, Millis>,
 }
 
-/// The steps to propose, and what the other machines wait for.
+/// The steps to propose, and the reasons why other machines wait.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlannedSteps {
     /// Order, machine, version of its progress, and step.
@@ -55,7 +55,7 @@
 }
 
 impl PlannerInput {
-    /// Proxies that have not confirmed, for this version, what `confirms` checks. A proxy without a session can't
+    /// Proxies without a report on this version for which `confirms` is true. A proxy without a session can't
     /// confirm.
     fn unconfirmed_members(
         &self,
--- a/crates/workorders/src/types.rs
+++ b/crates/workorders/src/types.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 pub type Name = String;
-/// The number of an order, a version or a fencing number.
+/// An order's number, a version or a fencing number.
 pub type Number = u64;
 pub type Millis = u64;
 
@@ -148,7 +148,7 @@
 }
 
 impl Phase {
-    /// Whether some proxy may regard the machine as out.
+    /// Whether the machine may be out at some proxy.
     pub fn is_out(&self) -> bool {
         matches!(
             self,
