--- a/crates/workorders/src/limits.rs
+++ b/crates/workorders/src/limits.rs
@@ -1,4 +1,4 @@
-/// Limits of the replicated state; a change that exceeds one is refused with the name of the limit.
+/// Limits of the replicated state. A change that exceeds one is refused, but of ended orders the oldest are dropped.
 pub struct OrderLimits;
 
 impl OrderLimits {
