--- a/crates/workorders/src/limits.rs
+++ b/crates/workorders/src/limits.rs
@@ -1,4 +1,4 @@
-/// Limits of the replicated state; a change that exceeds one is refused with the name of the limit.
+/// Limits of the replicated state. A change that exceeds one is refused, but of ended orders the oldest are dropped.
 pub struct OrderLimits;
 
 impl OrderLimits {
@@ -10,6 +10,6 @@
     pub const MAX_MACHINES: usize = 10_000;
     /// Servers of one machine.
     pub const MAX_SERVERS_PER_MACHINE: usize = 1_000;
-    /// The length of the name of an order or a machine.
+    /// The longest name of an order or a machine, in bytes.
     pub const MAX_NAME_BYTES: usize = 64;
 }
