--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -77,7 +77,7 @@
     }
 
     /// Whether requests can be served: there is a list of servers, or discovery has not answered within
-    /// `first_list_timeout` and the list of the last run has to do.
+    /// `first_list_timeout`, so that the last run's list is used.
     fn is_ready(&self) -> bool {
         *self.has_list.borrow() || self.started.elapsed() >= self.limits.first_list_timeout
     }
@@ -107,7 +107,7 @@
         // While this process does not accept, the other process that shares the socket accepts from its queue.
         let accepted = tokio::select! {
             biased;
-            stopped = accepting.wait_for(|on| !on) => Err(stopped.is_err()),
+            stopped = accepting.wait_for(|is_accepting| !is_accepting) => Err(stopped.is_err()),
             accepted = listener.accept() => Ok(accepted),
         };
         let accepted = match accepted {
@@ -115,7 +115,11 @@
             Err(true) => return,
             Err(false) => {
                 drop(slot);
-                if accepting.wait_for(|on| *on).await.is_err() {
+                if accepting
+                    .wait_for(|is_accepting| *is_accepting)
+                    .await
+                    .is_err()
+                {
                     return;
                 }
                 continue;
@@ -168,7 +172,7 @@
             Some(Ok(Ok(Some(line)))) => line,
             Some(Ok(Ok(None))) => return,
             Some(Ok(Err(error))) => break (error, client.ring.to_vec()),
-            // An idle client whose next line crosses with this close learns from `BUSY` that it may try again.
+            // An idle client may send its next line just before it receives this close: `BUSY` means that it may retry.
             Some(Err(_)) if client.ring.is_empty() => {
                 return client.answer_and_close("BUSY", limits).await;
             }
@@ -291,7 +295,7 @@
         }
     }
 
-    /// Ends the sending direction, then discards what the client still sends until it closes, up to
+    /// Ends the sending direction, then discards the client's further bytes until it closes, up to
     /// `max_linger_bytes` and for `linger_timeout` at most.
     pub async fn linger_close(&mut self, limits: &Limits) {
         let _ = self.stream.shutdown().await;
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -123,7 +123,7 @@
         return Err("the wait is longer than the maximum");
     }
     let hint = open.number_field("h")?;
-    // A server could not tell two open requests with the same id apart.
+    // A server could not distinguish two open requests with the same id.
     let id = shared.open_ids.reserve(open.id);
     let id = id.ok_or("the id is in use by another open request")?;
     let request = Request {
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -28,7 +28,7 @@
 pub enum AttemptResult {
     /// The connection is up; the ring begins with the server's `UP` line.
     Up(ServerConnection),
-    /// The server has served the request and sent `BYE`: the ring holds what the client gets.
+    /// The server has served the request and sent `BYE`: the ring holds the bytes to relay to the client.
     Served(ServerConnection),
     /// The attempt failed; the report is the load report in the server's line, if there was one.
     Failed(Outcome, Report),
@@ -68,7 +68,7 @@
             Ok(Err(DialError::Peer(_))) => return Err(Outcome::ConnectFailed),
             // Waiting for resources left the dial too little time.
             Err(_) if delayed => return Err(Outcome::LocalFailure),
-            // The request had so little time left that the timeout says nothing about the server.
+            // The request had too little time left for the timeout to be evidence against the server.
             Err(_) if connect_deadline - now < limits.connect_timeout / 2 => {
                 return Err(Outcome::NotSent);
             }
@@ -95,8 +95,8 @@
 }
 
 /// Sends the client's line to a server and waits for the server's first line. Dropping the future closes the
-/// connection and so abandons the attempt. While the dial takes its time, the conditions of the decision may cease to
-/// hold: `still_valid` is called right before the line is written, and if it returns false, nothing is sent.
+/// connection and so abandons the attempt. The conditions of the decision may cease to hold during the dial:
+/// `still_valid` is called right before the line is written, and if it returns false, nothing is sent.
 /// `on_written` is awaited right after the write.
 pub async fn run_attempt(
     target: AttemptTarget,
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -420,15 +420,15 @@
 /// Reads a text file of `MAX_CONFIG_BYTES` at most. Files that are not regular are rejected and the size is limited,
 /// because a pipe or an endless device would block the program or exhaust its memory.
 pub fn read_file(path: &str) -> Result<String, String> {
-    let text = |error: std::io::Error| error.to_string();
-    if !std::fs::metadata(path).map_err(text)?.is_file() {
+    let to_text = |error: std::io::Error| error.to_string();
+    if !std::fs::metadata(path).map_err(to_text)?.is_file() {
         return Err("not a regular file".into());
     }
     let (mut content, max_bytes) = (String::new(), Limits::MAX_CONFIG_BYTES);
-    let file = File::open(path).map_err(text)?;
+    let file = File::open(path).map_err(to_text)?;
     file.take(max_bytes + 1)
         .read_to_string(&mut content)
-        .map_err(text)?;
+        .map_err(to_text)?;
     match content.len() as u64 <= max_bytes {
         true => Ok(content),
         false => Err(format!("larger than {max_bytes} bytes")),
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Returns the event for an answer without changes. Only the catalogue needs one, to know that the source answers.
+    /// Returns the event for an answer without changes. Only the catalogue needs one, to track whether
+    /// the source answers.
     fn unchanged_event(&self) -> Option<EngineEvent> {
         match self {
             Self::Direct => None,
@@ -249,8 +250,8 @@
     }
 }
 
-/// Watches the list until the engine ends, always at the address set by the last reload. A new address starts
-/// afresh: the old connection and its call are aborted, and versions of the old list are not valid there.
+/// Watches the list until the engine ends, always at the address set by the last reload. When the address changes, the
+/// watch starts over: the old connection and its call are aborted, and versions of the old list are not valid there.
 /// `known_version` is the version of a list that the engine has from the last run.
 pub async fn watch(
     mut address: watch::Receiver<SocketAddr>,
--- a/crates/proxy/src/handover/connections.rs
+++ b/crates/proxy/src/handover/connections.rs
@@ -101,13 +101,13 @@
                 guards,
             } = self;
             let limits = &shared.limits;
-            let (order_sender, orders) = mpsc::channel(limits.order_queue_capacity);
+            let (command_sender, commands) = mpsc::channel(limits.order_queue_capacity);
             let tracker = RequestTracker::new(&request, Instant::now(), &shared);
             tracker.mark_up();
             debug!(server = connection.server, "a connection was taken over");
             let server_number = connection.server;
             tracker
-                .notify_engine(EngineEvent::Adopted(request, server_number, order_sender))
+                .notify_engine(EngineEvent::Adopted(request, server_number, command_sender))
                 .await;
             if let Some(load) = connection.load {
                 tracker.report_load(server_number, load).await;
@@ -141,7 +141,7 @@
                 client,
                 server,
                 server_number,
-                orders,
+                commands,
                 tracker,
                 open_and_state,
                 &shared,
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -70,7 +70,7 @@
         let Some(dir) = dir else {
             return Self::default();
         };
-        match find(dir, listen, limits).await {
+        match find_predecessor(dir, listen, limits).await {
             Some((predecessor, state, listener)) => Self {
                 bans: state.bans,
                 has_left: state.has_left,
@@ -96,7 +96,7 @@
 
 /// Connects to the running process that uses this directory and serves this address, and receives its state
 /// and listener. Returns `None` on any failure, as if no process were running.
-async fn find(
+async fn find_predecessor(
     dir: &Path,
     listen: SocketAddr,
     limits: &Limits,
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -78,7 +78,7 @@
     pub keepalive_interval: Duration,
     /// How long a closing connection waits for the other side to read the last lines.
     pub linger_timeout: Duration,
-    /// How many bytes are discarded during that time; a client that sends more is cut off.
+    /// The maximum number of bytes discarded during that time; the connection is closed if the client sends more.
     pub max_linger_bytes: usize,
     /// How long a connection with one direction closed may be idle on the other.
     pub half_close_timeout: Duration,
@@ -91,7 +91,7 @@
     /// at which discovery answers them.
     pub watch_wait: Duration,
     pub watch_slack: Duration,
-    /// How long a call for the whole list may take, which discovery answers without waiting for a change.
+    /// The timeout of a call for the whole list, which discovery answers without waiting for a change.
     pub snapshot_timeout: Duration,
     /// The maximum delay of the first call of a proxy that has the list of its last run.
     pub max_initial_delay: Duration,
@@ -146,8 +146,8 @@
     /// The number of proxies that use the same discovery service, and this proxy's index among them.
     pub fleet_size: usize,
     pub fleet_index: u64,
-    /// What discovery has counts as known to this proxy at once: discovery is an agent of this proxy alone, not a
-    /// service shared by all proxies.
+    /// Changes count as known to this proxy as soon as discovery has them: discovery is an agent of this proxy alone,
+    /// not a service shared by all proxies.
     pub membership_pushed: bool,
     pub max_sockets: u64,
     pub query_deadline: Seconds,
@@ -202,7 +202,7 @@
     pub fn new(inputs: impl Into<LimitInputs>) -> Self {
         let inputs = inputs.into();
         let ms = Duration::from_millis;
-        let secs = |secs: Seconds| Duration::from_secs_f64(secs.clamp(0.01, 3600.0));
+        let secs = |seconds: Seconds| Duration::from_secs_f64(seconds.clamp(0.01, 3600.0));
         let sockets = inputs.max_sockets as usize;
         let (descriptor_reserve, probe_descriptors) = (24, 8 + sockets / 16);
         let max_pending_slots = (sockets / 8).clamp(8, 256);
@@ -315,14 +315,14 @@
 /// The schedule of a planned shutdown, in time since the signal. It depends on the longest deadline of a client.
 #[derive(Clone, Debug)]
 pub struct ShutdownSchedule {
-    /// The window in which all clients are moved: as late as is safe, because otherwise they would connect while the
-    /// proxy that was restarted before this one is not back.
+    /// The window in which all clients are moved. It is as late as is safe: clients that are moved earlier would
+    /// reconnect while the proxy that was restarted before this one is not back yet.
     pub move_window: Range<Duration>,
     /// The same window if a successor serves already and has taken over the connections that could be handed over.
     pub superseded_move_window: Range<Duration>,
     /// From here on no request is admitted, and waiting requests are answered.
     pub admission_end: Duration,
-    /// The process ends, whatever is still open.
+    /// The process ends, even with connections still open.
     pub exit_deadline: Duration,
 }
 
--- a/crates/proxy/src/line_protocol.rs
+++ b/crates/proxy/src/line_protocol.rs
@@ -102,15 +102,15 @@
         line.into_bytes()
     }
 
-    /// Encodes the line with its line end for the next hop, with the wait (field `d`) replaced by `ms` milliseconds.
-    pub fn encode_with_wait(&self, ms: u64) -> Vec<u8> {
+    /// Encodes the line with its line end for the next hop, with the wait (field `d`) replaced by `wait_ms`.
+    pub fn encode_with_wait(&self, wait_ms: u64) -> Vec<u8> {
         let mut line = format!("OPEN {} {}", self.id, self.flow_key);
         let mut separator = ' ';
         for (name, value) in self.pairs() {
             line.push(separator);
             separator = ',';
             match name {
-                "d" => line += &format!("d={ms}"),
+                "d" => line += &format!("d={wait_ms}"),
                 _ if value.is_empty() => line += name,
                 _ => line += &format!("{name}={value}"),
             }
@@ -121,7 +121,7 @@
 }
 
 impl OpenLine<'_> {
-    /// Returns the fault of a line that no conforming client sends, whatever its values mean: more than `max_fields`
+    /// Returns an error for a line that no conforming client sends, regardless of its values: more than `max_fields`
     /// fields, or a duplicate name, of which one reader might use the first value and another the second.
     pub fn find_fault(&self, max_fields: usize) -> Option<&'static str> {
         let names: Vec<&str> = self
--- a/crates/proxy/src/load_classifier.rs
+++ b/crates/proxy/src/load_classifier.rs
@@ -1,8 +1,8 @@
 //! Distinguishes the two kinds of values that servers send in `LOAD` lines.
 //!
-//! If the settings say that servers report their message delay too, both use the same keyword: the connection's load,
-//! in microseconds of work per second, whenever it changes; and, once per second while a server is slow, the time that
-//! a message takes there, in milliseconds. The values are orders of magnitude apart: a delay is in the tens to
+//! If servers are configured to report their message delay too, both values use the same keyword: the connection's
+//! load, in microseconds of work per second, whenever it changes; and, once per second while a server is slow, the time
+//! that a message takes there, in milliseconds. The values are orders of magnitude apart: a delay is in the tens to
 //! thousands, the load of one of dozens of connections that fill a core is in the tens of thousands.
 
 /// A value below this fraction of the mean load is a delay.
--- a/crates/proxy/src/operator_client.rs
+++ b/crates/proxy/src/operator_client.rs
@@ -14,7 +14,7 @@
 
 /// Timeout of each step of a call. A proxy answers within 1 s.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Maximum size of an answer: at most the state of a whole fleet.
+/// Maximum size of an answer. The largest answer is the state of a whole fleet.
 const MAX_ANSWER_BYTES: u64 = 4 << 20;
 /// Time allowed for a membership change: a new member first has to receive the log and then a vote.
 const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
@@ -345,7 +345,7 @@
 
 /// Claims or renews the hold of a duty under `token`.
 fn request_hold(args: &HoldArgs, token: &str) -> HoldAnswer {
-    // The remaining time counts from before the call, so that the lease is never taken to last too long.
+    // The remaining time counts from before the call, so that the lease is never assumed to last longer than it does.
     let called_at = Instant::now();
     match call(
         args.proxy.address,
--- a/crates/proxy/src/operator_config.rs
+++ b/crates/proxy/src/operator_config.rs
@@ -400,7 +400,10 @@
     settings.datacenters = section.text_list("datacenters");
     let distinct: BTreeSet<&String> = settings.datacenters.iter().collect();
     if distinct.len() != settings.datacenters.len()
-        || !settings.datacenters.iter().all(|dc| is_valid_name(dc))
+        || !settings
+            .datacenters
+            .iter()
+            .all(|datacenter| is_valid_name(datacenter))
     {
         section.report_problem(
             "datacenters",
--- a/crates/proxy/src/pending_slots.rs
+++ b/crates/proxy/src/pending_slots.rs
@@ -20,8 +20,8 @@
     limits: Rc<Limits>,
     descriptors: DescriptorPool,
     next_sequence: Cell<u64>,
-    /// Connections that may be evicted, with the time of their last activity, by sequence number: the one that has
-    /// been idle the longest comes first.
+    /// Connections that may be evicted, with the time of their last activity, in the order of their sequence numbers,
+    /// so that the connection that has been idle the longest comes first.
     evictable: RefCell<BTreeMap<u64, (Instant, Rc<Notify>)>>,
     slot_freed: Notify,
     /// The process is about to end: all connections are evicted, and new ones as soon as they are accepted.
@@ -49,7 +49,7 @@
         }))
     }
 
-    /// Waits for a free slot. If there is none, evicts the connection that has been idle the longest, once that has
+    /// Waits for a free slot. If there is none, evicts the connection that has been idle the longest, once it has
     /// had `min_first_line_timeout` to send its line.
     pub async fn acquire(&self) -> PendingSlot {
         let state = &self.0;
@@ -66,8 +66,8 @@
             let eviction_due = oldest
                 .map(|(sequence, since)| (sequence, since + state.limits.min_first_line_timeout));
             match eviction_due {
-                Some((_, at)) if Instant::now() < at => tokio::select! {
-                    () = sleep_until(at) => {}
+                Some((_, evict_at)) if Instant::now() < evict_at => tokio::select! {
+                    () = sleep_until(evict_at) => {}
                     () = state.slot_freed.notified() => {}
                 },
                 Some((sequence, _)) => {
@@ -108,7 +108,7 @@
 }
 
 impl PendingSlot {
-    /// Called once the connection is accepted: from now on it may be evicted.
+    /// Allows the eviction of the connection from now on; called once it is accepted.
     pub fn allow_eviction(&self) {
         if self.state.closing.get() {
             return self.eviction.notify_one();
@@ -134,7 +134,7 @@
         }
     }
 
-    /// From now on the connection is not evicted.
+    /// Protects the connection from eviction from now on.
     pub fn forbid_eviction(&self) {
         self.state.evictable.borrow_mut().remove(&self.sequence);
     }
--- a/crates/proxy/src/poll_schedule.rs
+++ b/crates/proxy/src/poll_schedule.rs
@@ -21,7 +21,7 @@
 /// Reason why a call returned no list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryFailure {
-    /// The service no longer knows the requested version.
+    /// The service rejected the call, for example because it no longer has the requested version.
     VersionExpired(String),
     /// A watch received no answer, not even an empty one, before its timeout. The service may be working all the
     /// same, and changes that it sent in the meantime count as announced to this proxy.
@@ -34,7 +34,9 @@
     /// Returns the error text.
     pub fn into_message(self) -> String {
         match self {
-            Self::VersionExpired(what) | Self::WatchTimeout(what) | Self::Other(what) => what,
+            Self::VersionExpired(message) | Self::WatchTimeout(message) | Self::Other(message) => {
+                message
+            }
         }
     }
 }
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -126,9 +126,10 @@
                     self.idle_connection = reusable.then_some((address, stream, permit));
                     return Ok(answer);
                 }
-                // The server may have closed the kept connection since; that says nothing about its state.
+                // The server may have closed the kept connection since, which is no evidence of a fault.
                 Ok(Err(_)) => {}
-                // The time is up: a new connection would seem to fail to come up. The next probe opens one.
+                // No time is left: a new connection would end in `ConnectFailed`, whatever the server's state. The next
+                // probe opens one.
                 Err(_) => return Err(Outcome::TimedOut),
             }
         }
@@ -138,7 +139,7 @@
         let connect_deadline = deadline.min(Instant::now() + self.limits.connect_timeout);
         let mut stream = match timeout_at(connect_deadline, connect(endpoint)).await {
             Ok(Ok(stream)) => stream,
-            // A lack of resources on this machine says nothing about the server.
+            // A lack of resources on this machine is no evidence against the server.
             Ok(Err(DialError::Local(_))) => return Err(Outcome::LocalFailure),
             Ok(Err(DialError::Peer(_))) | Err(_) => return Err(Outcome::ConnectFailed),
         };
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -30,8 +30,8 @@
     complete_bytes: usize,
     /// The last byte written did not end a line.
     written_mid_line: bool,
-    /// Forward complete lines only: after a part of a line whose end never comes, the proxy can't insert a line of its
-    /// own.
+    /// Forward complete lines only: the proxy can't insert a line of its own after a partial line that is never
+    /// completed.
     whole_lines_only: bool,
     /// The sender has ended its stream.
     read_ended: bool,
@@ -49,12 +49,12 @@
 }
 
 impl Direction {
-    /// Scans bytes that were appended to the ring behind `before` others, and calls `line` with the head of each line
-    /// that is completed.
-    fn scan(&mut self, bytes: &[u8], before: usize, mut line: impl FnMut(&[u8])) {
+    /// Scans bytes that were appended to the ring after `buffered_bytes` earlier ones, and calls `on_line` with the
+    /// head of each line that is completed.
+    fn scan(&mut self, bytes: &[u8], buffered_bytes: usize, mut on_line: impl FnMut(&[u8])) {
         self.scanner.feed(bytes, |head, end| {
-            self.complete_bytes = before + end;
-            line(head);
+            self.complete_bytes = buffered_bytes + end;
+            on_line(head);
         });
     }
 
@@ -81,14 +81,15 @@
         from: &TcpStream,
         to: &TcpStream,
         max_reads: usize,
-        mut line: impl FnMut(&[u8]),
+        mut on_line: impl FnMut(&[u8]),
     ) -> Result<bool, BrokenSide> {
         let mut any_progress = false;
         for _ in 0..max_reads {
             let mut progress = false;
             if !self.read_ended && ring.free_bytes() > 0 {
-                let before = ring.len();
-                let read = ring.read_from(from, |bytes| self.scan(bytes, before, &mut line));
+                let buffered_bytes = ring.len();
+                let read =
+                    ring.read_from(from, |bytes| self.scan(bytes, buffered_bytes, &mut on_line));
                 match read {
                     Ok(Some(0)) => self.read_ended = true,
                     Ok(Some(_)) => progress = true,
@@ -171,7 +172,7 @@
     server: ServerConnection,
     to_server: Direction,
     to_client: Direction,
-    /// Since when a line of the client has waited for any line of the server.
+    /// Arrival time of the client's oldest line after which the server has sent no line.
     waiting_since: Option<Instant>,
     /// How the attempt ends if the connection ends now, according to the server's last `BYE` or `MOVE` line.
     outcome: (Outcome, Report),
@@ -189,12 +190,12 @@
     log_throttle: &'a LogThrottle,
 }
 
-/// The state of a relay that goes along when another process takes the connection over.
+/// The state of a relay that is passed on when another process takes the connection over.
 #[derive(Debug, Default)]
 pub struct RelayState {
     /// The load that the server sent last, in microseconds of work per second.
     pub load: Option<f64>,
-    /// Since when a line of the client has waited for any line of the server.
+    /// Arrival time of the client's oldest line after which the server has sent no line.
     pub waiting_since: Option<Instant>,
 }
 
@@ -265,7 +266,7 @@
             }
         }
         RelayEnd::ClientClosed => tracker.report_client_left().await,
-        // The client's connection is reset likewise, unless the reset would overtake lines that are still to reach it.
+        // The client's connection is reset too, unless the reset could overtake lines not yet received by the client.
         RelayEnd::ServerBroke => {
             let has_last_line = outcome.0 != Outcome::Reset;
             tracker.report_end(server_id, outcome).await;
@@ -372,7 +373,7 @@
             if self.to_server.write_closed && self.to_client.write_closed {
                 return end;
             }
-            // While the client reads nothing and the ring is full, the server can't be called silent.
+            // While the ring is full because the client does not read, the server does not count as unresponsive.
             let since = self.waiting_since.filter(|_| server.ring.free_bytes() > 0);
             let silent_at = since.map(|since| since + self.limits.server_silence_timeout);
             let half_close_end = (self.to_server.write_closed || self.to_client.write_closed)
@@ -472,7 +473,7 @@
         accepted.await.is_ok()
     }
 
-    /// Relays what is ready in both directions. Returns whether anything was read or written.
+    /// Relays the bytes that are ready in both directions. Returns whether anything was read or written.
     fn pump(&mut self) -> Result<bool, RelayEnd> {
         let (client, server) = (&mut self.client, &mut self.server);
         let max_reads = self.limits.max_consecutive_reads;
--- a/crates/proxy/src/request_tracker.rs
+++ b/crates/proxy/src/request_tracker.rs
@@ -35,7 +35,7 @@
             entry: shared
                 .recording
                 .as_ref()
-                .map(|r| r.start_entry(request, arrived)),
+                .map(|recording| recording.start_entry(request, arrived)),
             is_finished: false,
         }
     }
--- a/crates/proxy/src/ring_buffer.rs
+++ b/crates/proxy/src/ring_buffer.rs
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Reads once from the socket, as much as fits contiguously, and passes the bytes to `seen` as well. Returns 0 at
-    /// the end of the stream and `None` if the socket is not ready. The ring must not be full.
+    /// Reads once from the socket, as much as fits contiguously, and passes the bytes to `on_read` as well. Returns 0
+    /// at the end of the stream and `None` if the socket is not ready. The ring must not be full.
     pub fn read_from(
         &mut self,
         stream: &TcpStream,
-        seen: impl FnOnce(&[u8]),
+        on_read: impl FnOnce(&[u8]),
     ) -> io::Result<Option<usize>> {
         self.allocate();
         let size = self.size;
@@ -57,7 +57,7 @@
         let end = if tail < self.head { self.head } else { size };
         let read_bytes = try_read(stream, &mut self.bytes[tail..end])?;
         if let Some(read_bytes) = read_bytes {
-            seen(&self.bytes[tail..tail + read_bytes]);
+            on_read(&self.bytes[tail..tail + read_bytes]);
             self.len += read_bytes;
         }
         Ok(read_bytes)
@@ -89,7 +89,7 @@
     }
 
     /// Reads until the ring holds a complete line and returns a copy of it; the line stays in the ring. Fails if the
-    /// ring is full or the stream ends before.
+    /// ring is full or the stream ends first.
     pub async fn fill_until_line(&mut self, stream: &TcpStream) -> io::Result<Vec<u8>> {
         loop {
             if let Some(line) = self.peek_line() {
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Writes once, `max_bytes` of the first bytes at most, and removes what was written. Returns `None` if the socket
-    /// is not ready.
+    /// Writes once, `max_bytes` of the first bytes at most, and removes the written bytes. Returns `None` if the
+    /// socket is not ready.
     pub fn write_to(&mut self, stream: &TcpStream, max_bytes: usize) -> io::Result<Option<usize>> {
         let end = (self.head + self.len.min(max_bytes)).min(self.bytes.len());
         let sent = try_write(stream, &self.bytes[self.head..end])?;
@@ -175,7 +175,7 @@
         Some(line)
     }
 
-    /// A contiguous copy of all bytes, for a scan of what was read before the relay began.
+    /// A contiguous copy of all bytes, for a scan of the bytes read before the relay began.
     pub fn to_vec(&self) -> Vec<u8> {
         (0..self.len).map(|offset| self.byte_at(offset)).collect()
     }
--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -1,4 +1,4 @@
-//! Stage three: requests decisions from the balancer, executes them, and gives the client exactly one answer.
+//! Stage three: requests decisions from the balancer, executes them, and sends the client exactly one answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 
 /// The result of routing a request.
 enum Routed {
-    /// A server serves the request; what the server has sent so far is to be relayed to the client.
+    /// A server serves the request; the bytes that it has sent so far are to be relayed to the client.
     Connected(ServerId, ServerConnection),
     Refused(Option<Seconds>),
     Failed,
@@ -164,7 +164,7 @@
         };
         let ClientConnection { ring, stream, .. } = &mut *client;
         let still_valid = || {
-            let in_time = write_by.is_none_or(|by| Instant::now() < by);
+            let in_time = write_by.is_none_or(|write_by| Instant::now() < write_by);
             // Checks the client's socket directly: the runtime notices that the client has left only at its next poll.
             in_time && !recalled.get() && is_open_and_idle(stream)
         };
--- a/crates/proxy/src/sources.rs
+++ b/crates/proxy/src/sources.rs
@@ -60,7 +60,7 @@
                 &engine,
             );
             let task = tokio::task::spawn_local(async move {
-                // No update is sent before the engine knows the name of the source.
+                // No update is sent before the engine has received the name of the source.
                 if start_receiver.await.is_ok() {
                     watch.await;
                 }
