--- a/crates/engine/src/engine/machines.rs
+++ b/crates/engine/src/engine/machines.rs
@@ -107,7 +107,7 @@
                 warm: is_up && is_warm,
                 draining: row.status == Status::Draining,
                 banned: self.bans.is_banned(uid),
-                opened: self.machines_out.is_overridden(uid),
+                is_overridden: self.machines_out.is_overridden(uid),
             });
         }
         snapshot
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -128,7 +128,7 @@
     /// Whether an operator has banned the server.
     pub banned: bool,
     /// Whether an operator has put the server back in use although a work order takes its machine out of service.
-    pub opened: bool,
+    pub is_overridden: bool,
 }
 
 /// How an operator's change to a server that no list has named is treated.
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -207,7 +207,7 @@
 impl State {
     /// The state as a snapshot.
     pub fn encode(&self) -> Vec<u8> {
-        match self.work.is_new() {
+        match self.work.is_empty() {
             true => encode(BASE_VERSION, self),
             false => {
                 let bytes = encode(WORK_ORDERS_VERSION, self);
--- a/crates/fleet/src/work_orders.rs
+++ b/crates/fleet/src/work_orders.rs
@@ -80,7 +80,7 @@
     }
 
     /// Whether there has been no work order and no serving proxy so far.
-    pub fn is_new(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -37,7 +37,7 @@
     pub engine: mpsc::Sender<EngineEvent>,
     /// Whether there is a list of servers: discovery has sent one, or the last run's list is in use.
     has_list: watch::Receiver<bool>,
-    pub service: Rc<OperatorService>,
+    pub operator_service: Rc<OperatorService>,
     started: Instant,
     next_id: Cell<u64>,
 }
@@ -65,7 +65,7 @@
             recording,
             engine,
             has_list,
-            service,
+            operator_service: service,
             started: Instant::now(),
             next_id: Cell::new(0),
         })
@@ -202,7 +202,9 @@
                 return admission::admit_request(client, &open, &shared).await;
             }
             // A proxy that has been taken out of use accepts no new clients, even if it could serve them.
-            Some(FirstLine::Ping) if shared.is_ready() && !shared.service.has_left() => "PONG",
+            Some(FirstLine::Ping) if shared.is_ready() && !shared.operator_service.has_left() => {
+                "PONG"
+            }
             Some(FirstLine::Ping) => "ERR",
             Some(FirstLine::Stats) => "NO",
             None => break ("the line is not a known command", line),
@@ -214,7 +216,7 @@
         if !client.write_line(answer, limits).await {
             return;
         }
-        if shared.service.process_state() == ProcessState::Superseded
+        if shared.operator_service.process_state() == ProcessState::Superseded
             || shared.pending_slots.is_closing()
         {
             // On its next connection the client reaches the successor, or another proxy.
--- a/crates/proxy/src/fleet/maintenance.rs
+++ b/crates/proxy/src/fleet/maintenance.rs
@@ -397,7 +397,7 @@
             let is_own_machine =
                 matches!(&listed.machine.proxy, Some((proxy, _)) if *proxy == self.node);
             // Changes that operators make at this proxy take precedence over orders.
-            let is_opened = observed.servers.iter().any(|server| server.opened)
+            let is_opened = observed.servers.iter().any(|server| server.is_overridden)
                 || (is_own_machine && !self.service.has_left());
             // Servers that the sources report as draining are not waited for.
             let remaining_servers = || observed.servers.iter().filter(|server| !server.draining);
--- a/crates/proxy/src/handover/connections.rs
+++ b/crates/proxy/src/handover/connections.rs
@@ -101,7 +101,7 @@
                 guards,
             } = self;
             let limits = &shared.limits;
-            let (command_sender, commands) = mpsc::channel(limits.order_queue_capacity);
+            let (command_sender, commands) = mpsc::channel(limits.command_queue_capacity);
             let tracker = RequestTracker::new(&request, Instant::now(), &shared);
             tracker.mark_up();
             debug!(server = connection.server, "a connection was taken over");
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -161,7 +161,7 @@
     pub fn start_session(self, context: Rc<HandoverContext>) -> impl AsyncFnOnce() {
         let limits = context.shared.limits.clone();
         let requests = context.shared.request_descriptors.clone();
-        requests.set_lent(self.descriptors_in_use as usize);
+        requests.set_used_by_other_process(self.descriptors_in_use as usize);
         let (serving_sender, serving_receiver) = oneshot::channel();
         let (stopped_sender, stopped_receiver) = oneshot::channel();
         tokio::task::spawn_local(async move {
@@ -170,8 +170,11 @@
                 stopped: Some(stopped_sender),
             };
             let ended = HandoverSession::new(self.link, &context, role).run().await;
-            requests.set_lent(0);
-            context.shared.service.set_predecessor_present(false);
+            requests.set_used_by_other_process(0);
+            context
+                .shared
+                .operator_service
+                .set_predecessor_present(false);
             info!(?ended, "the earlier process has gone");
         });
         async move || {
@@ -191,7 +194,7 @@
     listener: Rc<TcpListener>,
     context: Rc<HandoverContext>,
 ) {
-    let (limits, service) = (&context.shared.limits, &context.shared.service);
+    let (limits, service) = (&context.shared.limits, &context.shared.operator_service);
     let path = socket_path(&dir);
     loop {
         let socket_listener = match bind_socket(&dir) {
@@ -247,7 +250,7 @@
     listener: &TcpListener,
     context: &HandoverContext,
 ) -> io::Result<()> {
-    let (limits, service) = (&context.shared.limits, &context.shared.service);
+    let (limits, service) = (&context.shared.limits, &context.shared.operator_service);
     let to_hello_timeout = |_| io::Error::other("the successor sent no message in time");
     let hello = timeout(limits.handover_timeout, link.recv(limits)).await;
     if hello.map_err(to_hello_timeout)?? != Message::Hello {
@@ -289,7 +292,7 @@
 
     /// Stops accepting clients and starts moving connections, as a successor now serves.
     async fn yield_to_successor(&self) {
-        let service = &self.shared.service;
+        let service = &self.shared.operator_service;
         self.accepting.send_replace(false);
         if service.process_state() != ProcessState::ShuttingDown {
             service.set_process_state(ProcessState::Superseded);
@@ -339,8 +342,14 @@
 
 impl Drop for HandoverSession<'_> {
     fn drop(&mut self) {
-        self.context.shared.service.remove_forward_target(self.id);
-        self.context.shared.service.set_successor_sender(None);
+        self.context
+            .shared
+            .operator_service
+            .remove_forward_target(self.id);
+        self.context
+            .shared
+            .operator_service
+            .set_successor_sender(None);
     }
 }
 
@@ -352,14 +361,17 @@
         if matches!(role, Role::Predecessor { .. }) {
             context
                 .shared
-                .service
+                .operator_service
                 .set_successor_sender(Some(offer_sender));
         }
         Self {
             link,
             context,
             role,
-            id: context.shared.service.add_forward_target(change_sender),
+            id: context
+                .shared
+                .operator_service
+                .add_forward_target(change_sender),
             changes,
             pending_changes: BTreeMap::new(),
             offers,
@@ -447,7 +459,11 @@
         let limits = &shared.limits;
         match message {
             Message::Change(number, change) => {
-                if let Err(error) = shared.service.apply_external(self.id, change).await {
+                if let Err(error) = shared
+                    .operator_service
+                    .apply_external(self.id, change)
+                    .await
+                {
                     warn!(
                         error,
                         "a change received by the other process can't be applied here"
@@ -465,7 +481,7 @@
             }
             Message::DescriptorsInUse(descriptors_in_use) => shared
                 .request_descriptors
-                .set_lent(descriptors_in_use as usize),
+                .set_used_by_other_process(descriptors_in_use as usize),
             Message::Serving => {
                 if let Role::Predecessor { serve_by } = &mut self.role {
                     *serve_by = None;
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -34,7 +34,7 @@
     pub max_log_lines: u32,
     pub log_window: Duration,
     /// The number of the engine's commands queued for one connection.
-    pub order_queue_capacity: usize,
+    pub command_queue_capacity: usize,
     /// The number of probes of one server that wait for an earlier probe to end.
     pub probe_queue_capacity: usize,
     /// The maximum size of an answer of discovery, and the maximum number of rows in a list.
@@ -233,7 +233,7 @@
             max_client_wait: 7200.0,
             max_log_lines: 10,
             log_window: ms(1000),
-            order_queue_capacity: 8,
+            command_queue_capacity: 8,
             probe_queue_capacity: 4,
             max_list_bytes: 8 << 20,
             max_list_rows: 20_000,
@@ -349,7 +349,7 @@
     available: Rc<Cell<usize>>,
     capacity: usize,
     /// Descriptors in use by another process of this proxy; both processes together keep within one limit.
-    lent: Rc<Cell<usize>>,
+    used_by_other_process: Rc<Cell<usize>>,
 }
 
 impl DescriptorPool {
@@ -357,7 +357,7 @@
         Self {
             available: Rc::new(Cell::new(capacity)),
             capacity,
-            lent: Rc::default(),
+            used_by_other_process: Rc::default(),
         }
     }
 
@@ -372,8 +372,8 @@
     }
 
     /// Sets how many descriptors are in use by another process of this proxy.
-    pub fn set_lent(&self, count: usize) {
-        self.lent.set(count);
+    pub fn set_used_by_other_process(&self, count: usize) {
+        self.used_by_other_process.set(count);
     }
 
     /// The number of descriptors acquired in this process.
@@ -384,7 +384,7 @@
     /// Acquires descriptors until the permit is dropped; `None` if there are not enough.
     pub fn try_acquire(&self, count: usize) -> Option<DescriptorPermit> {
         let remaining = self.available.get().checked_sub(count)?;
-        if remaining < self.lent.get() {
+        if remaining < self.used_by_other_process.get() {
             return None;
         }
         self.available.set(remaining);
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -440,7 +440,7 @@
         server_id: ServerId,
         shared: &SharedState,
     ) -> bool {
-        let Some(successor) = shared.service.successor_sender() else {
+        let Some(successor) = shared.operator_service.successor_sender() else {
             return false;
         };
         // Descriptors are duplicated only once the queue to the successor has room.
--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -38,7 +38,7 @@
     shared: &Rc<SharedState>,
 ) {
     let limits = &shared.limits;
-    let (command_sender, mut commands) = mpsc::channel(limits.order_queue_capacity);
+    let (command_sender, mut commands) = mpsc::channel(limits.command_queue_capacity);
     let id = admitted.open_line.id;
     let request_id = admitted.request.id;
     let tracker = RequestTracker::new(&admitted.request, client.arrived, shared);
