--- a/crates/standins/src/bin/violetwind-standin-consul.rs
+++ b/crates/standins/src/bin/violetwind-standin-consul.rs
@@ -83,11 +83,11 @@
         consul.update_instances(&selected, alter);
     };
     match words {
-        ["pass", id] => update(id, &|i| i.check = Check::Passing),
-        ["warn", id] => update(id, &|i| i.check = Check::Warning),
-        ["fail", id] => update(id, &|i| i.check = Check::Critical),
-        ["drain", id] => update(id, &|i| i.maintenance = Maintenance::Service),
-        ["undrain", id] => update(id, &|i| i.maintenance = Maintenance::None),
+        ["pass", id] => update(id, &|instance| instance.check = Check::Passing),
+        ["warn", id] => update(id, &|instance| instance.check = Check::Warning),
+        ["fail", id] => update(id, &|instance| instance.check = Check::Critical),
+        ["drain", id] => update(id, &|instance| instance.maintenance = Maintenance::Service),
+        ["undrain", id] => update(id, &|instance| instance.maintenance = Maintenance::None),
         ["drop", id] => consul.deregister(&[id]),
         ["add", id, at] => match at.parse() {
             Ok(at) => {
--- a/crates/standins/src/budget_workload.rs
+++ b/crates/standins/src/budget_workload.rs
@@ -1,4 +1,4 @@
-//! Load on a fleet's budgets: workers that take units at its members and give them back, with statistics.
+//! Load on a fleet's budgets: workers that acquire units at its members and release them, with statistics.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -20,7 +20,7 @@
     /// For each unit of a rate, the times of the request and of its answer: the unit was used in between.
     pub rate_uses: Vec<(Instant, Instant)>,
     pub refused: u64,
-    /// Requests for a unit without an answer in time; the unit may have been taken nevertheless.
+    /// Requests for a unit without an answer in time; the unit may have been acquired nevertheless.
     pub unanswered: u64,
     /// Releases of a unit that were answered with a status other than 200.
     pub failed_releases: u64,
@@ -32,7 +32,7 @@
         self.held_units.values().map(BTreeSet::len).sum()
     }
 
-    /// Records that the unit of `token` was taken at member `at`.
+    /// Records that the unit of `token` was acquired at member `at`.
     pub fn record_acquired(&mut self, at: usize, token: u64) {
         self.held_units.entry(at).or_default().insert(token);
         self.max_in_use = self.max_in_use.max(self.units_in_use());
@@ -64,7 +64,7 @@
     pub hold_time: Duration,
     /// All workers of a member except the first request the next unit while they hold one, so as to use up the budget.
     pub greedy: bool,
-    /// Name of a rate budget, of which a worker takes a unit after each unit of the held budget.
+    /// Name of a rate budget, of which a worker acquires a unit after each unit of the held budget.
     pub rate_budget: Option<String>,
 }
 
@@ -107,7 +107,7 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    fn take_unit(&self, budget: &str, token: u64) -> bool {
+    fn acquire_unit(&self, budget: &str, token: u64) -> bool {
         // A lease of 10 minutes, longer than any test: no unit expires.
         let line = format!("FLEET TAKE {budget} {token} 600000");
         let answer = call_management(self.addr, &line);
@@ -117,10 +117,10 @@
         answer.as_deref() == Some("200 taken")
     }
 
-    /// Takes a unit of the held budget, holds it and gives it back. A greedy worker does the latter two in a thread,
+    /// Acquires a unit of the held budget, holds it and releases it. A greedy worker does the latter two in a thread,
     /// whose handle is returned.
-    fn take_and_hold(&self, token: u64) -> Option<thread::JoinHandle<()>> {
-        if !self.take_unit(&self.spec.held_budget, token) {
+    fn acquire_and_hold(&self, token: u64) -> Option<thread::JoinHandle<()>> {
+        if !self.acquire_unit(&self.spec.held_budget, token) {
             self.stats.lock().unwrap().refused += 1;
             return None;
         }
@@ -133,7 +133,7 @@
         Some(thread::spawn(move || worker.hold_and_release(token)))
     }
 
-    /// Holds a unit for `hold_time`, then gives it back, with retries while no answer arrives.
+    /// Holds a unit for `hold_time`, then releases it, with retries while no answer arrives.
     fn hold_and_release(&self, token: u64) {
         thread::sleep(self.spec.hold_time);
         let mut stats = self.stats.lock().unwrap();
@@ -158,14 +158,14 @@
         }
     }
 
-    /// Takes a unit of the held budget, and one of the rate budget if there is one.
+    /// Acquires a unit of the held budget, and one of the rate budget if there is one.
     fn run_once(&self, pending_releases: &mut Vec<thread::JoinHandle<()>>) {
         let token = NEXT_TOKEN.fetch_add(1, Ordering::Relaxed);
-        pending_releases.extend(self.take_and_hold(token));
+        pending_releases.extend(self.acquire_and_hold(token));
         pending_releases.retain(|release| !release.is_finished());
         let requested = Instant::now();
         if let Some(rate) = &self.spec.rate_budget
-            && self.take_unit(rate, token)
+            && self.acquire_unit(rate, token)
         {
             self.stats
                 .lock()
--- a/crates/standins/src/consul.rs
+++ b/crates/standins/src/consul.rs
@@ -284,7 +284,11 @@
 
     /// Registers instances, each with an index of its own.
     pub fn register_all(&self, instances: impl IntoIterator<Item = Instance>) {
-        self.change(|state| instances.into_iter().for_each(|i| state.upsert(i)));
+        self.change(|state| {
+            instances
+                .into_iter()
+                .for_each(|instance| state.upsert(instance))
+        });
     }
 
     /// Removes instances in one step of the index.
@@ -313,7 +317,7 @@
         self.update_instances(ids, |instance| instance.check = check);
     }
 
-    /// Changes the mode; `Old` takes its copy of the state here.
+    /// Changes the mode; for `Old`, the state at this time is copied.
     pub fn set_mode(&self, mode: ConsulMode) {
         self.change(|state| {
             if let ConsulMode::Old(_) = mode {
@@ -356,7 +360,7 @@
         self.state().requests.len()
     }
 
-    /// Waits until an answer with the present index has been sent.
+    /// Waits until an answer with the present index is about to be sent.
     pub fn wait_until_changes_served(&self) {
         let is_behind = |state: &mut State| state.last_answered_index < state.index;
         let waited = self
--- a/crates/standins/src/duty_history.rs
+++ b/crates/standins/src/duty_history.rs
@@ -13,7 +13,7 @@
     Gained,
     /// The event's time is that of the actual loss: a process that was stopped logs it late.
     Lost,
-    /// The process was killed, and with it all its holdings ended.
+    /// The process was killed, which ended all its holdings.
     Killed,
 }
 
--- a/crates/standins/src/fleet_harness.rs
+++ b/crates/standins/src/fleet_harness.rs
@@ -33,7 +33,7 @@
     pub log_level: &'static str,
     /// Additional lines for the `[fleet]` section of all members' files.
     pub fleet_toml: String,
-    /// Additional lines for the end of all members' files; `FILE` stands for a path of each member's own.
+    /// Additional lines for the end of all members' files; `FILE` is replaced by a path of each member's own.
     pub extra_toml: String,
 }
 
@@ -353,7 +353,7 @@
         }
     }
 
-    /// Sends a signal, as `kill` names it (`-TERM`), to a member's process.
+    /// Sends a signal, in the notation of `kill` (`-TERM`), to a member's process.
     pub fn send_signal(&self, at: usize, signal: &str) {
         if let Some(child) = &self.processes[at].child {
             let status = Command::new("kill")
@@ -420,16 +420,16 @@
 
     /// Sets the mode of all links between two groups, in both directions.
     pub fn set_links_between(&self, group: &[usize], other_group: &[usize], mode: LinkMode) {
-        for (a, b) in group
+        for (from, to) in group
             .iter()
-            .flat_map(|a| other_group.iter().map(move |b| (*a, *b)))
+            .flat_map(|from| other_group.iter().map(move |to| (*from, *to)))
         {
-            self.set_link(a, b, mode);
-            self.set_link(b, a, mode);
+            self.set_link(from, to, mode);
+            self.set_link(to, from, mode);
         }
     }
 
-    /// Lets all links pass again.
+    /// Sets all links back to `Pass`.
     pub fn heal_links(&self) {
         self.relays
             .values()
--- a/crates/standins/src/line_connection.rs
+++ b/crates/standins/src/line_connection.rs
@@ -1,4 +1,4 @@
-//! One side of a connection in the line protocol, for clients and servers that a test plays itself.
+//! One side of a connection in the line protocol, for clients and servers that a test implements itself.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
--- a/crates/standins/src/receiver.rs
+++ b/crates/standins/src/receiver.rs
@@ -25,7 +25,7 @@
     /// The highest fencing number seen, by duty.
     highest_fences: BTreeMap<String, u64>,
     items: Vec<Work>,
-    /// A deliberate error for tests: fencing numbers are ignored.
+    /// Injected fault: fencing numbers are ignored.
     unfenced: bool,
 }
 
--- a/crates/standins/src/registry.rs
+++ b/crates/standins/src/registry.rs
@@ -37,7 +37,7 @@
     /// Rows by uid, each with the revision of its last change.
     targets: BTreeMap<String, (u64, Value)>,
     mode: DiscoveryMode,
-    /// The next answer is a full list, as after a gap in the versions.
+    /// Whether the next answer is a full list, as after a gap in the versions.
     send_full_list: bool,
     requests: Vec<(Instant, String)>,
     answer_times: Vec<Instant>,
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -1,4 +1,4 @@
-//! A server of the line protocol whose client connections the test plays itself.
+//! A server of the line protocol whose client connections the test handles itself.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Condvar, Mutex, mpsc};
@@ -13,7 +13,7 @@
 /// How a server answers probes, and the probes so far.
 #[derive(Debug, Default)]
 struct Probes {
-    /// The answer to a probe (none: the server stays silent), and whether any probe has been answered.
+    /// The answer to a probe (none: the server sends no answer), and whether any probe has been answered.
     state: Mutex<(Option<String>, bool)>,
     arrival_times: Mutex<Vec<Instant>>,
     changed: Condvar,
--- a/crates/standins/src/soak/checker.rs
+++ b/crates/standins/src/soak/checker.rs
@@ -1,4 +1,4 @@
-//! Checks the records of clients and servers against the clauses of the operators' pages.
+//! Checks the records of clients and servers against the clauses of the operators' documentation.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,7 +7,8 @@
 use super::scheduling_delay::SchedulingDelay;
 use super::server::AttemptRecord;
 
-/// A final answer up to this long after the deadline earns nothing; with a later one the request counts as lost.
+/// A final answer up to this long after the deadline has no value but is no violation; with a later one the request
+/// counts as lost.
 const ANSWER_SLACK: Duration = Duration::from_millis(550);
 /// An attempt may begin up to this long after its client has disconnected.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
@@ -69,7 +70,7 @@
     pub attempts: Vec<AttemptRecord>,
     pub drains: Vec<Drain>,
     pub cold_starts: Vec<ColdStart>,
-    /// Kills of the proxy: without SIGTERM, or as early after SIGTERM as its page allows.
+    /// Kills of the proxy: without SIGTERM, or as early after SIGTERM as its documentation allows.
     pub kills: Vec<Kill>,
     /// Scheduling delays of this process's threads.
     pub scheduling_delays: Vec<SchedulingDelay>,
@@ -95,7 +96,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Kill {
     pub at: Instant,
-    /// No SIGTERM came before it: clients have to repeat the requests that the proxy held.
+    /// Whether the proxy got no SIGTERM before it, so that clients have to repeat the requests that the proxy held.
     pub without_sigterm: bool,
 }
 
--- a/crates/standins/src/soak/client.rs
+++ b/crates/standins/src/soak/client.rs
@@ -80,7 +80,7 @@
 
 /// Added to a time limit: an answer that has not arrived by then is taken as never arriving.
 const NO_ANSWER_MARGIN: Duration = Duration::from_secs(3);
-/// The proxy has to leave a server that sends nothing back within this time.
+/// The proxy has to end a connection to a server that sends nothing back within this time.
 const SILENT_SERVER_LIMIT: Duration = Duration::from_secs(7);
 
 /// Sends a request to a proxy, and follows the connection to its end.
--- a/crates/standins/src/soak/mod.rs
+++ b/crates/standins/src/soak/mod.rs
@@ -32,10 +32,10 @@
 }
 
 impl Traffic {
-    /// Starts a client of `proxy` every `each`. `behaviour` gives the behaviour of each client for its number.
+    /// Starts a client of `proxy` every `interval`. `behaviour` gives the behaviour of each client for its number.
     pub fn start(
         proxy: SocketAddr,
-        each: Duration,
+        interval: Duration,
         seed: u64,
         behaviour: impl Fn(u64) -> ClientBehaviour + Send + 'static,
     ) -> Self {
@@ -57,7 +57,7 @@
                     records.lock().unwrap().push(record);
                 });
                 clients.push(client.expect("no thread could be started"));
-                next_start += each;
+                next_start += interval;
                 thread::sleep(next_start.saturating_duration_since(Instant::now()));
             }
             clients
--- a/crates/standins/src/soak/runner.rs
+++ b/crates/standins/src/soak/runner.rs
@@ -470,7 +470,7 @@
         assert!(sent.is_ok_and(|status| status.success()), "kill {signal}");
     }
 
-    /// Sends SIGTERM while new clients still start, and SIGKILL as early as the proxy's page allows.
+    /// Sends SIGTERM while new clients still start, and SIGKILL as early as the proxy's documentation allows.
     fn terminate(&mut self, script: &Script, traffic: &Traffic) {
         let site = &self.site;
         let max_deadline_ms = site
@@ -495,7 +495,7 @@
         traffic.stop();
         let kill_at = signalled_at + Duration::from_millis(max_deadline_ms + 700);
         thread::sleep(kill_at.saturating_duration_since(Instant::now()));
-        // The process may have ended before.
+        // The process may have exited already.
         let _ = self.proxy.kill();
         let _ = self.proxy.wait();
     }
--- a/crates/standins/src/soak/script.rs
+++ b/crates/standins/src/soak/script.rs
@@ -17,13 +17,13 @@
     /// Window in which servers drop repeats of class hold.
     pub window_ms: u64,
     pub max_attempts: usize,
-    /// Servers report their load.
+    /// Whether servers report their load.
     pub tells_loads: bool,
-    /// The proxy may probe servers.
+    /// Whether the proxy may probe servers.
     pub may_probe: bool,
-    /// Membership mode `pushed` instead of `on_request`.
+    /// Whether the membership mode is `pushed` instead of `on_request`.
     pub pushed: bool,
-    /// Every second server closes each probe connection after its answer.
+    /// Whether every second server closes each probe connection after its answer.
     pub closes_probes: bool,
     pub connect_timeout_ms: u64,
     /// Milliseconds between the starts of two clients.
--- a/crates/standins/src/soak/server.rs
+++ b/crates/standins/src/soak/server.rs
@@ -26,7 +26,7 @@
     Error,
     /// Answers `BUSY`: the request has not run.
     Busy,
-    /// Answers with a line that the protocol does not have.
+    /// Answers with a line that is not part of the protocol.
     Garble,
     /// Sends `UP` without the end of its line, and nothing more.
     HalfLine,
--- a/crates/standins/src/work_orders.rs
+++ b/crates/standins/src/work_orders.rs
@@ -41,7 +41,7 @@
     /// Second answers to a request that had got `UP`.
     pub duplicate_answers: AtomicU64,
     stopping: AtomicBool,
-    /// Indices of proxies that are killed, stopped or ended, for whose requests nothing is promised.
+    /// Indices of proxies that are killed, stopped or ended, whose requests may be dropped or lost.
     excused_proxies: Mutex<BTreeSet<usize>>,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl ClientPool {
-    /// Starts clients, each of which goes to the next proxy whenever it connects again.
+    /// Starts clients, each of which connects to the next proxy for each request.
     pub fn start(proxies: Vec<SocketAddr>, clients: usize) -> Self {
         let stats = Arc::new(ClientStats::default());
         let threads = (0..clients).map(|number| {
@@ -183,8 +183,8 @@
 }
 
 impl SimulatedOperators {
-    /// Starts operators who poll the management addresses `at`, and whose work on a machine takes `work`.
-    pub fn start(at: Vec<SocketAddr>, work: Duration) -> Self {
+    /// Starts operators who poll the management addresses `at`, and whose work on a machine takes `work_duration`.
+    pub fn start(at: Vec<SocketAddr>, work_duration: Duration) -> Self {
         let stopping = Arc::new(AtomicBool::new(false));
         let emptied: Arc<Mutex<Vec<Emptied>>> = Arc::default();
         let (is_stopping, periods_clone) = (stopping.clone(), emptied.clone());
@@ -202,7 +202,7 @@
                 empty_since.retain(|machine, _| empty_machines.contains(machine));
                 for machine in empty_machines {
                     let from = *empty_since.entry(machine.clone()).or_insert(now);
-                    if now < from + work.as_millis() as u64 {
+                    if now < from + work_duration.as_millis() as u64 {
                         continue;
                     }
                     // The machine may return to service once the report is sent, whether or not its answer arrives.
--- a/crates/storm/src/explorer.rs
+++ b/crates/storm/src/explorer.rs
@@ -32,7 +32,7 @@
     hosts: Vec<Host>,
     in_flight: Vec<(NodeId, NodeId, Message)>,
     now: u64,
-    /// How many elections, crashes and commands may still happen.
+    /// Number of elections, crashes and commands that may still happen.
     elections: u8,
     crashes: u8,
     commands: u8,
@@ -40,7 +40,7 @@
     committed: BTreeMap<Index, Entry>,
 }
 
-/// An event. Its number is the index of a node, for `Deliver` that of a message in flight.
+/// An event. The number is the index of a node, or for `Deliver` the index of a message in flight.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
     Elect(usize),
--- a/crates/storm/src/fleet.rs
+++ b/crates/storm/src/fleet.rs
@@ -182,14 +182,15 @@
     pub duties_gained: usize,
     pub duties_lost: usize,
     pub elections_won: usize,
-    /// Answers to calls that are neither holds nor requests for units, by the number of the call.
+    /// Answers by the number of the call, without those to holds, to requests for units and to calls in
+    /// `pending_operator_calls`.
     pub answers: BTreeMap<Number, OperatorAnswer>,
     /// The simulated maintenance of machines, if there are any.
     pub maintenance: Option<Maintenance>,
     pub budgets: Vec<BudgetDefinition>,
     /// Budgets counted by an external counter instead of the member, as the proxy's decision module counts them.
     pub external_budgets: BTreeSet<Name>,
-    /// Clients request units only of this many budgets, the first ones.
+    /// Number of budgets whose units clients request: the first ones of `budgets`.
     pub demanded_budget_count: usize,
     /// Members configured with other budgets.
     pub budget_overrides: BTreeMap<Name, Vec<BudgetDefinition>>,
@@ -369,11 +370,16 @@
         let at = host.clock.local_time(self.now);
         host.member = Some(Member::new(config, host.persisted_state.clone(), seed, at));
         (host.restart_at, host.stopped_until, host.has_shut_down) = (None, 0, false);
-        // Links come up at once, with the ids of the data directories.
+        // All links are connected at once, with the ids of the data directories.
         let ids: Vec<_> = self
             .hosts
             .iter()
-            .map(|(name, host)| (name.clone(), host.persisted_state.as_ref().map(|s| s.id)))
+            .map(|(name, host)| {
+                (
+                    name.clone(),
+                    host.persisted_state.as_ref().map(|saved| saved.id),
+                )
+            })
             .collect();
         for (other, id) in &ids {
             if other != name {
@@ -430,7 +436,11 @@
             .and_then(|host| host.persisted_state.as_mut());
         match (injected_bug, disk.map(|saved| &mut saved.consensus_state)) {
             (InjectedBug::LostSnapshot, Some(disk)) => {
-                if let Some(snapshot) = disk.snapshot.as_mut().filter(|s| !s.data.is_empty()) {
+                if let Some(snapshot) = disk
+                    .snapshot
+                    .as_mut()
+                    .filter(|snapshot| !snapshot.data.is_empty())
+                {
                     snapshot.data = violetwind_fleet::State::default().encode();
                 }
             }
@@ -465,7 +475,7 @@
         for name in &names {
             if self.hosts[name]
                 .restart_at
-                .is_some_and(|back| self.now >= back)
+                .is_some_and(|due| self.now >= due)
             {
                 // Only one process runs on a directory at a time.
                 self.kill_process(name);
@@ -1044,7 +1054,7 @@
         let term = |host: &Host| {
             host.member
                 .as_ref()
-                .and_then(|m| m.consensus_status())
+                .and_then(|member| member.consensus_status())
                 .map(|log| log.term)
         };
         let newest = self
--- a/crates/storm/src/fleet/faults.rs
+++ b/crates/storm/src/fleet/faults.rs
@@ -183,7 +183,11 @@
     /// Samples the state of all members, for a timeline that begins at `start`.
     pub fn sample_timeline(&self, start: Millis) -> TimelineSample {
         let leader = self.leader();
-        let is_cut_off = |name: &Name| self.cut_links.iter().any(|(a, b)| a == name || b == name);
+        let is_cut_off = |name: &Name| {
+            self.cut_links
+                .iter()
+                .any(|(from, to)| from == name || to == name)
+        };
         let holds_any_duty = |host: &Host| {
             let member = host.member.as_ref();
             let at = host.clock.local_time(self.now);
@@ -242,7 +246,7 @@
             }
             let steps = self.rng.random_range(5..60);
             for _ in 0..steps {
-                // A process that was shut down or killed is restarted by `step` at its time.
+                // Also restarts processes that were shut down or killed, once `restart_at` is reached.
                 self.step();
             }
         }
--- a/crates/storm/src/fleet/operators.rs
+++ b/crates/storm/src/fleet/operators.rs
@@ -93,8 +93,8 @@
         for _ in 0..20 {
             let leader = self.leader();
             let state = leader.and_then(|name| self.hosts[&name].member.as_ref()?.state());
-            let blocked: Vec<Name> = state.map_or(Vec::new(), |s| {
-                s.blocked_members().iter().cloned().collect()
+            let blocked: Vec<Name> = state.map_or(Vec::new(), |state| {
+                state.blocked_members().iter().cloned().collect()
             });
             if blocked.is_empty() || self.violation.is_some() {
                 return;
--- a/crates/storm/src/fleet/proxies.rs
+++ b/crates/storm/src/fleet/proxies.rs
@@ -122,7 +122,7 @@
         self.submit_call(at, OperatorCall::WorkAction(WorkAction::Plan(order)));
     }
 
-    /// The work orders of the member that has applied the most.
+    /// The work orders of the member whose applied state is the newest.
     pub fn work_state(&self) -> Option<&WorkState> {
         let members = self.hosts.values().filter_map(|host| host.member.as_ref());
         let states = members.filter_map(|member| Some(member.state()?.work()));
@@ -135,7 +135,7 @@
         if let Some(proxy) = self
             .maintenance
             .as_mut()
-            .and_then(|s| s.proxies.get_mut(name))
+            .and_then(|maintenance| maintenance.proxies.get_mut(name))
         {
             if loses_list {
                 proxy.stored = MachineAvailability::default();
@@ -151,7 +151,7 @@
         if let Some(proxy) = self
             .maintenance
             .as_mut()
-            .and_then(|s| s.proxies.get_mut(name))
+            .and_then(|maintenance| maintenance.proxies.get_mut(name))
         {
             proxy.writes.push_back((due, version, list));
         }
@@ -217,7 +217,7 @@
     }
 
     /// Staff mark drained machines as done and recall failed ones, in a call at a random member at random times. The
-    /// order is planned again if it is not known.
+    /// order is planned again if the work state contains none.
     pub(super) fn issue_work_commands(&mut self) {
         let Some(maintenance) = &self.maintenance else {
             return;
--- a/crates/storm/src/linearizability.rs
+++ b/crates/storm/src/linearizability.rs
@@ -7,7 +7,7 @@
 /// An operation on a register of one boolean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Operation {
-    /// A write of the value. Without an answer, or with one other than success, it may not have taken effect.
+    /// A write of the value; it is `Certainty::Maybe` if it had no answer, or one other than success.
     Write(bool, Certainty),
     /// A read that returned the value.
     Read(bool),
@@ -28,7 +28,7 @@
     pub until: u64,
 }
 
-/// The most calls of one register that are checked; of a longer history, the first ones are.
+/// Maximum number of calls of one register that are checked. Of a longer history, only the first ones are checked.
 pub const MAX_CHECKED_CALLS: usize = 60;
 
 /// Whether the history of a register that begins as `false` is linearizable.
--- a/crates/storm/src/replicated_log.rs
+++ b/crates/storm/src/replicated_log.rs
@@ -198,7 +198,7 @@
         let ids: Vec<NodeId> = self.hosts.keys().copied().collect();
         for id in &ids {
             let host = self.hosts.get_mut(id).unwrap();
-            if host.restart_at.is_some_and(|back| self.now >= back) {
+            if host.restart_at.is_some_and(|due| self.now >= due) {
                 self.start_process(*id);
             }
         }
@@ -312,7 +312,7 @@
                     host.state = snapshot
                         .data
                         .chunks(8)
-                        .map(|b| u64::from_le_bytes(b.try_into().unwrap()))
+                        .map(|bytes| u64::from_le_bytes(bytes.try_into().unwrap()))
                         .collect();
                     host.applied_index = snapshot.index;
                     let state = self.hosts[&id].state.clone();
@@ -450,7 +450,10 @@
         let host = self.hosts.get_mut(&id).unwrap();
         let (applied, state) = (host.applied_index, host.state.clone());
         if let Some(node) = host.node.as_mut() {
-            let data = state.iter().flat_map(|n| n.to_le_bytes()).collect();
+            let data = state
+                .iter()
+                .flat_map(|command| command.to_le_bytes())
+                .collect();
             node.compact(applied, data);
         }
         self.process_outputs(id);
@@ -507,10 +510,10 @@
                         .filter(|_| self.rng.random_bool(0.5))
                         .copied()
                         .collect();
-                    for a in &ids {
-                        for b in &ids {
-                            if side.contains(a) != side.contains(b) {
-                                self.cut_links.insert((*a, *b));
+                    for from in &ids {
+                        for to in &ids {
+                            if side.contains(from) != side.contains(to) {
+                                self.cut_links.insert((*from, *to));
                             }
                         }
                     }
@@ -563,7 +566,7 @@
         (self.kill_on_write_rate, self.kill_on_vote_rate) = (0.0, 0.0);
         for host in self.hosts.values_mut() {
             (host.stopped_until, host.sync_latency) = (0, 2);
-            host.restart_at = host.restart_at.map(|back| back.min(self.now + 10));
+            host.restart_at = host.restart_at.map(|due| due.min(self.now + 10));
         }
         self.run_for(6000);
         if self.violation.is_some() {
--- a/crates/storm/src/script.rs
+++ b/crates/storm/src/script.rs
@@ -99,7 +99,7 @@
 pub struct TimelineSample {
     /// Milliseconds since the start of the run.
     pub at: Millis,
-    /// State of each member: `L` leader, `h` holds a duty, `.` running, `x` dead, `s` stopped, `c` a link is cut.
+    /// State of each member: `L` leader, `h` holds a duty, `.` running, `x` down, `s` stopped, `c` a link is cut.
     pub member_states: Vec<(Name, char)>,
     /// Units in use of the first budget.
     pub units_in_use: u64,
--- a/crates/storm/src/work_orders.rs
+++ b/crates/storm/src/work_orders.rs
@@ -1,5 +1,5 @@
 //! Simulates maintenance of random fleets with the real work orders and planner: proxies receive lists late, are cut
-//! off or restart, machines die, and conductors stall with planned steps that are not yet applied. The invariants are
+//! off or restart, machines fail, and conductors stall with planned steps that are not yet applied. The invariants are
 //! checked against the actions of the proxies.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -247,7 +247,7 @@
             .for_each(|clients| *clients = (*clients).min(4));
     }
 
-    /// The report of a proxy about the machines that it knows.
+    /// The report of a proxy about the machines in its list.
     fn report(&self, proxy: &Name) -> BTreeMap<Name, MachineReport> {
         let proxy_state = &self.proxies[proxy];
         let confirms_early = self.injected_bug == InjectedBug::Hasty && proxy == "p-0";
@@ -377,7 +377,7 @@
                 let is_stalled = self.rng.random_bool(0.5);
                 self.conductors[self.conducting_index].is_stalled = is_stalled;
             }
-            // The duty is handed off; the previous conductor may not know yet.
+            // The duty is handed off; the previous conductor may still apply its planned steps.
             _ => {
                 self.conducting_index = self.rng.random_range(0..self.conductors.len());
                 self.fence += 1;
@@ -401,8 +401,8 @@
         (0..self.conductors.len()).for_each(|at| self.conduct(at));
         self.warm_up_ticks
             .values_mut()
-            .for_each(|left| *left = left.saturating_sub(1));
-        self.warm_up_ticks.retain(|_, left| *left > 0);
+            .for_each(|ticks| *ticks = ticks.saturating_sub(1));
+        self.warm_up_ticks.retain(|_, ticks| *ticks > 0);
         self.check_invariants();
     }
 
@@ -435,7 +435,7 @@
             let clients: u64 = self
                 .proxies
                 .values()
-                .filter_map(|p| p.clients.get(&name))
+                .filter_map(|proxy| proxy.clients.get(&name))
                 .sum();
             if phase == Phase::Drained && clients > 0 {
                 violation = Some(format!("Empty Means Empty: {clients} clients at {name}"));
@@ -491,7 +491,7 @@
     }
 }
 
-/// Bounds that allow nine machines out and require no capacity to stay.
+/// Bounds that allow nine machines out and require no remaining capacity.
 pub const PERMISSIVE_BOUNDS: Bounds = Bounds {
     max_out: 9,
     max_out_per_zone: 9,
@@ -499,7 +499,7 @@
     failure_tolerance: FailureTolerance::Nothing,
 };
 
-/// Work orders for machines named from `m-0`, each given as its zone, its kind, its room, and whether it carries the
+/// Work orders for machines named from `m-0`, each given as its zone, its kind, its room, and whether it runs the
 /// proxy of a voter.
 pub fn orders_with_machines(machines: &[(&str, usize, u64, bool)]) -> WorkOrders {
     let machines = machines
@@ -536,7 +536,7 @@
 /// Applies a step to a machine at its current version.
 ///
 /// # Errors
-/// The refusal of the log.
+/// The refusal of the step by the log.
 pub fn apply_step(
     orders: &mut WorkOrders,
     name: &str,
