--- a/crates/standins/src/echo_server.rs
+++ b/crates/standins/src/echo_server.rs
@@ -1,4 +1,4 @@
-//! A server of the line protocol that answers without action by the test: it accepts every `OPEN` within its capacity,
+//! A server of the line protocol that runs independently of the test: it accepts every `OPEN` within its capacity,
 //! answers each line and each probe, and injects faults when a test selects them.
 
 use std::io::{BufRead, BufReader, Write};
--- a/crates/standins/src/fleet_harness.rs
+++ b/crates/standins/src/fleet_harness.rs
@@ -467,8 +467,12 @@
         (0..self.member_count()).find(|at| duty["holder"] == node_name(*at).as_str())
     }
 
-    /// Waits until `condition` returns a value; `what` names it in the panic message.
-    pub fn wait_until<T>(&self, what: &str, mut condition: impl FnMut(&Self) -> Option<T>) -> T {
+    /// Waits until `condition` returns a value; `description` names it in the panic message.
+    pub fn wait_until<T>(
+        &self,
+        description: &str,
+        mut condition: impl FnMut(&Self) -> Option<T>,
+    ) -> T {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(found) = condition(self) {
@@ -476,7 +480,7 @@
             }
             assert!(
                 Instant::now() < deadline,
-                "timed out: {what}\n{}",
+                "timed out: {description}\n{}",
                 self.merged_log()
             );
             thread::sleep(Duration::from_millis(5));
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,6 +1,7 @@
 //! Small stand-ins for the systems around a proxy: clients, servers, discovery and Consul, on free ports of
-//! the loopback network, with faults that a test can switch on. They don't decide whether a test passes. Each
-//! uses one thread per connection to stay simple. Some can be run by hand (`src/bin`).
+//! the loopback network, with faults that a test can switch on. The stand-ins themselves don't decide whether a test
+//! passes; the tests do, with the checks of records in `duty_history`, `work_orders` and `soak`. Each uses one thread
+//! per connection to stay simple. Some can be run by hand (`src/bin`).
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU32, Ordering};
--- a/crates/standins/src/soak/checker.rs
+++ b/crates/standins/src/soak/checker.rs
@@ -161,7 +161,7 @@
     /// Checks that the request got one final answer in time.
     fn check_answer(&self) -> Option<String> {
         let request = self.request;
-        let took = request.answered_at - request.sent_at;
+        let elapsed = request.answered_at - request.sent_at;
         match &request.outcome {
             RequestOutcome::NotTaken | RequestOutcome::Left => None,
             RequestOutcome::Closed | RequestOutcome::Reset
@@ -172,9 +172,9 @@
             RequestOutcome::Closed => Some("lost: closed unanswered".into()),
             RequestOutcome::Reset => Some("lost: reset unanswered".into()),
             RequestOutcome::Silence => Some("lost: never answered".into()),
-            _ if took > request.deadline + ANSWER_SLACK => Some(format!(
+            _ if elapsed > request.deadline + ANSWER_SLACK => Some(format!(
                 "lost: answered {} ms after its time",
-                (took - request.deadline).as_millis()
+                (elapsed - request.deadline).as_millis()
             )),
             RequestOutcome::Failed(line) if line != "ERR" => {
                 Some(format!("served by nobody: {line:?}"))
@@ -199,9 +199,10 @@
                 None
             }
             ConnectionOutcome::Cut => Some("lost: cut off without MOVE".into()),
-            ConnectionOutcome::Held(took) => {
-                Some(format!("lost: a line was held for {} ms", took.as_millis()))
-            }
+            ConnectionOutcome::Held(duration) => Some(format!(
+                "lost: a line was held for {} ms",
+                duration.as_millis()
+            )),
             ConnectionOutcome::Spoilt(line) => {
                 Some(format!("lost: {line:?} came in place of an answer"))
             }
--- a/crates/standins/src/work_orders.rs
+++ b/crates/standins/src/work_orders.rs
@@ -418,8 +418,12 @@
         self.fleet.upsert_target(row);
     }
 
-    /// Waits until `condition` returns a value; `what` names it in the panic message.
-    pub fn wait_until<T>(&self, what: &str, mut condition: impl FnMut(&Self) -> Option<T>) -> T {
+    /// Waits until `condition` returns a value; `description` names it in the panic message.
+    pub fn wait_until<T>(
+        &self,
+        description: &str,
+        mut condition: impl FnMut(&Self) -> Option<T>,
+    ) -> T {
         let started = Instant::now();
         loop {
             if let Some(found) = condition(self) {
@@ -427,7 +431,7 @@
             }
             assert!(
                 started.elapsed() < Duration::from_secs(40),
-                "timed out: {what}\n{:?}\n{}",
+                "timed out: {description}\n{:?}\n{}",
                 self.fetch_work_view(),
                 self.fleet.merged_log()
             );
@@ -477,8 +481,8 @@
         self.wait_until("the order is planned", |harness| {
             match harness.run_work_command(at, &args) {
                 Ok(_) => Some(()),
-                Err(why) => {
-                    assert!(why.contains("no such machine"), "{why}");
+                Err(message) => {
+                    assert!(message.contains("no such machine"), "{message}");
                     None
                 }
             }
--- a/crates/storm/src/fleet.rs
+++ b/crates/storm/src/fleet.rs
@@ -38,7 +38,7 @@
     WildClocks,
     /// Records are acknowledged before they are synced, and kills lose them.
     AckBeforeSync,
-    /// Programs continue for a second after they were notified to stop.
+    /// Programs ignore that they were notified to stop, and extend their lease by a second instead.
     DeafProgram,
     /// Every fiftieth unit taken is accompanied by one that was never requested.
     ExtraUnit,
@@ -52,7 +52,7 @@
     ServesUnlisted,
     /// The external budget counter of a process ignores the end of its part.
     OverstaysPart,
-    /// Connections at servers outlive their killed process by seconds.
+    /// Connections at servers outlive their killed process, by half a second on average.
     ConnectionsOutlive,
     /// Operators are shown an outdated view.
     StaleViews,
@@ -959,9 +959,9 @@
                 self.duties_gained += 1;
                 let newest_fence = self.newest_fences.entry(duty.clone()).or_default();
                 if fence <= *newest_fence {
-                    let what =
+                    let description =
                         format!("Fencing: {name} gains {duty} with {fence} after {newest_fence}");
-                    self.record_violation(what);
+                    self.record_violation(description);
                 } else {
                     *newest_fence = fence;
                 }
@@ -1024,8 +1024,8 @@
                 }
             }
             if holders.len() > 1 {
-                let what = format!("One Holder: {duty} is held by {holders:?}");
-                self.record_violation(what);
+                let description = format!("One Holder: {duty} is held by {holders:?}");
+                self.record_violation(description);
             }
             match holders.is_empty() {
                 true => {
@@ -1040,9 +1040,10 @@
     }
 
     /// Records the violation of an invariant, unless there has been one before.
-    pub fn record_violation(&mut self, what: String) {
+    pub fn record_violation(&mut self, description: String) {
         let at = self.now;
-        self.violation.get_or_insert(format!("{at} ms: {what}"));
+        self.violation
+            .get_or_insert(format!("{at} ms: {description}"));
     }
 
     /// The running leader of the newest term that is ready to serve.
--- a/crates/storm/src/replicated_log.rs
+++ b/crates/storm/src/replicated_log.rs
@@ -398,9 +398,10 @@
     }
 
     /// Records the violation of an invariant, unless there has been one before.
-    pub fn record_violation(&mut self, what: String) {
+    pub fn record_violation(&mut self, description: String) {
         let at = self.now;
-        self.violation.get_or_insert(format!("{at} ms: {what}"));
+        self.violation
+            .get_or_insert(format!("{at} ms: {description}"));
     }
 
     /// The running leader of the newest term that is ready to serve.
@@ -585,11 +586,11 @@
             .iter()
             .find(|(_, host)| !host.stale && host.applied_index != last);
         if let Some((id, host)) = behind {
-            let what = format!(
+            let description = format!(
                 "Liveness: {id:?} has applied {} of {last}",
                 host.applied_index
             );
-            return self.record_violation(what);
+            return self.record_violation(description);
         }
         let expected = self.expected_state(last);
         if let Some((id, _)) = self
@@ -597,8 +598,8 @@
             .iter()
             .find(|(_, host)| !host.stale && host.state != expected)
         {
-            let what = format!("State Machine Safety: {id:?} has a different state");
-            self.record_violation(what);
+            let description = format!("State Machine Safety: {id:?} has a different state");
+            self.record_violation(description);
         }
     }
 }
--- a/crates/storm/src/work_orders.rs
+++ b/crates/storm/src/work_orders.rs
@@ -447,7 +447,8 @@
             ));
         }
         if self.violation.is_none() {
-            self.violation = violation.map(|what| format!("tick {}: {what}", self.tick));
+            self.violation =
+                violation.map(|description| format!("tick {}: {description}", self.tick));
         }
     }
 
