--- a/crates/storm/tests/scripts.rs
+++ b/crates/storm/tests/scripts.rs
@@ -80,7 +80,7 @@
 
 /// Each injected bug is run at a seed that detects it, and has to violate the expected invariant; some scripts are also
 /// shrunk to fewer than half of their faults. `overstays-part` is detected on every seed by the fleet's test
-/// `budgets: a_part_ends_with_its_lease_though_the_members_thread_is_stalled`.
+/// `budgets: a_part_ends_with_its_lease_even_if_the_thread_of_the_member_is_stalled`.
 #[test]
 fn each_injected_bug_violates_its_invariant() {
     let cases = [
