--- a/crates/standins/src/soak/checker.rs
+++ b/crates/standins/src/soak/checker.rs
@@ -1,4 +1,4 @@
-//! Checks the records of clients and servers against the clauses of the operators' pages.
+//! Checks the records of clients and servers against the clauses of the operators' documentation.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,7 +7,8 @@
 use super::scheduling_delay::SchedulingDelay;
 use super::server::AttemptRecord;
 
-/// A final answer up to this long after the deadline earns nothing; with a later one the request counts as lost.
+/// A final answer up to this long after the deadline has no value but is no violation; with a later one the request
+/// counts as lost.
 const ANSWER_SLACK: Duration = Duration::from_millis(550);
 /// An attempt may begin up to this long after its client has disconnected.
 const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
@@ -69,7 +70,7 @@
     pub attempts: Vec<AttemptRecord>,
     pub drains: Vec<Drain>,
     pub cold_starts: Vec<ColdStart>,
-    /// Kills of the proxy: without SIGTERM, or as early after SIGTERM as its page allows.
+    /// Kills of the proxy: without SIGTERM, or as early after SIGTERM as its documentation allows.
     pub kills: Vec<Kill>,
     /// Scheduling delays of this process's threads.
     pub scheduling_delays: Vec<SchedulingDelay>,
@@ -95,7 +96,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Kill {
     pub at: Instant,
-    /// No SIGTERM came before it: clients have to repeat the requests that the proxy held.
+    /// Whether the proxy got no SIGTERM before it, so that clients have to repeat the requests that the proxy held.
     pub without_sigterm: bool,
 }
 
@@ -160,7 +161,7 @@
     /// Checks that the request got one final answer in time.
     fn check_answer(&self) -> Option<String> {
         let request = self.request;
-        let took = request.answered_at - request.sent_at;
+        let elapsed = request.answered_at - request.sent_at;
         match &request.outcome {
             RequestOutcome::NotTaken | RequestOutcome::Left => None,
             RequestOutcome::Closed | RequestOutcome::Reset
@@ -171,9 +172,9 @@
             RequestOutcome::Closed => Some("lost: closed unanswered".into()),
             RequestOutcome::Reset => Some("lost: reset unanswered".into()),
             RequestOutcome::Silence => Some("lost: never answered".into()),
-            _ if took > request.deadline + ANSWER_SLACK => Some(format!(
+            _ if elapsed > request.deadline + ANSWER_SLACK => Some(format!(
                 "lost: answered {} ms after its time",
-                (took - request.deadline).as_millis()
+                (elapsed - request.deadline).as_millis()
             )),
             RequestOutcome::Failed(line) if line != "ERR" => {
                 Some(format!("served by nobody: {line:?}"))
@@ -198,9 +199,10 @@
                 None
             }
             ConnectionOutcome::Cut => Some("lost: cut off without MOVE".into()),
-            ConnectionOutcome::Held(took) => {
-                Some(format!("lost: a line was held for {} ms", took.as_millis()))
-            }
+            ConnectionOutcome::Held(duration) => Some(format!(
+                "lost: a line was held for {} ms",
+                duration.as_millis()
+            )),
             ConnectionOutcome::Spoilt(line) => {
                 Some(format!("lost: {line:?} came in place of an answer"))
             }
--- a/crates/storm/src/replicated_log.rs
+++ b/crates/storm/src/replicated_log.rs
@@ -198,7 +198,7 @@
         let ids: Vec<NodeId> = self.hosts.keys().copied().collect();
         for id in &ids {
             let host = self.hosts.get_mut(id).unwrap();
-            if host.restart_at.is_some_and(|back| self.now >= back) {
+            if host.restart_at.is_some_and(|due| self.now >= due) {
                 self.start_process(*id);
             }
         }
@@ -312,7 +312,7 @@
                     host.state = snapshot
                         .data
                         .chunks(8)
-                        .map(|b| u64::from_le_bytes(b.try_into().unwrap()))
+                        .map(|bytes| u64::from_le_bytes(bytes.try_into().unwrap()))
                         .collect();
                     host.applied_index = snapshot.index;
                     let state = self.hosts[&id].state.clone();
@@ -398,9 +398,10 @@
     }
 
     /// Records the violation of an invariant, unless there has been one before.
-    pub fn record_violation(&mut self, what: String) {
+    pub fn record_violation(&mut self, description: String) {
         let at = self.now;
-        self.violation.get_or_insert(format!("{at} ms: {what}"));
+        self.violation
+            .get_or_insert(format!("{at} ms: {description}"));
     }
 
     /// The running leader of the newest term that is ready to serve.
@@ -450,7 +451,10 @@
         let host = self.hosts.get_mut(&id).unwrap();
         let (applied, state) = (host.applied_index, host.state.clone());
         if let Some(node) = host.node.as_mut() {
-            let data = state.iter().flat_map(|n| n.to_le_bytes()).collect();
+            let data = state
+                .iter()
+                .flat_map(|command| command.to_le_bytes())
+                .collect();
             node.compact(applied, data);
         }
         self.process_outputs(id);
@@ -507,10 +511,10 @@
                         .filter(|_| self.rng.random_bool(0.5))
                         .copied()
                         .collect();
-                    for a in &ids {
-                        for b in &ids {
-                            if side.contains(a) != side.contains(b) {
-                                self.cut_links.insert((*a, *b));
+                    for from in &ids {
+                        for to in &ids {
+                            if side.contains(from) != side.contains(to) {
+                                self.cut_links.insert((*from, *to));
                             }
                         }
                     }
@@ -563,7 +567,7 @@
         (self.kill_on_write_rate, self.kill_on_vote_rate) = (0.0, 0.0);
         for host in self.hosts.values_mut() {
             (host.stopped_until, host.sync_latency) = (0, 2);
-            host.restart_at = host.restart_at.map(|back| back.min(self.now + 10));
+            host.restart_at = host.restart_at.map(|due| due.min(self.now + 10));
         }
         self.run_for(6000);
         if self.violation.is_some() {
@@ -582,11 +586,11 @@
             .iter()
             .find(|(_, host)| !host.stale && host.applied_index != last);
         if let Some((id, host)) = behind {
-            let what = format!(
+            let description = format!(
                 "Liveness: {id:?} has applied {} of {last}",
                 host.applied_index
             );
-            return self.record_violation(what);
+            return self.record_violation(description);
         }
         let expected = self.expected_state(last);
         if let Some((id, _)) = self
@@ -594,8 +598,8 @@
             .iter()
             .find(|(_, host)| !host.stale && host.state != expected)
         {
-            let what = format!("State Machine Safety: {id:?} has a different state");
-            self.record_violation(what);
+            let description = format!("State Machine Safety: {id:?} has a different state");
+            self.record_violation(description);
         }
     }
 }
