--- a/crates/fleet/tests/budgets.rs
+++ b/crates/fleet/tests/budgets.rs
@@ -157,7 +157,7 @@
             world.demand = [(other, 3.0)].into();
             while world.violation.is_none() && world.hosts[&stalled].stopped_until > world.now {
                 world.step();
-                world.take_external_units(&stalled);
+                world.acquire_external_units(&stalled);
             }
             assert_eq!(
                 world.violation.is_some(),
@@ -342,7 +342,7 @@
         );
         match is_declared_lost {
             true => {
-                world.submit_order(
+                world.submit_action(
                     &node_name(0),
                     FleetAction::DeclareMemberLost { node: node_name(4) },
                 );
--- a/crates/fleet/tests/cases.rs
+++ b/crates/fleet/tests/cases.rs
@@ -51,11 +51,11 @@
 
 /// Runs an operator's action at a member, and repeats it until it is done or refused.
 fn run_action(world: &mut World, node: &str, action: FleetAction) -> OperatorAnswer {
-    let mut number = world.submit_order(node, action.clone());
+    let mut number = world.submit_action(node, action.clone());
     for _ in 0..400 {
         match world.answers.remove(&number) {
             Some(OperatorAnswer::Refused(why)) if why.starts_with("not done yet") => {
-                number = world.submit_order(node, action.clone());
+                number = world.submit_action(node, action.clone());
             }
             Some(answer) => return answer,
             None => world.step(),
@@ -575,7 +575,7 @@
     let mut world = World::new(5, 3, 1);
     world.run_for(4000);
     let node = node_name(3);
-    world.submit_order(
+    world.submit_action(
         &node_name(0),
         FleetAction::EvictMember { node: node.clone() },
     );
@@ -614,7 +614,7 @@
             "seed {seed}"
         );
         let number =
-            world.submit_order(&old_leader, FleetAction::AdmitMember { node: node.clone() });
+            world.submit_action(&old_leader, FleetAction::AdmitMember { node: node.clone() });
         world.hosts.get_mut(&old_leader).unwrap().stopped_until = 0;
         world.run_for(1000);
         let is_done = world.answers.get(&number) == Some(&OperatorAnswer::Done);
--- a/crates/fleet/tests/work.rs
+++ b/crates/fleet/tests/work.rs
@@ -408,7 +408,7 @@
     );
     // The process ends with its machine.
     world.kill_process(&cut_off);
-    world.submit_order(
+    world.submit_action(
         &node_name(0),
         violetwind_fleet::FleetAction::DeclareMemberLost { node: cut_off },
     );
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -80,7 +80,7 @@
         }
         println!("seed {}: log {}", report.seed, report.log.display());
     }
-    let request_count: usize = reports.iter().map(|report| report.asked).sum();
+    let request_count: usize = reports.iter().map(|report| report.request_count).sum();
     println!(
         "{} seeds, {request_count} requests, {} seeds with violations",
         reports.len(),
@@ -93,7 +93,7 @@
     format!(
         "seed {}: {} asked, {} served, {} refused, {} failed, {} violations",
         report.seed,
-        report.asked,
+        report.request_count,
         report.served,
         report.refused,
         report.failed,
--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -56,7 +56,7 @@
     let discovery = Discovery::start(&[target_row("s-1", &slow_host.addr.to_string(), "ready")]);
     let proxy = start_proxy(&discovery, |_| {});
     let clients: Vec<LineConnection> = (0..8).map(|_| proxy.open_with("c=watch,d=6000")).collect();
-    slow_host.wait_for_dials(clients.len());
+    slow_host.wait_for_pending_connections(clients.len());
     proxy.stop_process();
     let streams: Vec<TcpStream> = clients
         .iter()
@@ -104,7 +104,7 @@
     let discovery = Discovery::start(&[row("ready")]);
     let proxy = start_proxy(&discovery, |_| {});
     let mut client = proxy.open_with("c=book,d=6000");
-    slow_host.wait_for_dials(1);
+    slow_host.wait_for_pending_connections(1);
     discovery.upsert_target(row("draining"));
     proxy.wait_for_log("a server leaves");
     assert_eq!(read_all(slow_host.recover_and_accept()), b"");
--- a/crates/proxy/tests/soak.rs
+++ b/crates/proxy/tests/soak.rs
@@ -32,7 +32,7 @@
             for (seed, run) in runs {
                 let report = run.join().unwrap();
                 assert!(
-                    report.asked > 300 && report.served > 0,
+                    report.request_count > 300 && report.served > 0,
                     "seed {seed}: {report:?}"
                 );
                 violations.extend(
--- a/crates/standins/src/soak/runner.rs
+++ b/crates/standins/src/soak/runner.rs
@@ -46,7 +46,7 @@
 pub struct Report {
     pub seed: u64,
     /// The number of requests.
-    pub asked: usize,
+    pub request_count: usize,
     /// Requests answered with `UP` or `BYE`.
     pub served: usize,
     /// Requests answered with `BUSY`.
@@ -234,7 +234,7 @@
         }
         Report {
             seed: self.seed,
-            asked: record.requests.len(),
+            request_count: record.requests.len(),
             served: count(|outcome| matches!(outcome, RequestOutcome::Up | RequestOutcome::Bye)),
             refused: count(|outcome| *outcome == RequestOutcome::Busy),
             failed: count(|outcome| matches!(outcome, RequestOutcome::Failed(_))),
--- a/crates/standins/src/unresponsive_host.rs
+++ b/crates/standins/src/unresponsive_host.rs
@@ -47,7 +47,7 @@
     }
 
     /// Waits until exactly `dials` connection attempts of other sockets are pending, according to `/proc/net/tcp`.
-    pub fn wait_for_dials(&self, dials: usize) {
+    pub fn wait_for_pending_connections(&self, dials: usize) {
         let filler_ports: Vec<u16> = self.filler_addrs().iter().map(SocketAddr::port).collect();
         let port = |field: &str| u16::from_str_radix(field.rsplit(':').next()?, 16).ok();
         let deadline = Instant::now() + WAIT_TIMEOUT;
--- a/crates/storm/examples/nights.rs
+++ b/crates/storm/examples/nights.rs
@@ -24,7 +24,7 @@
             let started = Instant::now();
             world.run_to_completion();
             assert_eq!(world.violation, None);
-            assert_eq!(world.times_emptied.len(), machines);
+            assert_eq!(world.times_drained.len(), machines);
             (
                 world.tick,
                 world.clients_moved,
--- a/crates/storm/src/fleet.rs
+++ b/crates/storm/src/fleet.rs
@@ -677,7 +677,7 @@
 
     /// Requests one unit of each externally counted budget. The external counter continues with the part it was given,
     /// even while the member's own thread is stalled.
-    pub fn take_external_units(&mut self, name: &str) {
+    pub fn acquire_external_units(&mut self, name: &str) {
         let external = self
             .budgets
             .iter()
@@ -820,7 +820,7 @@
     }
 
     /// Submits an operator's action at a member and returns the number of the call.
-    pub fn submit_order(&mut self, name: &str, action: FleetAction) -> Number {
+    pub fn submit_action(&mut self, name: &str, action: FleetAction) -> Number {
         self.submit_call(name, OperatorCall::FleetAction(action))
     }
 
--- a/crates/storm/src/fleet/faults.rs
+++ b/crates/storm/src/fleet/faults.rs
@@ -157,7 +157,7 @@
             Fault::Slow { node, sync } => self.hosts.get_mut(node).unwrap().sync_latency = *sync,
             Fault::HandOn { by, duty, to } => {
                 let (duty, to) = (duty.clone(), to.clone());
-                self.submit_order(
+                self.submit_action(
                     by,
                     FleetAction::HandOffDuty {
                         duty,
--- a/crates/storm/src/fleet/operators.rs
+++ b/crates/storm/src/fleet/operators.rs
@@ -22,7 +22,7 @@
         let call = (at.to_string(), Some((node.to_string(), put_out)), self.now);
         self.pending_operator_calls
             .insert(self.last_number + 1, call);
-        self.submit_order(at, action);
+        self.submit_action(at, action);
     }
 
     /// Requests a view of the fleet at a random member, at random times.
@@ -89,7 +89,7 @@
 
     /// Lets all members in, repeating the calls until no member is put out. A member that is put out still serves, so a
     /// work order would wait for its confirmation.
-    pub fn admit_all(&mut self) {
+    pub fn admit_all_members(&mut self) {
         for _ in 0..20 {
             let leader = self.leader();
             let state = leader.and_then(|name| self.hosts[&name].member.as_ref()?.state());
--- a/crates/storm/src/script.rs
+++ b/crates/storm/src/script.rs
@@ -263,7 +263,7 @@
         }
         run_until(&mut world, self.lasts, &mut timeline);
         world.heal_and_check();
-        world.admit_all();
+        world.admit_all_members();
         world.check_history();
         if self.machines > 0 {
             let until = world.now + WORK_ORDER_TIMEOUT;
--- a/crates/storm/src/work_orders.rs
+++ b/crates/storm/src/work_orders.rs
@@ -54,7 +54,7 @@
     /// Tick at which a version of a machine's place began.
     version_started: BTreeMap<Number, Millis>,
     /// How many times each machine was reported as drained.
-    pub times_emptied: BTreeMap<Name, u32>,
+    pub times_drained: BTreeMap<Name, u32>,
     pub violation: Option<String>,
     /// Whether random faults are no longer injected.
     faults_ended: bool,
@@ -149,7 +149,7 @@
             dead_machines: BTreeSet::new(),
             warm_up_ticks: BTreeMap::new(),
             version_started: BTreeMap::new(),
-            times_emptied: BTreeMap::new(),
+            times_drained: BTreeMap::new(),
             violation: None,
             faults_ended: false,
             peak_machines_out: 0,
@@ -327,7 +327,7 @@
         {
             self.version_started.insert(*version, self.tick);
             if *phase == Phase::Drained {
-                *self.times_emptied.entry(machine.clone()).or_default() += 1;
+                *self.times_drained.entry(machine.clone()).or_default() += 1;
             }
             if matches!(phase, Phase::Returning { .. }) {
                 self.warm_up_ticks.insert(machine.clone(), 10);
@@ -441,7 +441,7 @@
                 violation = Some(format!("Empty Means Empty: {clients} clients at {name}"));
             }
         }
-        if let Some((name, _)) = self.times_emptied.iter().find(|(_, times)| **times > 1) {
+        if let Some((name, _)) = self.times_drained.iter().find(|(_, times)| **times > 1) {
             violation = Some(format!(
                 "Once: {name} was reported as drained more than once"
             ));
--- a/crates/workorders/tests/scenarios.rs
+++ b/crates/workorders/tests/scenarios.rs
@@ -26,7 +26,7 @@
         let mut world = World::new(seed, InjectedBug::Nothing);
         world.run_with_faults();
         assert_eq!(world.violation, None, "seed {seed}");
-        done += world.times_emptied.len();
+        done += world.times_drained.len();
         for (name, phase) in unfinished_machines(&world) {
             // Only machines that the bounds never allow to be taken out are left, or machines of later orders.
             assert_eq!(phase, Phase::Waiting, "seed {seed}: {name}");
