--- a/crates/proxy/benches/duties.rs
+++ b/crates/proxy/benches/duties.rs
@@ -43,17 +43,17 @@
     );
 }
 
-fn wait_for_leader(members: &FleetHarness, excluded: Option<usize>) -> usize {
-    members.wait_until("a leader", |members| {
-        let leader = (0..members.member_count())
+fn wait_for_leader(fleet: &FleetHarness, excluded: Option<usize>) -> usize {
+    fleet.wait_until("a leader", |fleet| {
+        let leader = (0..fleet.member_count())
             .filter(|member| Some(*member) != excluded)
             .find_map(|member| {
-                let view = members
+                let view = fleet
                     .fetch_view(member)
                     .filter(|view| view["majority"] == true)?;
                 view["leader"].as_str().map(str::to_string)
             })?;
-        (0..members.member_count())
+        (0..fleet.member_count())
             .find(|member| node_name(*member) == leader)
             .filter(|member| Some(*member) != excluded)
     })
@@ -90,13 +90,13 @@
 /// Measures the processor time of the engine's thread, in microseconds, for one opened connection and for one line
 /// relayed in both directions.
 fn measure_client_path(
-    members: &FleetHarness,
+    fleet: &FleetHarness,
     pid: u32,
     address: SocketAddr,
     id: &mut u64,
 ) -> (f64, f64) {
     let started_at = engine_cpu_time(pid);
-    let mut pair = open_connections(members, address, id, OPENS);
+    let mut pair = open_connections(fleet, address, id, OPENS);
     let set_up = engine_cpu_time(pid);
     relay_lines(&mut pair, LINES);
     let ended = engine_cpu_time(pid);
@@ -109,7 +109,7 @@
 
 /// Opens clients one after the other, each replacing the previous one. Returns the last client and its server side.
 fn open_connections(
-    members: &FleetHarness,
+    fleet: &FleetHarness,
     address: SocketAddr,
     id: &mut u64,
     count: u32,
@@ -119,7 +119,7 @@
         let mut client = LineConnection::connect(address);
         *id += 1;
         client.send_line(&format!("OPEN {id:016x} 7f3a9c21e0b4d655 c=watch,d=2000"));
-        let (_, mut server_side) = members.server.next_open();
+        let (_, mut server_side) = fleet.server.next_open();
         server_side.send_line("UP 77aa");
         assert_eq!(client.read_line(), "UP 77aa");
         pair = Some((client, server_side));
@@ -179,20 +179,20 @@
 /// Returns the instructions for an opened connection and for a relayed line. The periodic work of the thread is
 /// subtracted, according to its rate when idle.
 fn measure_instructions(
-    members: &FleetHarness,
+    fleet: &FleetHarness,
     dir: &Path,
     pid: u32,
     address: SocketAddr,
 ) -> [f64; 2] {
     let (mut id, mut dumps) = (0x51c3_a9be_00d2_0000, 0);
-    let mut pair = open_connections(members, address, &mut id, OPENS);
+    let mut pair = open_connections(fleet, address, &mut id, OPENS);
     relay_lines(&mut pair, LINES);
     let idle = count_instructions(dir, pid, &mut dumps, || {
         std::thread::sleep(Duration::from_secs(5));
     });
     let per_second = idle.instructions / idle.elapsed.as_secs_f64();
     let set_ups = count_instructions(dir, pid, &mut dumps, || {
-        pair = open_connections(members, address, &mut id, 10 * OPENS);
+        pair = open_connections(fleet, address, &mut id, 10 * OPENS);
     });
     let lines = count_instructions(dir, pid, &mut dumps, || relay_lines(&mut pair, 10 * LINES));
     println!("process {pid}: idle, {per_second:.0} instructions a second");
@@ -231,13 +231,13 @@
     spec.extra_toml = format!(
         "[[fleet.budget]]\nname = \"slots\"\nkind = \"held\"\nwhole = {BUDGET_TOTAL}\nfloor = {floor}\n"
     );
-    let members = FleetHarness::start(spec);
-    members.wait_until("all members are live", |members| {
-        let view = members.fetch_view(0)?;
+    let fleet = FleetHarness::start(spec);
+    fleet.wait_until("all members are live", |fleet| {
+        let view = fleet.fetch_view(0)?;
         (count_live_members(&view) == Some(count)).then_some(())
     });
     let callers = BudgetWorkload::start(
-        &members,
+        &fleet,
         &WorkloadSpec {
             workers_per_member: CALLERS,
             held_budget: "slots".into(),
@@ -288,25 +288,20 @@
     };
     for voters in [3, 5, 7].into_iter().filter(|_| is_selected("commits")) {
         for sync in [true, false] {
-            let members = FleetHarness::start(fleet_spec(voters, 0, sync));
-            members.wait_for_holder("export", 0);
-            let leader = wait_for_leader(&members, None);
+            let fleet = FleetHarness::start(fleet_spec(voters, 0, sync));
+            fleet.wait_for_holder("export", 0);
+            let leader = wait_for_leader(&fleet, None);
             // A handoff to the present holder changes nothing: it costs one log entry, the call and the answer. A view
             // is a confirmed read.
             let command = format!(
                 "FLEET HAND-ON export {}",
-                node_name(members.wait_for_holder("export", 0).0)
+                node_name(fleet.wait_for_holder("export", 0).0)
             );
             let (mut commits, mut reads) = (Vec::new(), Vec::new());
             for _ in 0..300 {
                 for (line, samples) in [(command.as_str(), &mut commits), ("FLEET", &mut reads)] {
                     let started_at = Instant::now();
-                    assert!(
-                        members
-                            .call_member(leader, line)
-                            .unwrap()
-                            .starts_with("200 ")
-                    );
+                    assert!(fleet.call_member(leader, line).unwrap().starts_with("200 "));
                     samples.push(started_at.elapsed().as_secs_f64() * 1000.0);
                 }
             }
@@ -318,18 +313,18 @@
         }
     }
     for voters in [3, 5, 7].into_iter().filter(|_| is_selected("elections")) {
-        let mut members = FleetHarness::start(fleet_spec(voters, 0, true));
-        members.wait_for_holder("export", 0);
+        let mut fleet = FleetHarness::start(fleet_spec(voters, 0, true));
+        fleet.wait_for_holder("export", 0);
         let (mut elections, mut handoffs) = (Vec::new(), Vec::new());
         for _ in 0..50 {
-            let leader = wait_for_leader(&members, None);
+            let leader = wait_for_leader(&fleet, None);
             let started_at = boottime_ms();
-            members.kill_member(leader);
-            let _ = wait_for_leader(&members, Some(leader));
+            fleet.kill_member(leader);
+            let _ = wait_for_leader(&fleet, Some(leader));
             elections.push((boottime_ms() - started_at) as f64);
-            members.start_member(leader);
-            members.wait_until("the member is back", |members| {
-                let view = members.fetch_view(leader)?;
+            fleet.start_member(leader);
+            fleet.wait_until("the member is back", |fleet| {
+                let view = fleet.fetch_view(leader)?;
                 (view["leader"].is_string()).then_some(())
             });
         }
@@ -338,62 +333,58 @@
             elections,
         );
         for _ in 0..20 {
-            let (holder, _) = members.wait_for_holder("export", 0);
+            let (holder, _) = fleet.wait_for_holder("export", 0);
             let started_at = boottime_ms();
-            assert!(members.terminate_member(holder).unwrap().success());
-            let (_, from) = members.wait_for_holder("export", started_at);
+            assert!(fleet.terminate_member(holder).unwrap().success());
+            let (_, from) = fleet.wait_for_holder("export", started_at);
             handoffs.push(from.saturating_sub(started_at) as f64);
-            members.start_member(holder);
-            members.wait_until("the member is back", |members| {
-                let view = members.fetch_view(holder)?;
+            fleet.start_member(holder);
+            fleet.wait_until("the member is back", |fleet| {
+                let view = fleet.fetch_view(holder)?;
                 (count_live_members(&view) == Some(voters)).then_some(())
             });
         }
         print_quantiles(&format!("{voters} voters, a planned handoff"), handoffs);
         let mut unplanned = Vec::new();
         for _ in 0..10 {
-            let (holder, _) = members.wait_for_holder("export", 0);
+            let (holder, _) = fleet.wait_for_holder("export", 0);
             let started_at = boottime_ms();
-            members.kill_member(holder);
-            let (_, from) = members.wait_for_holder("export", started_at);
+            fleet.kill_member(holder);
+            let (_, from) = fleet.wait_for_holder("export", started_at);
             unplanned.push((from - started_at) as f64);
-            members.start_member(holder);
-            members.wait_until("the member is back", |members| {
-                let view = members.fetch_view(holder)?;
+            fleet.start_member(holder);
+            fleet.wait_until("the member is back", |fleet| {
+                let view = fleet.fetch_view(holder)?;
                 (count_live_members(&view) == Some(voters)).then_some(())
             });
         }
         print_quantiles(&format!("{voters} voters, an unplanned handoff"), unplanned);
-        let violations = duty_history::find_duty_violations(&members.duty_events(), &[]);
+        let violations = duty_history::find_duty_violations(&fleet.duty_events(), &[]);
         println!(
             "{voters} voters: {} holds, violations {violations:?}",
-            duty_history::reconstruct_holdings(&members.duty_events()).len()
+            duty_history::reconstruct_holdings(&fleet.duty_events()).len()
         );
     }
     if is_selected("ordinary") {
         // Two processes of the same program side by side: a member that holds a duty, and one without `[fleet]`.
-        let members = FleetHarness::start(fleet_spec(1, 0, true));
-        members.wait_for_holder("export", 0);
-        let standalone = members.start_standalone_process(0);
-        members.wait_until("the process serves", |members| {
+        let fleet = FleetHarness::start(fleet_spec(1, 0, true));
+        fleet.wait_for_holder("export", 0);
+        let standalone = fleet.start_standalone_process(0);
+        fleet.wait_until("the process serves", |fleet| {
             let mut caller =
                 LineConnection::new(std::net::TcpStream::connect(standalone.management_addr).ok()?);
             caller.send_line("HEALTH");
             let answer = caller.try_read_line().ok()?;
-            (answer.starts_with("200 ") && members.fetch_view(0).is_some()).then_some(())
+            (answer.starts_with("200 ") && fleet.fetch_view(0).is_some()).then_some(())
         });
         let mut id = 0x51c3_a9be_00d2_0000;
         let (mut opens, mut lines) = (Vec::new(), Vec::new());
         let (mut off_opens, mut off_lines) = (Vec::new(), Vec::new());
         for _ in 0..PAIRS {
-            let on = measure_client_path(
-                &members,
-                members.pid(0).unwrap(),
-                members.client_addr(0),
-                &mut id,
-            );
+            let on =
+                measure_client_path(&fleet, fleet.pid(0).unwrap(), fleet.client_addr(0), &mut id);
             let off = measure_client_path(
-                &members,
+                &fleet,
                 standalone.child.id(),
                 standalone.client_addr,
                 &mut id,
@@ -424,29 +415,29 @@
         spec.program = write_callgrind_wrapper(&dir);
         let mut runs = Vec::new();
         for _ in 0..2 {
-            let members = FleetHarness::start(spec.clone());
-            members.wait_for_holder("export", 0);
-            let standalone = members.start_standalone_process(0);
-            members.wait_until("the process serves", |members| {
+            let fleet = FleetHarness::start(spec.clone());
+            fleet.wait_for_holder("export", 0);
+            let standalone = fleet.start_standalone_process(0);
+            fleet.wait_until("the process serves", |fleet| {
                 let mut caller = LineConnection::new(
                     std::net::TcpStream::connect(standalone.management_addr).ok()?,
                 );
                 caller.send_line("HEALTH");
                 let answer = caller.try_read_line().ok()?;
-                (answer.starts_with("200 ") && members.fetch_view(0).is_some()).then_some(())
+                (answer.starts_with("200 ") && fleet.fetch_view(0).is_some()).then_some(())
             });
             runs.push(measure_instructions(
-                &members,
+                &fleet,
                 &dir,
                 standalone.child.id(),
                 standalone.client_addr,
             ));
-            let pid = members.pid(0).unwrap();
+            let pid = fleet.pid(0).unwrap();
             runs.push(measure_instructions(
-                &members,
+                &fleet,
                 &dir,
                 pid,
-                members.client_addr(0),
+                fleet.client_addr(0),
             ));
         }
         for (index, label) in ["set-up", "line"].into_iter().enumerate() {
@@ -475,15 +466,15 @@
         }
     }
     if is_selected("sessions") {
-        let members = FleetHarness::start(fleet_spec(3, 297, true));
-        let leader = members.wait_until("a leader", |members| {
-            members
+        let fleet = FleetHarness::start(fleet_spec(3, 297, true));
+        let leader = fleet.wait_until("a leader", |fleet| {
+            fleet
                 .duty_holder(0, "export")
-                .map(|_| wait_for_leader(members, None))
+                .map(|_| wait_for_leader(fleet, None))
         });
         let started_at = Instant::now();
         let live = || {
-            let view = members.fetch_view(leader)?;
+            let view = fleet.fetch_view(leader)?;
             let live = view["members"]
                 .as_array()?
                 .iter()
@@ -498,9 +489,9 @@
             );
             std::thread::sleep(Duration::from_millis(100));
         }
-        let pid = members.pid(leader).unwrap();
+        let pid = fleet.pid(leader).unwrap();
         let (before, _) = cpu_time_and_peak_memory(pid);
-        let other = members.pid(150).unwrap();
+        let other = fleet.pid(150).unwrap();
         let (other_before, _) = cpu_time_and_peak_memory(other);
         let bytes = loopback_bytes();
         std::thread::sleep(Duration::from_secs(10));
--- a/crates/proxy/examples/mixed_builds.rs
+++ b/crates/proxy/examples/mixed_builds.rs
@@ -1,10 +1,10 @@
-//! Checks that a new build works together with an old one: on the same files, in one fleet, and as the successor of a
+//! Checks that a new build works together with an old one: with the same files, in one fleet, and as the successor of a
 //! process with clients. All of it is on loopback, in directories of its own.
 //!
 //! `cargo run --release -p violetwind --example mixed_builds -- --old PROGRAM --new PROGRAM`
 //!
-//! One line a check, `ok NAME` or `FAILED NAME: why`; the exit code is 1 after any failure. What the processes logged
-//! in a check that failed goes to standard error.
+//! Prints one line per check, `ok NAME` or `FAILED NAME: REASON`; the exit code is 1 after any failure. The logs of the
+//! processes in a failed check are written to standard error.
 
 use std::collections::BTreeSet;
 use std::fs::{self, File};
@@ -27,16 +27,16 @@
 
 const DUTY: &str = "export";
 const BUDGET: &str = "tenant";
-/// The units of the budget, of which each of three members has a floor of 2.
-const WHOLE: usize = 60;
-const MACHINES: usize = 6;
+/// The total of the budget in units, of which each of three members has a floor of 2.
+const BUDGET_TOTAL: usize = 60;
+const MACHINE_COUNT: usize = 6;
 /// The member whose process is killed; the others are terminated.
 const KILLED: usize = 2;
 /// The server that an operator bans; it is in no order.
 const BANNED: &str = "m-5/s";
 
 /// Every member records its requests, takes part in one duty, and has one budget.
-const LINES: &str = "[record]\nfile = \"FILE.requests\"\n\
+const OPERATOR_LINES: &str = "[record]\nfile = \"FILE.requests\"\n\
     [[fleet.duty]]\nname = \"export\"\n\
     [[fleet.budget]]\nname = \"tenant\"\nkind = \"held\"\nwhole = 60\nfloor = 2\n";
 
@@ -54,13 +54,23 @@
     // The message of a failed check is printed once, below.
     panic::set_hook(Box::new(|_| {}));
     let checks: [(&str, &dyn Fn()); 5] = [
-        ("new build on the old one's files", &|| files(&old, &new)),
-        ("old build on the new one's files", &|| files(&new, &old)),
-        ("one fleet of both builds", &|| fleet(&old, &new)),
-        ("clients from old to new to old", &|| clients(&old, &new)),
-        ("clients from new to old to new", &|| clients(&new, &old)),
+        ("new build on the old one's files", &|| {
+            check_files(&old, &new)
+        }),
+        ("old build on the new one's files", &|| {
+            check_files(&new, &old)
+        }),
+        ("one fleet of both builds", &|| {
+            check_mixed_fleet(&old, &new)
+        }),
+        ("clients from old to new to old", &|| {
+            check_upgrades(&old, &new)
+        }),
+        ("clients from new to old to new", &|| {
+            check_upgrades(&new, &old)
+        }),
     ];
-    let passed: Vec<bool> = checks.map(|(name, check)| passes(name, check)).into();
+    let passed: Vec<bool> = checks.map(|(name, check)| run_check(name, check)).into();
     match passed.iter().all(|passed| *passed) {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
@@ -68,7 +78,7 @@
 }
 
 /// Runs a check and prints its line.
-fn passes(name: &str, check: &dyn Fn()) -> bool {
+fn run_check(name: &str, check: &dyn Fn()) -> bool {
     let Err(panic) = panic::catch_unwind(AssertUnwindSafe(check)) else {
         println!("ok {name}");
         return true;
@@ -81,32 +91,32 @@
     false
 }
 
-/// Three voters that keep all kinds of files on disk.
+/// Starts three voters that keep all kinds of files on disk.
 fn start_harness(program: &Path) -> WorkOrderHarness {
-    WorkOrderHarness::start(program.into(), (3, 0), MACHINES, LINES)
+    WorkOrderHarness::start(program.into(), (3, 0), MACHINE_COUNT, OPERATOR_LINES)
 }
 
 /// Waits until all members are live.
 fn wait_for_all_members(harness: &WorkOrderHarness) {
-    harness.fleet.wait_until("the fleet is whole", |members| {
-        let all = (0..members.member_count()).all(|at| {
-            let view = members
-                .fetch_view(at)
+    harness.fleet.wait_until("all members are live", |fleet| {
+        let all = (0..fleet.member_count()).all(|member| {
+            let view = fleet
+                .fetch_view(member)
                 .filter(|view| view["majority"] == true);
-            view.and_then(|view| count_live_members(&view)) == Some(members.member_count())
+            view.and_then(|view| count_live_members(&view)) == Some(fleet.member_count())
         });
         all.then_some(())
     });
 }
 
-/// Who holds the duty, and its fencing number.
+/// The index of the duty's holder, and the fencing number.
 fn duty_holder_and_fence(harness: &WorkOrderHarness) -> (usize, u64) {
-    harness.fleet.wait_until("the duty is held", |members| {
-        let views = (0..members.member_count()).filter_map(|at| members.fetch_view(at));
+    harness.fleet.wait_until("the duty is held", |fleet| {
+        let views = (0..fleet.member_count()).filter_map(|member| fleet.fetch_view(member));
         let view = views.into_iter().find(|view| view["majority"] == true)?;
         let duty = entry_by_name(&view["duties"], DUTY)?;
-        let holder =
-            (0..members.member_count()).find(|at| duty["holder"] == node_name(*at).as_str())?;
+        let holder = (0..fleet.member_count())
+            .find(|member| duty["holder"] == node_name(*member).as_str())?;
         Some((holder, duty["fence"].as_u64()?))
     })
 }
@@ -126,8 +136,8 @@
         rate_budget: None,
     };
     let workload = BudgetWorkload::start(&harness.fleet, &spec);
-    (0..harness.fleet.member_count()).for_each(|at| workload.set_active_workers(at, 24));
-    harness.wait_until("shares are in use", |_| {
+    (0..harness.fleet.member_count()).for_each(|member| workload.set_active_workers(member, 24));
+    harness.wait_until("more units than the floors are in use", |_| {
         (workload.stats.lock().unwrap().units_in_use() > 18).then_some(())
     });
     workload
@@ -137,8 +147,8 @@
 fn stop_within_budget(workload: BudgetWorkload) {
     let stats = workload.stop();
     assert!(
-        stats.max_in_use <= WHOLE,
-        "{} of {WHOLE} units",
+        stats.max_in_use <= BUDGET_TOTAL,
+        "{} of {BUDGET_TOTAL} units",
         stats.max_in_use
     );
 }
@@ -163,16 +173,21 @@
     directories: Vec<BTreeSet<PathBuf>>,
 }
 
-/// One build creates state and stops; the other starts on the same files and finds all of it.
-fn files(first: &Path, second: &Path) {
+/// One build creates state and stops; the other starts with the same files and restores all of it.
+fn check_files(first: &Path, second: &Path) {
     let mut harness = start_harness(first);
     wait_for_all_members(&harness);
     create_state(&harness);
     let fence = duty_holder_and_fence(&harness).1;
-    let empty = machines_in_phase(&harness.fetch_work_view().expect("orders"), "empty");
-    let budget = budget(&harness);
+    let empty = machines_in_phase(
+        &harness
+            .fetch_work_view()
+            .expect("a view of the work orders"),
+        "empty",
+    );
+    let budget = budget_in_force(&harness);
     // A terminated process removes its file of machine availability; a killed one leaves it.
-    (0..KILLED).for_each(|at| terminate(&mut harness, at));
+    (0..KILLED).for_each(|member| terminate_member(&mut harness, member));
     harness.fleet.kill_member(KILLED);
     assert_eq!(closed_machines(&harness, KILLED).as_ref(), Some(&empty));
     let persisted = PersistedState {
@@ -180,26 +195,29 @@
         empty,
         budget,
         recordings: (0..3)
-            .map(|at| recording(&harness, at, "requests"))
+            .map(|member| read_recording(&harness, member, "requests"))
+            .collect(),
+        directories: (0..3)
+            .map(|member| subdirectories(&harness, member))
             .collect(),
-        directories: (0..3).map(|at| directories(&harness, at)).collect(),
     };
     assert!(persisted.recordings.iter().all(|records| records.len() > 1));
     harness.fleet.set_program(second.into());
-    (0..3).for_each(|at| harness.fleet.start_member(at));
+    (0..3).for_each(|member| harness.fleet.start_member(member));
     wait_for_all_members(&harness);
     assert_state_restored(&harness, &persisted);
     assert_work_continues(&harness);
 }
 
-/// A machine out by order, a banned server, units in use, and recorded requests; the duty gets a holder without help.
+/// A machine out by order, a banned server, units in use, and recorded requests. The duty is assigned without
+/// a call.
 fn create_state(harness: &WorkOrderHarness) {
     harness.plan_work_order(0, "kernel", "m-1..m-2", &["--floor", "0.5", "--most", "1"]);
     harness.wait_until("a machine is empty", |harness| {
         machines_in_phase(&harness.fetch_work_view()?, "empty").pop()
     });
-    for at in 0..3 {
-        harness.call_until_accepted(at, &format!("OFFLINE {BANNED}"));
+    for member in 0..3 {
+        harness.call_until_accepted(member, &format!("OFFLINE {BANNED}"));
     }
     let clients = ClientPool::start(client_addrs(&harness.fleet), 6);
     stop_within_budget(start_workload(harness));
@@ -209,32 +227,37 @@
     });
     clients.stop();
     harness.wait_until("each proxy has recorded", |harness| {
-        let begun = |at| own_file(harness, at, ".requests").exists();
-        (0..3).all(begun).then_some(())
+        let has_begun = |member| member_file(harness, member, ".requests").exists();
+        (0..3).all(has_begun).then_some(())
     });
 }
 
-fn terminate(harness: &mut WorkOrderHarness, at: usize) {
-    let status = harness.fleet.terminate_member(at).expect("it ran");
-    assert!(status.success(), "{} ends with {status}", node_name(at));
+fn terminate_member(harness: &mut WorkOrderHarness, member: usize) {
+    let status = harness
+        .fleet
+        .terminate_member(member)
+        .expect("a running process of the member");
+    assert!(status.success(), "{} ends with {status}", node_name(member));
 }
 
 /// The units and the version of the budget that is in force.
-fn budget(harness: &WorkOrderHarness) -> (Value, Value) {
-    harness.fleet.wait_until("the budget is told", |members| {
-        let budget = entry_by_name(&members.fetch_view(0)?["budgets"], BUDGET)?;
-        Some((budget["whole"].clone(), budget["version"].clone()))
-    })
+fn budget_in_force(harness: &WorkOrderHarness) -> (Value, Value) {
+    harness
+        .fleet
+        .wait_until("the budget is in the view", |fleet| {
+            let budget = entry_by_name(&fleet.fetch_view(0)?["budgets"], BUDGET)?;
+            Some((budget["whole"].clone(), budget["version"].clone()))
+        })
 }
 
-fn own_file(harness: &WorkOrderHarness, at: usize, extension: &str) -> PathBuf {
+fn member_file(harness: &WorkOrderHarness, member: usize, extension: &str) -> PathBuf {
     let file = format!("work.out{extension}");
-    harness.fleet.dir().join(node_name(at)).join(file)
+    harness.fleet.dir().join(node_name(member)).join(file)
 }
 
-/// All records of a recording, which has to be whole.
-fn recording(harness: &WorkOrderHarness, at: usize, extension: &str) -> Vec<Record> {
-    let path = own_file(harness, at, &format!(".{extension}"));
+/// All records of a recording, which has to be complete.
+fn read_recording(harness: &WorkOrderHarness, member: usize, extension: &str) -> Vec<Record> {
+    let path = member_file(harness, member, &format!(".{extension}"));
     let file = File::open(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     let mut reader = Reader::new(file);
     let records = reader.by_ref().collect();
@@ -247,16 +270,17 @@
     records
 }
 
-/// Subdirectories of a member's log directory: refused files are moved into one.
-fn directories(harness: &WorkOrderHarness, at: usize) -> BTreeSet<PathBuf> {
-    let entries = fs::read_dir(harness.fleet.fleet_dir(at)).expect("the directory of a log");
-    let paths = entries.map(|entry| entry.expect("an entry").path());
+/// The subdirectories of a member's log directory. Files that a build refuses are moved into one.
+fn subdirectories(harness: &WorkOrderHarness, member: usize) -> BTreeSet<PathBuf> {
+    let entries =
+        fs::read_dir(harness.fleet.fleet_dir(member)).expect("the directory of the member's log");
+    let paths = entries.map(|entry| entry.expect("a readable directory entry").path());
     paths.filter(|path| path.is_dir()).collect()
 }
 
 /// The machines that are closed in a member's availability file, if it exists.
-fn closed_machines(harness: &WorkOrderHarness, at: usize) -> Option<Vec<String>> {
-    let text = fs::read_to_string(own_file(harness, at, "")).ok()?;
+fn closed_machines(harness: &WorkOrderHarness, member: usize) -> Option<Vec<String>> {
+    let text = fs::read_to_string(member_file(harness, member, "")).ok()?;
     let (_, body) = text.split_once('\n').expect("a line with a checksum");
     let availability: Value = serde_json::from_str(body).expect("JSON behind the first line");
     let places = availability["places"]
@@ -271,57 +295,67 @@
     let (_, fence) = duty_holder_and_fence(harness);
     assert!(
         fence >= persisted.fence,
-        "number {fence} after {}",
+        "fencing number {fence} after {}",
         persisted.fence
     );
-    let view = harness.wait_until("the orders are told", WorkOrderHarness::fetch_work_view);
+    let view = harness.wait_until(
+        "a view of the work orders",
+        WorkOrderHarness::fetch_work_view,
+    );
     assert_eq!(
         machines_in_phase(&view, "empty"),
         persisted.empty,
         "machines out"
     );
-    assert_eq!(budget(harness), persisted.budget, "the budget");
+    assert_eq!(budget_in_force(harness), persisted.budget, "the budget");
     let message = "machines are out, by the file of the last process";
     assert!(
         harness.fleet.log_contains(KILLED, message),
         "no file was read"
     );
-    (0..3).for_each(|at| assert_member_state_restored(harness, at, persisted));
+    (0..3).for_each(|member| assert_member_state_restored(harness, member, persisted));
 }
 
 /// The same for the files of one member.
-fn assert_member_state_restored(harness: &WorkOrderHarness, at: usize, persisted: &PersistedState) {
-    let member = node_name(at);
-    harness.wait_until("its file names what is out", |harness| {
-        (closed_machines(harness, at)? == persisted.empty).then_some(())
-    });
-    let answer = harness.fleet.call_member(at, &format!("OFFLINE {BANNED}"));
+fn assert_member_state_restored(
+    harness: &WorkOrderHarness,
+    member: usize,
+    persisted: &PersistedState,
+) {
+    let node = node_name(member);
+    harness.wait_until(
+        "the member's file lists the machines that are out",
+        |harness| (closed_machines(harness, member)? == persisted.empty).then_some(()),
+    );
+    let answer = harness
+        .fleet
+        .call_member(member, &format!("OFFLINE {BANNED}"));
     let answer = answer.unwrap_or_default();
-    assert!(answer.contains("already"), "the ban at {member}: {answer}");
-    let directories = directories(harness, at);
-    assert_eq!(directories, persisted.directories[at], "{member}'s log");
+    assert!(answer.contains("already"), "the ban at {node}: {answer}");
+    let directories = subdirectories(harness, member);
+    assert_eq!(directories, persisted.directories[member], "{node}'s log");
     // The new process may already have started a recording of its own.
-    let earlier = &persisted.recordings[at];
+    let earlier = &persisted.recordings[member];
     let extensions = ["requests", "requests.1"];
-    let begun = own_file(harness, at, ".requests.1").exists();
-    let records = recording(harness, at, extensions[usize::from(begun)]);
-    assert_eq!(&records, earlier, "{member}'s recording");
+    let has_begun = member_file(harness, member, ".requests.1").exists();
+    let records = read_recording(harness, member, extensions[usize::from(has_begun)]);
+    assert_eq!(&records, earlier, "{node}'s recording");
 }
 
 /// The second build continues to work with the state that it found.
 fn assert_work_continues(harness: &WorkOrderHarness) {
     stop_within_budget(start_workload(harness));
     // A machine with a banned server counts as out, and the order allows one.
-    for at in 0..3 {
-        harness.call_until_accepted(at, &format!("ONLINE {BANNED}"));
+    for member in 0..3 {
+        harness.call_until_accepted(member, &format!("ONLINE {BANNED}"));
     }
-    while let Some(machine) = harness.wait_until("the next one is empty", next_drained) {
+    while let Some(machine) = harness.wait_until("the next machine is empty", next_drained) {
         complete_work(harness, 0, &machine);
     }
     assert_single_holder(harness);
 }
 
-/// A machine that is drained; none once the order has ended.
+/// The next machine that is empty, or `Some(None)` once the order has ended.
 fn next_drained(harness: &WorkOrderHarness) -> Option<Option<String>> {
     let ended = harness.finished_view().map(|_| None);
     ended.or_else(|| {
@@ -332,9 +366,9 @@
 }
 
 /// Reports at a proxy that the work on a machine is done, and waits until the machine has returned.
-fn complete_work(harness: &WorkOrderHarness, at: usize, machine: &str) {
-    harness.call_until_accepted(at, &format!("FLEET WORK DONE {machine}"));
-    harness.wait_until("it is back", |harness| {
+fn complete_work(harness: &WorkOrderHarness, member: usize, machine: &str) {
+    harness.call_until_accepted(member, &format!("FLEET WORK DONE {machine}"));
+    harness.wait_until("the machine has returned", |harness| {
         let view = harness.fetch_work_view()?;
         let all = view["orders"].as_array()?;
         let place = all
@@ -346,8 +380,8 @@
     });
 }
 
-/// A fleet of two old members and a new one, then of one old and two new ones.
-fn fleet(old: &Path, new: &Path) {
+/// Checks a fleet of two old members and a new one, then of one old and two new ones.
+fn check_mixed_fleet(old: &Path, new: &Path) {
     let mut harness = start_harness(old);
     wait_for_all_members(&harness);
     change_build(&mut harness, 2, new);
@@ -355,9 +389,9 @@
     harness.plan_work_order(0, "kernel", "m-1..m-4", &["--floor", "0.5", "--most", "1"]);
     rotate_duty(&mut harness, &workload, [(0, old), (2, new), (1, old)]);
     work_continues_under(&harness, [2, 0]);
-    (0..3).for_each(|at| workload.set_active_workers(at, 0));
+    (0..3).for_each(|member| workload.set_active_workers(member, 0));
     change_build(&mut harness, 1, new);
-    (0..3).for_each(|at| workload.set_active_workers(at, 24));
+    (0..3).for_each(|member| workload.set_active_workers(member, 24));
     rotate_duty(&mut harness, &workload, [(0, old), (1, new), (2, new)]);
     work_continues_under(&harness, [1, 0]);
     let view = harness.wait_until("the order has ended", WorkOrderHarness::finished_view);
@@ -367,15 +401,16 @@
     harness.assert_no_violations(&[], 1);
 }
 
-/// Terminates a member, and starts another build on its files.
-fn change_build(harness: &mut WorkOrderHarness, at: usize, program: &Path) {
-    terminate(harness, at);
+/// Terminates a member, and starts another build with its files.
+fn change_build(harness: &mut WorkOrderHarness, member: usize, program: &Path) {
+    terminate_member(harness, member);
     harness.fleet.set_program(program.into());
-    harness.fleet.start_member(at);
+    harness.fleet.start_member(member);
     wait_for_all_members(harness);
 }
 
-/// Hands the duty to each member in turn, and kills each member while it holds the duty.
+/// Hands the duty on to each member in turn, then kills each member while it holds the duty and restarts it with its
+/// build.
 fn rotate_duty(
     harness: &mut WorkOrderHarness,
     workload: &BudgetWorkload,
@@ -384,38 +419,49 @@
     for (to, _) in members {
         hand_off_duty(harness, DUTY, to);
     }
-    for (at, program) in members {
-        hand_off_duty(harness, DUTY, at);
+    for (member, program) in members {
+        hand_off_duty(harness, DUTY, member);
         let (_, fence) = duty_holder_and_fence(harness);
-        harness.fleet.kill_member(at);
+        harness.fleet.kill_member(member);
         // The connections of its workers end with it.
-        workload.stats.lock().unwrap().held_units.remove(&at);
+        workload.stats.lock().unwrap().held_units.remove(&member);
         harness.wait_until("another holds the duty", |harness| {
             let (holder, next) = duty_holder_and_fence(harness);
-            (holder != at && next > fence).then_some(())
+            (holder != member && next > fence).then_some(())
         });
         harness.fleet.set_program(program.into());
-        harness.fleet.start_member(at);
+        harness.fleet.start_member(member);
         wait_for_all_members(harness);
     }
 }
 
 fn hand_off_duty(harness: &WorkOrderHarness, duty: &str, to: usize) {
     harness.call_until_accepted(0, &format!("FLEET HAND-ON {duty} {}", node_name(to)));
-    harness.wait_until("it is handed on", |harness| {
+    harness.wait_until("the duty is handed on", |harness| {
         let holder = harness.fleet.duty_holder(to, duty)?;
         (holder == to).then_some(())
     });
 }
 
-/// Each member in turn is the coordinator while one machine returns and the next one drains.
+/// Checks each of these members as the coordinator while one machine returns and the next one drains.
 fn work_continues_under(harness: &WorkOrderHarness, coordinators: [usize; 2]) {
-    for at in coordinators {
+    for member in coordinators {
         let machine = harness.wait_until("a machine is empty", next_drained);
-        hand_off_duty(harness, "work", at);
-        let view = harness.wait_until("orders are told", WorkOrderHarness::fetch_work_view);
-        assert_eq!(coordinator_index(&harness.fleet, &view), Some(at), "{view}");
-        complete_work(harness, at, &machine.expect("an order that goes on"));
+        hand_off_duty(harness, "work", member);
+        let view = harness.wait_until(
+            "a view of the work orders",
+            WorkOrderHarness::fetch_work_view,
+        );
+        assert_eq!(
+            coordinator_index(&harness.fleet, &view),
+            Some(member),
+            "{view}"
+        );
+        complete_work(
+            harness,
+            member,
+            &machine.expect("a machine of an order that has not ended"),
+        );
     }
 }
 
@@ -423,8 +469,8 @@
 type Pair = (LineConnection, LineConnection);
 
 /// Clients stay connected through two upgrades of their proxy, and are moved when it terminates.
-fn clients(first: &Path, second: &Path) {
-    let mut members = FleetHarness::start(FleetSpec {
+fn check_upgrades(first: &Path, second: &Path) {
+    let mut fleet = FleetHarness::start(FleetSpec {
         program: first.into(),
         voters: 3,
         non_voters: 0,
@@ -436,43 +482,48 @@
         fleet_toml: String::new(),
         extra_toml: String::new(),
     });
-    members.wait_for_holder(DUTY, 0);
-    wait_until_serving(&members);
+    fleet.wait_for_holder(DUTY, 0);
+    wait_until_serving(&fleet);
     let mut pairs: Vec<Pair> = (0..5)
-        .map(|number| open_connection(&members, number))
+        .map(|number| open_connection(&fleet, number))
         .collect();
     pairs.iter_mut().for_each(exchange_lines);
     for program in [second, first] {
-        upgrade(&mut members, program);
+        upgrade(&mut fleet, program);
         pairs.iter_mut().for_each(exchange_lines);
         let from = pairs.len() as u64;
-        pairs.extend((from..from + 5).map(|number| open_connection(&members, number)));
+        pairs.extend((from..from + 5).map(|number| open_connection(&fleet, number)));
         pairs.iter_mut().for_each(exchange_lines);
     }
-    members.send_signal(0, "-TERM");
+    fleet.send_signal(0, "-TERM");
     for (client, _) in &mut pairs {
         assert_eq!(client.read_line(), "MOVE");
         assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     }
-    assert!(members.wait_for_exit(0).expect("it ran").success());
+    assert!(
+        fleet
+            .wait_for_exit(0)
+            .expect("a running process of the member")
+            .success()
+    );
 }
 
-fn wait_until_serving(members: &FleetHarness) {
-    members.wait_until("it serves", |members| {
-        members
+fn wait_until_serving(fleet: &FleetHarness) {
+    fleet.wait_until("member 0 serves", |fleet| {
+        fleet
             .call_member(0, "HEALTH")?
             .starts_with("200")
             .then_some(())
     });
 }
 
-/// An established connection.
-fn open_connection(members: &FleetHarness, number: u64) -> Pair {
-    let mut client = LineConnection::connect(members.client_addr(0));
+/// Opens a connection through member 0 and waits until it is established.
+fn open_connection(fleet: &FleetHarness, number: u64) -> Pair {
+    let mut client = LineConnection::connect(fleet.client_addr(0));
     client.send_line(&format!(
         "OPEN {number:016x} 7f3a9c21e0b4d655 c=watch,d=2000"
     ));
-    let (_, mut server) = members.server.next_open();
+    let (_, mut server) = fleet.server.next_open();
     server.send_line("UP 77aa");
     assert_eq!(client.read_line(), "UP 77aa");
     (client, server)
@@ -486,26 +537,31 @@
     assert_eq!(client.read_line(), "OK on");
 }
 
-/// A successor of another build takes over from the first member's process, which ends.
-fn upgrade(members: &mut FleetHarness, program: &Path) {
-    members.set_program(program.into());
-    let mut next = members.start_successor(0);
-    members.wait_until("the successor serves", |members| {
-        members
+/// Upgrades member 0 to another build: the successor takes over from the process, which is terminated.
+fn upgrade(fleet: &mut FleetHarness, program: &Path) {
+    fleet.set_program(program.into());
+    let mut next = fleet.start_successor(0);
+    fleet.wait_until("the successor serves", |fleet| {
+        fleet
             .call_member(0, "HEALTH")?
             .contains("successor")
             .then_some(())
     });
-    assert!(members.terminate_member(0).expect("it ran").success());
-    members.adopt_process(0, &mut next);
-    wait_until_serving(members);
-    members.wait_until("the successor is a member", |members| {
-        let own = member(&members.fetch_view(0)?, &node_name(0))?;
+    assert!(
+        fleet
+            .terminate_member(0)
+            .expect("a running process of the member")
+            .success()
+    );
+    fleet.adopt_process(0, &mut next);
+    wait_until_serving(fleet);
+    fleet.wait_until("the successor is a member", |fleet| {
+        let own = member_entry(&fleet.fetch_view(0)?, &node_name(0))?;
         (own["state"] == "live" && own["votes"] == true).then_some(())
     });
 }
 
-fn member(view: &Value, node: &str) -> Option<Value> {
+fn member_entry(view: &Value, node: &str) -> Option<Value> {
     let mut members = view["members"].as_array()?.iter();
     members.find(|member| member["node"] == node).cloned()
 }
--- a/crates/proxy/tests/answers.rs
+++ b/crates/proxy/tests/answers.rs
@@ -49,8 +49,8 @@
     assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
-/// A request with a side effect that may have run must neither run again nor be answered `BUSY`, which would tell the
-/// client that a repeat is safe.
+/// A request with a side effect that may have run must neither run again nor be answered `BUSY`, which means to
+/// the client that a repeat is safe.
 #[test]
 fn neither_repeats_nor_refuses_a_side_effect_that_may_have_run() {
     let failures: [fn(LineConnection); 2] = [
--- a/crates/proxy/tests/budgets.rs
+++ b/crates/proxy/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! Budgets shared by several real processes. Use is counted outside of the proxies, by callers that take units and give
-//! them back.
+//! Budgets shared by several real processes. Use is counted outside of the proxies, by callers that acquire and
+//! release units.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -259,7 +259,7 @@
     // At another proxy the first client is admitted from the floor at once, and the second exceeds the budget.
     let other = open_client(&fleet, 1, &mut id).expect("the floor admits one client");
     assert!(open_client(&fleet, 1, &mut id).is_none());
-    // Six clients leave; their units go to the proxy with demand.
+    // Six clients disconnect; their units are reassigned to the proxy with demand.
     established.truncate(4);
     established.push(other);
     let started_at = Instant::now();
@@ -614,7 +614,7 @@
     let stats = workload.stats.lock().unwrap();
     let units: Vec<usize> = stats.held_units.values().map(|units| units.len()).collect();
     format!(
-        "{budgets:?}, units by member {units:?}, {} unanswered, {} not given back",
+        "{budgets:?}, units by member {units:?}, {} unanswered, {} not released",
         stats.unanswered, stats.failed_releases
     )
 }
@@ -666,8 +666,8 @@
 }
 
 /// Changed operator's files that reach one process after another while all members are under load: the total is lowered
-/// to a tenth while it is in use, files of the same version disagree, and the budget is removed from all files and put
-/// back.
+/// to a tenth while it is in use, files of the same version disagree, and the budget is removed from all files and
+/// added again.
 #[test]
 fn a_whole_follows_files_that_come_one_by_one() {
     let mut spec = fleet_spec(3, 2);
@@ -696,7 +696,7 @@
         "the lower total is in force",
         HELD_TOTAL / 10,
     );
-    wait_until(&fleet, "units above the total are given back", &|| {
+    wait_until(&fleet, "units above the total are released", &|| {
         units_in_use(&workload) <= HELD_TOTAL / 10
     });
     workload.stats.lock().unwrap().max_in_use = 0;
@@ -718,7 +718,7 @@
         "the lower of the two totals is in force",
         20,
     );
-    wait_until(&fleet, "units above the total are given back", &|| {
+    wait_until(&fleet, "units above the total are released", &|| {
         units_in_use(&workload) <= 20
     });
     workload.stats.lock().unwrap().max_in_use = 0;
@@ -727,7 +727,7 @@
     });
     let max_in_use = workload.stats.lock().unwrap().max_in_use;
     assert!(max_in_use <= 20, "{max_in_use}");
-    // Removed from all files, the budget is deleted and calls for it are refused; put back, it is divided again.
+    // Removed from all files, the budget is deleted and calls for it are refused; added again, it is divided again.
     for member in 0..5 {
         workload.set_active_workers(member, 0);
         restart_with_budget(&mut fleet, &workload, member, "");
@@ -786,7 +786,7 @@
             .filter(|view| view["majority"] == true)?;
         (count_live_members(&view) == Some(3)).then_some(())
     });
-    // The shares of the terminated members go to the others, whatever units they held at their end.
+    // The shares of the terminated members are reassigned to the others, however many units were held at termination.
     (0..3).for_each(|member| workload.set_active_workers(member, 2));
     let stats = workload.stop();
     assert!(
--- a/crates/proxy/tests/clauses.rs
+++ b/crates/proxy/tests/clauses.rs
@@ -32,8 +32,8 @@
     proxy
 }
 
-/// Servers may drop requests with very little time left without an answer; such requests must not count as failures of
-/// a server.
+/// Servers may leave requests with very little remaining time unanswered; such requests must not count as failures of a
+/// server.
 #[test]
 fn requests_with_very_short_deadlines_do_not_penalise_servers() {
     for probes in [true, false] {
@@ -540,7 +540,7 @@
     let mut clients: Vec<Traffic> = proxies
         .iter()
         .enumerate()
-        .map(|(at, proxy)| traffic(proxy, at as u64))
+        .map(|(index, proxy)| traffic(proxy, index as u64))
         .collect();
     thread::sleep(MS(2500));
     let unix_time = std::time::SystemTime::now()
@@ -574,7 +574,7 @@
         };
         let count = attempt_times
             .iter()
-            .filter(|at| **at <= end && end - **at < MS(1500))
+            .filter(|time| **time <= end && end - **time < MS(1500))
             .count();
         assert!(
             count as f64 <= allowed,
--- a/crates/proxy/tests/clock_steps.rs
+++ b/crates/proxy/tests/clock_steps.rs
@@ -13,7 +13,7 @@
 
 const HOUR_MS: i64 = 3_600_000;
 const COLD_DURATION: Duration = Duration::from_secs(4);
-/// The number of connections that load a server fully. What it takes while it warms up depends on this number.
+/// The number of connections that load a server fully. The traffic it gets while it warms up depends on this number.
 const CAPACITY: usize = 100;
 
 /// The wall clock in milliseconds since the epoch, plus a step.
@@ -36,8 +36,9 @@
 /// The steps of the proxy's clock and the offset of the clock that the new server's start time is taken from, in ms.
 #[derive(Debug)]
 struct Case {
-    /// The proxy's step from before its start, and the further step while it runs.
+    /// The step of the proxy's clock before the proxy starts.
     step_before_start_ms: i64,
+    /// The further step of the proxy's clock while it runs.
     step_while_running_ms: i64,
     /// The offset of the new server's own clock.
     server_offset_ms: i64,
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Starts the program under test together with stand-ins for discovery and servers. Test verdicts are left to the test
-//! files.
+//! Starts the program under test together with stand-ins for discovery and servers. What a test asserts about their
+//! behaviour is in the test files.
 #![allow(dead_code, unused_imports)] // each test file uses only some of these items
 
 use std::io::{BufRead, BufReader};
@@ -127,13 +127,13 @@
         proxy
     }
 
-    /// Starts a process on the given text of the platform configuration, without `NODE_DISCOVERY`.
+    /// Starts a process with the given text of the platform configuration, without `NODE_DISCOVERY`.
     pub fn run(addr: SocketAddr, config: &str) -> Self {
         Self::run_with(addr, config, None, None)
     }
 
-    /// Starts a process on the given configuration text, with `NODE_DISCOVERY` and an operator's file where they are
-    /// given.
+    /// Starts a process with the given text of the platform configuration, and with `NODE_DISCOVERY` and an operator's
+    /// file if they are given.
     pub fn run_with(
         addr: SocketAddr,
         config: &str,
@@ -160,7 +160,7 @@
         dir
     }
 
-    /// Starts a process on the configuration files in `dir`. With `removes_dir` dropping the value deletes `dir`;
+    /// Starts a process with the configuration files in `dir`. With `removes_dir` dropping the value deletes `dir`;
     /// `rules` are system call faults.
     fn spawn(
         addr: SocketAddr,
@@ -232,7 +232,7 @@
         proxy
     }
 
-    /// Starts a second process on the same configuration with another operators' address, as an upgrade does.
+    /// Starts a second process with the same configuration but another operators' address, as an upgrade does.
     pub fn start_successor(&self, discovery: SocketAddr) -> Self {
         let path = self.dir.join("config.json");
         let mut config: Value = serde_json::from_str(&self.config_text()).unwrap();
--- a/crates/proxy/tests/consul.rs
+++ b/crates/proxy/tests/consul.rs
@@ -12,7 +12,7 @@
 };
 use violetwind_standins::consul::{Check, Consul, ConsulMode, Instance, Maintenance};
 
-/// Returns an operator's file with one Consul as the only source, also after a reload.
+/// Returns the text of an operator's file with one Consul as the only source, for the start or a reload.
 fn operators_file(consul: SocketAddr, more: &str) -> String {
     format!(
         "{more}\n[zones]\ndc1 = \"a\"\n[[source]]\nname = \"agenda\"\nkind = \"consul\"\n\
@@ -84,7 +84,7 @@
             client.send_line("SAY on");
             assert_eq!(conn.read_line(), "SAY on");
             conn.send_line("OK on");
-            assert_eq!(client.read_line(), "OK on", "moved");
+            assert_eq!(client.read_line(), "OK on", "the client was moved");
         }
     }
 
@@ -104,8 +104,8 @@
     }
 }
 
-/// Such a flap used to move 150 of 300 clients. This test uses 60 to keep its duration short; the run with 300 is in
-/// the engine's test and docs/ops/consul.md.
+/// A flap of half the checks used to move 150 of 300 clients. This test uses 60 to keep its duration short; the run with
+/// 300 is in the engine's test and docs/ops/consul.md.
 #[test]
 fn a_flap_of_half_the_checks_and_then_silence_moves_no_client() {
     let mut setup = Setup::new(6, "");
@@ -202,7 +202,7 @@
         up: Vec::new(),
     };
     setup.open_many(12);
-    // An invalid file changes nothing, and the log says so.
+    // An invalid file changes nothing, and the log reports it.
     setup.proxy.reload_operator_file("[[source]]\nname = 1\n");
     setup
         .proxy
--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -388,8 +388,8 @@
     Duration::from_millis(wait.parse().unwrap())
 }
 
-/// Watches that fall silent at the same time are reopened one after the other. When all proxies came back together,
-/// discovery answered them in turn, the last ones only after drains had become binding.
+/// Watches that stop being answered at the same time are reopened one after the other. When all proxies called again
+/// together, discovery answered them in turn, the last ones only after drains had become binding.
 #[test]
 fn proxies_of_a_fleet_stagger_the_ends_of_their_watches() {
     let waits: Vec<Duration> = (0..4)
@@ -412,8 +412,8 @@
     }
 }
 
-/// Starts proxies of a large fleet with an outdated list of their last run, in which a server that drains by now is
-/// still ready.
+/// Starts proxies of a large fleet with an outdated list of their last run, in which a server that is now draining
+/// is still listed as ready.
 fn restart_proxies(discovery: &Discovery, server: &Server, count: u64) -> Vec<Proxy> {
     let start = |me| {
         Proxy::launch(discovery.addr, |config| {
@@ -453,8 +453,8 @@
     assert!(server.no_pending_open());
 }
 
-/// Where lists are pushed, the agent's data counts as delivered from the start, and again from the agent's return, so
-/// calls are not staggered.
+/// Where lists are pushed, the agent's data counts as delivered from the start, and again once the agent is
+/// reachable after a failure, so calls are not staggered.
 #[test]
 fn calls_are_not_staggered_where_lists_are_pushed() {
     let server = Server::start("s-1");
--- a/crates/proxy/tests/discovery_capacity.rs
+++ b/crates/proxy/tests/discovery_capacity.rs
@@ -1,6 +1,6 @@
 //! Capacity of a discovery service that spends as much time on a call that it rejects as on one that it answers, for
 //! any schedule of calls: the model of `unit_asking: a_herd_of_restarts_is_answered`. Proxies that start together have
-//! to call within 2 s. After a failed call they have to repeat it soon enough to learn of a drain within 6 s of its
+//! to call within 2 s. After a failed call they have to repeat it soon enough to receive a drain within 6 s of its
 //! announcement. The test shows from which fleet size on no backoff within these bounds ever gets all proxies answered.
 
 use std::time::Duration;
@@ -16,7 +16,7 @@
 /// Maximum backoff after a call that was rejected immediately. Changes take effect 6 s after discovery becomes
 /// reachable; the operators' slack is 50 ms of that, and the answer still has to be read and applied.
 const MAX_BACKOFF: Duration = Duration::from_millis(5500);
-/// A proxy without an answer by this time is taken never to get one.
+/// A proxy without an answer by this time is assumed never to get one.
 const SIMULATION_END: Duration = Duration::from_secs(600);
 
 /// Returns the time at which the last proxy of a fleet is answered, if all are. The first calls are spread evenly over
@@ -60,7 +60,7 @@
     let is_never_answered = |fleet: &u32| best_backoff(*fleet, max_backoff).is_none();
     (90..300)
         .find(is_never_answered)
-        .expect("a fleet below 300 that is never answered")
+        .expect("every fleet below 300 is answered with some backoff")
 }
 
 #[test]
@@ -79,6 +79,6 @@
     );
     assert!(best_backoff(300, MAX_BACKOFF).is_none() && best_backoff(900, MAX_BACKOFF).is_none());
     // This is not an artifact of the model: with a backoff long enough for the fleet size all proxies are answered, but
-    // drains are then learned too late.
+    // drains are then received too late.
     assert!(best_backoff(300, Duration::from_secs(40)).is_some());
 }
--- a/crates/proxy/tests/discovery_outages.rs
+++ b/crates/proxy/tests/discovery_outages.rs
@@ -45,7 +45,7 @@
     assert_eq!(
         opened,
         0,
-        "{mode:?}: requests reached the draining server {:?} after the return",
+        "{mode:?}: requests reached the draining server {:?} after discovery recovered",
         recovered_at.elapsed()
     );
     drop(staying);
--- a/crates/proxy/tests/disk_faults.rs
+++ b/crates/proxy/tests/disk_faults.rs
@@ -1,5 +1,5 @@
-//! Writes and syncs in a voter's directory fail for a while and the process is killed afterwards. What was acknowledged
-//! before the kill must still be there.
+//! Writes and syncs in a voter's directory fail for a while and the process is killed afterwards. Records that were
+//! acknowledged before the kill must survive.
 
 mod common;
 
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -29,7 +29,7 @@
 fn start_with_two_discoveries() -> (Server, Server, Discovery, Discovery, Proxy) {
     let (server, discovery, proxy) = one_server();
     let other = Server::start("s-2");
-    // The new list's version is below the old one's; it must not be taken for outdated.
+    // The new list's version is below the old one's; it must not be treated as outdated.
     discovery.upsert_target(server.target_row("ready"));
     discovery.upsert_target(server.target_row("ready"));
     let new = Discovery::start(&[other.target_row("ready")]);
--- a/crates/proxy/tests/unit_asking.rs
+++ b/crates/proxy/tests/unit_asking.rs
@@ -18,8 +18,8 @@
     QueryFailure::Other("status 503".into())
 }
 
-/// Model of the observed discovery service: it handles calls one after the other, 60 ms each, and calls that it
-/// rejects or whose client has left take as long.
+/// Model of the observed discovery service: it handles calls one after the other, 60 ms each, and calls that
+/// it rejects or whose client has disconnected take the same time.
 struct DiscoveryModel {
     free_at: Duration,
 }
--- a/crates/proxy/tests/unit_operator.rs
+++ b/crates/proxy/tests/unit_operator.rs
@@ -55,7 +55,7 @@
         "#;
     let config = read(text).unwrap();
     let SourceKind::Consul(settings) = &config.sources[0].kind else {
-        panic!()
+        panic!("the source is not read as a Consul source")
     };
     assert_eq!(settings.rules.identity, Identity::NodeAndId);
     assert_eq!(settings.rules.zone, FieldSource::Meta("az".into()));
--- a/crates/proxy/tests/work.rs
+++ b/crates/proxy/tests/work.rs
@@ -141,8 +141,8 @@
 }
 
 /// The fleet is partitioned and the operator is on the minority side: orders can't be changed there, `work show` still
-/// lists what is out, and the proxies there keep on serving. A machine stays out until these proxies have confirmed its
-/// return.
+/// lists the machines that are out, and the proxies there keep on serving. A machine stays out until these proxies have
+/// confirmed its return.
 #[test]
 fn an_operator_on_the_minority_side_sees_what_is_out_but_can_not_change_orders() {
     let harness = start_harness(3, 2, "");
@@ -191,9 +191,9 @@
     harness.assert_no_violations(&emptied, 1);
 }
 
-/// `pause` is in force at all proxies within a second, `cancel` puts back what is out, and a machine that was reported
-/// as empty is not reported again. A machine that is never worked on and one that never becomes empty are listed as
-/// failed until an operator decides about them.
+/// `pause` is in force at all proxies within a second, `cancel` returns the machines that are out, and a machine that was
+/// reported as empty is not reported again. A machine that is never worked on and one that never becomes empty are
+/// listed as failed until an operator decides about them.
 #[test]
 fn pause_cancel_and_time_limits_of_a_work_order() {
     let harness = start_harness(3, 0, "");
