--- a/crates/proxy/examples/mixed_builds.rs
+++ b/crates/proxy/examples/mixed_builds.rs
@@ -349,14 +349,14 @@
     for member in 0..3 {
         harness.call_until_accepted(member, &format!("ONLINE {BANNED}"));
     }
-    while let Some(machine) = harness.wait_until("the next machine is empty", next_drained) {
+    while let Some(machine) = harness.wait_until("the next machine is empty", next_empty_machine) {
         complete_work(harness, 0, &machine);
     }
     assert_single_holder(harness);
 }
 
 /// The next machine that is empty, or `Some(None)` once the order has ended.
-fn next_drained(harness: &WorkOrderHarness) -> Option<Option<String>> {
+fn next_empty_machine(harness: &WorkOrderHarness) -> Option<Option<String>> {
     let ended = harness.finished_view().map(|_| None);
     ended.or_else(|| {
         machines_in_phase(&harness.fetch_work_view()?, "empty")
@@ -388,12 +388,12 @@
     let workload = start_workload(&harness);
     harness.plan_work_order(0, "kernel", "m-1..m-4", &["--floor", "0.5", "--most", "1"]);
     rotate_duty(&mut harness, &workload, [(0, old), (2, new), (1, old)]);
-    work_continues_under(&harness, [2, 0]);
+    assert_work_continues_under(&harness, [2, 0]);
     (0..3).for_each(|member| workload.set_active_workers(member, 0));
     change_build(&mut harness, 1, new);
     (0..3).for_each(|member| workload.set_active_workers(member, 24));
     rotate_duty(&mut harness, &workload, [(0, old), (1, new), (2, new)]);
-    work_continues_under(&harness, [1, 0]);
+    assert_work_continues_under(&harness, [1, 0]);
     let view = harness.wait_until("the order has ended", WorkOrderHarness::finished_view);
     assert_eq!(view["ended"][0]["done"], 4, "{view}");
     stop_within_budget(workload);
@@ -444,9 +444,9 @@
 }
 
 /// Checks each of these members as the coordinator while one machine returns and the next one drains.
-fn work_continues_under(harness: &WorkOrderHarness, coordinators: [usize; 2]) {
+fn assert_work_continues_under(harness: &WorkOrderHarness, coordinators: [usize; 2]) {
     for member in coordinators {
-        let machine = harness.wait_until("a machine is empty", next_drained);
+        let machine = harness.wait_until("a machine is empty", next_empty_machine);
         hand_off_duty(harness, "work", member);
         let view = harness.wait_until(
             "a view of the work orders",
--- a/crates/proxy/tests/consul.rs
+++ b/crates/proxy/tests/consul.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// A flap of half the checks used to move 150 of 300 clients. This test uses 60 to keep its duration short; the run with
-/// 300 is in the engine's test and docs/ops/consul.md.
+/// A flap of half the checks used to move 150 of 300 clients. This test uses 60 to keep its duration short; the run
+/// with 300 is in the engine's test and docs/ops/consul.md.
 #[test]
 fn a_flap_of_half_the_checks_and_then_silence_moves_no_client() {
     let mut setup = Setup::new(6, "");
--- a/crates/proxy/tests/duties.rs
+++ b/crates/proxy/tests/duties.rs
@@ -440,8 +440,8 @@
 fn outdated_altered_and_emptied_data_directories_are_detected() {
     let (mut fleet, holder) = start_with_holder(3, 0);
     let victim = (holder + 1) % 3;
-    // A member started with an older copy of its own directory: the copy is moved aside, and the member is a stranger to
-    // the fleet until an operator lets it in.
+    // A member started with an older copy of its own directory: the copy is moved aside, and the member is a stranger
+    // to the fleet until an operator lets it in.
     let old_copy = fleet.dir().join("copy");
     fleet.kill_member(victim);
     copy_dir(&fleet.fleet_dir(victim), &old_copy);
--- a/crates/proxy/tests/work.rs
+++ b/crates/proxy/tests/work.rs
@@ -191,8 +191,8 @@
     harness.assert_no_violations(&emptied, 1);
 }
 
-/// `pause` is in force at all proxies within a second, `cancel` returns the machines that are out, and a machine that was
-/// reported as empty is not reported again. A machine that is never worked on and one that never becomes empty are
+/// `pause` is in force at all proxies within a second, `cancel` returns the machines that are out, and a machine that
+/// was reported as empty is not reported again. A machine that is never worked on and one that never becomes empty are
 /// listed as failed until an operator decides about them.
 #[test]
 fn pause_cancel_and_time_limits_of_a_work_order() {
