--- a/crates/proxy/tests/unit_repeats.rs
+++ b/crates/proxy/tests/unit_repeats.rs
@@ -13,8 +13,8 @@
     assert_eq!(acquired, [Some(0), Some(0), None, None, None]);
     let until = Instant::now() + Duration::from_secs(5);
     while Instant::now() < until {
-        if let Some(left_out) = throttle.try_acquire() {
-            assert!(left_out >= 3, "{left_out}");
+        if let Some(suppressed) = throttle.try_acquire() {
+            assert!(suppressed >= 3, "{suppressed}");
             return;
         }
     }
