--- a/crates/catalogue/src/catalogue.rs
+++ b/crates/catalogue/src/catalogue.rs
@@ -720,7 +720,7 @@
                 status,
                 reason,
                 instance,
-                started_at: started_at,
+                started_at,
             });
         }
         self.dirty = deferred;
