--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -35,7 +35,7 @@
     pub print_progress: bool,
 }
 
-/// Counters that the clients maintain.
+/// Counters updated by the clients.
 #[derive(Debug, Default)]
 struct ClientCounters {
     asked: AtomicU64,
@@ -97,7 +97,7 @@
     fn start(
         program: &Path,
         number: usize,
-        fleet: usize,
+        fleet_size: usize,
         consul: SocketAddr,
     ) -> std::io::Result<Self> {
         let addr = unused_addr();
@@ -110,7 +110,7 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": {"rev": 0, "all": true, "targets": []},
             "settings": {
-                "fleet-size": fleet, "me": number, "zone": "a", "azs": ["a"], "skus": [], "orgs": [],
+                "fleet-size": fleet_size, "me": number, "zone": "a", "azs": ["a"], "skus": [], "orgs": [],
                 "request-classes": [{"name": "watch", "idempotency": "pure", "deadline-s": 2.0,
                                      "target-s": 0.4, "credit": 1.0}],
                 "reporting": {"fields": ["x0"], "source": "probe"},
@@ -123,11 +123,11 @@
                 "weights": "none", "family-info": {"groups": false}},
         });
         std::fs::write(dir.join("config.json"), config.to_string())?;
-        let file = format!(
+        let operator_config = format!(
             "[zones]\ndc1 = \"a\"\n[[source]]\nname = \"agenda\"\nkind = \"consul\"\n\
              address = \"{consul}\"\nservice = \"agenda\"\ngap = \"10ms\"\n"
         );
-        std::fs::write(dir.join("operator.toml"), file)?;
+        std::fs::write(dir.join("operator.toml"), operator_config)?;
         let child = Command::new(program)
             .env("NODE_CONFIG", dir.join("config.json"))
             .env("VIOLETWIND_CONFIG", dir.join("operator.toml"))
@@ -157,8 +157,8 @@
     }
 }
 
-/// Runs the scripted day: half of the health checks fail for a while, a server drains, and another one dies, each
-/// during a part of the run.
+/// Runs a fleet through the scripted troubles: half of the health checks fail for a while, a server drains, and another
+/// one fails, each during a part of the run.
 ///
 /// # Errors
 /// A proxy or server can't be started, or a proxy does not become ready.
@@ -198,7 +198,7 @@
         client.join().map_err(|_| "a client's thread has failed")?;
     }
     let (harmed_by_flap, late_at_drained) = outcome;
-    let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
+    let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
     Ok(Report {
         asked: get(&counters.asked),
         up: get(&counters.up),
@@ -244,7 +244,7 @@
     print_step("half of the checks fail");
     let failing: Vec<&str> = servers[..servers.len() / 2]
         .iter()
-        .map(|w| w.uid.as_str())
+        .map(|server| server.uid.as_str())
         .collect();
     let before = count_harmed();
     consul.set_check(&failing, Check::Critical);
@@ -255,24 +255,26 @@
     let harmed = count_harmed() - before;
     let drained = &servers[0];
     print_step("s-0 drains");
-    consul.update_instances(&[&drained.uid], |i| i.maintenance = Maintenance::Service);
+    consul.update_instances(&[&drained.uid], |instance| {
+        instance.maintenance = Maintenance::Service
+    });
     let drained_at = Instant::now();
     wait_until(share_of_run(0.7));
     let late_attempts = drained.count_opens_after(drained_at + DRAIN_DEADLINE);
-    let failed = &servers[1];
+    let failed_server = &servers[1];
     print_step("s-1 dies");
-    failed.set_fault(Fault::Silent);
-    failed.reset_connections();
-    consul.set_check(&[&failed.uid], Check::Critical);
+    failed_server.set_fault(Fault::Silent);
+    failed_server.reset_connections();
+    consul.set_check(&[&failed_server.uid], Check::Critical);
     wait_until(share_of_run(1.0));
     (harmed, late_attempts)
 }
 
 fn print_counters(start: Instant, servers: &[EchoServer], counters: &ClientCounters) {
-    let get = |count: &AtomicU64| count.load(Ordering::Relaxed);
+    let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
     let open_connections: Vec<String> = servers
         .iter()
-        .map(|w| format!("{:3}", w.open_connections()))
+        .map(|server| format!("{:3}", server.open_connections()))
         .collect();
     println!(
         "{:5.1} s  up {:4}  asked {:5}  refused {:4}  failed {:3}  moved {:4}  cut {:3}  lost {}  servers {}",
@@ -288,8 +290,8 @@
     );
 }
 
-fn count(count: &AtomicU64) {
-    count.fetch_add(1, Ordering::Relaxed);
+fn increment(counter: &AtomicU64) {
+    counter.fetch_add(1, Ordering::Relaxed);
 }
 
 /// Runs one client until the end of the run: it requests a connection, exchanges messages on it, and requests a new one
@@ -313,22 +315,22 @@
         };
         let mut reader = BufReader::new(stream);
         let id = (client_number as u64) << 32 | request_number as u64;
-        count(&counters.asked);
+        increment(&counters.asked);
         let open_line = format!("OPEN {id:016x} {client_number:016x} c=watch,d=2000\r\n");
         let mut line = String::new();
         let is_answered = writer.write_all(open_line.as_bytes()).is_ok()
             && reader.read_line(&mut line).is_ok_and(|bytes| bytes > 0);
         match line.split_whitespace().next() {
-            Some("UP") => count(&counters.up),
-            Some("BUSY") => count(&counters.refused),
-            _ if is_answered => count(&counters.failed),
-            _ => count(&counters.lost),
+            Some("UP") => increment(&counters.up),
+            Some("BUSY") => increment(&counters.refused),
+            _ if is_answered => increment(&counters.failed),
+            _ => increment(&counters.lost),
         }
         if !line.starts_with("UP ") {
             thread::sleep(Duration::from_millis(300));
             continue;
         }
-        count(&counters.connected);
+        increment(&counters.connected);
         exchange_messages(&mut reader, &mut writer, counters);
         counters.connected.fetch_sub(1, Ordering::Relaxed);
         thread::sleep(Duration::from_millis(50 + 3 * (client_number as u64 % 50)));
@@ -350,10 +352,10 @@
         let is_sent = writer.write_all(b"SAY on\r\n").is_ok();
         let is_answered = is_sent && reader.read_line(&mut line).is_ok_and(|bytes| bytes > 0);
         match line.split_whitespace().next() {
-            _ if !is_answered => return count(&counters.cut),
-            Some("MOVE") => return count(&counters.moved),
+            _ if !is_answered => return increment(&counters.cut),
+            Some("MOVE") => return increment(&counters.moved),
             // This is a second final answer.
-            Some("UP" | "BUSY" | "ERR") => return count(&counters.twice),
+            Some("UP" | "BUSY" | "ERR") => return increment(&counters.twice),
             _ => {}
         }
         thread::sleep(Duration::from_millis(100));
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -57,10 +57,10 @@
         report: Option<PathBuf>,
     },
     /// Run a fleet on loopback: real proxies, a stand-in for Consul, servers and clients. Half of the health checks
-    /// fail for a while, a server drains, another one dies. Exit code 1 if a rule was broken, such as a request without
+    /// fail for a while, a server drains, another one fails. Exit code 1 if a rule was broken, such as a request without
     /// a final answer or with two.
     Fleet {
-        /// The proxy's program; by default the one beside this.
+        /// Program of the proxy; by default the one in the directory of this program.
         #[arg(long, value_name = "FILE")]
         proxy: Option<PathBuf>,
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=20))]
@@ -137,7 +137,7 @@
         /// Run the script, or that of the first seed, on real processes with servers, clients and simulated operators.
         #[arg(long)]
         real: bool,
-        /// The proxy's program; by default the one beside this.
+        /// Program of the proxy; by default the one in the directory of this program.
         #[arg(long, value_name = "FILE")]
         proxy: Option<PathBuf>,
         /// Write the script, or that of the first seed, to a file.
@@ -165,7 +165,7 @@
 }
 
 impl Command {
-    /// The command that runs without arguments.
+    /// Returns the command that runs if none is given.
     fn default_fleet() -> Self {
         Self::Fleet {
             proxy: None,
@@ -319,10 +319,10 @@
                 scenario: common.read_scenario(&set_a)?,
                 policy: policy_a,
             };
-            let second = b.as_ref().unwrap_or(&common.scenario);
+            let second_path = b.as_ref().unwrap_or(&common.scenario);
             let b = Variant {
                 scenario: common.add_recorded_clients(load_scenario(
-                    second,
+                    second_path,
                     &[&common.set[..], &set_b].concat(),
                 )?)?,
                 policy: policy_b,
@@ -412,8 +412,8 @@
                 has_budgets: !no_budgets,
                 fault_duration: (seconds.clamp(0.1, 1e6) * 1e3) as u64,
             };
-            let report_error = |what: String| {
-                eprintln!("{what}");
+            let report_error = |message: String| {
+                eprintln!("{message}");
                 ExitCode::FAILURE
             };
             let script = match &script {
@@ -423,7 +423,7 @@
                     let text = std::fs::read_to_string(path);
                     let text = text.map_err(|error| report_error(format!("{name}: {error}")))?;
                     let script = Script::parse(&text);
-                    Some(script.map_err(|what| report_error(format!("{name}: {what}")))?)
+                    Some(script.map_err(|error| report_error(format!("{name}: {error}")))?)
                 }
             };
             if let Some(path) = &write {
@@ -635,7 +635,7 @@
                 .iter()
                 .filter_map(|o| o.work.as_ref())
                 .collect();
-            let elapsed: Vec<f64> = work_outcomes
+            let durations: Vec<f64> = work_outcomes
                 .iter()
                 .filter_map(|work| work.duration)
                 .collect();
@@ -649,9 +649,9 @@
             println!(
                 "work: ended in {} of {} runs after {:.1} s, {:.1} machines done, {:.1} out at most, {:.0} clients moved; \
                  a cold server was asked for {:.2} times what it could do at most",
-                elapsed.len(),
+                durations.len(),
                 work_outcomes.len(),
-                elapsed.iter().fold(0.0, |a, b| a + b) / elapsed.len().max(1) as f64,
+                durations.iter().fold(0.0, |a, b| a + b) / durations.len().max(1) as f64,
                 mean_of(|work| work.machines_done),
                 mean_of(|work| work.max_machines_out),
                 mean_of(|work| work.clients_moved),
--- a/crates/lab/src/model/budgets.rs
+++ b/crates/lab/src/model/budgets.rs
@@ -21,10 +21,10 @@
     meters: Meters,
     /// Number of the part in force, by budget.
     part_numbers: BTreeMap<Name, Number>,
-    /// Number of changes of `known_shares` so far.
+    /// Number of changes of `sent_shares` so far.
     version: Number,
-    /// Shares that the proxy knows.
-    known_shares: Vec<(Name, violetwind_fleet::budget::Share)>,
+    /// Shares that were last sent to the proxy.
+    sent_shares: Vec<(Name, violetwind_fleet::budget::Share)>,
 }
 
 /// Budgets of the simulated fleet that are divided by need.
@@ -141,7 +141,7 @@
             meters: Meters::new(&definitions, &external, ms(now), &self.limits),
             part_numbers: BTreeMap::new(),
             version: 0,
-            known_shares: Vec::new(),
+            sent_shares: Vec::new(),
         }
     }
 
@@ -250,10 +250,10 @@
                 .iter()
                 .map(|(name, s)| (name.clone(), s.share(member.session)));
             let own_shares: Vec<_> = own_shares.collect();
-            if own_shares != member.known_shares {
+            if own_shares != member.sent_shares {
                 member.version += 1;
                 member.meters.set_shares(member.version, &own_shares);
-                member.known_shares = own_shares;
+                member.sent_shares = own_shares;
             }
             member
                 .meters
--- a/crates/lab/src/model/policy.rs
+++ b/crates/lab/src/model/policy.rs
@@ -26,7 +26,7 @@
     RoundRobin,
     LeastConnections,
     TwoChoices,
-    /// Random placement with a planted fault that tests of the lab have to find: updates of the server list are
+    /// Random placement with an injected fault that tests of the lab have to find: updates of the server list are
     /// ignored, so that drained or lost servers stay in use.
     IgnoresUpdates,
     /// Placement on the true state, without cost or delay: an upper bound for other policies.
@@ -271,8 +271,8 @@
         }
     }
 
-    /// Moves of the upper bound: takes off each overfull server the connection with the least worth per load, if
-    /// another server has spare capacity or the server is loaded above its capacity.
+    /// Moves of the upper bound: off each server above the optimal utilisation, moves the connection with the least
+    /// worth per load, if another server has spare capacity or the server is loaded above its capacity.
     fn rebalance(&mut self, truth: &GroundTruth, out: &mut Vec<Action>) {
         let utilisations = truth.servers.iter().flatten().map(|server| server.0);
         let lowest = utilisations.fold(f64::INFINITY, f64::min);
@@ -292,7 +292,7 @@
             if (has_spare_capacity || utilisation > 1.0)
                 && cheapest
                     .get(&server)
-                    .is_none_or(|(cheapest, _)| worth_per_load < *cheapest)
+                    .is_none_or(|(lowest_ratio, _)| worth_per_load < *lowest_ratio)
             {
                 cheapest.insert(server, (worth_per_load, id));
             }
--- a/crates/lab/src/model/simulation.rs
+++ b/crates/lab/src/model/simulation.rs
@@ -36,10 +36,11 @@
 /// Result of one simulated run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Served worth divided by wanted worth: over the measured part of the run, in its worst ten seconds, and for the
-    /// class with the lowest ratio.
+    /// Served worth divided by wanted worth over the measured part of the run.
     pub service: f64,
+    /// The same ratio in the worst ten seconds of the measured part.
     pub worst_window: f64,
+    /// The same ratio for the class with the lowest one.
     pub worst_class: f64,
     pub clients: u64,
     pub requests: u64,
@@ -618,7 +619,7 @@
         }
     }
 
-    /// Ends the request of a client that has waited for its deadline, and schedules a retry.
+    /// Ends the request of a client that has waited until its deadline, and schedules a retry.
     fn handle_client_timeout(&mut self, id: RequestId) {
         let Some(active) = self.requests.get(&id) else {
             return;
@@ -894,13 +895,13 @@
         if attempt > 1 {
             self.rules.record_use(self.now, QuotaKind::Further, None);
         }
-        // Every proxy has learnt by this time that the server is cold.
+        // By this time the list update about the cold server has reached every proxy.
         let server_model = &self.servers[server as usize];
-        let known_at = server_model.started_at.map_or(0.0, |started_at| {
+        let update_delivered_at = server_model.started_at.map_or(0.0, |started_at| {
             started_at + 1.5 * self.scenario.list_timing.propagation_delay
         });
         if server_model.slow_start_progress(self.now, &self.scenario.server) < 1.0
-            && self.now > known_at
+            && self.now > update_delivered_at
         {
             self.rules
                 .record_use(self.now, QuotaKind::Cold, Some(server));
@@ -1289,7 +1290,7 @@
         .unwrap_or(1.0)
 }
 
-/// Settings that a proxy of this fleet is started with.
+/// Returns the balancer settings of a proxy of the scenario.
 fn settings(scenario: &Scenario, proxy: usize) -> Settings {
     let class = |class: &crate::scenario::Class| Class {
         idempotency: class.effect,
--- a/crates/lab/src/model/simulation/work_orders.rs
+++ b/crates/lab/src/model/simulation/work_orders.rs
@@ -7,7 +7,7 @@
 use violetwind_balancer::api::{ServerId, Status};
 use violetwind_workorders::{
     Bounds, FailureTolerance, Machine, MachineReport, Member, Name, Number, Phase, PhaseTimeouts,
-    PlannerInput, Step as Move, WorkOrder, WorkOrderChange, WorkOrders, plan_steps,
+    PlannerInput, Step, WorkOrder, WorkOrderChange, WorkOrders, plan_steps,
 };
 
 use super::super::server::ServerState;
@@ -45,7 +45,7 @@
 fn server_number(name: &str) -> ServerId {
     name.trim_start_matches("m-")
         .parse()
-        .expect("machine names are made by begin_work")
+        .expect("begin_work creates all machine names")
 }
 
 impl Simulation<'_> {
@@ -168,7 +168,7 @@
                     Phase::Draining | Phase::Drained | Phase::Failed(_)
                 );
                 let report = MachineReport {
-                    // Until every proxy has the new version, some proxy still uses the old one.
+                    // Before the confirmation delay has passed, some proxies may still use the previous version.
                     version: if is_confirmed {
                         machine_state.version
                     } else {
@@ -202,7 +202,7 @@
             .map(|(order, name, version, step)| (order, name, version, step, Some(1)));
         let completed_jobs = completed_jobs
             .into_iter()
-            .map(|(order, name, version)| (order, name, version, Move::CompleteWork, None));
+            .map(|(order, name, version)| (order, name, version, Step::CompleteWork, None));
         for (order, machine, version, step, fence) in steps.chain(completed_jobs) {
             let server = server_number(&machine);
             let change = WorkOrderChange::Step {
@@ -216,15 +216,15 @@
                 continue;
             }
             match step {
-                Move::TakeOut => {
+                Step::TakeOut => {
                     work_run.outcome.clients_moved +=
                         self.connections_by_server[server as usize].len();
                     self.announce_status(server, Status::Draining);
                 }
-                // The process ends with the work and restarts cold.
-                Move::CompleteWork => self.restart_server(server, true),
-                Move::MarkDrained => self.stop_server(server, ServerState::Down),
-                Move::CompleteReturn => work_run.outcome.machines_done += 1,
+                // The process ended when the machine was drained; after the work it restarts cold.
+                Step::CompleteWork => self.restart_server(server, true),
+                Step::MarkDrained => self.stop_server(server, ServerState::Down),
+                Step::CompleteReturn => work_run.outcome.machines_done += 1,
                 _ => {}
             }
         }
--- a/crates/lab/src/replay.rs
+++ b/crates/lab/src/replay.rs
@@ -21,7 +21,7 @@
     pub held_for: Option<f64>,
 }
 
-/// Clients of a recording, and what was left out of it.
+/// Clients of a recording, and the numbers of requests that were left out.
 #[derive(Clone, Debug)]
 pub struct Recording {
     pub clients: Vec<RecordedClient>,
@@ -42,12 +42,12 @@
     /// Reads a recording for a scenario; classes are matched by name.
     pub fn read(from: impl Read, scenario: &Scenario) -> Self {
         let mut reader = Reader::new(from);
-        let (mut names, mut requests, mut omitted) = (Vec::new(), Vec::new(), 0);
+        let (mut class_names, mut requests, mut omitted) = (Vec::new(), Vec::new(), 0);
         for record in reader.by_ref() {
             match record {
-                Record::Start { classes, .. } => names = classes,
+                Record::Start { classes, .. } => class_names = classes,
                 Record::Request(request) => requests.push(request),
-                Record::Dropped(more) => omitted += more,
+                Record::Dropped(count) => omitted += count,
             }
         }
         let end = reader.end().unwrap_or(RecordingEnd::Whole);
@@ -63,7 +63,7 @@
         };
         let mut refused: BTreeMap<(u16, Option<u16>, Option<u64>), f64> = BTreeMap::new();
         for request in requests {
-            let name = names.get(usize::from(request.class)).cloned();
+            let name = class_names.get(usize::from(request.class)).cloned();
             let name = name.unwrap_or_else(|| format!("number {}", request.class));
             let class_index = scenario.classes.iter().position(|class| class.name == name);
             let Some(class) = class_index else {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -124,7 +124,11 @@
             let estimate = column(policy);
             write!(page, "<td>{:.4} ± {:.4}</td>", estimate.mean, estimate.half)?;
         }
-        let mean_service = |n: usize| policies.get(n).map_or(0.0, |policy| column(policy).mean);
+        let mean_service = |index: usize| {
+            policies
+                .get(index)
+                .map_or(0.0, |policy| column(policy).mean)
+        };
         write!(
             page,
             "<td>{:.3}</td></tr>",
@@ -148,8 +152,13 @@
         mean(outcomes, value, seconds)
     };
     let loads = [("lowest", band(0)), ("highest", band(2)), ("mean", band(1))];
-    let most = loads[1].1.iter().copied().fold(1.2, f64::max).min(3.0);
-    page += &plot("load of servers over what they can do", &loads, true, most)?;
+    let load_max = loads[1].1.iter().copied().fold(1.2, f64::max).min(3.0);
+    page += &plot(
+        "load of servers over what they can do",
+        &loads,
+        true,
+        load_max,
+    )?;
     let moves = mean(outcomes, |o, at| value_at(&o.moves_by_second, at), seconds);
     let refused = mean(
         outcomes,
@@ -223,7 +232,7 @@
     for second in 0..seconds {
         let row: Vec<String> = columns
             .iter()
-            .map(|c| format!("{:.4}", c[second]))
+            .map(|column| format!("{:.4}", column[second]))
             .collect();
         out += &format!("{second},{}\n", row.join(","));
     }
--- a/crates/lab/src/scenario_search.rs
+++ b/crates/lab/src/scenario_search.rs
@@ -63,7 +63,7 @@
                 return Some(shrink_scenario(scenario, policy, *seed, target, tried));
             }
             let loss = bound.service - outcome.service;
-            if worst.as_ref().is_none_or(|(min_loss, ..)| loss > *min_loss) {
+            if worst.as_ref().is_none_or(|(max_loss, ..)| loss > *max_loss) {
                 worst = Some((loss, scenario.clone(), *seed));
             }
         }
--- a/crates/lab/src/storm.rs
+++ b/crates/lab/src/storm.rs
@@ -158,32 +158,32 @@
             .timeline
             .get(n + 1)
             .map_or(sample.at + SAMPLE_INTERVAL_MS, |next| next.at);
-        for (at, (_, state)) in sample.member_states.iter().enumerate() {
+        for (row, (_, state)) in sample.member_states.iter().enumerate() {
             let known = STATES.iter().find(|(known, ..)| known == state);
             let colour = known.map_or("#ffffff", |(.., colour)| colour);
             let (from, bar_width) = (x(sample.at), x(sample_end) - x(sample.at) + 0.3);
-            let y = row_height * at as f64;
+            let y = row_height * row as f64;
             let _ = write!(
                 svg,
                 "<rect x=\"{from:.1}\" y=\"{y:.1}\" width=\"{bar_width:.1}\" height=\"13\" fill=\"{colour}\"/>"
             );
         }
     }
-    for (at, (name, _)) in outcome
+    for (row, (name, _)) in outcome
         .timeline
         .first()
         .iter()
-        .flat_map(|m| m.member_states.iter().enumerate())
+        .flat_map(|sample| sample.member_states.iter().enumerate())
     {
-        let y = row_height * at as f64 + 11.0;
+        let y = row_height * row as f64 + 11.0;
         let _ = write!(svg, "<text x=\"0\" y=\"{y}\">{}</text>", escape_html(name));
     }
     let base = row_height * rows as f64 + 110.0;
-    for (what, colour, of) in [
+    for (label, colour, series) in [
         ("units in use", "#145aa0", 0),
         ("machines out", "#b03030", 1),
     ] {
-        let value = |sample: &violetwind_storm::script::TimelineSample| match of {
+        let value = |sample: &violetwind_storm::script::TimelineSample| match series {
             0 => sample.units_in_use as f64,
             _ => sample.machines_out as f64,
         };
@@ -201,10 +201,10 @@
             "<polyline fill=\"none\" stroke=\"{colour}\" points=\"{}\"/>",
             points.join(" ")
         );
-        let y = base - 94.0 + 14.0 * f64::from(of);
+        let y = base - 94.0 + 14.0 * f64::from(series);
         let _ = write!(
             svg,
-            "<text x=\"0\" y=\"{y}\" fill=\"{colour}\">{what}, to {max}</text>"
+            "<text x=\"0\" y=\"{y}\" fill=\"{colour}\">{label}, to {max}</text>"
         );
     }
     svg.push_str("</svg>");
--- a/crates/lab/src/storm_processes.rs
+++ b/crates/lab/src/storm_processes.rs
@@ -20,15 +20,15 @@
 
 const CLIENTS: usize = 20;
 const BUDGET_TOTAL: usize = 20;
-/// Time after the last fault within which all members have to be live again.
+/// Time after the end of the script, when all links are healed, within which all members have to be live again.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
-/// Time after the last fault within which the work order has to end.
+/// Time after the end of the script within which the work order has to end.
 const WORK_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Result of a script on real processes.
 #[derive(Clone, Debug, Default)]
 pub struct RealPlayed {
-    /// Violated guarantees, by name.
+    /// Violations, each starting with the name of the guarantee.
     pub wrong: Vec<String>,
     pub faults: usize,
     /// Number of faults that were skipped: slow disks and failing machines, which have no equivalent here, and faults
@@ -63,7 +63,7 @@
 }
 
 impl Fleet {
-    /// Injects a fault; false if it was skipped.
+    /// Injects a fault. Returns false if it was skipped.
     fn inject_fault(&mut self, fault: &Fault) -> bool {
         let ms = Duration::from_millis;
         let indices = |nodes: &[String]| {
@@ -103,11 +103,15 @@
                     .insert((Instant::now() + ms(*lasts), node), false);
             }
             Fault::Cut { from, to, both } => {
-                for a in indices(from) {
-                    for b in indices(to).into_iter().filter(|b| *b != a) {
-                        self.harness.fleet.set_link(a, b, LinkMode::Blackhole);
+                for source in indices(from) {
+                    for target in indices(to).into_iter().filter(|target| *target != source) {
+                        self.harness
+                            .fleet
+                            .set_link(source, target, LinkMode::Blackhole);
                         if *both {
-                            self.harness.fleet.set_link(b, a, LinkMode::Blackhole);
+                            self.harness
+                                .fleet
+                                .set_link(target, source, LinkMode::Blackhole);
                         }
                     }
                 }
@@ -177,11 +181,11 @@
         }
     }
 
-    /// Resumes processes that become due, until `moment`.
-    fn run_until(&mut self, moment: Instant) {
-        while Instant::now() < moment {
+    /// Resumes processes that become due, until `deadline`.
+    fn run_until(&mut self, deadline: Instant) {
+        while Instant::now() < deadline {
             self.resume_processes(false);
-            sleep(Duration::from_millis(5).min(moment.saturating_duration_since(Instant::now())));
+            sleep(Duration::from_millis(5).min(deadline.saturating_duration_since(Instant::now())));
         }
     }
 }
@@ -189,7 +193,7 @@
 /// Runs a script in real time and checks the guarantees.
 pub fn run_on_processes(script: &Script, program: &Path) -> RealPlayed {
     let members = script.voters + script.others;
-    let lines = format!(
+    let config_lines = format!(
         "[[fleet.duty]]\nname = \"export\"\n[[fleet.budget]]\nname = \"held\"\nkind = \"held\"\nwhole = {}\nfloor = 1\n",
         BUDGET_TOTAL + members
     );
@@ -198,7 +202,7 @@
         program.into(),
         voters_and_others,
         script.machines.max(2),
-        &lines,
+        &config_lines,
     );
     let clients = ClientPool::start(client_addrs(&harness.fleet), CLIENTS);
     let operators =
@@ -226,20 +230,20 @@
     let mut result = RealPlayed::default();
     let started_at = Instant::now();
     // The fleet has formed already, so the formation time of the script is left out.
-    let moment = |script_ms: u64| {
+    let real_time = |script_ms: u64| {
         started_at + Duration::from_millis(script_ms.saturating_sub(FORMATION_TIME))
     };
     for timed in &script.faults {
-        fleet.run_until(moment(timed.at));
+        fleet.run_until(real_time(timed.at));
         match fleet.inject_fault(&timed.fault) {
             true => result.faults += 1,
             false => result.passed_over += 1,
         }
     }
-    fleet.run_until(moment(script.lasts));
+    fleet.run_until(real_time(script.lasts));
     fleet.resume_processes(true);
     fleet.harness.fleet.heal_links();
-    let healed = Instant::now();
+    let healed_at = Instant::now();
     let check_recovered = |fleet: &Fleet| {
         let view = (0..members).find_map(|node| fleet.harness.fleet.fetch_view(node))?;
         for member in view["members"].as_array()? {
@@ -254,7 +258,7 @@
         (view["majority"] == true && count_live_members(&view) == Some(members)).then_some(())
     };
     while check_recovered(&fleet).is_none() {
-        if healed.elapsed() > RECOVERY_TIMEOUT {
+        if healed_at.elapsed() > RECOVERY_TIMEOUT {
             let view = (0..members).find_map(|node| fleet.harness.fleet.fetch_view(node));
             let states = view.map(|view| view["members"].to_string());
             let what = format!("Held Again: the fleet is not whole: {states:?}");
@@ -264,7 +268,7 @@
         sleep(Duration::from_millis(20));
     }
     while script.machines > 0 && fleet.harness.finished_view().is_none() {
-        if healed.elapsed() > WORK_TIMEOUT {
+        if healed_at.elapsed() > WORK_TIMEOUT {
             let view = fleet.harness.fetch_work_view();
             result
                 .wrong
@@ -281,7 +285,7 @@
     } = fleet;
     let (emptied, client_stats, budget_stats) =
         (operators.stop(), clients.stop(), budget_workload.stop());
-    let count = |count: &AtomicU64| count.load(Ordering::Relaxed);
+    let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
     let records = harness.fleet.duty_events();
     result
         .wrong
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -123,7 +123,7 @@
         );
         let outcome = simulate(&scenario, PolicyKind::Balancer, 1);
         assert!((0.0..=1.0).contains(&outcome.service), "{kind:?}");
-        // The trouble has to have an effect.
+        // Only an outage of list updates may leave the run unchanged.
         let is_unchanged =
             outcome.series == undisturbed.series && outcome.requests == undisturbed.requests;
         assert!(
@@ -255,12 +255,12 @@
     ];
     let variants = variants.map(|policy| variant(SMALL, policy));
     let outcomes = run_variants(&variants, &[1, 2], 4);
-    let played: Vec<PolicyOutcomes> = ["module", "random", "bound"]
+    let policies: Vec<PolicyOutcomes> = ["module", "random", "bound"]
         .iter()
         .zip(&outcomes)
         .map(|(name, outcomes)| PolicyOutcomes { name, outcomes })
         .collect();
-    let page = report::render_html(&scenario, &played).unwrap();
+    let page = report::render_html(&scenario, &policies).unwrap();
     assert_eq!(page.matches("<svg").count(), 3);
     assert!(page.contains("worst class") && !page.contains("<script") && !page.contains("href"));
     let csv = report::render_csv(&scenario, &outcomes[0]);
@@ -268,7 +268,7 @@
     let moves: f64 = csv
         .lines()
         .skip(1)
-        .map(|l| l.split(',').nth(5).unwrap().parse::<f64>().unwrap())
+        .map(|line| line.split(',').nth(5).unwrap().parse::<f64>().unwrap())
         .sum();
     let reported = outcomes[0].iter().map(|o| o.moves as f64).sum::<f64>() / 2.0;
     assert!((moves - reported).abs() < 0.1, "{moves} {reported}");
@@ -314,12 +314,12 @@
     let truncated = Recording::read(&bytes[..bytes.len() / 2], &scenario);
     assert_eq!(truncated.end, RecordingEnd::Cut(bytes.len() as u64 / 2));
     assert!((300..1000).contains(&truncated.clients.len()));
-    assert!(
-        truncated
+    assert!(truncated.clients.iter().all(|client| {
+        complete
             .clients
             .iter()
-            .all(|c| complete.clients.iter().any(|w| w.load == c.load))
-    );
+            .any(|other| other.load == client.load)
+    }));
     let scaled_count = complete.scaled(2.5, 1.0, 1).len();
     assert!((3100..3600).contains(&scaled_count), "{scaled_count}");
     let replay = |recording: &Recording, times: f64| {
