--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -57,8 +57,8 @@
         report: Option<PathBuf>,
     },
     /// Run a fleet on loopback: real proxies, a stand-in for Consul, servers and clients. Half of the health checks
-    /// fail for a while, a server drains, another one fails. Exit code 1 if a rule was broken, such as a request without
-    /// a final answer or with two.
+    /// fail for a while, a server drains, another one fails. Exit code 1 if a rule was broken, such as a request
+    /// without a final answer or with two.
     Fleet {
         /// Program of the proxy; by default the one in the directory of this program.
         #[arg(long, value_name = "FILE")]
--- a/crates/lab/src/model/simulation.rs
+++ b/crates/lab/src/model/simulation.rs
@@ -371,12 +371,12 @@
             .iter()
             .map(|class| class.arrival_share)
             .sum();
-        let hold_time = self
+        let weighted_hold_times = self
             .scenario
             .classes
             .iter()
             .map(|c| c.arrival_share / shares * c.mean_hold_time);
-        let initial_clients = (self.arrival_rate * hold_time.sum::<f64>()) as usize;
+        let initial_clients = (self.arrival_rate * weighted_hold_times.sum::<f64>()) as usize;
         let ramp = self.scenario.warm_up.clamp(1.0, 10.0);
         for _ in 0..initial_clients {
             let at = self.arrivals.random_range(0.0..ramp);
@@ -500,10 +500,10 @@
             .iter()
             .map(|class| class.arrival_share)
             .sum();
-        let mut pick = rng.random_range(0.0..1.0) * shares;
+        let mut remaining_share = rng.random_range(0.0..1.0) * shares;
         let class = scenario.classes.iter().position(|class| {
-            pick -= class.arrival_share;
-            pick < 0.0
+            remaining_share -= class.arrival_share;
+            remaining_share < 0.0
         });
         let class = class.unwrap_or(scenario.classes.len() - 1);
         let class_settings = &scenario.classes[class];
@@ -513,14 +513,14 @@
             * (class_settings.load_spread * normal - class_settings.load_spread.powi(2) / 2.0)
                 .exp();
         let hold_time: f64 = Exp1.sample(rng);
-        let (heavy, load_factor, zone) = (
+        let (heavy_draw, factor_draw, zone) = (
             rng.random_range(0.0..1.0),
             rng.random_range(0.0..1.0),
             rng.random_range(0..scenario.zones),
         );
         let (tenant, group) = (rng.random::<u32>() as usize, rng.random::<u32>() as usize);
-        let heavy = self.heavy_load.filter(|(share, _, _)| heavy < *share);
-        let load_factor = heavy.map_or(1.0, |(_, from, to)| from + load_factor * (to - from));
+        let heavy = self.heavy_load.filter(|(share, _, _)| heavy_draw < *share);
+        let load_factor = heavy.map_or(1.0, |(_, from, to)| from + factor_draw * (to - from));
         self.clients.push(Client {
             class,
             tenant: (scenario.demand.tenants > 0).then(|| tenant % scenario.demand.tenants),
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -180,7 +180,7 @@
     ProxiesRestart,
 }
 
-const KINDS: [(&str, TroubleKind); 12] = [
+const TROUBLE_KINDS: [(&str, TroubleKind); 12] = [
     ("crash", TroubleKind::Crash),
     ("slow", TroubleKind::Slow),
     ("neighbour", TroubleKind::Neighbour),
@@ -196,12 +196,12 @@
 ];
 
 impl TroubleKind {
-    /// All kinds, in the order of `KINDS`.
+    /// All kinds, in the order of `TROUBLE_KINDS`.
     pub const ALL: [Self; 12] = {
         let mut all = [Self::Crash; 12];
         let mut at = 0;
         while at < all.len() {
-            all[at] = KINDS[at].1;
+            all[at] = TROUBLE_KINDS[at].1;
             at += 1;
         }
         all
@@ -220,7 +220,7 @@
 
     /// Name in scenario files.
     pub fn name(self) -> &'static str {
-        let named = KINDS.iter().find(|(_, kind)| *kind == self);
+        let named = TROUBLE_KINDS.iter().find(|(_, kind)| *kind == self);
         named.map_or("?", |(name, _)| name)
     }
 }
@@ -247,9 +247,9 @@
     pub fn parse(name: &str, text: &str, set: &[String]) -> Result<Self, Vec<Problem>> {
         let mut tree = ConfigTree::parse(name, text).map_err(|problem| vec![problem])?;
         let problems = Problems::default();
-        for set in set {
-            let (path, value) = set.split_once('=').unwrap_or((set, ""));
-            let place = format!("--set {set}");
+        for assignment in set {
+            let (path, value) = assignment.split_once('=').unwrap_or((assignment, ""));
+            let place = format!("--set {assignment}");
             problems.extend(tree.set_value(path.trim(), value.trim(), &place).err());
         }
         let scenario = Self::read(name, &Section::root(&tree, &problems));
@@ -269,11 +269,11 @@
         let count = |section: &Section<'_>, name: &str, max: u64, default: u64| {
             section.int(name, 1..=max, default) as usize
         };
-        let seconds = span(root, "seconds", 1.0, 86_400.0, 60.0);
+        let seconds = read_seconds(root, "seconds", 1.0, 86_400.0, 60.0);
         let scenario = Self {
             name: name.to_string(),
             seconds,
-            warm_up: span(root, "warm_up", 0.0, 3600.0, 10.0),
+            warm_up: read_seconds(root, "warm_up", 0.0, 3600.0, 10.0),
             proxies: count(&fleet, "proxies", 10_000, 5),
             zones: count(&fleet, "zones", 64, 1),
             servers: count(&fleet, "servers", 100_000, 10),
@@ -284,11 +284,11 @@
                 max_slowdown: server.number("slack", 1.0..=1e4, 30.0),
                 max_connections: count(&server, "connections", 1_000_000, 500),
                 max_pending_setups: count(&server, "queue", 1_000_000, 100),
-                report_interval: span(&server, "report_every", 0.01, 60.0, 0.25),
-                report_delay: span(&server, "report_delay", 0.0, 60.0, 0.25),
+                report_interval: read_seconds(&server, "report_every", 0.01, 60.0, 0.25),
+                report_delay: read_seconds(&server, "report_delay", 0.0, 60.0, 0.25),
                 report_noise: server.number("report_noise", 0.0..=1.0, 0.05),
                 slow_start_min_share: server.number("cold_from", 0.01..=1.0, 0.3),
-                slow_start_window: span(&server, "cold_for", 0.0, 3600.0, 10.0),
+                slow_start_window: read_seconds(&server, "cold_for", 0.0, 3600.0, 10.0),
                 group_cost: server.number("group_cost", 0.0..=1e3, 0.0),
                 store_setups_per_s: server.number("store_rate", 0.0..=1e9, 0.0),
             },
@@ -296,26 +296,26 @@
                 offered_load: demand.number("fill", 0.01..=10.0, 0.65),
                 tenants: demand.int("tenants", 0..=10_000, 0) as usize,
                 groups: demand.int("groups", 0..=1_000_000, 0) as usize,
-                retry_delay: span(&demand, "retry", 0.01, 600.0, 1.0),
+                retry_delay: read_seconds(&demand, "retry", 0.01, 600.0, 1.0),
                 max_retries: demand.int("retries", 0..=1000, 8) as usize,
-                load_change_interval: span(&demand, "change", 0.1, 86_400.0, 10.0),
+                load_change_interval: read_seconds(&demand, "change", 0.1, 86_400.0, 10.0),
                 skew: demand.number("skew", 0.0..=20.0, 0.0),
             },
             list_timing: ListTiming {
-                propagation_delay: span(&lists, "delay", 0.0, 60.0, 0.3),
-                drain_grace: span(&lists, "grace", 0.0, 600.0, 5.0),
-                restart_time: span(&lists, "restart", 0.0, 600.0, 2.0),
+                propagation_delay: read_seconds(&lists, "delay", 0.0, 60.0, 0.3),
+                drain_grace: read_seconds(&lists, "grace", 0.0, 600.0, 5.0),
+                restart_time: read_seconds(&lists, "restart", 0.0, 600.0, 2.0),
             },
             network: Network {
-                same_zone_rtt: span(&network, "near", 0.0, 10.0, 0.0005),
-                cross_zone_rtt: span(&network, "far", 0.0, 10.0, 0.004),
-                connect_timeout: span(&network, "connect", 0.001, 60.0, 0.25),
+                same_zone_rtt: read_seconds(&network, "near", 0.0, 10.0, 0.0005),
+                cross_zone_rtt: read_seconds(&network, "far", 0.0, 10.0, 0.004),
+                connect_timeout: read_seconds(&network, "connect", 0.001, 60.0, 0.25),
             },
-            classes: root.sections("class").iter().map(class).collect(),
-            troubles: root.sections("trouble").iter().map(trouble).collect(),
-            budgets: root.sections("budget").iter().map(budget).collect(),
-            work: work(root),
-            exchange_interval: span(&fleet, "exchange", 0.01, 60.0, 0.1),
+            classes: root.sections("class").iter().map(read_class).collect(),
+            troubles: root.sections("trouble").iter().map(read_trouble).collect(),
+            budgets: root.sections("budget").iter().map(read_budget).collect(),
+            work: read_work(root),
+            exchange_interval: read_seconds(&fleet, "exchange", 0.01, 60.0, 0.1),
             recorded_clients: None,
         };
         for section in [&fleet, &server, &demand, &lists, &network] {
@@ -363,64 +363,64 @@
         let span =
             |seconds: f64| violetwind_conf::format_duration(Duration::from_secs_f64(seconds));
         let mut out = String::new();
-        let mut line = |text: String| {
+        let mut add_line = |text: String| {
             out.push_str(&text);
             out.push('\n');
         };
-        line(format!("seconds = \"{}\"", span(self.seconds)));
-        line(format!("warm_up = \"{}\"", span(self.warm_up)));
-        line("\n[fleet]".into());
-        line(format!("proxies = {}", self.proxies));
-        line(format!("servers = {}", self.servers));
-        line(format!("zones = {}", self.zones));
-        line(format!("exchange = \"{}\"", span(self.exchange_interval)));
+        add_line(format!("seconds = \"{}\"", span(self.seconds)));
+        add_line(format!("warm_up = \"{}\"", span(self.warm_up)));
+        add_line("\n[fleet]".into());
+        add_line(format!("proxies = {}", self.proxies));
+        add_line(format!("servers = {}", self.servers));
+        add_line(format!("zones = {}", self.zones));
+        add_line(format!("exchange = \"{}\"", span(self.exchange_interval)));
         let server = &self.server;
-        line("\n[server]".into());
-        line(format!("capacity = {}", server.capacity));
-        line(format!("spread = {}", server.capacity_spread));
-        line(format!("setup_work = {}", server.setup_work));
-        line(format!("slack = {}", server.max_slowdown));
-        line(format!("connections = {}", server.max_connections));
-        line(format!("queue = {}", server.max_pending_setups));
-        line(format!(
+        add_line("\n[server]".into());
+        add_line(format!("capacity = {}", server.capacity));
+        add_line(format!("spread = {}", server.capacity_spread));
+        add_line(format!("setup_work = {}", server.setup_work));
+        add_line(format!("slack = {}", server.max_slowdown));
+        add_line(format!("connections = {}", server.max_connections));
+        add_line(format!("queue = {}", server.max_pending_setups));
+        add_line(format!(
             "report_every = \"{}\"",
             span(server.report_interval)
         ));
-        line(format!("report_delay = \"{}\"", span(server.report_delay)));
-        line(format!("report_noise = {}", server.report_noise));
-        line(format!("cold_from = {}", server.slow_start_min_share));
-        line(format!("cold_for = \"{}\"", span(server.slow_start_window)));
-        line(format!("group_cost = {}", server.group_cost));
-        line(format!("store_rate = {}", server.store_setups_per_s));
+        add_line(format!("report_delay = \"{}\"", span(server.report_delay)));
+        add_line(format!("report_noise = {}", server.report_noise));
+        add_line(format!("cold_from = {}", server.slow_start_min_share));
+        add_line(format!("cold_for = \"{}\"", span(server.slow_start_window)));
+        add_line(format!("group_cost = {}", server.group_cost));
+        add_line(format!("store_rate = {}", server.store_setups_per_s));
         let demand = &self.demand;
-        line("\n[demand]".into());
-        line(format!("fill = {}", demand.offered_load));
-        line(format!("tenants = {}", demand.tenants));
-        line(format!("groups = {}", demand.groups));
-        line(format!("retry = \"{}\"", span(demand.retry_delay)));
-        line(format!("retries = {}", demand.max_retries));
-        line(format!(
+        add_line("\n[demand]".into());
+        add_line(format!("fill = {}", demand.offered_load));
+        add_line(format!("tenants = {}", demand.tenants));
+        add_line(format!("groups = {}", demand.groups));
+        add_line(format!("retry = \"{}\"", span(demand.retry_delay)));
+        add_line(format!("retries = {}", demand.max_retries));
+        add_line(format!(
             "change = \"{}\"",
             span(demand.load_change_interval)
         ));
-        line(format!("skew = {}", demand.skew));
-        line("\n[lists]".into());
-        line(format!(
+        add_line(format!("skew = {}", demand.skew));
+        add_line("\n[lists]".into());
+        add_line(format!(
             "delay = \"{}\"",
             span(self.list_timing.propagation_delay)
         ));
-        line(format!(
+        add_line(format!(
             "grace = \"{}\"",
             span(self.list_timing.drain_grace)
         ));
-        line(format!(
+        add_line(format!(
             "restart = \"{}\"",
             span(self.list_timing.restart_time)
         ));
-        line("\n[network]".into());
-        line(format!("near = \"{}\"", span(self.network.same_zone_rtt)));
-        line(format!("far = \"{}\"", span(self.network.cross_zone_rtt)));
-        line(format!(
+        add_line("\n[network]".into());
+        add_line(format!("near = \"{}\"", span(self.network.same_zone_rtt)));
+        add_line(format!("far = \"{}\"", span(self.network.cross_zone_rtt)));
+        add_line(format!(
             "connect = \"{}\"",
             span(self.network.connect_timeout)
         ));
@@ -430,46 +430,46 @@
                 Idempotency::Keyed => "keyed",
                 Idempotency::Unsafe => "unsafe",
             };
-            line(format!(
+            add_line(format!(
                 "\n[[class]]\nname = {:?}\nshare = {}",
                 class.name, class.arrival_share
             ));
-            line(format!(
+            add_line(format!(
                 "load = {}\nload_spread = {}",
                 class.load, class.load_spread
             ));
-            line(format!(
+            add_line(format!(
                 "hold = \"{}\"\naim = \"{}\"",
                 span(class.mean_hold_time),
                 span(class.setup_target)
             ));
-            line(format!(
+            add_line(format!(
                 "deadline = \"{}\"\nworth = {}",
                 span(class.deadline),
                 class.worth
             ));
-            line(format!("effect = \"{effect}\""));
+            add_line(format!("effect = \"{effect}\""));
         }
         for budget in &self.budgets {
             let quota = QUOTA_KINDS
                 .iter()
                 .find(|(_, kind)| *kind == budget.quota_kind);
-            line(format!(
+            add_line(format!(
                 "\n[[budget]]\nof = {:?}",
                 quota.map_or("?", |(name, _)| name)
             ));
-            line(format!(
+            add_line(format!(
                 "whole = {}\nfloor = {}",
                 budget.total, budget.floor
             ));
             let window = span(budget.window);
-            line(format!(
+            add_line(format!(
                 "window = \"{window}\"\ndivided = {}",
                 budget.divided_by_need
             ));
         }
         if let Some(work) = &self.work {
-            line(format!(
+            add_line(format!(
                 "\n[work]\nat = \"{}\"\nmost = {}\nzone_most = {}\nfloor = {}\nspare = {}",
                 span(work.start_at),
                 work.max_out,
@@ -477,7 +477,7 @@
                 work.min_capacity_share,
                 work.keep_spare_machine
             ));
-            line(format!(
+            add_line(format!(
                 "batch = {}\njob = \"{}\"\nevery = \"{}\"",
                 work.machines_per_order,
                 span(work.job_duration),
@@ -486,12 +486,12 @@
         }
         for trouble in &self.troubles {
             let (at, lasts) = (span(trouble.at), span(trouble.lasts));
-            line(format!("\n[[trouble]]\nkind = {:?}", trouble.kind.name()));
-            line(format!(
+            add_line(format!("\n[[trouble]]\nkind = {:?}", trouble.kind.name()));
+            add_line(format!(
                 "at = \"{at}\"\nlasts = \"{lasts}\"\nshare = {}",
                 trouble.share
             ));
-            line(format!(
+            add_line(format!(
                 "from = {}\nto = {}\nzone = {}",
                 trouble.from, trouble.to, trouble.zone
             ));
@@ -521,25 +521,25 @@
         let bursts = self
             .troubles
             .iter()
-            .filter(|t| t.kind == TroubleKind::Burst);
-        let bursts: f64 = bursts.map(|t| t.from.max(1.0)).product();
+            .filter(|trouble| trouble.kind == TroubleKind::Burst);
+        let bursts: f64 = bursts.map(|trouble| trouble.from.max(1.0)).product();
         let clients = self.arrival_rate() * (longest_hold + self.seconds * bursts) * 600.0;
         (proxy_state + clients).min(1e18) as u64
     }
 }
 
 /// Reads a duration in seconds from a section, within `from..=to`.
-fn span(section: &Section<'_>, name: &str, from: f64, to: f64, default: f64) -> f64 {
+fn read_seconds(section: &Section<'_>, name: &str, from: f64, to: f64, default: f64) -> f64 {
     let from_seconds = Duration::from_secs_f64;
-    let span = section.duration(
+    let duration = section.duration(
         name,
         from_seconds(from)..=from_seconds(to),
         from_seconds(default),
     );
-    span.as_secs_f64()
+    duration.as_secs_f64()
 }
 
-fn class(section: &Section<'_>) -> Class {
+fn read_class(section: &Section<'_>) -> Class {
     let effects = [
         ("safe", Idempotency::Safe),
         ("keyed", Idempotency::Keyed),
@@ -550,9 +550,9 @@
         arrival_share: section.number("share", 0.0..=1e6, 1.0),
         load: section.number("load", 1e-6..=1e3, 0.01),
         load_spread: section.number("load_spread", 0.0..=3.0, 0.5),
-        mean_hold_time: span(section, "hold", 0.1, 86_400.0, 30.0),
-        setup_target: span(section, "aim", 0.01, 60.0, 0.4),
-        deadline: span(section, "deadline", 0.05, 60.0, 2.0),
+        mean_hold_time: read_seconds(section, "hold", 0.1, 86_400.0, 30.0),
+        setup_target: read_seconds(section, "aim", 0.01, 60.0, 0.4),
+        deadline: read_seconds(section, "deadline", 0.05, 60.0, 2.0),
         worth: section.number("worth", 0.0..=1e6, 1.0),
         effect: section.choice("effect", &effects, Idempotency::Safe),
     };
@@ -560,7 +560,7 @@
     class
 }
 
-fn budget(section: &Section<'_>) -> Budget {
+fn read_budget(section: &Section<'_>) -> Budget {
     if !section.has_key("of") {
         section.report_problem("of", "expected what the budget is of, found nothing");
     }
@@ -568,43 +568,43 @@
         quota_kind: section.choice("of", &QUOTA_KINDS, QuotaKind::Further),
         total: section.int("whole", 1..=1_000_000, 1),
         floor: section.int("floor", 0..=1_000_000, 0),
-        window: span(section, "window", 0.1, 3600.0, 1.0),
+        window: read_seconds(section, "window", 0.1, 3600.0, 1.0),
         divided_by_need: section.flag("divided", true),
     };
     section.report_unknown_keys();
     budget
 }
 
-fn work(root: &Section<'_>) -> Option<WorkSettings> {
+fn read_work(root: &Section<'_>) -> Option<WorkSettings> {
     let section = root.section("work");
     if !section.is_present() {
         return None;
     }
     let work = WorkSettings {
-        start_at: span(&section, "at", 0.0, 86_400.0, 15.0),
+        start_at: read_seconds(&section, "at", 0.0, 86_400.0, 15.0),
         max_out: section.int("most", 1..=10_000, 1) as u32,
         max_out_per_zone: section.int("zone_most", 1..=10_000, 10_000) as u32,
         min_capacity_share: section.number("floor", 0.0..=1.0, 0.8),
         keep_spare_machine: section.flag("spare", false),
         machines_per_order: section.int("batch", 0..=10_000, 0) as usize,
-        job_duration: span(&section, "job", 0.0, 86_400.0, 2.0),
-        check_interval: span(&section, "every", 0.01, 60.0, 0.2),
+        job_duration: read_seconds(&section, "job", 0.0, 86_400.0, 2.0),
+        check_interval: read_seconds(&section, "every", 0.01, 60.0, 0.2),
     };
     section.report_unknown_keys();
     Some(work)
 }
 
-fn trouble(section: &Section<'_>) -> Trouble {
+fn read_trouble(section: &Section<'_>) -> Trouble {
     if !section.has_key("kind") {
         section.report_problem("kind", "expected the kind of a trouble, found nothing");
     }
-    let kind = section.choice("kind", &KINDS, TroubleKind::Crash);
+    let kind = section.choice("kind", &TROUBLE_KINDS, TroubleKind::Crash);
     let (from, to) = kind.default_factors();
     let from = section.number("from", 0.0..=1e3, from);
     let trouble = Trouble {
         kind,
-        at: span(section, "at", 0.0, 86_400.0, 20.0),
-        lasts: span(section, "lasts", 0.0, 86_400.0, 10.0),
+        at: read_seconds(section, "at", 0.0, 86_400.0, 20.0),
+        lasts: read_seconds(section, "lasts", 0.0, 86_400.0, 10.0),
         share: section.number("share", 0.0..=1.0, 0.2),
         from,
         to: section.number("to", 0.0..=1e3, to.max(from)),
