--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -21,7 +21,7 @@
     /// Seconds during which troubles occur, before the proxy is terminated.
     #[arg(long, default_value_t = 12.0)]
     pub seconds: f64,
-    /// Number of proxies that run in parallel, each with some hundred threads of clients and servers.
+    /// Number of proxies that run in parallel, each with a few hundred threads of clients and servers.
     #[arg(long, default_value_t = 4)]
     pub at_once: u64,
     /// Program of the proxy; by default the one in the directory of this program.
