--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision engine: settings at the start, events in, actions out.
+//! The interface of the decision module: settings at the start, events in, actions out.
 
 /// A point in time or a duration, in seconds. The clock's origin is arbitrary, and it never goes back.
 pub type Seconds = f64;
@@ -248,13 +248,24 @@
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// The server has served the request, or has answered the probe.
     Ok,
+    /// The server answered with an error, or with something that is not a valid answer.
     Error,
+    /// The server rejected the request or the probe for lack of room.
     Full,
+    /// The server did not answer in time.
     TimedOut,
+    /// The server could not be reached, or did not take the whole request: the request never ran.
     ConnectFailed,
+    /// The connection broke before the server had answered, or had ended the open connection with a last line.
     Reset,
+    /// The attempt was abandoned, or the connection was moved, without fault of the server: by this balancer, or by
+    /// the server's own request to reconnect, even before the connection is up. Also a time-out where a lack of
+    /// resources on this machine had delayed the attempt. The request may have run.
     Cancelled,
+    /// The request or the probe was not sent: there was no time left or no descriptor, the server drains, or the client
+    /// had left.
     NotSent,
     /// This machine lacked the resources for an attempt: none was made, and the outcome counts against no server.
     LocalFailure,
@@ -320,8 +331,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt, with its time-out. Where a repeat is harmless only for a limited time, or the attempt uses a
-    /// leased unit, the last value is the time from now within which the attempt must begin at its server; the dial
-    /// uses a part of that time.
+    /// leased unit, the last value is the time from now within which the host has to begin to write the request line;
+    /// the dial uses a part of that time. It does not bound the wait for the server's answer.
     Send(RequestId, ServerId, Seconds, Option<Seconds>),
     /// Final answer: refused. A repeat is harmless; the value, if there is one, is the time to wait before it.
     Refuse(RequestId, Option<Seconds>),
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -101,7 +101,7 @@
 /// First token of probe timers: the server's id is added to it.
 const TIMER_PROBE_BASE: u64 = 1 << 32;
 
-/// The decision engine of one load balancer. The host passes events in and carries out the actions that it
+/// The decision module of one load balancer. The host passes events in and carries out the actions that it
 /// returns.
 #[derive(Debug)]
 pub struct Balancer {
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -52,7 +52,9 @@
     ConnectionUp(RequestId, ServerId),
     /// An attempt or an established connection has ended.
     AttemptEnded(AttemptEnd),
-    /// The client has closed its connection.
+    /// Nothing more is to be done for the request. Sent when the client has closed its connection, has sent data before
+    /// the request was connected, or got no decision by its deadline; when the successor has taken the connection over;
+    /// and for a connection whose task ended without a report.
     ClientGone(RequestId),
     /// Current load of a connection, in seconds of work per second.
     ConnectionLoad(RequestId, f64),
@@ -162,7 +164,7 @@
     Send {
         server: ServerId,
         endpoint: SocketAddr,
-        /// Timeout of the attempt.
+        /// Timeout of the whole attempt: connecting, writing the request line and waiting for the server's first line.
         within: Duration,
         /// Latest time at which the request line may be written, however long connecting takes.
         write_by: Option<Instant>,
--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -8,11 +8,12 @@
 /// The reason why a duty or a session was lost, or a session was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LossReason {
-    /// The lease could not be renewed: no leader has answered for `since` milliseconds.
+    /// The lease could not be renewed: no leader has answered for `since` milliseconds, a duration.
     NotRenewed {
         since: Millis,
     },
-    /// The process was stalled past the end of its lease, by that many milliseconds.
+    /// The process was stalled for longer than the lease margin, past the time at which duties are given up, a margin
+    /// before the end of the lease. `by` is the time since then, in milliseconds.
     Stalled {
         by: Millis,
     },
@@ -20,7 +21,7 @@
     HandedOn,
     /// This process is shutting down, or its successor takes over.
     Ending,
-    /// The fleet has ended the session.
+    /// The fleet has ended the session, or a duty is missing from the duties of a session that continues.
     SessionOver,
     /// Operators have evicted the member.
     PutOut,
@@ -67,7 +68,8 @@
         /// The time between the request and the leader's answer.
         took: Millis,
     },
-    /// No leader has answered for a whole lease duration; reported once until a leader answers.
+    /// No leader has answered for `since` milliseconds, at least a whole lease duration; reported once until a leader
+    /// answers.
     NoLeader { since: Millis },
     /// A leader has answered again.
     LeaderAgain,
--- a/crates/fleet/src/leases.rs
+++ b/crates/fleet/src/leases.rs
@@ -12,7 +12,8 @@
 struct Lease {
     expires_at: Millis,
     renewed_at: Millis,
-    /// The end of the session is in the log, committed or not: the lease is never renewed again.
+    /// The end of the session is in the log, committed or not, or is about to be proposed (a `Leave` sets this before
+    /// its entry is proposed): the lease is never renewed again.
     is_closing: bool,
 }
 
@@ -63,7 +64,7 @@
         self.leases.get(&session).map(|lease| lease.renewed_at)
     }
 
-    /// Sessions whose leases have expired and whose end is not in the log yet.
+    /// Sessions whose leases have expired and that are not closing yet.
     pub fn expired_sessions(&self, now: Millis) -> Vec<SessionId> {
         let expired = self
             .leases
@@ -81,7 +82,7 @@
         silent.map(|(id, _)| *id).collect()
     }
 
-    /// Records that the end of the session is in the log.
+    /// Records that the end of the session is in the log or about to be proposed.
     pub fn mark_closing(&mut self, session: SessionId) {
         if let Some(lease) = self.leases.get_mut(&session) {
             lease.is_closing = true;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -9,7 +9,7 @@
 //! Invariants, under the names that the design note and the tests use:
 //!
 //! - *One Holder*: at no instant do two processes regard themselves as the holder of a duty. A holder counts its lease
-//!   from before its request; the leader counts it from after the grant, extended by the configured clock drift. A
+//!   from before its request; the leader counts it from after the grant, extended by the assumed clock drift. A
 //!   renewal is granted only after a majority has confirmed, later than the renewal arrived, that the leader still
 //!   leads. A new leader waits for a whole lease of every session.
 //! - *Fencing*: each time a duty is granted it gets a fencing number larger than all before it, for the life of the
--- a/crates/fleet/src/limits.rs
+++ b/crates/fleet/src/limits.rs
@@ -108,7 +108,8 @@
     /// # Errors
     /// The lease can't outlive an election, or its margin is longer than half of it.
     pub fn validate(&self) -> Result<(), LimitsError> {
-        // Two randomized election timeouts, and a renewal before and after them.
+        // One randomized election timeout, which is less than two `election_timeout`s, and one `election_timeout` for
+        // the renewals before and after it.
         let min_lease = 3 * self.consensus.election_timeout;
         if self.lease_duration < min_lease {
             return Err(LimitsError::LeaseTooShort { min_lease });
--- a/crates/fleet/src/member/leader.rs
+++ b/crates/fleet/src/member/leader.rs
@@ -20,7 +20,7 @@
                 LeaderReply::RetryLater("this leader can't read its log".into()),
             );
         }
-        if running.pending_reads.len() + running.pending_proposals.len()
+        if running.pending_confirmations.len() + running.pending_proposals.len()
             >= limits.max_pending_leader_requests
         {
             self.events.push(Event::Full {
@@ -184,23 +184,24 @@
             LeaderRequest::WorkAction(_) | LeaderRequest::WorkView => None,
         };
         match command {
-            None => self.start_read(from, number, request),
+            None => self.confirm_leadership(from, number, request),
             Some(command) => self.propose(command, from, number, request),
         }
     }
 
-    /// Replies after a majority has confirmed that this member leads, in [`Self::answer_confirmed_read`].
-    fn start_read(&mut self, from: Name, number: Number, request: LeaderRequest) {
+    /// Has a majority confirm, by a read index, that this member leads; then [`Self::answer_when_confirmed`] handles
+    /// the request.
+    fn confirm_leadership(&mut self, from: Name, number: Number, request: LeaderRequest) {
         let Some(running) = self.running_mut() else {
             return;
         };
         running.last_read_id += 1;
         let read_id = running.last_read_id;
         running
-            .pending_reads
+            .pending_confirmations
             .insert(read_id, (from.clone(), number, request));
         if let Err(rejection) = running.node.request_read(read_id) {
-            running.pending_reads.remove(&read_id);
+            running.pending_confirmations.remove(&read_id);
             self.reply(from, number, rejection_reply(&rejection));
         }
     }
@@ -219,8 +220,9 @@
         }
     }
 
-    /// Answers a request after a majority has confirmed, later than its arrival, that this member still leads.
-    pub(super) fn answer_confirmed_read(
+    /// Handles a request after a majority has confirmed, later than its arrival, that this member still leads: answers
+    /// a query, grants a lease, proposes a change to the log, or starts an admission or eviction.
+    pub(super) fn answer_when_confirmed(
         &mut self,
         from: Name,
         number: Number,
--- a/crates/fleet/src/member/log.rs
+++ b/crates/fleet/src/member/log.rs
@@ -1,4 +1,6 @@
-//! A voter's log: outputs of the consensus node, applied entries, and snapshots of the state.
+//! What a voter does with its log, which `crates/consensus` keeps: handles the outputs of the consensus node, applies
+//! committed entries, and handles snapshots of the state. Also proposes the steps of admissions and evictions of
+//! members (`advance_admission`, `advance_eviction`).
 
 use super::*;
 
@@ -88,7 +90,7 @@
                 running.leases.clear();
                 running.membership_jobs.clear();
                 let proposals = std::mem::take(&mut running.pending_proposals).into_values();
-                let reads = std::mem::take(&mut running.pending_reads).into_values();
+                let reads = std::mem::take(&mut running.pending_confirmations).into_values();
                 let proposals = proposals.map(|(_, from, number, _)| (from, number));
                 let requests: Vec<_> = proposals
                     .chain(reads.map(|(from, number, _)| (from, number)))
@@ -100,15 +102,15 @@
             LogOutput::ReadReady(read_id, _) => {
                 let read = self
                     .running_mut()
-                    .and_then(|running| running.pending_reads.remove(&read_id));
+                    .and_then(|running| running.pending_confirmations.remove(&read_id));
                 if let Some((from, number, request)) = read {
-                    self.answer_confirmed_read(from, number, request);
+                    self.answer_when_confirmed(from, number, request);
                 }
             }
             LogOutput::ReadFailed(read_id) => {
                 let read = self
                     .running_mut()
-                    .and_then(|running| running.pending_reads.remove(&read_id));
+                    .and_then(|running| running.pending_confirmations.remove(&read_id));
                 if let Some((from, number, _)) = read {
                     self.reply(from, number, LeaderReply::NotLeader(None));
                 }
@@ -242,7 +244,8 @@
         self.reply(from, number, reply);
     }
 
-    /// Sends a session its shares and lower targets; with `renew_now` its member renews at once.
+    /// Sends a session its shares and lower targets; with `renew_now` its member renews at once, and learns of its
+    /// duties from the reply.
     pub(super) fn notify_session(&mut self, session: SessionId, renew_now: bool) {
         let Some(running) = self.running() else {
             return;
@@ -306,7 +309,7 @@
             applied_index: 0,
             leases: LeaseTable::default(),
             pending_proposals: BTreeMap::new(),
-            pending_reads: BTreeMap::new(),
+            pending_confirmations: BTreeMap::new(),
             last_read_id: 0,
             membership_jobs: BTreeMap::new(),
             allocator: ShareAllocator::default(),
--- a/crates/fleet/src/member/mod.rs
+++ b/crates/fleet/src/member/mod.rs
@@ -70,7 +70,7 @@
     /// Requests whose replies wait until the log entry of that index and term is applied.
     pending_proposals: BTreeMap<Index, (Term, Name, Number, LeaderRequest)>,
     /// Requests that wait until a majority has confirmed that this member still leads.
-    pending_reads: BTreeMap<ReadId, (Name, Number, LeaderRequest)>,
+    pending_confirmations: BTreeMap<ReadId, (Name, Number, LeaderRequest)>,
     last_read_id: ReadId,
     /// Admissions and evictions in progress, by member.
     membership_jobs: BTreeMap<Name, MembershipJob>,
--- a/crates/fleet/src/messages.rs
+++ b/crates/fleet/src/messages.rs
@@ -35,7 +35,8 @@
     /// The reply to the request of that number.
     Reply(Number, LeaderReply),
     /// The leader notifies a member that its session has changed. The shares are committed, so they are valid for as
-    /// long as the receiver's lease; with `renew_now` the receiver renews its session at once.
+    /// long as the receiver's lease; with `renew_now` the receiver renews its session at once. Duties are not part of
+    /// this message: a new holder learns of its duty from the reply to that renewal.
     SessionUpdate {
         session: SessionId,
         applied_index: u64,
@@ -60,7 +61,7 @@
 /// A request of any member to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaderRequest {
-    /// Requests a session. `nonce` is new for each session that is wanted. `replaced_session` is an earlier session
+    /// Opens a session. `nonce` is new for each session that is wanted. `replaced_session` is an earlier session
     /// of the same process, under which the process has stopped everything that it held.
     Join {
         nonce: Number,
@@ -97,7 +98,7 @@
         fence: Number,
         preferred_holder: Option<Name>,
     },
-    /// The sender has stopped everything; its session ends.
+    /// Ends the session: the sender has stopped everything.
     Leave {
         session: SessionId,
         units_in_use: Vec<(Name, u64)>,
@@ -145,11 +146,11 @@
         duty: Name,
         preferred_holder: Option<Name>,
     },
-    /// Allows a member to join again, and makes it a voter if it is configured as one.
+    /// Allows the member of the name `node` to join again, and makes it a voter if it is configured as one.
     AdmitMember { node: Name },
-    /// The member's machine is gone, and with it the units of budgets that the member held.
+    /// The machine of the member of the name `node` is gone, and with it the units of budgets that the member held.
     DeclareMemberLost { node: Name },
-    /// Bars a member from sessions and removes it from the log's members.
+    /// Bars the member of the name `node` from sessions and removes it from the log's members.
     EvictMember { node: Name },
 }
 
@@ -209,6 +210,7 @@
 /// The state of the fleet as operators see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetView {
+    /// Name of the member that reports this view.
     pub node: Name,
     pub leader: Option<Name>,
     pub term: Term,
@@ -225,6 +227,7 @@
 /// A member in a [`FleetView`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberView {
+    /// Name of the member.
     pub node: Name,
     pub votes: bool,
     /// `live`, `silent`, `none` (no session), `stranger`, `out`, or `unknown` (no leader has answered).
--- a/crates/fleet/src/session_client.rs
+++ b/crates/fleet/src/session_client.rs
@@ -32,7 +32,8 @@
     id: SessionId,
     /// The end of the lease. Duties and shares are given up a margin before it.
     expires_at: Millis,
-    /// Whether the duties and shares were given up because the lease was not renewed in time.
+    /// Whether the duties and shares were given up because the lease was not renewed in time. Set a margin before the
+    /// lease itself expires; from then on the session is not used.
     has_expired: bool,
 }
 
@@ -765,6 +766,7 @@
             if !held_duties.contains(&(duty.clone(), fence)) {
                 self.held_duties.remove(&duty);
                 self.given_up_fences.insert(duty.clone(), fence);
+                // Only this duty is missing from the leader's reply; the session may continue.
                 events.push(Event::Lost {
                     duty,
                     fence,
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -21,7 +21,7 @@
 /// A command of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Begins a session.
+    /// Opens a session.
     Join {
         name: Name,
         nonce: Number,
@@ -38,7 +38,7 @@
     /// The process of the session is shutting down: the session is assigned no more duties, and its duties go to
     /// others.
     BeginLeave { session: SessionId },
-    /// The process of the session has stopped everything; `units_in_use` are the units of its shares that are still
+    /// Ends a session whose process has stopped everything; `units_in_use` are the units of its shares that are still
     /// in use.
     Leave {
         session: SessionId,
--- a/crates/proxy/src/acceptor.rs
+++ b/crates/proxy/src/acceptor.rs
@@ -76,8 +76,9 @@
         self.next_id.replace(self.next_id.get() + 1)
     }
 
-    /// Whether requests can be served: there is a list of servers, or discovery has not answered within
-    /// `first_list_timeout`, so that the last run's list is used.
+    /// Whether `PING` may be answered with `PONG`: there is a list from discovery, or one of the last run to which
+    /// changes can be applied; a successor's wait for a list is over; or `first_list_timeout` is over. The engine uses
+    /// the last run's list from the start; this only decides from when the proxy counts as ready with it.
     fn is_ready(&self) -> bool {
         *self.has_list.borrow() || self.started.elapsed() >= self.limits.first_list_timeout
     }
@@ -105,6 +106,7 @@
     loop {
         let slot = shared.pending_slots.acquire().await;
         // While this process does not accept, the other process that shares the socket accepts from its queue.
+        // `Err(true)`: the sender is dropped, and accepting ends for good; `Err(false)`: accepting is paused.
         let accepted = tokio::select! {
             biased;
             stopped = accepting.wait_for(|is_accepting| !is_accepting) => Err(stopped.is_err()),
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -133,7 +133,7 @@
         group: open.get("g").map(group_id),
         hint,
         client_timeout,
-        is_repeat: open.is_retry(),
+        is_repeat: open.is_repeat(),
     };
     Ok((request, id))
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,8 @@
 //! The program `violetwind`: one balancer on real sockets. The decision module (`crates/balancer`) makes the decisions;
 //! this program reads the sockets, passes events to the module and executes its actions.
 //!
-//! A client's connection passes the stages `acceptor`, `admission`, `route`, `attempt`, `relay` and `request_tracker`.
+//! A client's connection passes the stages `acceptor`, `admission`, `route`, `attempt` and `relay`; from `route` on, a
+//! `request_tracker` accompanies it.
 //! Only the engine (`crates/engine`) has access to the module.
 
 pub mod acceptor;
@@ -210,7 +211,8 @@
         (last_list.is_snapshot && !last_list.rows.is_empty()).then_some(last_list.version);
     // A successor requests the whole list, because changes that its predecessor has received apply to it too.
     let list_version = list_version.filter(|_| inherited.predecessor.is_none());
-    // The last run's list is used at once: when many proxies restart together, discovery may not answer for seconds.
+    // The engine uses the last run's list from the start. If changes can be applied to that list, the proxy also counts
+    // as ready at once: when many proxies restart together, discovery may not answer for seconds.
     let (list_ready, list_ready_receiver) = watch::channel(list_version.is_some());
     let list_ready = Rc::new(list_ready);
     let descriptors = (request_descriptors.clone(), pending_slots.clone());
--- a/crates/proxy/src/limits.rs
+++ b/crates/proxy/src/limits.rs
@@ -104,7 +104,8 @@
     /// The maximum backoff before the first answer from an address: the new address after a reload may be slow to
     /// start.
     pub max_unanswered_backoff: Duration,
-    /// How long a list from discovery is awaited before the list of the last run is used instead.
+    /// How long a list from discovery is awaited before the proxy counts as ready with the list of the last run, which
+    /// the engine uses from the start.
     pub first_list_timeout: Duration,
 
     /// The minimum time from SIGTERM to the end of the process, for the last clients that connect.
--- a/crates/proxy/src/line_protocol.rs
+++ b/crates/proxy/src/line_protocol.rs
@@ -80,9 +80,9 @@
         pairs.map(|pair| pair.split_once('=').unwrap_or((pair, "")))
     }
 
-    /// Whether the request is marked as a retry (`r=1`), or as a repeat after its connection broke or was moved
-    /// (`again=1`).
-    pub fn is_retry(&self) -> bool {
+    /// Whether the client marks the request as a repeat of its own: as a retry (`r=1`), or after its connection broke
+    /// or was moved (`again=1`). Has nothing to do with this proxy's retries.
+    pub fn is_repeat(&self) -> bool {
         ["r", "again"]
             .iter()
             .any(|name| self.get(name) == Some("1"))
--- a/crates/proxy/src/pending_slots.rs
+++ b/crates/proxy/src/pending_slots.rs
@@ -122,8 +122,8 @@
         self.eviction.clone()
     }
 
-    /// Returns when the connection is evicted in favour of another one. While the process closes all slots, no
-    /// connection waits for this one, and the signal is ignored.
+    /// Returns when the connection is evicted in favour of another one. Once the process closes all slots, no
+    /// connection waits for this one: the signal is ignored, and this does not return.
     pub fn wait_for_eviction(&self) -> impl Future<Output = ()> + use<> {
         let (eviction, state) = (self.eviction.clone(), self.state.clone());
         async move {
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,4 +1,6 @@
-//! Stage five: relays lines unchanged in both directions until one side ends or the client is moved.
+//! Stage five: relays lines unchanged in both directions until one side ends or the client is moved. To the client it
+//! forwards whole lines, so that it can insert a `MOVE` of its own; a part of a line is forwarded only if the buffer is
+//! full or the server has ended its stream.
 
 use std::future::pending;
 use std::io;
@@ -148,13 +150,19 @@
     }
 }
 
-/// How a relay ended.
+/// Why [`Relay::run`] returned. The relay has ended, except after `BetweenLines`.
 #[derive(Debug)]
 enum RelayEnd {
+    /// Both streams have ended, or one has and nothing was relayed for a while; the server ended its stream first.
     ServerClosed,
+    /// As `ServerClosed`, but the server did not end first.
     ClientClosed,
+    /// The server's socket failed. Also returned if `MOVE` can't be inserted because the server has stopped within a
+    /// line, and if the engine has ended.
     ServerBroke,
+    /// The client's socket failed.
     ClientBroke,
+    /// `MOVE` was inserted for the client.
     Moved,
     /// The connection is between lines, so that a successor can take it over.
     BetweenLines,
@@ -174,7 +182,8 @@
     to_client: Direction,
     /// Arrival time of the client's oldest line after which the server has sent no line.
     waiting_since: Option<Instant>,
-    /// How the attempt ends if the connection ends now, according to the server's last `BYE` or `MOVE` line.
+    /// How the attempt ends if the connection ends now, according to the server's last `BYE` or `MOVE` line; `Reset` as
+    /// long as there is no such line.
     outcome: (Outcome, Report),
     /// The connection's load from the last `LOAD` line, until it is reported to the engine.
     unreported_load: Option<f64>,
@@ -268,6 +277,7 @@
         RelayEnd::ClientClosed => tracker.report_client_left().await,
         // The client's connection is reset too, unless the reset could overtake lines not yet received by the client.
         RelayEnd::ServerBroke => {
+            // `Reset` is the initial outcome: the server has sent no last line.
             let has_last_line = outcome.0 != Outcome::Reset;
             tracker.report_end(server_id, outcome).await;
             match wrote_rest || has_last_line {
@@ -279,6 +289,7 @@
             tracker.report_client_left().await;
             let _ = server.stream.set_zero_linger();
         }
+        // Only `Moved` gets here: after `BetweenLines` the loop above continues or returns.
         RelayEnd::Moved | RelayEnd::BetweenLines => {
             tracker
                 .report_end(server_id, (Outcome::Cancelled, Report::default()))
@@ -350,7 +361,8 @@
                     return RelayEnd::Moved;
                 }
                 if overdue {
-                    // The server has stopped within a line, so that `MOVE` can't be inserted.
+                    // The server has stopped within a line, so that `MOVE` can't be inserted: this counts as a
+                    // failure of the server's socket.
                     return RelayEnd::ServerBroke;
                 }
             }
@@ -399,7 +411,7 @@
                     }
                     Some(ConnectionCommand::HandOver) => self.handover_requested = true,
                     Some(_) => {}
-                    // The engine has ended, so the process ends too.
+                    // The engine has ended, so the process ends too; the server is not at fault.
                     None => return RelayEnd::ServerBroke,
                 },
                 () = sleep_until_some(wake_at) => {
--- a/crates/proxy/src/request_tracker.rs
+++ b/crates/proxy/src/request_tracker.rs
@@ -1,4 +1,6 @@
-//! Last stage: reports the end of a request or connection to the engine, exactly once on every path.
+//! Accompanies a request from stage three (`route`) on, or an adopted connection: passes its events to the engine and
+//! the recording. Of the calls that finish a tracker, `report_end` and `report_client_left` report the end to the
+//! engine; `mark_answered` reports nothing, as the engine itself has given the final answer.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -40,7 +42,8 @@
         }
     }
 
-    /// Records that the connection to a server is up.
+    /// Writes to the recording that a server serves the request; the engine gets no event. Runs for a request that was
+    /// served without an open connection too.
     pub fn mark_up(&self) {
         if let Some(entry) = &self.entry {
             entry.set_answer(Answer::Up);
@@ -95,7 +98,8 @@
         .await;
     }
 
-    /// Reports that the client left.
+    /// Reports that the engine has nothing more to do for the request: the client left, sent data too early or got no
+    /// decision by its deadline, or the successor has taken the connection over.
     pub async fn report_client_left(mut self) {
         self.is_finished = true;
         self.notify_engine(EngineEvent::ClientGone(self.id)).await;
--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -42,7 +42,7 @@
     let id = admitted.open_line.id;
     let request_id = admitted.request.id;
     let tracker = RequestTracker::new(&admitted.request, client.arrived, shared);
-    match decide(
+    match execute_commands(
         &mut client,
         &admitted,
         shared,
@@ -100,7 +100,7 @@
 }
 
 /// Executes the balancer's commands until a server serves the request or it gets its final answer.
-async fn decide(
+async fn execute_commands(
     client: &mut ClientConnection,
     admitted: &AdmittedRequest<'_>,
     shared: &Rc<SharedState>,
@@ -204,6 +204,8 @@
                     .await;
                 return Routed::Connected(server_id, server);
             }
+            // The connection does not come up, so the engine gets no `ConnectionUp`: to it the attempt is in flight
+            // until the relay reports the end.
             AttemptResult::Served(server) => return Routed::Connected(server_id, server),
             AttemptResult::Failed(outcome, _) if admitted.previous_server.is_some() => {
                 debug!(
--- a/crates/proxy/tests/unit_line.rs
+++ b/crates/proxy/tests/unit_line.rs
@@ -39,8 +39,8 @@
     assert_eq!(open("c=x").number_field("d"), Ok(None));
     assert_eq!(open("c=x,d=1999").number_field("d"), Ok(Some(1999.0)));
     assert!(open("c=x,d=1,c=y").find_fault(8).is_some());
-    assert!(open("c=x,d=1,r=1").is_retry() && open("c=x,d=1,again=1").is_retry());
-    assert!(!open("c=x,d=1,r=0").is_retry() && !open("c=x,d=1").is_retry());
+    assert!(open("c=x,d=1,r=1").is_repeat() && open("c=x,d=1,again=1").is_repeat());
+    assert!(!open("c=x,d=1,r=0").is_repeat() && !open("c=x,d=1").is_repeat());
     assert!(open("c=x,d=1,r=1,g=2,again=1").find_fault(5).is_none());
     assert!(open("c=x,d=1,r=1,g=2,again=1").find_fault(4).is_some());
 }
