--- a/crates/catalogue/src/limits.rs
+++ b/crates/catalogue/src/limits.rs
@@ -1,55 +1,58 @@
-//! Every size, share and time of the catalogue.
+//! The limits, ratios and timeouts of the catalogue.
 
-use crate::words::Millis;
+use crate::types::Millis;
 
+/// The limits of a [`Catalogue`](crate::Catalogue); times in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Servers that are remembered. Past it the one that nobody has listed for longest is forgotten;
-    /// where all are listed, a new one is refused, which is counted.
-    pub servers: usize,
-    /// Sources at one time, those that were taken away and still hold servers included.
-    pub sources: usize,
-    /// A server that no source lists is gone after this, though it answers.
-    pub absent_for: Millis,
-    /// The share of all servers that turn gone by that in a second, one at least: no wave of moves.
-    pub gone_share: f64,
-    /// Probes or lines in a row that a suspect leaves unanswered until it is gone.
-    pub unanswered: u32,
-    /// A source is doubted when more than such a share of its servers, and no fewer than so many, turned
-    /// suspect within the window.
-    pub doubt_share: f64,
-    pub doubt_least: usize,
-    pub doubt_window: Millis,
-    /// It is trusted again once less than half that share has been suspect for so long, or at the latest
-    /// after the second time.
-    pub trust_after: Millis,
-    pub doubt_most: Millis,
-    /// Each time a server turns suspect costs it one, which fades by half in such a time; from the
-    /// first bound on it stays suspect until it is below the second.
-    pub flap_half: Millis,
-    pub flap_damped: f64,
-    pub flap_free: f64,
-    /// How often what depends on time is looked at again.
-    pub tick: Millis,
+    /// The maximum number of servers in the catalogue. When it is reached, the server that has been unlisted for
+    /// longest is evicted; if all servers are listed, a new one is refused. Both are counted.
+    pub max_servers: usize,
+    /// The maximum number of sources, including retired ones that still have reports.
+    pub max_sources: usize,
+    /// After this time a server that no source lists is gone, even if it still answers.
+    pub absence_timeout: Millis,
+    /// The maximum ratio of all servers that become gone through `absence_timeout` per second, at least one server.
+    /// It prevents a burst of connection moves.
+    pub max_gone_ratio_per_s: f64,
+    /// The number of consecutive unanswered probes or `OPEN` lines after which a suspected server is gone.
+    pub max_unanswered: u32,
+    /// A source is distrusted when more than `distrust_ratio` of its servers, and at least `distrust_min_servers`,
+    /// became suspect within `distrust_window`.
+    pub distrust_ratio: f64,
+    pub distrust_min_servers: usize,
+    pub distrust_window: Millis,
+    /// A source is trusted again once the ratio of its suspect servers has been at most half of `distrust_ratio`, or
+    /// their number below `distrust_min_servers`, for `trust_recovery_delay`; at the latest after
+    /// `max_distrust_time`.
+    pub trust_recovery_delay: Millis,
+    pub max_distrust_time: Millis,
+    /// Each transition of a server to suspect adds 1 to its penalty, which halves every `flap_half_life`. From
+    /// `flap_suppress_threshold` on the server stays suspected until the penalty is below `flap_reuse_threshold`.
+    pub flap_half_life: Millis,
+    pub flap_suppress_threshold: f64,
+    pub flap_reuse_threshold: f64,
+    /// How often state that depends on elapsed time is evaluated again.
+    pub tick_interval: Millis,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            servers: 40_000,
-            sources: 16,
-            absent_for: 60_000,
-            gone_share: 0.02,
-            unanswered: 2,
-            doubt_share: 0.25,
-            doubt_least: 2,
-            doubt_window: 30_000,
-            trust_after: 10_000,
-            doubt_most: 600_000,
-            flap_half: 60_000,
-            flap_damped: 3.0,
-            flap_free: 1.0,
-            tick: 500,
+            max_servers: 40_000,
+            max_sources: 16,
+            absence_timeout: 60_000,
+            max_gone_ratio_per_s: 0.02,
+            max_unanswered: 2,
+            distrust_ratio: 0.25,
+            distrust_min_servers: 2,
+            distrust_window: 30_000,
+            trust_recovery_delay: 10_000,
+            max_distrust_time: 600_000,
+            flap_half_life: 60_000,
+            flap_suppress_threshold: 3.0,
+            flap_reuse_threshold: 1.0,
+            tick_interval: 500,
         }
     }
 }
--- a/crates/conf/src/tree.rs
+++ b/crates/conf/src/tree.rs
@@ -1,92 +1,95 @@
-//! Values with where they come from.
+//! Tree of configuration values with their locations.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use toml_edit::{Document, Item, TableLike, Value as Toml};
 
-use crate::read::Problem;
+use crate::section::Problem;
 
-/// The longest file, and the deepest nesting that a layer may add.
-const MOST_BYTES: usize = 1 << 20;
-const MOST_DEPTH: usize = 8;
+/// Maximum length of a file.
+const MAX_FILE_BYTES: usize = 1 << 20;
+/// Maximum number of keys in the path of a value that a layer sets.
+const MAX_PATH_DEPTH: usize = 8;
 
+/// A configuration value.
 #[derive(Clone, Debug)]
 pub(crate) enum Value {
     Text(String),
     Int(i64),
     Float(f64),
-    Flag(bool),
+    Bool(bool),
     List(Vec<Node>),
     Table(BTreeMap<String, Node>),
-    /// A date, which no key takes.
-    Other,
+    /// A date, which no key accepts.
+    Datetime,
 }
 
+/// A value and its location.
 #[derive(Clone, Debug)]
 pub(crate) struct Node {
     pub value: Value,
     /// `FILE:LINE`, `environment NAME` or `--set KEY`.
-    pub place: Rc<str>,
+    pub location: Rc<str>,
 }
 
-/// A file and the layers over it.
+/// The values of a configuration file and of the layers over it.
 #[derive(Clone, Debug)]
-pub struct Tree {
+pub struct ConfigTree {
     pub(crate) root: Node,
 }
 
-impl Tree {
-    /// No file: all values are the defaults.
+impl ConfigTree {
+    /// Creates a tree without a file, for which all values are the defaults.
     pub fn empty() -> Self {
         Self {
             root: Node {
                 value: Value::Table(BTreeMap::new()),
-                place: "defaults".into(),
+                location: "defaults".into(),
             },
         }
     }
 
-    /// Reads a file's text; `name` is what errors call it.
+    /// Parses the text of a file. Errors use `name` as the name of the file.
     pub fn parse(name: &str, text: &str) -> Result<Self, Problem> {
-        let problem = |at: Option<usize>, what: String| Problem {
-            place: place(name, text, at).to_string(),
+        let problem = |offset: Option<usize>, message: String| Problem {
+            location: format_location(name, text, offset).to_string(),
             key: String::new(),
-            what,
+            message,
             hint: None,
         };
-        if text.len() > MOST_BYTES {
-            return Err(problem(None, format!("more than {MOST_BYTES} bytes")));
+        if text.len() > MAX_FILE_BYTES {
+            return Err(problem(None, format!("more than {MAX_FILE_BYTES} bytes")));
         }
         let document: Document<&str> = Document::parse(text).map_err(|error| {
-            let at = error.span().map(|span| span.start);
-            problem(at, error.message().trim().replace('\n', ", "))
+            let offset = error.span().map(|span| span.start);
+            problem(offset, error.message().trim().replace('\n', ", "))
         })?;
-        let table = table(name, text, document.as_table());
+        let table = read_table(name, text, document.as_table());
         Ok(Self {
             root: Node {
                 value: Value::Table(table),
-                place: place(name, text, None),
+                location: format_location(name, text, None),
             },
         })
     }
 
-    /// Puts a value over what the file says, at a path such as `log.format` or `source.0.address`. The
-    /// text is read as a TOML value if it is one, else taken as it is.
-    pub fn set(&mut self, path: &str, text: &str, place: &str) -> Result<(), Problem> {
+    /// Overrides the value at a path such as `log.format` or `source.0.address`. The text is parsed as a TOML value if
+    /// possible, and used as a string otherwise.
+    pub fn set_value(&mut self, path: &str, text: &str, location: &str) -> Result<(), Problem> {
         let keys: Vec<&str> = path.split('.').collect();
-        let problem = |what: &str| Problem {
-            place: place.to_string(),
+        let problem = |message: &str| Problem {
+            location: location.to_string(),
             key: path.to_string(),
-            what: what.to_string(),
+            message: message.to_string(),
             hint: None,
         };
-        if keys.len() > MOST_DEPTH || keys.iter().any(|key| key.is_empty()) {
+        if keys.len() > MAX_PATH_DEPTH || keys.iter().any(|key| key.is_empty()) {
             return Err(problem("no path of keys"));
         }
-        let place: Rc<str> = place.into();
+        let location: Rc<str> = location.into();
         let value = match text.parse::<Toml>() {
-            Ok(parsed) => from_value("", "", &parsed, &place),
+            Ok(parsed) => convert_value("", "", &parsed, &location),
             Err(_) => Value::Text(text.to_string()),
         };
         let mut node = &mut self.root;
@@ -94,11 +97,11 @@
             node = match &mut node.value {
                 Value::Table(table) => table.entry(key.to_string()).or_insert_with(|| Node {
                     value: Value::Table(BTreeMap::new()),
-                    place: place.clone(),
+                    location: location.clone(),
                 }),
                 Value::List(list) => {
-                    let at: Option<usize> = key.parse().ok();
-                    match at.and_then(|at| list.get_mut(at)) {
+                    let index: Option<usize> = key.parse().ok();
+                    match index.and_then(|index| list.get_mut(index)) {
                         Some(node) => node,
                         None => return Err(problem("no such place in the list")),
                     }
@@ -106,35 +109,37 @@
                 _ => return Err(problem("a key within what is no section")),
             };
         }
-        *node = Node { value, place };
+        *node = Node { value, location };
         Ok(())
     }
 
-    /// Layers variables of the environment over the file: `PREFIX` and then the path, in capitals, with
-    /// two underscores between keys, as in `VIOLETWIND__LOG__FORMAT`.
-    pub fn set_from(
+    /// Overrides values with environment variables. Their names are `prefix` and the path in capitals, with two
+    /// underscores between keys, as in `VIOLETWIND__LOG__FORMAT`. Returns a problem for each variable that can't be
+    /// applied.
+    pub fn set_from_env(
         &mut self,
         prefix: &str,
         variables: impl Iterator<Item = (String, String)>,
     ) -> Vec<Problem> {
-        let mut found: Vec<(String, String)> = variables
+        let mut overrides: Vec<(String, String)> = variables
             .filter(|(name, _)| name.starts_with(prefix))
             .collect();
-        found.sort();
+        overrides.sort();
         let mut problems = Vec::new();
-        for (name, value) in found {
+        for (name, value) in overrides {
             let path = name[prefix.len()..].to_ascii_lowercase().replace("__", ".");
-            let place = format!("environment {name}");
-            problems.extend(self.set(&path, &value, &place).err());
+            let location = format!("environment {name}");
+            problems.extend(self.set_value(&path, &value, &location).err());
         }
         problems
     }
 }
 
-fn place(name: &str, text: &str, at: Option<usize>) -> Rc<str> {
-    match at {
-        Some(at) => {
-            let before = &text.as_bytes()[..at.min(text.len())];
+/// Returns `NAME:LINE` for an offset in a file's text, or the name alone without an offset.
+fn format_location(name: &str, text: &str, offset: Option<usize>) -> Rc<str> {
+    match offset {
+        Some(offset) => {
+            let before = &text.as_bytes()[..offset.min(text.len())];
             let line = 1 + before.iter().filter(|byte| **byte == b'\n').count();
             format!("{name}:{line}").into()
         }
@@ -142,64 +147,69 @@
     }
 }
 
-fn table(name: &str, text: &str, table: &dyn TableLike) -> BTreeMap<String, Node> {
-    let node = |item: &Item, key_at: Option<usize>| -> Option<Node> {
-        let at = item.span().map(|span| span.start).or(key_at);
-        let here = place(name, text, at);
+/// Converts a parsed TOML table, with the locations of its values.
+fn read_table(name: &str, text: &str, table: &dyn TableLike) -> BTreeMap<String, Node> {
+    let node = |item: &Item, key_offset: Option<usize>| -> Option<Node> {
+        let offset = item.span().map(|span| span.start).or(key_offset);
+        let location = format_location(name, text, offset);
         let value = match item {
             Item::None => return None,
-            Item::Value(value) => from_value(name, text, value, &here),
-            Item::Table(inner) => Value::Table(self::table(name, text, inner)),
+            Item::Value(value) => convert_value(name, text, value, &location),
+            Item::Table(inner) => Value::Table(self::read_table(name, text, inner)),
             Item::ArrayOfTables(tables) => Value::List(
                 tables
                     .iter()
                     .map(|inner| Node {
-                        value: Value::Table(self::table(name, text, inner)),
-                        place: place(name, text, inner.span().map(|span| span.start)),
+                        value: Value::Table(self::read_table(name, text, inner)),
+                        location: format_location(name, text, inner.span().map(|span| span.start)),
                     })
                     .collect(),
             ),
         };
-        Some(Node { value, place: here })
+        Some(Node { value, location })
     };
     let keys = table.iter().map(|(key, item)| {
-        let key_at = table.key(key).and_then(|key| key.span());
-        (key.to_string(), node(item, key_at.map(|span| span.start)))
+        let key_offset = table.key(key).and_then(|key| key.span());
+        (
+            key.to_string(),
+            node(item, key_offset.map(|span| span.start)),
+        )
     });
     keys.filter_map(|(key, node)| Some((key, node?))).collect()
 }
 
-fn from_value(name: &str, text: &str, value: &Toml, place: &Rc<str>) -> Value {
+/// Converts a parsed TOML value. Values within it have `location` unless their own offset in the file is known.
+fn convert_value(name: &str, text: &str, value: &Toml, location: &Rc<str>) -> Value {
     match value {
         Toml::String(text) => Value::Text(text.value().clone()),
         Toml::Integer(number) => Value::Int(*number.value()),
         Toml::Float(number) => Value::Float(*number.value()),
-        Toml::Boolean(flag) => Value::Flag(*flag.value()),
-        Toml::Datetime(_) => Value::Other,
+        Toml::Boolean(flag) => Value::Bool(*flag.value()),
+        Toml::Datetime(_) => Value::Datetime,
         Toml::Array(items) => Value::List(
             items
                 .iter()
                 .map(|item| {
-                    let at = item.span().map(|span| span.start);
-                    let here = match at {
-                        Some(_) if !text.is_empty() => self::place(name, text, at),
-                        _ => place.clone(),
+                    let offset = item.span().map(|span| span.start);
+                    let item_location = match offset {
+                        Some(_) if !text.is_empty() => self::format_location(name, text, offset),
+                        _ => location.clone(),
                     };
                     Node {
-                        value: from_value(name, text, item, &here),
-                        place: here,
+                        value: convert_value(name, text, item, &item_location),
+                        location: item_location,
                     }
                 })
                 .collect(),
         ),
-        Toml::InlineTable(inner) if !text.is_empty() => Value::Table(table(name, text, inner)),
+        Toml::InlineTable(inner) if !text.is_empty() => Value::Table(read_table(name, text, inner)),
         Toml::InlineTable(inner) => Value::Table(
             inner
                 .iter()
                 .map(|(key, item)| {
                     let node = Node {
-                        value: from_value(name, text, item, place),
-                        place: place.clone(),
+                        value: convert_value(name, text, item, location),
+                        location: location.clone(),
                     };
                     (key.to_string(), node)
                 })
--- a/crates/consul/src/client.rs
+++ b/crates/consul/src/client.rs
@@ -1,4 +1,4 @@
-//! One connection to Consul, kept from call to call: at most one call is open a data centre.
+//! The HTTP connection to Consul, reused between queries: each data centre has at most one query in flight.
 
 use std::time::{Duration, Instant};
 
@@ -13,21 +13,22 @@
 use tokio::time::timeout;
 use violetwind_catalogue::Row;
 
-use crate::query::Head;
-use crate::rows::{Cutter, Reader};
+use crate::query::ResponseHead;
+use crate::rows::{RowParser, RowSplitter};
 use crate::rules::{Api, Settings};
 use crate::token::Token;
-use violetwind_net::{Stream, connect};
+use violetwind_net::{SharedTcpStream, connect};
 
-/// Why there is no list.
+/// A query that failed to deliver a list.
 #[derive(Debug)]
-pub(crate) struct Failure {
-    pub head: Option<Head>,
+pub(crate) struct QueryError {
+    /// The head of the response, if one was received with a status other than 200.
+    pub head: Option<ResponseHead>,
     pub error: String,
 }
 
-impl Failure {
-    fn of(error: impl ToString) -> Self {
+impl QueryError {
+    fn from_error(error: impl ToString) -> Self {
         Self {
             head: None,
             error: error.to_string(),
@@ -35,23 +36,24 @@
     }
 }
 
-/// A list that was read to its end.
+/// The rows of a response body that was read completely.
 #[derive(Debug, Default)]
-pub(crate) struct Read {
+pub(crate) struct ParsedList {
     pub rows: Vec<Row>,
-    pub faults: usize,
-    pub fault: Option<String>,
-    /// The time that reading it kept the processor.
-    pub took: Duration,
+    pub invalid_rows: usize,
+    pub first_error: Option<String>,
+    /// The time spent on parsing, during which no other task ran on the thread.
+    pub parse_time: Duration,
 }
 
+/// Queries one service in one data centre.
 pub(crate) struct Client<'a> {
     settings: &'a Settings,
     datacenter: Option<&'a str>,
     connection: Option<Connection>,
 }
 
-/// Ends its connection when it is dropped, whatever call is under way.
+/// A connection that is closed when it is dropped, even with a query in flight.
 struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     task: AbortHandle,
@@ -72,26 +74,34 @@
         }
     }
 
-    /// The next call has a fresh connection; one that is out has ended with this.
-    pub fn hang_up(&mut self) {
+    /// Closes the connection, which aborts a query in flight. The next query opens a new one.
+    pub fn disconnect(&mut self) {
         self.connection = None;
     }
 
-    /// The head of an answer, which says whether the body is wanted.
-    pub async fn ask(
+    /// Sends a query and waits for the head of the response, which decides whether the body is parsed. With an
+    /// index the query blocks until the list has changed since, or until the wait is over. Fails on a timeout, a
+    /// connection error or a status other than 200.
+    pub async fn send_query(
         &mut self,
         index: Option<u64>,
         token: Option<&Token>,
-    ) -> Result<(Head, Response<Incoming>), Failure> {
+    ) -> Result<(ResponseHead, Response<Incoming>), QueryError> {
         let limits = &self.settings.limits;
-        // The API adds up to a sixteenth to the wait, by chance.
-        let waits = index.map_or(Duration::ZERO, |_| limits.wait + limits.wait / 16);
-        let call = timeout(waits + limits.slack, self.call(index, token)).await;
-        let response = call.map_err(|_| Failure::of("no answer in time"))??;
-        let head = head(response.status().as_u16(), response.headers());
+        // Consul adds a random time of up to a sixteenth to the wait.
+        let server_wait = index.map_or(Duration::ZERO, |_| {
+            limits.blocking_wait + limits.blocking_wait / 16
+        });
+        let result = timeout(
+            server_wait + limits.response_margin,
+            self.send_request(index, token),
+        )
+        .await;
+        let response = result.map_err(|_| QueryError::from_error("no response in time"))??;
+        let head = parse_head(response.status().as_u16(), response.headers());
         if head.status != 200 {
             let error = format!("status {}", head.status);
-            return Err(Failure {
+            return Err(QueryError {
                 head: Some(head),
                 error,
             });
@@ -99,65 +109,72 @@
         Ok((head, response))
     }
 
-    async fn call(
+    async fn send_request(
         &mut self,
         index: Option<u64>,
         token: Option<&Token>,
-    ) -> Result<Response<Incoming>, Failure> {
-        let path = self.path(index);
-        let sender = self.connected().await?;
-        sender.ready().await.map_err(Failure::of)?;
-        let mut request = Request::get(path).body(Empty::new()).map_err(Failure::of)?;
+    ) -> Result<Response<Incoming>, QueryError> {
+        let path = self.request_path(index);
+        let sender = self.ensure_connected().await?;
+        sender.ready().await.map_err(QueryError::from_error)?;
+        let mut request = Request::get(path)
+            .body(Empty::new())
+            .map_err(QueryError::from_error)?;
         let headers = request.headers_mut();
         let host = HeaderValue::from_str(&self.settings.address.to_string());
-        headers.insert(HOST, host.map_err(Failure::of)?);
+        headers.insert(HOST, host.map_err(QueryError::from_error)?);
         if let Some(token) = token {
             let value = HeaderValue::from_str(token.secret());
-            let mut value = value.map_err(|_| Failure::of("a token that no header can hold"))?;
+            let mut value = value.map_err(|_| {
+                QueryError::from_error("token contains characters that a header cannot hold")
+            })?;
             value.set_sensitive(true);
             headers.insert("X-Consul-Token", value);
         }
-        let sender = self.connected().await?;
-        sender.send_request(request).await.map_err(Failure::of)
+        let sender = self.ensure_connected().await?;
+        sender
+            .send_request(request)
+            .await
+            .map_err(QueryError::from_error)
     }
 
-    fn path(&self, index: Option<u64>) -> String {
+    fn request_path(&self, index: Option<u64>) -> String {
         let kind = match self.settings.api {
             Api::Health => "health",
             Api::Catalog => "catalog",
         };
         let mut path = format!("/v1/{kind}/service/{}", self.settings.service);
-        let mut between = '?';
-        let mut add = |text: String| {
-            path.push(between);
+        let mut separator = '?';
+        let mut append = |text: String| {
+            path.push(separator);
             path.push_str(&text);
-            between = '&';
+            separator = '&';
         };
         if let Some(datacenter) = self.datacenter {
-            add(format!("dc={datacenter}"));
+            append(format!("dc={datacenter}"));
         }
-        if self.settings.stale {
-            add("stale".into());
+        if self.settings.allow_stale {
+            append("stale".into());
         }
         if let Some(index) = index {
-            let wait = self.settings.limits.wait.as_millis();
-            add(format!("index={index}&wait={wait}ms"));
+            let wait = self.settings.limits.blocking_wait.as_millis();
+            append(format!("index={index}&wait={wait}ms"));
         }
         path
     }
 
-    async fn connected(&mut self) -> Result<&mut SendRequest<Empty<Bytes>>, Failure> {
+    async fn ensure_connected(&mut self) -> Result<&mut SendRequest<Empty<Bytes>>, QueryError> {
         if !matches!(&self.connection, Some(connection) if !connection.sender.is_closed()) {
             self.connection = None;
             let connect = connect(self.settings.address);
-            let stream = timeout(self.settings.limits.connect, connect).await;
-            let stream = stream.map_err(|_| Failure::of("never comes up"))?;
-            let stream = stream.map_err(|error| Failure::of(error.into_inner()))?;
+            let stream = timeout(self.settings.limits.connect_timeout, connect).await;
+            let stream = stream.map_err(|_| QueryError::from_error("connection timed out"))?;
+            let stream = stream.map_err(|error| QueryError::from_error(error.into_inner()))?;
             let _ = stream.set_nodelay(true);
-            let (sender, connection) = http1::handshake(TokioIo::new(Stream::new(stream)))
+            let (sender, connection) = http1::handshake(TokioIo::new(SharedTcpStream::new(stream)))
                 .await
-                .map_err(Failure::of)?;
-            // Each call hears of an error itself.
+                .map_err(QueryError::from_error)?;
+            // A connection error is also returned to the query in flight.
             let task = tokio::task::spawn_local(async move {
                 let _ = connection.await;
             });
@@ -166,64 +183,68 @@
         }
         let connection = self.connection.as_mut();
         Ok(&mut connection
-            .ok_or_else(|| Failure::of("not connected"))?
+            .ok_or_else(|| QueryError::from_error("not connected"))?
             .sender)
     }
 
-    /// Reads a body to its end, row by row; without `wanted` it is only passed over.
-    pub async fn read(&self, response: Response<Incoming>, wanted: bool) -> Result<Read, Failure> {
+    /// Reads a body to its end, row by row. Without `wanted` the body is discarded unparsed.
+    pub async fn read_list(
+        &self,
+        response: Response<Incoming>,
+        wanted: bool,
+    ) -> Result<ParsedList, QueryError> {
         let limits = &self.settings.limits;
         let reading = self.read_body(response.into_body(), wanted);
-        let read = timeout(limits.body_most, reading).await;
-        read.map_err(|_| Failure::of("a body that does not end"))?
+        let read = timeout(limits.body_timeout, reading).await;
+        read.map_err(|_| QueryError::from_error("response body not complete in time"))?
     }
 
-    async fn read_body(&self, mut body: Incoming, wanted: bool) -> Result<Read, Failure> {
+    async fn read_body(&self, mut body: Incoming, wanted: bool) -> Result<ParsedList, QueryError> {
         let limits = &self.settings.limits;
-        let mut cutter = Cutter::new(limits);
-        let mut reader = Reader::new(self.settings.api, &self.settings.rules, limits);
-        let (mut bytes, mut took) = (0, Duration::ZERO);
+        let mut splitter = RowSplitter::new(limits);
+        let mut parser = RowParser::new(self.settings.api, &self.settings.rules, limits);
+        let (mut bytes_read, mut parse_time) = (0, Duration::ZERO);
         loop {
-            let frame = timeout(limits.body_idle, body.frame()).await;
-            let frame = frame.map_err(|_| Failure::of("a body that stalls"))?;
+            let frame = timeout(limits.body_idle_timeout, body.frame()).await;
+            let frame = frame.map_err(|_| QueryError::from_error("response body stalled"))?;
             let Some(frame) = frame else { break };
-            let frame = frame.map_err(Failure::of)?;
+            let frame = frame.map_err(QueryError::from_error)?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            bytes += data.len();
-            if bytes > limits.body_bytes {
-                return Err(Failure::of(format!(
-                    "more than {} bytes",
-                    limits.body_bytes
+            bytes_read += data.len();
+            if bytes_read > limits.max_body_bytes {
+                return Err(QueryError::from_error(format!(
+                    "response body longer than {} bytes",
+                    limits.max_body_bytes
                 )));
             }
-            let slices = data.chunks(limits.slice_bytes.max(1));
-            for slice in slices.filter(|_| wanted) {
+            let chunks = data.chunks(limits.chunk_bytes.max(1));
+            for chunk in chunks.filter(|_| wanted) {
                 let start = Instant::now();
-                let cut = cutter.feed(slice, |row| reader.row(row));
-                took += start.elapsed();
-                cut.map_err(Failure::of)?;
-                // Connections are served between two parts of a long list.
+                let result = splitter.feed(chunk, |row| parser.parse_row(row));
+                parse_time += start.elapsed();
+                result.map_err(QueryError::from_error)?;
+                // Lets other tasks serve connections between two chunks of a long list.
                 yield_now().await;
             }
         }
         if wanted {
-            cutter.end().map_err(Failure::of)?;
+            splitter.finish().map_err(QueryError::from_error)?;
         }
-        Ok(Read {
-            rows: reader.rows,
-            faults: reader.faults,
-            fault: reader.fault,
-            took,
+        Ok(ParsedList {
+            rows: parser.rows,
+            invalid_rows: parser.invalid_rows,
+            first_error: parser.first_error,
+            parse_time,
         })
     }
 }
 
-fn head(status: u16, headers: &HeaderMap) -> Head {
+fn parse_head(status: u16, headers: &HeaderMap) -> ResponseHead {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let number = |name: &str| text(name).and_then(|text| text.trim().parse().ok());
-    Head {
+    ResponseHead {
         status,
         index: number("X-Consul-Index"),
         leaderless: text("X-Consul-KnownLeader").is_some_and(|known| known.trim() == "false"),
--- a/crates/consul/src/limits.rs
+++ b/crates/consul/src/limits.rs
@@ -1,64 +1,72 @@
-//! Every size and time of the source.
+//! The limits and timeouts of the Consul source.
 
 use std::time::Duration;
 
+/// The limits of a Consul source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The longest body, its most rows, the longest row and the longest field of one that is kept.
-    pub body_bytes: usize,
-    pub rows: usize,
-    pub row_bytes: usize,
-    pub field_bytes: usize,
-    /// Bytes of a body, and rows of a list, that are dealt with before connections are served again.
-    pub slice_bytes: usize,
-    pub slice_rows: usize,
-    /// The longest token file.
-    pub token_bytes: u64,
-    /// How often that file is looked at while a call is out.
-    pub token_every: Duration,
-    pub connect: Duration,
-    /// How long a call may wait for a change; the API adds up to a sixteenth.
-    pub wait: Duration,
-    /// How much longer the head of an answer may take.
-    pub slack: Duration,
-    /// From one part of a body to the next, and for all of it.
-    pub body_idle: Duration,
-    pub body_most: Duration,
-    /// An answer whose server heard from the leader longer ago is stale: only its drains count.
-    pub stale_most: Duration,
-    /// Between an answer and the next call: at least this, and so many times what reading it took.
-    pub gap: Duration,
-    pub gap_times: u32,
-    /// Where no index is told, how often is asked.
-    pub poll: Duration,
-    /// Waits between failed calls: the first, doubled up to the longest, times 0.5 to 1 by chance.
-    pub backoff: Duration,
-    pub backoff_most: Duration,
+    /// The maximum size of a response body.
+    pub max_body_bytes: usize,
+    /// The maximum number of rows in a body.
+    pub max_rows: usize,
+    pub max_row_bytes: usize,
+    /// The maximum length of a field that is kept from a row.
+    pub max_field_bytes: usize,
+    /// How many bytes of a body are parsed before other tasks may run.
+    pub chunk_bytes: usize,
+    /// The maximum number of rows of a snapshot that are sent to the engine at once.
+    pub chunk_rows: usize,
+    /// The maximum size of the token file.
+    pub max_token_bytes: u64,
+    /// How often the token file is read while a query is in flight.
+    pub token_poll_interval: Duration,
+    pub connect_timeout: Duration,
+    /// How long a query may block until the list changes; Consul adds up to a sixteenth.
+    pub blocking_wait: Duration,
+    /// How long the head of the response may take beyond the blocking wait.
+    pub response_margin: Duration,
+    /// The maximum time between two frames of a body.
+    pub body_idle_timeout: Duration,
+    /// The maximum time for a whole body.
+    pub body_timeout: Duration,
+    /// A response is stale, and only its drains take effect, if the last contact of the answering Consul server
+    /// with the leader is longer ago than this.
+    pub max_staleness: Duration,
+    /// The delay between a response and the next query: `min_query_delay`, or `query_delay_factor` times the time
+    /// that parsing took if that is longer.
+    pub min_query_delay: Duration,
+    pub query_delay_factor: u32,
+    /// The minimum delay between queries while responses carry no usable index or are stale.
+    pub poll_interval: Duration,
+    /// The backoff after failed queries: it starts at `initial_backoff` and doubles up to `max_backoff`, each time
+    /// multiplied by a random factor from 0.5 to 1.
+    pub initial_backoff: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         let ms = Duration::from_millis;
         Self {
-            body_bytes: 256 << 20,
-            rows: 40_000,
-            row_bytes: 64 << 10,
-            field_bytes: 256,
-            slice_bytes: 64 << 10,
-            slice_rows: 256,
-            token_bytes: 4096,
-            token_every: ms(1000),
-            connect: ms(1000),
-            wait: ms(55_000),
-            slack: ms(5000),
-            body_idle: ms(5000),
-            body_most: ms(30_000),
-            stale_most: ms(10_000),
-            gap: ms(100),
-            gap_times: 4,
-            poll: ms(1000),
-            backoff: ms(100),
-            backoff_most: ms(10_000),
+            max_body_bytes: 256 << 20,
+            max_rows: 40_000,
+            max_row_bytes: 64 << 10,
+            max_field_bytes: 256,
+            chunk_bytes: 64 << 10,
+            chunk_rows: 256,
+            max_token_bytes: 4096,
+            token_poll_interval: ms(1000),
+            connect_timeout: ms(1000),
+            blocking_wait: ms(55_000),
+            response_margin: ms(5000),
+            body_idle_timeout: ms(5000),
+            body_timeout: ms(30_000),
+            max_staleness: ms(10_000),
+            min_query_delay: ms(100),
+            query_delay_factor: 4,
+            poll_interval: ms(1000),
+            initial_backoff: ms(100),
+            max_backoff: ms(10_000),
         }
     }
 }
--- a/crates/consul/src/query.rs
+++ b/crates/consul/src/query.rs
@@ -1,17 +1,17 @@
-//! A blocking query without its I/O: which index to ask with, what to believe of an answer, and when
-//! to ask again.
+//! The state of a blocking query, without I/O: which index to send, how to use a response, and when to send the
+//! next query.
 
 use std::time::Duration;
 
 use crate::limits::Limits;
 
-/// What the head of an answer says.
+/// The status and the headers of a response that the query uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Head {
+pub struct ResponseHead {
     pub status: u16,
     /// `X-Consul-Index`.
     pub index: Option<u64>,
-    /// `X-Consul-KnownLeader`; true where it is not told.
+    /// Whether `X-Consul-KnownLeader` is `false`; a leader is assumed if the header is missing.
     pub leaderless: bool,
     /// `X-Consul-LastContact`.
     pub last_contact: Duration,
@@ -19,103 +19,117 @@
     pub retry_after: Option<Duration>,
 }
 
-/// What an answer is good for.
+/// How a response is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// The whole list.
-    Whole,
-    /// Nothing has changed since the last one.
-    Same,
-    /// Too old, or from a server that knows no leader: only drains count.
-    Stale,
-    /// No list at all.
+pub enum ResponseKind {
+    /// A complete list.
+    Snapshot,
+    /// The index is the requested one: the list has not changed since the last response.
+    Unchanged,
+    /// A list that is too old, or from a Consul server without a known leader: only its drains take effect.
+    StaleSnapshot,
+    /// An error status without a list.
     Refused,
-    /// The token is not, or no longer, good.
+    /// The token is missing, invalid or no longer valid.
     Forbidden,
 }
 
+/// Follows the index of a blocking query, and schedules retries with a backoff.
 #[derive(Debug)]
-pub struct Query {
+pub struct BlockingQuery {
     limits: Limits,
-    /// The index to wait beyond; none asks for what there is.
+    /// The index of the last list; a query without an index returns the current list at once.
     index: Option<u64>,
-    /// The index that was waited beyond by the call that is out.
-    asked: Option<u64>,
+    /// The index that was sent with the query in flight.
+    requested_index: Option<u64>,
+    /// Consecutive failed queries.
     failures: u32,
-    /// Times the index went back, or was none.
-    pub resets: u64,
+    /// How often the index went back, or was zero or missing.
+    pub index_resets: u64,
 }
 
-impl Query {
+impl BlockingQuery {
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
             index: None,
-            asked: None,
+            requested_index: None,
             failures: 0,
-            resets: 0,
+            index_resets: 0,
         }
     }
 
-    /// The index for the next call, which waits for a change beyond it.
-    pub fn ask(&mut self) -> Option<u64> {
-        self.asked = self.index;
+    /// Returns the index to send with the next query, which blocks until the index of the list exceeds it; none to
+    /// get the current list at once.
+    pub fn next_index(&mut self) -> Option<u64> {
+        self.requested_index = self.index;
         self.index
     }
 
-    /// Judges the head of an answer. Nothing of it holds until [`Query::read`] says that its body was
-    /// read to its end.
-    pub fn judge(&self, head: &Head) -> Verdict {
+    /// Classifies a response by its head. The query state doesn't change until
+    /// [`BlockingQuery::record_success`] confirms that the body was read completely.
+    pub fn classify_response(&self, head: &ResponseHead) -> ResponseKind {
         match head.status {
             200 => {}
-            401 | 403 => return Verdict::Forbidden,
-            _ => return Verdict::Refused,
+            401 | 403 => return ResponseKind::Forbidden,
+            _ => return ResponseKind::Refused,
         }
-        if head.leaderless || head.last_contact > self.limits.stale_most {
-            return Verdict::Stale;
+        if head.leaderless || head.last_contact > self.limits.max_staleness {
+            return ResponseKind::StaleSnapshot;
         }
         match head.index {
-            Some(index) if index > 0 && self.asked == Some(index) => Verdict::Same,
-            _ => Verdict::Whole,
+            Some(index) if index > 0 && self.requested_index == Some(index) => {
+                ResponseKind::Unchanged
+            }
+            _ => ResponseKind::Snapshot,
         }
     }
 
-    /// A list was read to its end. Returns how long to wait before the next call, given how long it
-    /// took to read.
-    pub fn read(&mut self, head: &Head, verdict: Verdict, took: Duration) -> Duration {
+    /// Records that a list was read completely. Returns the delay before the next query, given the time that parsing
+    /// took.
+    pub fn record_success(
+        &mut self,
+        head: &ResponseHead,
+        kind: ResponseKind,
+        parse_time: Duration,
+    ) -> Duration {
         self.failures = 0;
-        if verdict == Verdict::Stale {
-            // Asked at once again, the same server would say the same.
-            return self.limits.poll.max(self.gap(took));
+        if kind == ResponseKind::StaleSnapshot {
+            // Queried again at once, the same Consul server would return the same stale list.
+            return self.limits.poll_interval.max(self.query_delay(parse_time));
         }
         match head.index {
-            // "If the index goes backwards, reset it to zero"; an index must be above zero to block.
+            // Consul's documentation: "If the index goes backwards, reset it to zero"; a query only blocks with an
+            // index above zero.
             Some(index) if index > 0 && self.index.is_none_or(|last| last <= index) => {
                 self.index = Some(index);
-                self.gap(took)
+                self.query_delay(parse_time)
             }
             _ => {
-                self.resets += 1;
+                self.index_resets += 1;
                 self.index = None;
-                self.limits.poll.max(self.gap(took))
+                self.limits.poll_interval.max(self.query_delay(parse_time))
             }
         }
     }
 
-    /// Reading lists may take a fifth of the time, or whatever else the limits say.
-    fn gap(&self, took: Duration) -> Duration {
-        self.limits.gap.max(took * self.limits.gap_times)
+    /// The delay after a list. With the default factor of 4, parsing takes at most a fifth of the time.
+    fn query_delay(&self, parse_time: Duration) -> Duration {
+        self.limits
+            .min_query_delay
+            .max(parse_time * self.limits.query_delay_factor)
     }
 
-    /// A call failed. Returns how long to wait before the next; `chance` lies between 0 and 1.
-    pub fn failed(&mut self, head: Option<&Head>, chance: f64) -> Duration {
-        let doubled = self.limits.backoff * 2_u32.saturating_pow(self.failures.min(20));
-        let backoff = doubled.min(self.limits.backoff_most);
+    /// Records a failed query. Returns the backoff before the next one; `jitter` is a random number from 0 to 1.
+    pub fn record_failure(&mut self, head: Option<&ResponseHead>, jitter: f64) -> Duration {
+        let exponential_backoff =
+            self.limits.initial_backoff * 2_u32.saturating_pow(self.failures.min(20));
+        let backoff = exponential_backoff.min(self.limits.max_backoff);
         self.failures = self.failures.saturating_add(1);
-        let told = head.and_then(|head| head.retry_after).unwrap_or_default();
-        let least = told.min(self.limits.backoff_most);
-        // Proxies that lost it together don't come back together.
-        backoff.mul_f64(0.5 + 0.5 * chance).max(least)
+        let retry_after = head.and_then(|head| head.retry_after).unwrap_or_default();
+        let min_delay = retry_after.min(self.limits.max_backoff);
+        // The jitter keeps proxies that lost Consul at the same time from reconnecting at the same time.
+        backoff.mul_f64(0.5 + 0.5 * jitter).max(min_delay)
     }
 }
 
@@ -123,7 +137,7 @@
 mod tests {
     use super::*;
 
-    const OK: Head = Head {
+    const OK: ResponseHead = ResponseHead {
         status: 200,
         index: Some(41),
         leaderless: false,
@@ -131,93 +145,124 @@
         retry_after: None,
     };
 
-    fn with(index: u64) -> Head {
-        Head {
+    fn head_with_index(index: u64) -> ResponseHead {
+        ResponseHead {
             index: Some(index),
             ..OK
         }
     }
 
-    fn answer(query: &mut Query, head: &Head) -> (Verdict, Duration) {
-        let verdict = query.judge(head);
-        (verdict, query.read(head, verdict, Duration::ZERO))
+    fn process_response(
+        query: &mut BlockingQuery,
+        head: &ResponseHead,
+    ) -> (ResponseKind, Duration) {
+        let kind = query.classify_response(head);
+        (kind, query.record_success(head, kind, Duration::ZERO))
     }
 
     #[test]
-    fn the_index_is_followed_and_a_wait_that_ran_out_is_the_same_list() {
-        let mut query = Query::new(Limits::default());
-        assert_eq!(query.ask(), None);
-        assert_eq!(answer(&mut query, &OK).0, Verdict::Whole);
-        assert_eq!(query.ask(), Some(41));
-        assert_eq!(answer(&mut query, &OK).0, Verdict::Same);
-        assert_eq!(query.ask(), Some(41));
-        assert_eq!(answer(&mut query, &with(57)).0, Verdict::Whole);
-        assert_eq!(query.ask(), Some(57));
+    fn follows_the_index_and_treats_an_unchanged_index_as_unchanged() {
+        let mut query = BlockingQuery::new(Limits::default());
+        assert_eq!(query.next_index(), None);
+        assert_eq!(process_response(&mut query, &OK).0, ResponseKind::Snapshot);
+        assert_eq!(query.next_index(), Some(41));
+        assert_eq!(process_response(&mut query, &OK).0, ResponseKind::Unchanged);
+        assert_eq!(query.next_index(), Some(41));
+        assert_eq!(
+            process_response(&mut query, &head_with_index(57)).0,
+            ResponseKind::Snapshot
+        );
+        assert_eq!(query.next_index(), Some(57));
     }
 
     #[test]
-    fn an_index_that_goes_back_or_is_none_begins_anew_without_a_busy_loop() {
-        let mut query = Query::new(Limits::default());
-        for bad in [with(3), with(0), Head { index: None, ..OK }] {
-            answer(&mut query, &OK);
-            query.ask();
-            let (verdict, wait) = answer(&mut query, &bad);
-            assert_eq!((verdict, wait), (Verdict::Whole, Limits::default().poll));
-            assert_eq!(query.ask(), None);
+    fn index_that_goes_back_or_is_missing_restarts_without_a_busy_loop() {
+        let mut query = BlockingQuery::new(Limits::default());
+        for unusable in [
+            head_with_index(3),
+            head_with_index(0),
+            ResponseHead { index: None, ..OK },
+        ] {
+            process_response(&mut query, &OK);
+            query.next_index();
+            let (kind, delay) = process_response(&mut query, &unusable);
+            assert_eq!(
+                (kind, delay),
+                (ResponseKind::Snapshot, Limits::default().poll_interval)
+            );
+            assert_eq!(query.next_index(), None);
         }
-        assert_eq!(query.resets, 3);
-        assert_eq!(answer(&mut query, &with(3)).0, Verdict::Whole);
-        assert_eq!(query.ask(), Some(3));
+        assert_eq!(query.index_resets, 3);
+        assert_eq!(
+            process_response(&mut query, &head_with_index(3)).0,
+            ResponseKind::Snapshot
+        );
+        assert_eq!(query.next_index(), Some(3));
     }
 
     #[test]
-    fn old_and_leaderless_answers_are_stale_and_move_no_index() {
-        let mut query = Query::new(Limits::default());
-        answer(&mut query, &OK);
-        query.ask();
-        let old = Head {
+    fn outdated_and_leaderless_responses_are_stale_and_keep_the_index() {
+        let mut query = BlockingQuery::new(Limits::default());
+        process_response(&mut query, &OK);
+        query.next_index();
+        let outdated = ResponseHead {
             last_contact: Duration::from_secs(60),
-            ..with(99)
+            ..head_with_index(99)
         };
-        let lost = Head {
+        let leaderless = ResponseHead {
             leaderless: true,
-            ..with(99)
+            ..head_with_index(99)
         };
-        for head in [old, lost] {
-            let (verdict, wait) = answer(&mut query, &head);
-            assert_eq!((verdict, wait), (Verdict::Stale, Limits::default().poll));
-            assert_eq!(query.ask(), Some(41));
+        for head in [outdated, leaderless] {
+            let (kind, delay) = process_response(&mut query, &head);
+            assert_eq!(
+                (kind, delay),
+                (ResponseKind::StaleSnapshot, Limits::default().poll_interval)
+            );
+            assert_eq!(query.next_index(), Some(41));
         }
     }
 
     #[test]
-    fn failures_back_off_by_chance_up_to_a_bound_and_heed_retry_after() {
-        let mut query = Query::new(Limits::default());
-        let most = Limits::default().backoff_most;
-        let waits: Vec<Duration> = (0..12).map(|_| query.failed(None, 1.0)).collect();
-        assert!(waits.windows(2).all(|pair| pair[0] <= pair[1]));
-        assert_eq!((waits[0], waits[11]), (Limits::default().backoff, most));
-        assert_eq!(query.failed(None, 0.0), most / 2);
-        let mut fresh = Query::new(Limits::default());
-        let busy = Head {
+    fn failures_back_off_with_jitter_up_to_a_limit_and_respect_retry_after() {
+        let mut query = BlockingQuery::new(Limits::default());
+        let max_backoff = Limits::default().max_backoff;
+        let delays: Vec<Duration> = (0..12).map(|_| query.record_failure(None, 1.0)).collect();
+        assert!(delays.windows(2).all(|pair| pair[0] <= pair[1]));
+        assert_eq!(
+            (delays[0], delays[11]),
+            (Limits::default().initial_backoff, max_backoff)
+        );
+        assert_eq!(query.record_failure(None, 0.0), max_backoff / 2);
+        let mut rate_limited_query = BlockingQuery::new(Limits::default());
+        let rate_limited = ResponseHead {
             status: 429,
             retry_after: Some(Duration::from_secs(3)),
-            ..Head::default()
+            ..ResponseHead::default()
         };
-        assert_eq!(fresh.judge(&busy), Verdict::Refused);
-        assert_eq!(fresh.failed(Some(&busy), 0.0), Duration::from_secs(3));
-        let endless = Head {
+        assert_eq!(
+            rate_limited_query.classify_response(&rate_limited),
+            ResponseKind::Refused
+        );
+        assert_eq!(
+            rate_limited_query.record_failure(Some(&rate_limited), 0.0),
+            Duration::from_secs(3)
+        );
+        let huge_retry_after = ResponseHead {
             retry_after: Some(Duration::from_secs(1 << 40)),
-            ..busy
+            ..rate_limited
         };
-        assert_eq!(fresh.failed(Some(&endless), 0.0), most);
+        assert_eq!(
+            rate_limited_query.record_failure(Some(&huge_retry_after), 0.0),
+            max_backoff
+        );
     }
 
     #[test]
-    fn long_lists_are_asked_for_less_often() {
-        let mut query = Query::new(Limits::default());
-        let took = Duration::from_millis(200);
-        let wait = query.read(&OK, Verdict::Whole, took);
-        assert_eq!(wait, took * Limits::default().gap_times);
+    fn query_delay_grows_with_parse_time() {
+        let mut query = BlockingQuery::new(Limits::default());
+        let parse_time = Duration::from_millis(200);
+        let delay = query.record_success(&OK, ResponseKind::Snapshot, parse_time);
+        assert_eq!(delay, parse_time * Limits::default().query_delay_factor);
     }
 }
--- a/crates/engine/src/engine/machines.rs
+++ b/crates/engine/src/engine/machines.rs
@@ -1,44 +1,50 @@
-//! Machines that the fleet's orders take out: in force here once [`Engine::out`] returns.
+//! Machines that the fleet's work orders take out of service. A change is in force in this proxy once
+//! [`Engine::set_machines_out`] returns.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use tracing::info;
-use violetwind_balancer::api::{ServerId, Status, Taking};
+use violetwind_balancer::api::{AdmissionMode, ServerId, Status};
 use violetwind_service::Millis;
 
-use super::{Engine, Probe};
-use crate::words::{Looked, Seen, SeenServer};
+use super::{Engine, ProbeSender};
+use crate::messages::{MachinesSnapshot, ObservedMachine, ObservedServer};
 
-impl<P: Probe> Engine<P> {
-    /// Whether an operator or an order keeps a server out.
-    pub(super) fn kept_out(&self, uid: &str) -> bool {
-        self.bans.is_out(uid) || self.outs.is_out(uid)
+impl<P: ProbeSender> Engine<P> {
+    /// Whether an operator's ban or a work order keeps a server out of use.
+    pub(super) fn is_kept_out(&self, uid: &str) -> bool {
+        self.bans.is_banned(uid) || self.machines_out.is_out(uid)
     }
 
     fn now_ms(&self) -> Millis {
-        (self.clock.at(self.now) * 1e3) as Millis
+        (self.clock.seconds_at(self.now) * 1e3) as Millis
     }
 
-    /// A server that a list names while its machine is out went out with it.
-    pub(super) fn note_out(&mut self, uid: &str) {
-        if self.outs.is_out(uid) {
-            self.outs.note(uid, self.now_ms(), &self.service);
+    /// Records the transition of a server that is listed while its machine is out of service.
+    pub(super) fn record_if_out(&mut self, uid: &str) {
+        if self.machines_out.is_out(uid) {
+            self.machines_out
+                .record_transition(uid, self.now_ms(), &self.service_limits);
         }
     }
 
-    /// Nothing new goes to these machines from now on, and their clients are moved; others come back.
-    pub(super) fn out(&mut self, machines: BTreeMap<String, BTreeSet<String>>) {
+    /// Replaces the set of machines that are out of service. Their servers get no new requests and their clients are
+    /// moved; machines that are no longer in the set return to use.
+    pub(super) fn set_machines_out(&mut self, machines: BTreeMap<String, BTreeSet<String>>) {
         let uids: BTreeSet<String> = self
             .addresses
             .values()
             .map(|(uid, _)| uid.clone())
             .collect();
-        let was: BTreeSet<&String> = uids.iter().filter(|uid| self.outs.is_out(uid)).collect();
+        let previously_out: BTreeSet<&String> = uids
+            .iter()
+            .filter(|uid| self.machines_out.is_out(uid))
+            .collect();
         let names: Vec<String> = machines.keys().cloned().collect();
-        self.outs.set(machines);
+        self.machines_out.replace_machines(machines);
         let changed = uids
             .iter()
-            .filter(|uid| was.contains(uid) != self.outs.is_out(uid));
+            .filter(|uid| previously_out.contains(uid) != self.machines_out.is_out(uid));
         let changed: Vec<String> = changed.cloned().collect();
         if changed.is_empty() {
             return;
@@ -46,61 +52,68 @@
         info!(
             ?names,
             servers = changed.len(),
-            "machines that orders have out"
+            "machines taken out by work orders changed"
         );
         for uid in changed {
-            self.outs.note(&uid, self.now_ms(), &self.service);
-            self.tell_again(&uid);
+            self.machines_out
+                .record_transition(&uid, self.now_ms(), &self.service_limits);
+            self.resend_row(&uid);
         }
     }
 
-    /// What is known here of each machine.
-    pub(super) fn look(&self) -> Looked {
-        let mut at: BTreeMap<ServerId, u64> = BTreeMap::new();
-        for conn in self.conns.values() {
-            let there: BTreeSet<ServerId> = [conn.out, conn.on].into_iter().flatten().collect();
-            for server in there {
-                *at.entry(server).or_default() += 1;
+    /// Returns the state of each machine as this proxy observes it.
+    pub(super) fn snapshot_machines(&self) -> MachinesSnapshot {
+        let mut clients_by_server: BTreeMap<ServerId, u64> = BTreeMap::new();
+        for connection in self.connections.values() {
+            let servers: BTreeSet<ServerId> =
+                [connection.attempt_server, connection.connected_server]
+                    .into_iter()
+                    .flatten()
+                    .collect();
+            for server in servers {
+                *clients_by_server.entry(server).or_default() += 1;
             }
         }
-        let mut looked = Looked {
+        let mut snapshot = MachinesSnapshot {
             machines: BTreeMap::new(),
-            connections: self.conns.len(),
-            takes_nothing: self.taking == Taking::Nothing,
+            connections: self.connections.len(),
+            admits_nothing: self.admission == AdmissionMode::Nothing,
         };
-        let now = self.clock.at(self.now);
+        let now = self.clock.seconds_at(self.now);
         for (server, (uid, _)) in &self.addresses {
-            let clients = at.get(server).copied().unwrap_or(0);
-            let row = self.told.get(server);
+            let clients = clients_by_server.get(server).copied().unwrap_or(0);
+            let row = self.last_rows.get(server);
             let row = row.filter(|row| row.status != Status::Gone);
             if row.is_none() && clients == 0 {
                 continue;
             }
-            let name = self.outs.machine_of(uid).to_string();
-            let seen: &mut Seen = looked.machines.entry(name).or_default();
-            seen.clients += clients;
+            let name = self.machines_out.machine_of(uid).to_string();
+            let machine: &mut ObservedMachine = snapshot.machines.entry(name).or_default();
+            machine.clients += clients;
             let Some(row) = row else { continue };
-            let mut ruled = row.clone();
-            self.ruled(uid, &mut ruled);
-            let up = matches!(row.status, Status::Up);
-            let warm = ruled.born.is_none_or(|born| born + self.cold_for <= now);
-            seen.zone = seen.zone.take().or_else(|| row.zone.clone());
-            seen.servers.push(SeenServer {
+            let mut overridden_row = row.clone();
+            self.apply_overrides(uid, &mut overridden_row);
+            let is_up = matches!(row.status, Status::Up);
+            let is_warm = overridden_row
+                .started_at
+                .is_none_or(|started_at| started_at + self.slow_start_window <= now);
+            machine.zone = machine.zone.take().or_else(|| row.zone.clone());
+            machine.servers.push(ObservedServer {
                 uid: uid.clone(),
                 kind: row.kind.clone(),
                 cell: row.cell,
                 rating: row.rating,
-                up,
-                warm: up && warm,
+                up: is_up,
+                warm: is_up && is_warm,
                 draining: row.status == Status::Draining,
-                banned: self.bans.is_out(uid),
-                opened: self.outs.is_opened(uid),
+                banned: self.bans.is_banned(uid),
+                is_overridden: self.machines_out.is_overridden(uid),
             });
         }
-        looked
+        snapshot
             .machines
             .values_mut()
-            .for_each(|seen| seen.servers.sort_by(|a, b| a.uid.cmp(&b.uid)));
-        looked
+            .for_each(|machine| machine.servers.sort_by(|a, b| a.uid.cmp(&b.uid)));
+        snapshot
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,18 +1,21 @@
-//! Sole owner of the balancer. Fronts (what clients and servers speak) and sources (what tells of
-//! servers) send it [`Notice`]s and get [`Order`]s; it depends on none of them and knows no protocol.
+//! Event loop that owns the balancer. Protocol front ends and service discovery sources send it [`EngineEvent`]s and
+//! receive [`ConnectionCommand`]s. The crate depends on none of them and contains no protocol code.
 //!
-//! It never waits for a connection and holds no lock: orders go out over bounded channels, and one that
-//! does not take its orders is told in the log and left to its own deadline.
+//! The engine never waits for a connection and holds no lock: commands are sent over bounded channels. If a
+//! connection's channel is full, the engine logs that and leaves the connection to its own deadline.
 
 mod clock;
 mod engine;
 mod limits;
-mod members;
-mod spread;
+mod messages;
+mod move_schedule;
+mod sources;
 pub mod start_times;
-mod words;
 
 pub use clock::{Clock, monotonic_us};
-pub use engine::{Engine, Probe, Setup, catalogue_row};
+pub use engine::{Engine, EngineConfig, ProbeSender, to_catalogue_row};
 pub use limits::Limits;
-pub use words::{Binding, Listed, Looked, Notice, Order, Reply, Seen, SeenServer};
+pub use messages::{
+    ConnectionCommand, EngineEvent, ListedServer, MachinesSnapshot, ObservedMachine,
+    ObservedServer, OperatorReply, UnlistedServers,
+};
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! An engine with plain lists in simulated time; the test plays servers and clients.
-#![allow(dead_code)] // each test file uses its part
+//! An engine without a catalogue in simulated time; the test acts as the servers and the clients.
+#![allow(dead_code)] // each test file uses only some of the helpers
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,20 +8,21 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 use violetwind_balancer::api::*;
-use violetwind_common::{Names, Row, server_id};
+use violetwind_common::{NameTable, ServerRow, server_id};
 use violetwind_engine::{
-    Binding, Clock, Engine, Limits, Listed, Notice, Order, Probe, Reply, Setup,
+    Clock, ConnectionCommand, Engine, EngineConfig, EngineEvent, Limits, ListedServer,
+    OperatorReply, ProbeSender, UnlistedServers,
 };
-use violetwind_service::{Bans, Change};
+use violetwind_service::{Bans, OperatorChange};
 
-pub const START: Secs = 1.7e9;
+pub const START_UNIX_SECONDS: Seconds = 1.7e9;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        effect,
-        scope: Scope::All,
-        window: 0.0,
-        aim: 0.5,
+        idempotency,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0.0,
+        setup_target: 0.5,
         worth: 1.0,
     }
 }
@@ -29,10 +30,10 @@
 pub fn settings() -> Settings {
     Settings {
         fleet_size: 3,
-        me: 0,
+        balancer_index: 0,
         zone: None,
         zones: 0,
-        classes: vec![class(Effect::Safe)],
+        classes: vec![class(Idempotency::Safe)],
         tenants: Vec::new(),
         report_fields: Vec::new(),
         max_attempts: 4,
@@ -40,226 +41,243 @@
         may_retry_after: true,
         may_probe: false,
         may_cancel: true,
-        must_ask: false,
-        ask_within: 5.0,
-        cold_from: 0.3,
-        cold_for: 8.0,
-        fall_multiple: 3.0,
-        fall_for: 1.5,
-        groups: false,
+        requires_subscription: false,
+        resubscribe_within: 5.0,
+        slow_start_min_share: 0.3,
+        slow_start_window: 8.0,
+        overload_multiple: 3.0,
+        overload_duration: 1.5,
+        group_affinity: false,
         price_cross_zone: 0.0,
         price_probe: 0.0,
         over_share_worth: 1.0,
-        budget: None,
-        message_aim: None,
+        retry_budget: None,
+        message_delay_target: None,
     }
 }
 
 struct NoProbes;
 
-impl Probe for NoProbes {
-    fn probe(&mut self, _: ServerId, _: SocketAddr) -> bool {
+impl ProbeSender for NoProbes {
+    fn send_probe(&mut self, _: ServerId, _: SocketAddr) -> bool {
         true
     }
 }
 
-pub fn row(uid: &str, status: Status, born: Option<Secs>) -> Listed {
-    Listed {
+pub fn listed_server(uid: &str, status: Status, started_at: Option<Seconds>) -> ListedServer {
+    ListedServer {
         uid: uid.to_string(),
         endpoint: Some(([127, 0, 0, 1], 1000 + u16::from(uid.as_bytes()[0])).into()),
-        row: Row {
+        row: ServerRow {
             server: server_id(uid),
             cell: 0,
             status,
             kind: None,
             zone: None,
-            born,
+            started_at,
             rating: None,
         },
     }
 }
 
-pub struct Plain {
+pub struct EngineHarness {
     engine: Engine<NoProbes>,
     start: Instant,
     now: Instant,
-    next: RequestId,
-    orders: BTreeMap<RequestId, mpsc::Receiver<Order>>,
-    out: BTreeMap<RequestId, ServerId>,
-    last: BTreeMap<RequestId, Order>,
-    moved: BTreeSet<RequestId>,
+    next_request_id: RequestId,
+    command_receivers: BTreeMap<RequestId, mpsc::Receiver<ConnectionCommand>>,
+    attempts: BTreeMap<RequestId, ServerId>,
+    last_commands: BTreeMap<RequestId, ConnectionCommand>,
+    moved_requests: BTreeSet<RequestId>,
 }
 
-impl Plain {
+impl EngineHarness {
     pub fn new(uids: &[&str]) -> Self {
-        Self::seeded(uids, 28)
+        Self::with_seed(uids, 28)
     }
 
-    pub fn seeded(uids: &[&str], seed: u64) -> Self {
+    pub fn with_seed(uids: &[&str], seed: u64) -> Self {
         let start = Instant::now();
-        let setup = Setup {
+        let config = EngineConfig {
             settings: settings(),
             seed,
-            names: Names::default(),
+            names: NameTable::default(),
             limits: Limits {
-                notices: 16,
-                slice: 4,
-                standing: Duration::from_secs(1),
+                max_queued_events: 16,
+                max_rows_per_step: 4,
+                resume_timeout: Duration::from_secs(1),
                 drain_wait: Duration::from_millis(700),
                 drain_span: Duration::from_millis(800),
-                spread_tick: Duration::from_millis(20),
+                move_interval: Duration::from_millis(20),
             },
-            catalogue: None,
-            service: violetwind_service::Limits::default(),
+            catalogue_limits: None,
+            service_limits: violetwind_service::Limits::default(),
             bans: Bans::default(),
-            left: false,
-            machines: violetwind_service::Machines::default(),
+            has_left: false,
+            machines: violetwind_service::MachineMap::default(),
         };
-        let mut engine = Engine::new(setup, Clock::fixed(start, START), NoProbes);
-        let rows = uids.iter().map(|uid| row(uid, Status::Up, None)).collect();
+        let mut engine = Engine::new(
+            config,
+            Clock::simulated(start, START_UNIX_SECONDS),
+            NoProbes,
+        );
+        let rows = uids
+            .iter()
+            .map(|uid| listed_server(uid, Status::Up, None))
+            .collect();
         engine.start(start, rows);
         Self {
             engine,
             start,
             now: start,
-            next: 0,
-            orders: BTreeMap::new(),
-            out: BTreeMap::new(),
-            last: BTreeMap::new(),
-            moved: BTreeSet::new(),
+            next_request_id: 0,
+            command_receivers: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            last_commands: BTreeMap::new(),
+            moved_requests: BTreeSet::new(),
         }
     }
 
-    pub fn id(&self, uid: &str) -> ServerId {
+    pub fn server_id(&self, uid: &str) -> ServerId {
         server_id(uid)
     }
 
-    pub fn unix(&self) -> Secs {
-        START + (self.now - self.start).as_secs_f64()
+    pub fn unix_seconds(&self) -> Seconds {
+        START_UNIX_SECONDS + (self.now - self.start).as_secs_f64()
     }
 
-    pub fn take(&mut self, notice: Notice) {
-        self.engine.take(self.now, notice);
+    pub fn handle_event(&mut self, event: EngineEvent) {
+        self.engine.handle_event(self.now, event);
     }
 
-    pub fn say(&mut self, change: Change) -> Reply {
-        let (reply, mut answer) = oneshot::channel();
-        self.take(Notice::Operator(change, Binding::IfNamed, reply));
-        answer.try_recv().expect("in force at once")
+    pub fn apply_change(&mut self, change: OperatorChange) -> OperatorReply {
+        let (reply, mut reply_receiver) = oneshot::channel();
+        self.handle_event(EngineEvent::OperatorChange(
+            change,
+            UnlistedServers::Reject,
+            reply,
+        ));
+        reply_receiver.try_recv().expect("in force at once")
     }
 
-    pub fn list(&mut self, kind: ListKind, rows: Vec<Listed>) {
-        self.take(Notice::List(kind, rows));
+    pub fn send_list(&mut self, kind: ListKind, rows: Vec<ListedServer>) {
+        self.handle_event(EngineEvent::ServerList(kind, rows));
     }
 
-    /// Time passes, and the engine is woken as often as it wants.
-    pub fn run(&mut self, time: Duration) {
+    /// Advances the time and calls the engine at each of its wake-up times.
+    pub fn advance(&mut self, time: Duration) {
         let until = self.now + time;
-        while let Some(at) = self.engine.next_wake().filter(|at| *at <= until) {
+        while let Some(at) = self.engine.next_wakeup().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.engine.wake(self.now);
+            self.engine.handle_wakeup(self.now);
         }
         self.now = until;
     }
 
-    /// A connection that another process had.
-    pub fn adopt(&mut self, uid: &str) -> RequestId {
-        let (request, to) = self.new_request(0);
+    /// Adds an established connection that another process has handed over.
+    pub fn adopt_connection(&mut self, uid: &str) -> RequestId {
+        let (request, command_sender) = self.new_request(0);
         let id = request.id;
-        self.take(Notice::Adopted(request, server_id(uid), to));
+        self.handle_event(EngineEvent::Adopted(
+            request,
+            server_id(uid),
+            command_sender,
+        ));
         id
     }
 
-    pub fn request(&mut self, class: usize) -> RequestId {
-        let (request, to) = self.new_request(class);
+    pub fn send_request(&mut self, class: usize) -> RequestId {
+        let (request, command_sender) = self.new_request(class);
         let id = request.id;
-        self.take(Notice::Request(request, to));
+        self.handle_event(EngineEvent::Request(request, command_sender));
         id
     }
 
-    fn new_request(&mut self, class: usize) -> (Request, mpsc::Sender<Order>) {
-        self.next += 1;
-        let (to, orders) = mpsc::channel(8);
-        self.orders.insert(self.next, orders);
+    fn new_request(&mut self, class: usize) -> (Request, mpsc::Sender<ConnectionCommand>) {
+        self.next_request_id += 1;
+        let (command_sender, commands) = mpsc::channel(8);
+        self.command_receivers
+            .insert(self.next_request_id, commands);
         let request = Request {
-            id: self.next,
+            id: self.next_request_id,
             class,
             tenant: None,
             group: None,
             hint: None,
-            patience: 60.0,
-            again: false,
+            client_timeout: 60.0,
+            is_repeat: false,
         };
-        (request, to)
+        (request, command_sender)
     }
 
-    pub fn open(&mut self) -> RequestId {
-        let id = self.request(0);
-        self.hear(id);
+    pub fn request_default_class(&mut self) -> RequestId {
+        let id = self.send_request(0);
+        self.receive_commands(id);
         id
     }
 
-    /// Where a new request is sent to, which is up there at once and ends; none if it is not sent.
-    pub fn open_on(&mut self) -> Option<ServerId> {
-        let id = self.open();
-        let server = self.out.get(&id).copied()?;
-        self.up(id);
-        self.take(Notice::Gone(id));
+    /// Sends a request, establishes its connection and closes it. Returns the chosen server, or `None` if no attempt
+    /// was made.
+    pub fn place_and_close(&mut self) -> Option<ServerId> {
+        let id = self.request_default_class();
+        let server = self.attempts.get(&id).copied()?;
+        self.mark_up(id);
+        self.handle_event(EngineEvent::ClientGone(id));
         Some(server)
     }
 
-    /// The answer to a new request.
-    pub fn refused(&mut self) -> Option<Order> {
-        let id = self.open();
-        self.last.remove(&id)
+    /// Sends a request and returns the last command for it.
+    pub fn answer_to_new_request(&mut self) -> Option<ConnectionCommand> {
+        let id = self.request_default_class();
+        self.last_commands.remove(&id)
     }
 
-    fn hear(&mut self, id: RequestId) -> Vec<Order> {
-        let mut heard = Vec::new();
-        while let Ok(order) = self.orders.get_mut(&id).unwrap().try_recv() {
-            match &order {
-                Order::Send { server, .. } => drop(self.out.insert(id, *server)),
-                Order::Move => drop(self.moved.insert(id)),
+    fn receive_commands(&mut self, id: RequestId) -> Vec<ConnectionCommand> {
+        let mut received = Vec::new();
+        while let Ok(command) = self.command_receivers.get_mut(&id).unwrap().try_recv() {
+            match &command {
+                ConnectionCommand::Send { server, .. } => drop(self.attempts.insert(id, *server)),
+                ConnectionCommand::Move => drop(self.moved_requests.insert(id)),
                 _ => {}
             }
-            if !matches!(order, Order::Cancel) {
-                self.last.insert(id, order.clone());
+            if !matches!(command, ConnectionCommand::Cancel) {
+                self.last_commands.insert(id, command.clone());
             }
-            heard.push(order);
+            received.push(command);
         }
-        heard
+        received
     }
 
-    /// The next thing a connection is told, if there is any.
-    pub fn order(&mut self, id: RequestId) -> Option<Order> {
-        self.hear(id).into_iter().next()
+    /// Returns the first command that a connection has not received yet; the others are received too.
+    pub fn next_command(&mut self, id: RequestId) -> Option<ConnectionCommand> {
+        self.receive_commands(id).into_iter().next()
     }
 
-    /// The last thing it was told.
-    pub fn last(&mut self, id: RequestId) -> Option<Order> {
-        self.hear(id);
-        self.last.get(&id).cloned()
+    /// Returns the last command that a connection received.
+    pub fn last_command(&mut self, id: RequestId) -> Option<ConnectionCommand> {
+        self.receive_commands(id);
+        self.last_commands.get(&id).cloned()
     }
 
     pub fn is_moved(&mut self, id: RequestId) -> bool {
-        self.hear(id);
-        self.moved.contains(&id)
+        self.receive_commands(id);
+        self.moved_requests.contains(&id)
     }
 
-    /// Its attempt ends so, and the module goes on.
-    pub fn attempt_ended(&mut self, id: RequestId, outcome: Outcome) {
-        self.hear(id);
-        self.take(Notice::Ended(Ended {
+    /// Reports a non-final end of the pending attempt, after which the balancer decides how to continue.
+    pub fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
+        self.receive_commands(id);
+        self.handle_event(EngineEvent::AttemptEnded(AttemptEnd {
             id,
-            server: self.out[&id],
+            server: self.attempts[&id],
             outcome,
-            last: false,
+            is_final: false,
             report: Report::default(),
         }));
     }
 
-    pub fn up(&mut self, id: RequestId) {
-        let server = self.out[&id];
-        self.take(Notice::Up(id, server));
+    pub fn mark_up(&mut self, id: RequestId) {
+        let server = self.attempts[&id];
+        self.handle_event(EngineEvent::ConnectionUp(id, server));
     }
 }
--- a/crates/fleet/src/budget/mod.rs
+++ b/crates/fleet/src/budget/mod.rs
@@ -1,81 +1,88 @@
-//! Budgets of the whole fleet. What is divided is in the log ([`Shares`]); who needs what is told with each renewal
-//! and divided by the leader ([`Divider`]); what a member may use right now is its own to count ([`Meters`]).
+//! Budgets of the whole fleet. The log holds the shares ([`BudgetShares`]); members report their needs with each
+//! renewal, and the leader divides the budgets by them ([`ShareAllocator`]); each member counts locally what it uses
+//! and what it may use ([`Meters`]).
 //!
-//! - *Never More Than The Whole*: floors of all possible members, shares, and what is stranded never sum to more
-//!   than the whole in force. The log refuses any command that would break it. A share grows only after the log
-//!   has it, and shrinks in the log only after its member has stopped using it.
-//! - *A Share Is A Lease*: it counts as long as the session's lease, from before it was asked for.
-//! - *Stranded*: what the share of a session that ended may still be in use for stays set aside: of a rate for a
-//!   whole window; of units that are held until the same process says what it still uses, another process
-//!   of that name has begun, or staff say that the machine is gone.
+//! Invariants:
+//!
+//! - *Never More Than The Whole*: the floors of all possible members, the shares and the stranded units never sum to
+//!   more than the total in force. The log refuses any command that would break this. A share is raised for use only
+//!   after the raise is in the log, and is lowered in the log only after its member has stopped using the units.
+//! - *A Share Is A Lease*: it is valid as long as the session's lease, counted from before the request for it.
+//! - *Stranded*: units of the share of an ended session that may still be in use stay reserved: of a rate budget for
+//!   one whole window; of a concurrency budget until the same process reports what it still uses, another process of
+//!   that name has started, or an operator declares the machine gone.
 
-mod divide;
+mod allocator;
 mod meter;
 mod shares;
 
 use serde::{Deserialize, Serialize};
 use violetwind_consensus::Millis;
 
-pub use divide::Divider;
-pub use meter::{Meters, NeedLeftOpen, Part, Taken};
-pub use shares::{Share, Shares, Stranded};
+pub use allocator::ShareAllocator;
+pub use meter::{Acquisition, Meters, NeedLeftOpen, Part};
+pub use shares::{BudgetShares, Share, StrandedUnits};
 
-use crate::words::Name;
+use crate::messages::Name;
 
+/// How the units of a budget are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
-    /// So many at once.
-    Held,
-    /// So many in any span of the window's length.
+pub enum BudgetKind {
+    /// The total bounds the units in use at the same time.
+    Concurrent,
+    /// The total bounds the units used within any time span as long as the window.
     Rate,
 }
 
-/// A budget as one file has it.
+/// A budget as one configuration file defines it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Def {
+pub struct BudgetDefinition {
     pub name: Name,
-    pub kind: Kind,
-    pub whole: u64,
-    /// What each member may use without asking.
+    pub kind: BudgetKind,
+    /// The units of the whole fleet.
+    pub total: u64,
+    /// Units that each member may use without a share.
     pub floor: u64,
-    /// Of a rate.
+    /// The window of a rate budget; unused for concurrency budgets.
     pub window: Millis,
-    /// Members that there may be at most; their floors are set aside.
-    pub members: u64,
-    /// Of two files the one with the larger number is in force.
+    /// The largest number of members; a floor is reserved for each.
+    pub max_members: u64,
+    /// The definition with the largest version is in force.
     pub version: u64,
 }
 
-impl Def {
-    /// What can be divided beyond the floors.
+impl BudgetDefinition {
+    /// Units that can be divided beyond the floors.
     pub fn pool(&self) -> u64 {
-        self.whole
-            .saturating_sub(self.floor.saturating_mul(self.members))
+        self.total
+            .saturating_sub(self.floor.saturating_mul(self.max_members))
     }
 
+    /// Checks that the definition is consistent.
+    ///
     /// # Errors
-    /// Floors that exceed the whole, or a rate without a window.
-    pub fn check(&self) -> Result<(), String> {
-        let floors = self.floor.saturating_mul(self.members);
-        if floors > self.whole {
-            let (floor, members, whole) = (self.floor, self.members, self.whole);
+    /// The floors of all members exceed the total, or a rate budget has no window.
+    pub fn validate(&self) -> Result<(), String> {
+        let floors = self.floor.saturating_mul(self.max_members);
+        if floors > self.total {
+            let (floor, members, total) = (self.floor, self.max_members, self.total);
             return Err(format!(
-                "floors of {floor} for {members} members are more than the whole, {whole}"
+                "floors of {floor} for {members} members are more than the whole, {total}"
             ));
         }
-        if self.kind == Kind::Rate && self.window == 0 {
+        if self.kind == BudgetKind::Rate && self.window == 0 {
             return Err("a rate needs a window".into());
         }
         Ok(())
     }
 }
 
-/// What a member tells of a budget with a renewal; units beyond its floor.
+/// A member's report on one budget, sent with a renewal, in units beyond the member's floor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Need {
     pub budget: Name,
-    /// In use, or used within the window.
-    pub busy: u64,
-    /// What it would use if it could.
-    pub wants: u64,
+    /// Units in use; of a rate budget, units used within the window.
+    pub in_use: u64,
+    /// Units that the member would use if its share allowed it.
+    pub wanted: u64,
 }
--- a/crates/fleet/src/limits.rs
+++ b/crates/fleet/src/limits.rs
@@ -1,129 +1,140 @@
-//! Every time, size and count of the fleet.
+//! Timeouts, sizes and counts of the fleet.
 
 use violetwind_consensus::Millis;
 
+/// Timeouts, in milliseconds, and limits of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// A session, and with it all that it holds, ends so long after it was last renewed.
-    pub lease: Millis,
-    /// A holder stops so long before its lease ends.
-    pub margin: Millis,
-    /// The clocks of two machines run apart by no more than this part in a thousand.
-    pub drift_permille: u64,
-    /// A session is renewed so often, and an answer waited for so long before another member is asked.
-    pub renew: Millis,
-    /// Before a session that was refused, or is not free yet, is asked for again.
-    pub again: Millis,
-    /// Who ends waits so long for its duties to be taken over.
-    pub quit: Millis,
-    /// Of what is divided this member gets so much more than one of weight 1.
+    /// A session, and with it every duty and share that it holds, expires this long after its last renewal.
+    pub lease_duration: Millis,
+    /// A holder stops its work this long before its lease expires.
+    pub lease_margin: Millis,
+    /// The largest relative drift between the clocks of two machines, in thousandths.
+    pub max_clock_drift_permille: u64,
+    /// The interval between renewals of a session. A request to the leader that is not answered within half of it is
+    /// sent to another member.
+    pub renew_interval: Millis,
+    /// The delay before a session is requested again that was refused, or whose name is not free yet.
+    pub retry_delay: Millis,
+    /// How long a member that shuts down waits for its duties to be taken over.
+    pub handoff_timeout: Millis,
+    /// This member's weight in the division of budgets, relative to a member of weight 1.
     pub weight: u64,
-    /// Needs that a member tells with one renewal.
-    pub needs: usize,
-    /// After a new process of a name has begun: what the one before held is not given out again for so long, until
-    /// the servers have seen the end of its connections.
-    pub linger: Millis,
-    /// A need that the leader has left open for so long, and in so many answers, is taken for one that it can't meet.
-    pub exchange: Millis,
-    pub hopeless_answers: u32,
-    /// Where an exchange has brought nothing, nobody waits for another one so soon.
-    pub hopeless: Millis,
-    /// Calls that wait for a unit of a budget; more are refused at once.
-    pub waits: usize,
-    /// Where it takes part in work on machines it waits so much longer until it serves nobody and the log has that:
-    /// who ends otherwise has to confirm on its return, or be called gone.
-    pub off: Millis,
-    /// While there are orders for work, a member asks so often what is out; otherwise as often as it renews.
-    pub work: Millis,
-    /// Machines that the sources have not told for so long are no part of the fleet any more.
-    pub forgotten: Millis,
-    /// Asks that wait for the log at a leader.
-    pub asks: usize,
-    /// Entries between two snapshots.
-    pub snapshot_every: u64,
-    pub log: violetwind_consensus::Limits,
+    /// The largest number of needs that a member reports with one renewal.
+    pub max_needs_per_renewal: usize,
+    /// How long units that a process held stay reserved after another process of the same name has started or an
+    /// operator has declared its machine gone: servers need that time to notice the end of its connections.
+    pub reclaim_delay: Millis,
+    /// A need that the leader has left unmet for this long, and in `unmet_need_min_answers` answers, is taken to be one
+    /// that it can't meet.
+    pub unmet_need_timeout: Millis,
+    pub unmet_need_min_answers: u32,
+    /// How long after the first such answer the need counts as unmet. Until then requests don't wait for another
+    /// exchange with the leader, since the previous ones have brought no units.
+    pub unmet_need_cooldown: Millis,
+    /// The largest number of calls that wait for a unit of a budget; further ones are refused at once.
+    pub max_unit_waiters: usize,
+    /// How much longer than `handoff_timeout` a member that takes part in work orders waits, when it shuts down, until
+    /// it serves no client and the log has recorded that. A member that ends earlier stays among those that have to
+    /// confirm each step, until it returns and confirms or an operator declares its machine gone.
+    pub drain_timeout: Millis,
+    /// The interval at which a member polls the list of machines while there are work orders; without work orders it
+    /// polls at `renew_interval`.
+    pub work_poll_interval: Millis,
+    /// Machines that the sources have not listed for this long are removed from the fleet.
+    pub machine_expiry: Millis,
+    /// The largest number of requests that wait for the log at a leader.
+    pub max_pending_leader_requests: usize,
+    /// Log entries between two snapshots.
+    pub snapshot_interval_entries: u64,
+    pub consensus: violetwind_consensus::Limits,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self::with(2000, 500)
+        Self::with_timeouts(2000, 500)
     }
 }
 
-/// Why times do not fit each other.
+/// Timeouts that contradict each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsound {
-    /// No session would outlive a change of the leader.
-    LeaseTooShort { least: Millis },
-    /// Nothing of a lease would be left.
-    MarginTooLong { most: Millis },
+pub enum LimitsError {
+    /// The lease is shorter than `min_lease`: no session would outlive a change of leader.
+    LeaseTooShort { min_lease: Millis },
+    /// The margin is longer than `max_margin`: too little of a lease would be left to use.
+    MarginTooLong { max_margin: Millis },
 }
 
 impl Limits {
-    /// All times from the two that operators set.
-    pub fn with(lease: Millis, election: Millis) -> Self {
-        let log = violetwind_consensus::Limits {
-            election,
-            heartbeat: (election / 5).max(1),
+    /// Derives all timeouts from the two that operators set, in milliseconds.
+    pub fn with_timeouts(lease_duration: Millis, election_timeout: Millis) -> Self {
+        let consensus = violetwind_consensus::Limits {
+            election_timeout,
+            heartbeat_interval: (election_timeout / 5).max(1),
             ..violetwind_consensus::Limits::default()
         };
         Self {
-            lease,
-            margin: lease / 10,
-            drift_permille: 10,
-            renew: lease / 5,
-            again: lease / 10,
-            quit: lease,
+            lease_duration,
+            lease_margin: lease_duration / 10,
+            max_clock_drift_permille: 10,
+            renew_interval: lease_duration / 5,
+            retry_delay: lease_duration / 10,
+            handoff_timeout: lease_duration,
             weight: 1,
-            needs: 256,
-            linger: 1000,
-            exchange: 300,
-            hopeless_answers: 4,
-            hopeless: 3000,
-            waits: 1024,
-            off: 5 * lease,
-            work: lease / 10,
-            forgotten: 60_000,
-            asks: 8192,
-            snapshot_every: 2000,
-            log,
+            max_needs_per_renewal: 256,
+            reclaim_delay: 1000,
+            unmet_need_timeout: 300,
+            unmet_need_min_answers: 4,
+            unmet_need_cooldown: 3000,
+            max_unit_waiters: 1024,
+            drain_timeout: 5 * lease_duration,
+            work_poll_interval: lease_duration / 10,
+            machine_expiry: 60_000,
+            max_pending_leader_requests: 8192,
+            snapshot_interval_entries: 2000,
+            consensus,
         }
     }
 
-    /// How long a leader counts a lease that it grants now.
-    pub fn granted(&self) -> Millis {
-        self.lease + (self.lease * self.drift_permille).div_ceil(1000) + 1
+    /// How long a leader counts a lease from its grant: the lease duration, extended by the clock drift.
+    pub fn granted_lease_duration(&self) -> Millis {
+        self.lease_duration
+            + (self.lease_duration * self.max_clock_drift_permille).div_ceil(1000)
+            + 1
     }
 
+    /// Checks that the timeouts are consistent.
+    ///
     /// # Errors
-    /// Where a lease can't outlive an election, or its margin leaves nothing of it.
-    pub fn check(&self) -> Result<(), Unsound> {
-        // Two draws of an election, and a renewal before and behind.
-        let least = 3 * self.log.election;
-        if self.lease < least {
-            return Err(Unsound::LeaseTooShort { least });
+    /// The lease can't outlive an election, or its margin is longer than half of it.
+    pub fn validate(&self) -> Result<(), LimitsError> {
+        // One randomized election timeout, which is less than two `election_timeout`s, and one `election_timeout` for
+        // the renewals before and after it.
+        let min_lease = 3 * self.consensus.election_timeout;
+        if self.lease_duration < min_lease {
+            return Err(LimitsError::LeaseTooShort { min_lease });
         }
-        let most = self.lease / 2;
-        if self.margin > most {
-            return Err(Unsound::MarginTooLong { most });
+        let max_margin = self.lease_duration / 2;
+        if self.lease_margin > max_margin {
+            return Err(LimitsError::MarginTooLong { max_margin });
         }
         Ok(())
     }
 }
 
-/// Sizes of what the log settles. They are the same at every member, or members would settle differently: a
-/// change of one is a new version of [`crate::Command`].
-pub struct Caps;
+/// Limits of the replicated state. They must be the same at every member, because members that apply the same commands
+/// under different limits would reach different states: a change of one requires a new version of [`crate::Command`].
+pub struct StateLimits;
 
-impl Caps {
-    pub const SESSIONS: usize = 4096;
-    pub const DUTIES: usize = 256;
+impl StateLimits {
+    pub const MAX_SESSIONS: usize = 4096;
+    pub const MAX_DUTIES: usize = 256;
     /// The longest name of a member or a duty, in bytes.
-    pub const NAME: usize = 64;
-    /// Members that were put out and may not come back.
-    pub const BARRED: usize = 1024;
-    pub const BUDGETS: usize = 1024;
-    pub const WEIGHT: u64 = 1000;
-    /// Stranded shares of one budget that are kept apart.
-    pub const STRANDED: usize = 4096;
+    pub const MAX_NAME_BYTES: usize = 64;
+    /// Members that an operator has removed and that are refused if they return.
+    pub const MAX_BLOCKED_MEMBERS: usize = 1024;
+    pub const MAX_BUDGETS: usize = 1024;
+    pub const MAX_WEIGHT: u64 = 1000;
+    /// Stranded shares of one budget that are kept as separate entries; more are added to existing ones.
+    pub const MAX_STRANDED_SHARES: usize = 4096;
 }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,21 +1,22 @@
-//! What is played, from a TOML file that is checked like the operator's: every error at once.
+//! Scenario files: TOML that is checked like the operator's configuration, with all errors reported at once.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use violetwind_balancer::api::{Effect, Matter};
-use violetwind_conf::{Problem, Problems, Section, Tree};
+use violetwind_balancer::api::{Idempotency, QuotaKind};
+use violetwind_conf::{ConfigTree, Problem, Problems, Section};
 
-use crate::replay::Recorded;
+use crate::replay::RecordedClient;
 
-/// The most memory that a run may take, as far as it can be told beforehand.
-pub const MOST_BYTES: u64 = 4 << 30;
+/// Limit on the estimated memory of a run, in bytes.
+pub const MAX_MEMORY_BYTES: u64 = 4 << 30;
 
+/// A fleet, its demand and its troubles. Times are in seconds.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: String,
     pub seconds: f64,
-    /// Not counted.
+    /// Time at the start of the run that is left out of the results.
     pub warm_up: f64,
     pub proxies: usize,
     pub zones: usize,
@@ -23,165 +24,191 @@
     pub server: Server,
     pub demand: Demand,
     pub classes: Vec<Class>,
-    pub lists: Lists,
+    pub list_timing: ListTiming,
     pub network: Network,
     pub troubles: Vec<Trouble>,
     pub budgets: Vec<Budget>,
-    pub work: Option<Work>,
-    /// Proxies are asked what they use of budgets, and told their parts, so often.
-    pub exchange: f64,
-    /// Recorded clients instead of made-up ones.
-    pub replayed: Option<Arc<Vec<Recorded>>>,
+    pub work: Option<WorkSettings>,
+    /// Interval at which proxies report their budget usage and receive their shares.
+    pub exchange_interval: f64,
+    /// Recorded clients that replace generated ones.
+    pub recorded_clients: Option<Arc<Vec<RecordedClient>>>,
 }
 
-/// Work on all servers, each a machine of its own, by orders that the real planner carries out.
+/// Work orders on all servers, each of which runs on its own machine; the real planner executes the orders.
 #[derive(Clone, Debug)]
-pub struct Work {
-    pub at: f64,
-    pub most: u32,
-    pub zone_most: u32,
-    pub floor: f64,
-    pub spare: bool,
-    /// Machines of one order, the next when all are done: 0 for all in one. With as many as may be out it is work in
-    /// fixed batches.
-    pub batch: usize,
-    /// What staff take for a machine.
-    pub job: f64,
-    /// Between two looks of whoever conducts.
-    pub every: f64,
+pub struct WorkSettings {
+    pub start_at: f64,
+    pub max_out: u32,
+    pub max_out_per_zone: u32,
+    pub min_capacity_share: f64,
+    pub keep_spare_machine: bool,
+    /// Number of machines per order; an order starts when all machines of the previous one are done. 0 puts all
+    /// machines into one order. If equal to `max_out`, the work runs in fixed batches.
+    pub machines_per_order: usize,
+    /// Time that operators need for one machine.
+    pub job_duration: f64,
+    /// Interval between checks of the coordinator.
+    pub check_interval: f64,
 }
 
-/// A whole that all proxies keep together, of what is used within any window.
+/// A limit on the usage of all proxies together within any window.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    pub of: Matter,
-    pub whole: u64,
+    pub quota_kind: QuotaKind,
+    pub total: u64,
     pub floor: u64,
     pub window: f64,
-    /// By need; or else each proxy has a fixed part, at cold servers as the module divides alone.
-    pub divided: bool,
+    /// Whether the total is divided by need. Otherwise each proxy has a fixed part, and the balancer itself divides the
+    /// limit on cold servers.
+    pub divided_by_need: bool,
 }
 
-const MATTERS: [(&str, Matter); 4] = [
-    ("retries", Matter::Further),
-    ("moves", Matter::Moves),
-    ("probes", Matter::Probes),
-    ("cold", Matter::Cold),
+const QUOTA_KINDS: [(&str, QuotaKind); 4] = [
+    ("retries", QuotaKind::Further),
+    ("moves", QuotaKind::Moves),
+    ("probes", QuotaKind::Probes),
+    ("cold", QuotaKind::Cold),
 ];
 
+/// Properties of the servers.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Seconds of work a second, and the share by which servers differ.
+    /// Seconds of work per second.
     pub capacity: f64,
-    pub spread: f64,
+    /// Share by which the capacity of a server may be above or below `capacity`.
+    pub capacity_spread: f64,
     /// Work of one set-up, in seconds.
     pub setup_work: f64,
-    /// A message that takes so many times its work is late.
-    pub slack: f64,
-    pub connections: usize,
-    pub queue: usize,
-    /// Loads are told anew so often, so late, and wrong by such a share.
-    pub report_every: f64,
+    /// A message is late if its response time exceeds its work multiplied by this factor.
+    pub max_slowdown: f64,
+    pub max_connections: usize,
+    pub max_pending_setups: usize,
+    /// Interval at which the reported loads are updated.
+    pub report_interval: f64,
+    /// Delay of the reported loads.
     pub report_delay: f64,
+    /// Relative error of the reported loads.
     pub report_noise: f64,
-    pub cold_from: f64,
-    pub cold_for: f64,
-    /// Work a second that each group costs on each server that holds any of it.
+    pub slow_start_min_share: f64,
+    pub slow_start_window: f64,
+    /// Work per second that each group costs on each server with a connection of the group.
     pub group_cost: f64,
-    /// Set-ups a second of the store that all servers share; 0 for none.
-    pub store_rate: f64,
+    /// Set-ups per second that the store shared by all servers can handle; 0 if there is no such store.
+    pub store_setups_per_s: f64,
 }
 
+/// Demand of the clients.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// The load asked over the capacity of all servers.
-    pub fill: f64,
+    /// Offered load divided by the capacity of all servers.
+    pub offered_load: f64,
     pub tenants: usize,
     pub groups: usize,
-    /// A client that is refused or lost comes again after about this, so many times at the most.
-    pub retry: f64,
-    pub retries: usize,
-    /// The load of a connection changes after about this.
-    pub change: f64,
-    /// How unevenly clients come to the proxies of their zone: 0 evenly; with 1 the first half of them gets 0.71,
-    /// with 3 the first tenth 0.56.
+    /// Approximate delay before a refused or lost client retries.
+    pub retry_delay: f64,
+    /// Maximum number of retries.
+    pub max_retries: usize,
+    /// Interval between changes of a connection's load.
+    pub load_change_interval: f64,
+    /// Skew of the clients over the proxies of their zone: 0 distributes them evenly; with 1 the first half of the
+    /// proxies gets 0.71 of the clients, with 3 the first tenth gets 0.56.
     pub skew: f64,
 }
 
+/// A class of clients.
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: String,
-    /// Part of all arrivals.
-    pub share: f64,
-    /// Work a second, and the spread of its logarithm.
+    /// Relative share of all arrivals.
+    pub arrival_share: f64,
+    /// Mean work per second of a connection.
     pub load: f64,
+    /// Standard deviation of the logarithm of the load.
     pub load_spread: f64,
-    pub hold: f64,
-    pub aim: f64,
+    pub mean_hold_time: f64,
+    pub setup_target: f64,
     pub deadline: f64,
     pub worth: f64,
-    pub effect: Effect,
+    pub effect: Idempotency,
 }
 
+/// Timing of server list updates and of deployments.
 #[derive(Clone, Debug)]
-pub struct Lists {
-    pub delay: f64,
-    /// How long a server drains before its process ends, and its absence.
-    pub grace: f64,
-    pub restart: f64,
+pub struct ListTiming {
+    pub propagation_delay: f64,
+    /// Time for which a server drains before its process ends.
+    pub drain_grace: f64,
+    /// Time from the end of a process to the start of the next.
+    pub restart_time: f64,
 }
 
+/// Round-trip times and the connect timeout.
 #[derive(Clone, Debug)]
 pub struct Network {
-    pub near: f64,
-    pub far: f64,
-    pub connect: f64,
+    pub same_zone_rtt: f64,
+    pub cross_zone_rtt: f64,
+    pub connect_timeout: f64,
 }
 
+/// Kinds of troubles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum TroubleKind {
+    /// Server processes end, and restart cold afterwards.
     Crash,
+    /// The capacity of servers is lowered by a factor.
     Slow,
+    /// As `Slow`, by default with a random factor per server, as under a noisy neighbour.
     Neighbour,
+    /// Servers answer each attempt with an error at once.
     FailingFast,
+    /// A share of the new clients has a multiple of the usual load.
     Heavy,
+    /// Servers drain, end and restart cold, one after the other.
     Deploy,
+    /// A share of the clients loses its connections at once and retries.
     Reconnect,
+    /// The arrival rate is multiplied.
     Burst,
+    /// The machines of a zone become unreachable, and restart cold afterwards.
     ZoneLoss,
+    /// A zone is cut off from the other zones.
     ZoneCut,
+    /// No updates of the server list are delivered.
     CatalogueSilent,
+    /// Proxies restart.
     ProxiesRestart,
 }
 
-const KINDS: [(&str, Kind); 12] = [
-    ("crash", Kind::Crash),
-    ("slow", Kind::Slow),
-    ("neighbour", Kind::Neighbour),
-    ("failing-fast", Kind::FailingFast),
-    ("heavy", Kind::Heavy),
-    ("deploy", Kind::Deploy),
-    ("reconnect", Kind::Reconnect),
-    ("burst", Kind::Burst),
-    ("zone-loss", Kind::ZoneLoss),
-    ("zone-cut", Kind::ZoneCut),
-    ("catalogue-silent", Kind::CatalogueSilent),
-    ("proxies-restart", Kind::ProxiesRestart),
+const TROUBLE_KINDS: [(&str, TroubleKind); 12] = [
+    ("crash", TroubleKind::Crash),
+    ("slow", TroubleKind::Slow),
+    ("neighbour", TroubleKind::Neighbour),
+    ("failing-fast", TroubleKind::FailingFast),
+    ("heavy", TroubleKind::Heavy),
+    ("deploy", TroubleKind::Deploy),
+    ("reconnect", TroubleKind::Reconnect),
+    ("burst", TroubleKind::Burst),
+    ("zone-loss", TroubleKind::ZoneLoss),
+    ("zone-cut", TroubleKind::ZoneCut),
+    ("catalogue-silent", TroubleKind::CatalogueSilent),
+    ("proxies-restart", TroubleKind::ProxiesRestart),
 ];
 
-impl Kind {
+impl TroubleKind {
+    /// All kinds, in the order of `TROUBLE_KINDS`.
     pub const ALL: [Self; 12] = {
         let mut all = [Self::Crash; 12];
         let mut at = 0;
         while at < all.len() {
-            all[at] = KINDS[at].1;
+            all[at] = TROUBLE_KINDS[at].1;
             at += 1;
         }
         all
     };
 
-    /// By how much it is usually: times the work, the rate, or what is left of the capacity.
-    pub fn usual(self) -> (f64, f64) {
+    /// Default range of the factor applied to the load of clients, the arrival rate or the capacity.
+    pub fn default_factors(self) -> (f64, f64) {
         match self {
             Self::Heavy => (5.0, 24.0),
             Self::Slow => (0.4, 0.4),
@@ -191,34 +218,39 @@
         }
     }
 
+    /// Name in scenario files.
     pub fn name(self) -> &'static str {
-        let named = KINDS.iter().find(|(_, kind)| *kind == self);
+        let named = TROUBLE_KINDS.iter().find(|(_, kind)| *kind == self);
         named.map_or("?", |(name, _)| name)
     }
 }
 
+/// A trouble that starts at `at` and lasts for `lasts` seconds.
 #[derive(Clone, Debug)]
 pub struct Trouble {
-    pub kind: Kind,
+    pub kind: TroubleKind,
     pub at: f64,
     pub lasts: f64,
-    /// The part of servers, proxies or requests that it touches.
+    /// Share of servers, proxies or clients that are affected.
     pub share: f64,
-    /// By how much: times the work, the rate, or the capacity.
+    /// Range of the factor applied to the load of clients, the arrival rate or the capacity.
     pub from: f64,
     pub to: f64,
     pub zone: usize,
 }
 
 impl Scenario {
-    /// Reads a file's text; `set` are values over it, as `KEY=VALUE`.
+    /// Parses the text of a scenario file. Each of `set` is a `KEY=VALUE` that overrides a value of the file.
+    ///
+    /// # Errors
+    /// All problems of the file and the overrides.
     pub fn parse(name: &str, text: &str, set: &[String]) -> Result<Self, Vec<Problem>> {
-        let mut tree = Tree::parse(name, text).map_err(|problem| vec![problem])?;
+        let mut tree = ConfigTree::parse(name, text).map_err(|problem| vec![problem])?;
         let problems = Problems::default();
-        for set in set {
-            let (path, value) = set.split_once('=').unwrap_or((set, ""));
-            let place = format!("--set {set}");
-            problems.extend(tree.set(path.trim(), value.trim(), &place).err());
+        for assignment in set {
+            let (path, value) = assignment.split_once('=').unwrap_or((assignment, ""));
+            let place = format!("--set {assignment}");
+            problems.extend(tree.set_value(path.trim(), value.trim(), &place).err());
         }
         let scenario = Self::read(name, &Section::root(&tree, &problems));
         let problems = problems.into_vec();
@@ -234,211 +266,232 @@
         let demand = root.section("demand");
         let lists = root.section("lists");
         let network = root.section("network");
-        let count = |section: &Section<'_>, name: &str, most: u64, default: u64| {
-            section.int(name, 1..=most, default) as usize
+        let count = |section: &Section<'_>, name: &str, max: u64, default: u64| {
+            section.int(name, 1..=max, default) as usize
         };
-        let seconds = span(root, "seconds", 1.0, 86_400.0, 60.0);
+        let seconds = read_seconds(root, "seconds", 1.0, 86_400.0, 60.0);
         let scenario = Self {
             name: name.to_string(),
             seconds,
-            warm_up: span(root, "warm_up", 0.0, 3600.0, 10.0),
+            warm_up: read_seconds(root, "warm_up", 0.0, 3600.0, 10.0),
             proxies: count(&fleet, "proxies", 10_000, 5),
             zones: count(&fleet, "zones", 64, 1),
             servers: count(&fleet, "servers", 100_000, 10),
             server: Server {
                 capacity: server.number("capacity", 0.01..=1e4, 1.0),
-                spread: server.number("spread", 0.0..=0.9, 0.2),
+                capacity_spread: server.number("spread", 0.0..=0.9, 0.2),
                 setup_work: server.number("setup_work", 0.0..=10.0, 0.01),
-                slack: server.number("slack", 1.0..=1e4, 30.0),
-                connections: count(&server, "connections", 1_000_000, 500),
-                queue: count(&server, "queue", 1_000_000, 100),
-                report_every: span(&server, "report_every", 0.01, 60.0, 0.25),
-                report_delay: span(&server, "report_delay", 0.0, 60.0, 0.25),
+                max_slowdown: server.number("slack", 1.0..=1e4, 30.0),
+                max_connections: count(&server, "connections", 1_000_000, 500),
+                max_pending_setups: count(&server, "queue", 1_000_000, 100),
+                report_interval: read_seconds(&server, "report_every", 0.01, 60.0, 0.25),
+                report_delay: read_seconds(&server, "report_delay", 0.0, 60.0, 0.25),
                 report_noise: server.number("report_noise", 0.0..=1.0, 0.05),
-                cold_from: server.number("cold_from", 0.01..=1.0, 0.3),
-                cold_for: span(&server, "cold_for", 0.0, 3600.0, 10.0),
+                slow_start_min_share: server.number("cold_from", 0.01..=1.0, 0.3),
+                slow_start_window: read_seconds(&server, "cold_for", 0.0, 3600.0, 10.0),
                 group_cost: server.number("group_cost", 0.0..=1e3, 0.0),
-                store_rate: server.number("store_rate", 0.0..=1e9, 0.0),
+                store_setups_per_s: server.number("store_rate", 0.0..=1e9, 0.0),
             },
             demand: Demand {
-                fill: demand.number("fill", 0.01..=10.0, 0.65),
+                offered_load: demand.number("fill", 0.01..=10.0, 0.65),
                 tenants: demand.int("tenants", 0..=10_000, 0) as usize,
                 groups: demand.int("groups", 0..=1_000_000, 0) as usize,
-                retry: span(&demand, "retry", 0.01, 600.0, 1.0),
-                retries: demand.int("retries", 0..=1000, 8) as usize,
-                change: span(&demand, "change", 0.1, 86_400.0, 10.0),
+                retry_delay: read_seconds(&demand, "retry", 0.01, 600.0, 1.0),
+                max_retries: demand.int("retries", 0..=1000, 8) as usize,
+                load_change_interval: read_seconds(&demand, "change", 0.1, 86_400.0, 10.0),
                 skew: demand.number("skew", 0.0..=20.0, 0.0),
             },
-            lists: Lists {
-                delay: span(&lists, "delay", 0.0, 60.0, 0.3),
-                grace: span(&lists, "grace", 0.0, 600.0, 5.0),
-                restart: span(&lists, "restart", 0.0, 600.0, 2.0),
+            list_timing: ListTiming {
+                propagation_delay: read_seconds(&lists, "delay", 0.0, 60.0, 0.3),
+                drain_grace: read_seconds(&lists, "grace", 0.0, 600.0, 5.0),
+                restart_time: read_seconds(&lists, "restart", 0.0, 600.0, 2.0),
             },
             network: Network {
-                near: span(&network, "near", 0.0, 10.0, 0.0005),
-                far: span(&network, "far", 0.0, 10.0, 0.004),
-                connect: span(&network, "connect", 0.001, 60.0, 0.25),
+                same_zone_rtt: read_seconds(&network, "near", 0.0, 10.0, 0.0005),
+                cross_zone_rtt: read_seconds(&network, "far", 0.0, 10.0, 0.004),
+                connect_timeout: read_seconds(&network, "connect", 0.001, 60.0, 0.25),
             },
-            classes: root.sections("class").iter().map(class).collect(),
-            troubles: root.sections("trouble").iter().map(trouble).collect(),
-            budgets: root.sections("budget").iter().map(budget).collect(),
-            work: work(root),
-            exchange: span(&fleet, "exchange", 0.01, 60.0, 0.1),
-            replayed: None,
+            classes: root.sections("class").iter().map(read_class).collect(),
+            troubles: root.sections("trouble").iter().map(read_trouble).collect(),
+            budgets: root.sections("budget").iter().map(read_budget).collect(),
+            work: read_work(root),
+            exchange_interval: read_seconds(&fleet, "exchange", 0.01, 60.0, 0.1),
+            recorded_clients: None,
         };
         for section in [&fleet, &server, &demand, &lists, &network] {
-            section.finish();
+            section.report_unknown_keys();
         }
         if scenario.classes.is_empty() {
-            root.wrong("class", "expected at least one `[[class]]`");
+            root.report_problem("class", "expected at least one `[[class]]`");
         }
         if scenario.warm_up >= scenario.seconds {
-            root.wrong("warm_up", "no shorter than `seconds`");
+            root.report_problem("warm_up", "no shorter than `seconds`");
         }
         for trouble in &scenario.troubles {
             if trouble.zone >= scenario.zones {
-                root.wrong(
+                root.report_problem(
                     "trouble",
                     format!("zone {} of {}", trouble.zone, scenario.zones),
                 );
             }
         }
-        for (at, budget) in scenario.budgets.iter().enumerate() {
-            if scenario.budgets[..at]
+        for (index, budget) in scenario.budgets.iter().enumerate() {
+            if scenario.budgets[..index]
                 .iter()
-                .any(|known| known.of == budget.of)
+                .any(|earlier| earlier.quota_kind == budget.quota_kind)
             {
-                root.wrong("budget", "two of the same");
+                root.report_problem("budget", "two of the same");
             }
-            if budget.floor.saturating_mul(scenario.proxies as u64) > budget.whole {
-                root.wrong("budget", "floors of all proxies are more than the whole");
+            if budget.floor.saturating_mul(scenario.proxies as u64) > budget.total {
+                root.report_problem("budget", "floors of all proxies are more than the whole");
             }
         }
-        let bytes = scenario.bytes();
-        if bytes > MOST_BYTES {
-            let (gb, most) = (bytes as f64 / 1e9, MOST_BYTES as f64 / 1e9);
-            root.wrong(
+        let bytes = scenario.estimated_memory_bytes();
+        if bytes > MAX_MEMORY_BYTES {
+            let (gigabytes, max_gigabytes) = (bytes as f64 / 1e9, MAX_MEMORY_BYTES as f64 / 1e9);
+            root.report_problem(
                 "fleet",
-                format!("takes about {gb:.1} GB of memory, {most:.1} GB at most"),
+                format!("takes about {gigabytes:.1} GB of memory, {max_gigabytes:.1} GB at most"),
             );
         }
-        root.finish();
+        root.report_unknown_keys();
         scenario
     }
 
-    /// The same as a file, so that what was found can be committed.
+    /// Renders the scenario as a file, so that a scenario found by a search can be committed.
     pub fn to_toml(&self) -> String {
-        let span = |secs: f64| violetwind_conf::span_text(Duration::from_secs_f64(secs));
+        let span =
+            |seconds: f64| violetwind_conf::format_duration(Duration::from_secs_f64(seconds));
         let mut out = String::new();
-        let mut line = |text: String| {
+        let mut add_line = |text: String| {
             out.push_str(&text);
             out.push('\n');
         };
-        line(format!("seconds = \"{}\"", span(self.seconds)));
-        line(format!("warm_up = \"{}\"", span(self.warm_up)));
-        line("\n[fleet]".into());
-        line(format!("proxies = {}", self.proxies));
-        line(format!("servers = {}", self.servers));
-        line(format!("zones = {}", self.zones));
-        line(format!("exchange = \"{}\"", span(self.exchange)));
-        let s = &self.server;
-        line("\n[server]".into());
-        line(format!("capacity = {}", s.capacity));
-        line(format!("spread = {}", s.spread));
-        line(format!("setup_work = {}", s.setup_work));
-        line(format!("slack = {}", s.slack));
-        line(format!("connections = {}", s.connections));
-        line(format!("queue = {}", s.queue));
-        line(format!("report_every = \"{}\"", span(s.report_every)));
-        line(format!("report_delay = \"{}\"", span(s.report_delay)));
-        line(format!("report_noise = {}", s.report_noise));
-        line(format!("cold_from = {}", s.cold_from));
-        line(format!("cold_for = \"{}\"", span(s.cold_for)));
-        line(format!("group_cost = {}", s.group_cost));
-        line(format!("store_rate = {}", s.store_rate));
-        let d = &self.demand;
-        line("\n[demand]".into());
-        line(format!("fill = {}", d.fill));
-        line(format!("tenants = {}", d.tenants));
-        line(format!("groups = {}", d.groups));
-        line(format!("retry = \"{}\"", span(d.retry)));
-        line(format!("retries = {}", d.retries));
-        line(format!("change = \"{}\"", span(d.change)));
-        line(format!("skew = {}", d.skew));
-        line("\n[lists]".into());
-        line(format!("delay = \"{}\"", span(self.lists.delay)));
-        line(format!("grace = \"{}\"", span(self.lists.grace)));
-        line(format!("restart = \"{}\"", span(self.lists.restart)));
-        line("\n[network]".into());
-        line(format!("near = \"{}\"", span(self.network.near)));
-        line(format!("far = \"{}\"", span(self.network.far)));
-        line(format!("connect = \"{}\"", span(self.network.connect)));
+        add_line(format!("seconds = \"{}\"", span(self.seconds)));
+        add_line(format!("warm_up = \"{}\"", span(self.warm_up)));
+        add_line("\n[fleet]".into());
+        add_line(format!("proxies = {}", self.proxies));
+        add_line(format!("servers = {}", self.servers));
+        add_line(format!("zones = {}", self.zones));
+        add_line(format!("exchange = \"{}\"", span(self.exchange_interval)));
+        let server = &self.server;
+        add_line("\n[server]".into());
+        add_line(format!("capacity = {}", server.capacity));
+        add_line(format!("spread = {}", server.capacity_spread));
+        add_line(format!("setup_work = {}", server.setup_work));
+        add_line(format!("slack = {}", server.max_slowdown));
+        add_line(format!("connections = {}", server.max_connections));
+        add_line(format!("queue = {}", server.max_pending_setups));
+        add_line(format!(
+            "report_every = \"{}\"",
+            span(server.report_interval)
+        ));
+        add_line(format!("report_delay = \"{}\"", span(server.report_delay)));
+        add_line(format!("report_noise = {}", server.report_noise));
+        add_line(format!("cold_from = {}", server.slow_start_min_share));
+        add_line(format!("cold_for = \"{}\"", span(server.slow_start_window)));
+        add_line(format!("group_cost = {}", server.group_cost));
+        add_line(format!("store_rate = {}", server.store_setups_per_s));
+        let demand = &self.demand;
+        add_line("\n[demand]".into());
+        add_line(format!("fill = {}", demand.offered_load));
+        add_line(format!("tenants = {}", demand.tenants));
+        add_line(format!("groups = {}", demand.groups));
+        add_line(format!("retry = \"{}\"", span(demand.retry_delay)));
+        add_line(format!("retries = {}", demand.max_retries));
+        add_line(format!(
+            "change = \"{}\"",
+            span(demand.load_change_interval)
+        ));
+        add_line(format!("skew = {}", demand.skew));
+        add_line("\n[lists]".into());
+        add_line(format!(
+            "delay = \"{}\"",
+            span(self.list_timing.propagation_delay)
+        ));
+        add_line(format!(
+            "grace = \"{}\"",
+            span(self.list_timing.drain_grace)
+        ));
+        add_line(format!(
+            "restart = \"{}\"",
+            span(self.list_timing.restart_time)
+        ));
+        add_line("\n[network]".into());
+        add_line(format!("near = \"{}\"", span(self.network.same_zone_rtt)));
+        add_line(format!("far = \"{}\"", span(self.network.cross_zone_rtt)));
+        add_line(format!(
+            "connect = \"{}\"",
+            span(self.network.connect_timeout)
+        ));
         for class in &self.classes {
             let effect = match class.effect {
-                Effect::Safe => "safe",
-                Effect::Keyed => "keyed",
-                Effect::Unsafe => "unsafe",
+                Idempotency::Safe => "safe",
+                Idempotency::Keyed => "keyed",
+                Idempotency::Unsafe => "unsafe",
             };
-            line(format!(
+            add_line(format!(
                 "\n[[class]]\nname = {:?}\nshare = {}",
-                class.name, class.share
+                class.name, class.arrival_share
             ));
-            line(format!(
+            add_line(format!(
                 "load = {}\nload_spread = {}",
                 class.load, class.load_spread
             ));
-            line(format!(
+            add_line(format!(
                 "hold = \"{}\"\naim = \"{}\"",
-                span(class.hold),
-                span(class.aim)
+                span(class.mean_hold_time),
+                span(class.setup_target)
             ));
-            line(format!(
+            add_line(format!(
                 "deadline = \"{}\"\nworth = {}",
                 span(class.deadline),
                 class.worth
             ));
-            line(format!("effect = \"{effect}\""));
+            add_line(format!("effect = \"{effect}\""));
         }
         for budget in &self.budgets {
-            let of = MATTERS.iter().find(|(_, of)| *of == budget.of);
-            line(format!(
+            let quota = QUOTA_KINDS
+                .iter()
+                .find(|(_, kind)| *kind == budget.quota_kind);
+            add_line(format!(
                 "\n[[budget]]\nof = {:?}",
-                of.map_or("?", |(name, _)| name)
+                quota.map_or("?", |(name, _)| name)
             ));
-            line(format!(
+            add_line(format!(
                 "whole = {}\nfloor = {}",
-                budget.whole, budget.floor
+                budget.total, budget.floor
             ));
             let window = span(budget.window);
-            line(format!(
+            add_line(format!(
                 "window = \"{window}\"\ndivided = {}",
-                budget.divided
+                budget.divided_by_need
             ));
         }
         if let Some(work) = &self.work {
-            line(format!(
+            add_line(format!(
                 "\n[work]\nat = \"{}\"\nmost = {}\nzone_most = {}\nfloor = {}\nspare = {}",
-                span(work.at),
-                work.most,
-                work.zone_most,
-                work.floor,
-                work.spare
+                span(work.start_at),
+                work.max_out,
+                work.max_out_per_zone,
+                work.min_capacity_share,
+                work.keep_spare_machine
             ));
-            line(format!(
+            add_line(format!(
                 "batch = {}\njob = \"{}\"\nevery = \"{}\"",
-                work.batch,
-                span(work.job),
-                span(work.every)
+                work.machines_per_order,
+                span(work.job_duration),
+                span(work.check_interval)
             ));
         }
         for trouble in &self.troubles {
             let (at, lasts) = (span(trouble.at), span(trouble.lasts));
-            line(format!("\n[[trouble]]\nkind = {:?}", trouble.kind.name()));
-            line(format!(
+            add_line(format!("\n[[trouble]]\nkind = {:?}", trouble.kind.name()));
+            add_line(format!(
                 "at = \"{at}\"\nlasts = \"{lasts}\"\nshare = {}",
                 trouble.share
             ));
-            line(format!(
+            add_line(format!(
                 "from = {}\nto = {}\nzone = {}",
                 trouble.from, trouble.to, trouble.zone
             ));
@@ -446,110 +499,120 @@
         out
     }
 
-    /// Arrivals a second that bring the load that is asked for.
-    pub fn rate(&self) -> f64 {
-        let shares: f64 = self.classes.iter().map(|class| class.share).sum();
-        let work = |class: &Class| class.share / shares.max(1e-9) * class.load * class.hold;
-        let each: f64 = self.classes.iter().map(work).sum();
-        self.demand.fill * self.server.capacity * self.servers as f64 / each.max(1e-9)
+    /// Arrivals per second that result in the offered load.
+    pub fn arrival_rate(&self) -> f64 {
+        let shares: f64 = self.classes.iter().map(|class| class.arrival_share).sum();
+        let work = |class: &Class| {
+            class.arrival_share / shares.max(1e-9) * class.load * class.mean_hold_time
+        };
+        let mean_work: f64 = self.classes.iter().map(work).sum();
+        self.demand.offered_load * self.server.capacity * self.servers as f64 / mean_work.max(1e-9)
     }
 
-    /// About the memory that a run takes: each proxy's books of all servers, and all clients,
-    /// should all bursts come at once.
-    pub fn bytes(&self) -> u64 {
-        let books = self.proxies as f64 * self.servers as f64 * 700.0;
-        let hold: f64 = self
+    /// Estimates the memory of a run in bytes: each proxy's state of all servers, and all clients, assuming that all
+    /// bursts overlap.
+    pub fn estimated_memory_bytes(&self) -> u64 {
+        let proxy_state = self.proxies as f64 * self.servers as f64 * 700.0;
+        let longest_hold: f64 = self
             .classes
             .iter()
-            .map(|class| class.hold)
+            .map(|class| class.mean_hold_time)
             .fold(0.0, f64::max);
-        let bursts = self.troubles.iter().filter(|t| t.kind == Kind::Burst);
-        let bursts: f64 = bursts.map(|t| t.from.max(1.0)).product();
-        let clients = self.rate() * (hold + self.seconds * bursts) * 600.0;
-        (books + clients).min(1e18) as u64
+        let bursts = self
+            .troubles
+            .iter()
+            .filter(|trouble| trouble.kind == TroubleKind::Burst);
+        let bursts: f64 = bursts.map(|trouble| trouble.from.max(1.0)).product();
+        let clients = self.arrival_rate() * (longest_hold + self.seconds * bursts) * 600.0;
+        (proxy_state + clients).min(1e18) as u64
     }
 }
 
-fn span(section: &Section<'_>, name: &str, from: f64, to: f64, default: f64) -> f64 {
-    let secs = Duration::from_secs_f64;
-    let span = section.span(name, secs(from)..=secs(to), secs(default));
-    span.as_secs_f64()
+/// Reads a duration in seconds from a section, within `from..=to`.
+fn read_seconds(section: &Section<'_>, name: &str, from: f64, to: f64, default: f64) -> f64 {
+    let from_seconds = Duration::from_secs_f64;
+    let duration = section.duration(
+        name,
+        from_seconds(from)..=from_seconds(to),
+        from_seconds(default),
+    );
+    duration.as_secs_f64()
 }
 
-fn class(section: &Section<'_>) -> Class {
+fn read_class(section: &Section<'_>) -> Class {
     let effects = [
-        ("safe", Effect::Safe),
-        ("keyed", Effect::Keyed),
-        ("unsafe", Effect::Unsafe),
+        ("safe", Idempotency::Safe),
+        ("keyed", Idempotency::Keyed),
+        ("unsafe", Idempotency::Unsafe),
     ];
     let class = Class {
-        name: section.need_text("name"),
-        share: section.number("share", 0.0..=1e6, 1.0),
+        name: section.required_text("name"),
+        arrival_share: section.number("share", 0.0..=1e6, 1.0),
         load: section.number("load", 1e-6..=1e3, 0.01),
         load_spread: section.number("load_spread", 0.0..=3.0, 0.5),
-        hold: span(section, "hold", 0.1, 86_400.0, 30.0),
-        aim: span(section, "aim", 0.01, 60.0, 0.4),
-        deadline: span(section, "deadline", 0.05, 60.0, 2.0),
+        mean_hold_time: read_seconds(section, "hold", 0.1, 86_400.0, 30.0),
+        setup_target: read_seconds(section, "aim", 0.01, 60.0, 0.4),
+        deadline: read_seconds(section, "deadline", 0.05, 60.0, 2.0),
         worth: section.number("worth", 0.0..=1e6, 1.0),
-        effect: section.choice("effect", &effects, Effect::Safe),
+        effect: section.choice("effect", &effects, Idempotency::Safe),
     };
-    section.finish();
+    section.report_unknown_keys();
     class
 }
 
-fn budget(section: &Section<'_>) -> Budget {
-    if !section.has("of") {
-        section.wrong("of", "expected what the budget is of, found nothing");
+fn read_budget(section: &Section<'_>) -> Budget {
+    if !section.has_key("of") {
+        section.report_problem("of", "expected what the budget is of, found nothing");
     }
     let budget = Budget {
-        of: section.choice("of", &MATTERS, Matter::Further),
-        whole: section.int("whole", 1..=1_000_000, 1),
+        quota_kind: section.choice("of", &QUOTA_KINDS, QuotaKind::Further),
+        total: section.int("whole", 1..=1_000_000, 1),
         floor: section.int("floor", 0..=1_000_000, 0),
-        window: span(section, "window", 0.1, 3600.0, 1.0),
-        divided: section.flag("divided", true),
+        window: read_seconds(section, "window", 0.1, 3600.0, 1.0),
+        divided_by_need: section.flag("divided", true),
     };
-    section.finish();
+    section.report_unknown_keys();
     budget
 }
 
-fn work(root: &Section<'_>) -> Option<Work> {
+fn read_work(root: &Section<'_>) -> Option<WorkSettings> {
     let section = root.section("work");
-    if !section.is_there() {
+    if !section.is_present() {
         return None;
     }
-    let work = Work {
-        at: span(&section, "at", 0.0, 86_400.0, 15.0),
-        most: section.int("most", 1..=10_000, 1) as u32,
-        zone_most: section.int("zone_most", 1..=10_000, 10_000) as u32,
-        floor: section.number("floor", 0.0..=1.0, 0.8),
-        spare: section.flag("spare", false),
-        batch: section.int("batch", 0..=10_000, 0) as usize,
-        job: span(&section, "job", 0.0, 86_400.0, 2.0),
-        every: span(&section, "every", 0.01, 60.0, 0.2),
+    let work = WorkSettings {
+        start_at: read_seconds(&section, "at", 0.0, 86_400.0, 15.0),
+        max_out: section.int("most", 1..=10_000, 1) as u32,
+        max_out_per_zone: section.int("zone_most", 1..=10_000, 10_000) as u32,
+        min_capacity_share: section.number("floor", 0.0..=1.0, 0.8),
+        keep_spare_machine: section.flag("spare", false),
+        machines_per_order: section.int("batch", 0..=10_000, 0) as usize,
+        job_duration: read_seconds(&section, "job", 0.0, 86_400.0, 2.0),
+        check_interval: read_seconds(&section, "every", 0.01, 60.0, 0.2),
     };
-    section.finish();
+    section.report_unknown_keys();
     Some(work)
 }
 
-fn trouble(section: &Section<'_>) -> Trouble {
-    if !section.has("kind") {
-        section.wrong("kind", "expected the kind of a trouble, found nothing");
+fn read_trouble(section: &Section<'_>) -> Trouble {
+    if !section.has_key("kind") {
+        section.report_problem("kind", "expected the kind of a trouble, found nothing");
     }
-    let kind = section.choice("kind", &KINDS, Kind::Crash);
-    let (from, to) = kind.usual();
+    let kind = section.choice("kind", &TROUBLE_KINDS, TroubleKind::Crash);
+    let (from, to) = kind.default_factors();
     let from = section.number("from", 0.0..=1e3, from);
     let trouble = Trouble {
         kind,
-        at: span(section, "at", 0.0, 86_400.0, 20.0),
-        lasts: span(section, "lasts", 0.0, 86_400.0, 10.0),
+        at: read_seconds(section, "at", 0.0, 86_400.0, 20.0),
+        lasts: read_seconds(section, "lasts", 0.0, 86_400.0, 10.0),
         share: section.number("share", 0.0..=1.0, 0.2),
         from,
         to: section.number("to", 0.0..=1e3, to.max(from)),
         zone: section.int("zone", 0..=63, 0) as usize,
     };
     if trouble.to < trouble.from {
-        section.wrong("to", "below `from`");
+        section.report_problem("to", "below `from`");
     }
-    section.finish();
+    section.report_unknown_keys();
     trouble
 }
--- a/crates/net/src/shortage.rs
+++ b/crates/net/src/exhaustion.rs
@@ -1,15 +1,16 @@
-//! Failures that come from this machine and not from the peer.
+//! Failures that are caused by this machine and not by the peer.
 
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant};
 
-/// `errno` values without a stable `ErrorKind`: the same on all of Linux's architectures that Rust supports.
+/// `errno` values without a stable `ErrorKind`. They are the same on all Linux architectures that Rust supports.
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
 const ENOBUFS: i32 = 105;
 
-/// Whether a call failed for want of this machine's own means: descriptors, memory, buffers, local ports.
-pub fn is_shortage(error: &io::Error) -> bool {
+/// Whether a call failed because this machine lacks resources (descriptors, memory, buffers or local ports) or because
+/// the call was interrupted.
+pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
         || matches!(
             error.kind(),
@@ -17,12 +18,12 @@
         )
 }
 
-/// Makes a call that opens a listener again while it fails by a shortage, for at most `within`. An address that is
-/// not this machine's is no shortage there.
+/// Retries a call that opens a listener while it fails for lack of resources, every `pause` and for at most `within`.
+/// `AddrNotAvailable` is not retried: for a listener it means that the address does not belong to this machine.
 ///
 /// # Errors
-/// Any other failure at once, and the shortage once the time is over.
-pub async fn retry_shortage<T>(
+/// Any other failure at once, and the lack of resources after `within`.
+pub async fn retry_on_exhaustion<T>(
     within: Duration,
     pause: Duration,
     mut call: impl FnMut() -> io::Result<T>,
@@ -31,7 +32,7 @@
     loop {
         match call() {
             Err(error)
-                if is_shortage(&error)
+                if is_resource_exhaustion(&error)
                     && error.kind() != ErrorKind::AddrNotAvailable
                     && Instant::now() < until =>
             {
--- a/crates/proxy/src/fleet/settings.rs
+++ b/crates/proxy/src/fleet/settings.rs
@@ -1,5 +1,5 @@
-//! `[fleet]` of the operator's file: who belongs together, the times and limits, and what this proxy is able to
-//! hold. Without the section there is no fleet.
+//! The section `[fleet]` of the operator's file: the peers, times and limits, and the duties and budgets of this proxy.
+//! Without the section there is no fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,440 +7,514 @@
 use std::time::Duration;
 
 use violetwind_conf::Section;
-use violetwind_fleet::budget::{Def, Kind};
-use violetwind_fleet::work::DUTY;
-use violetwind_fleet::{Caps, Limits, Name, Unsound};
-use violetwind_service::Machines;
+use violetwind_fleet::budget::{BudgetDefinition, BudgetKind};
+use violetwind_fleet::work_orders::WORK_DUTY;
+use violetwind_fleet::{Limits, LimitsError, Name, StateLimits};
+use violetwind_service::MachineMap;
 
+/// The settings of this proxy as a fleet member.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
+pub struct FleetSettings {
     pub name: Name,
     pub listen: SocketAddr,
-    /// Without one this proxy never votes.
-    pub dir: Option<PathBuf>,
-    /// Whether the disk is waited for: false only to measure what that costs.
-    pub sync: bool,
-    pub peers: Vec<PeerAt>,
+    /// The directory for durable state; without one this proxy never votes.
+    pub data_dir: Option<PathBuf>,
+    /// Whether records are synced to disk before they are acknowledged; off only to measure the cost of syncing.
+    pub fsync: bool,
+    /// The members listed in the file, including this proxy.
+    pub peers: Vec<PeerConfig>,
+    /// Duties that this proxy may hold.
     pub duties: Vec<Name>,
-    pub budgets: Vec<Def>,
-    /// Budgets that the module counts, and of what.
-    pub counted_by: BTreeMap<Name, Of>,
-    /// Its part in work on machines, if it has one.
-    pub work: Option<Work>,
+    pub budgets: Vec<BudgetDefinition>,
+    /// Budgets that the balancer counts, and their subjects.
+    pub balancer_budgets: BTreeMap<Name, BudgetSubject>,
+    /// Settings for work on machines, if this proxy takes part in it.
+    pub maintenance: Option<MaintenanceSettings>,
     pub limits: Limits,
-    pub links: Links,
-    /// What is allowed and probably not meant.
+    pub link_limits: LinkLimits,
+    /// Settings that are valid but probably unintended.
     pub warnings: Vec<String>,
 }
 
+/// A member of the fleet as configured.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PeerAt {
+pub struct PeerConfig {
     pub node: Name,
     pub address: SocketAddr,
-    pub votes: bool,
+    pub is_voter: bool,
 }
 
-/// `[fleet.work]`: machines, and what is out on disk.
+/// The section `[fleet.work]`: machines, and the file for the machines that are out of service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Work {
-    pub machines: Machines,
-    /// Machines that carry a proxy, or that the file names with a zone: zone and proxy.
-    pub named: BTreeMap<Name, (Option<Name>, Option<Name>)>,
-    /// What is out, as last heard.
-    pub file: PathBuf,
-    /// A longer file is not read.
-    pub file_bytes: u64,
-    /// Without such a file the fleet is waited for so long before the first client.
-    pub first: Duration,
-    /// Between two looks at what is here, and the same while nothing is ordered.
-    pub every: Duration,
-    pub idle: Duration,
-    /// Lists on their way from the fleet's thread.
-    pub lists: usize,
+pub struct MaintenanceSettings {
+    pub machines: MachineMap,
+    /// The machines listed in the file, each with its zone and its proxy, where given.
+    pub named_machines: BTreeMap<Name, (Option<Name>, Option<Name>)>,
+    /// The file for the latest list of machines that are out.
+    pub state_file: PathBuf,
+    /// The largest file that is read, in bytes.
+    pub max_state_file_bytes: u64,
+    /// How long the start waits for a list from the fleet, if there is no such file, before the first client is
+    /// admitted.
+    pub machine_list_timeout: Duration,
+    /// The time between two reports of the machines' state.
+    pub report_interval: Duration,
+    /// The time between two reports while there are no orders.
+    pub idle_report_interval: Duration,
+    /// Queued lists from the fleet's thread.
+    pub list_queue_capacity: usize,
 }
 
-/// What the module counts for a budget.
+/// The use that the balancer counts against a budget.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Of {
-    /// Attempts beyond a request's first.
+pub enum BudgetSubject {
+    /// Attempts after a request's first.
     Retries,
-    /// Connections that the module moves off servers for their load.
+    /// Connections that the balancer moves off loaded servers.
     Moves,
+    /// Probes of servers.
     Probes,
-    /// Attempts at any one cold server.
+    /// Attempts at each cold server.
     Cold,
-    /// Connections at once, of a class or a tenant of that name.
+    /// Concurrent connections of the class with this name.
     Class(Name),
+    /// Concurrent connections of the tenant with this name.
     Tenant(Name),
 }
 
-/// Sizes and times of links and of the directory.
+/// Sizes and times of links, queues and the data directory.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Links {
-    /// Members that may be linked to this one at once, beyond those that it dials.
-    pub accepted: usize,
-    /// The longest frame; a longer one ends the link before anything is kept of it.
-    pub frame_bytes: usize,
-    /// Frames and bytes on the way to one member; more are dropped and counted.
-    pub queue: usize,
-    pub queue_bytes: usize,
-    /// Until a link is up and both have said who they are.
-    pub connect: Duration,
-    /// Between two attempts: the first, doubled up to the longest.
-    pub again: Duration,
-    pub again_most: Duration,
-    /// A link that has nothing to say says so; one that is heard nothing of, or takes nothing, for
-    /// `silence` is cut.
-    pub ping: Duration,
-    pub silence: Duration,
-    /// Frames and acknowledgements that wait for the member.
-    pub inbox: usize,
-    /// Calls of operators that wait for an answer.
-    pub calls: usize,
-    /// Parts of budgets on the way to the module, and how often it is asked what it uses.
-    pub parts: usize,
-    pub uses: Duration,
-    /// Bytes of records that are not on disk yet; with more the member stops.
-    pub unsynced_bytes: usize,
-    /// A file of the log is written anew when it has grown by so much.
-    pub segment_bytes: u64,
-    /// Between two attempts to write to a disk that is full, or to lock a directory that is in use.
-    pub retry: Duration,
-    pub tick: Duration,
+pub struct LinkLimits {
+    /// Concurrent accepted links, in addition to those that this member dials.
+    pub max_accepted_links: usize,
+    /// The largest frame in bytes; a larger one ends the link before any of it is buffered.
+    pub max_frame_bytes: usize,
+    /// Queued frames to one member; more are dropped and counted.
+    pub send_queue_capacity: usize,
+    /// Queued bytes to one member; more are dropped and counted.
+    pub max_send_queue_bytes: usize,
+    /// The time limit for establishing a link, including the handshake. On an accepted link it applies to each
+    /// handshake message.
+    pub connect_timeout: Duration,
+    /// The first backoff between two connection attempts; it doubles up to `max_backoff`.
+    pub initial_backoff: Duration,
+    pub max_backoff: Duration,
+    /// The idle time after which a ping is sent.
+    pub ping_interval: Duration,
+    /// A link on which nothing is received, or nothing can be sent, for this time is closed.
+    pub silence_timeout: Duration,
+    /// Queued inputs for the member.
+    pub inbox_capacity: usize,
+    /// Queued commands for the fleet's thread, such as operators' calls.
+    pub call_queue_capacity: usize,
+    /// Queued parts of budgets for the balancer.
+    pub budget_queue_capacity: usize,
+    /// The time between two exchanges of allowances and usage with the balancer.
+    pub usage_interval: Duration,
+    /// Bytes of records that are not on disk yet; with more the member restarts.
+    pub max_unsynced_bytes: usize,
+    /// Growth in bytes after which a log segment is replaced.
+    pub max_segment_bytes: u64,
+    /// The time between two attempts to write to a full disk, or to lock a directory that is in use.
+    pub retry_interval: Duration,
+    /// The time between two ticks of the member.
+    pub tick_interval: Duration,
 }
 
-impl Links {
+impl LinkLimits {
     fn new(limits: &Limits) -> Self {
-        let heartbeat = Duration::from_millis(limits.log.heartbeat);
+        let heartbeat = Duration::from_millis(limits.consensus.heartbeat_interval);
         Self {
-            accepted: 64,
-            frame_bytes: 2 << 20,
-            queue: 1024,
-            queue_bytes: 4 << 20,
-            connect: Duration::from_millis(1000),
-            again: Duration::from_millis(50),
-            again_most: Duration::from_millis(1000),
-            ping: 5 * heartbeat,
-            silence: 20 * heartbeat,
-            inbox: 4096,
-            calls: 1024,
-            parts: 4096,
-            uses: heartbeat / 2,
-            unsynced_bytes: 32 << 20,
-            segment_bytes: 8 << 20,
-            retry: Duration::from_millis(200),
-            tick: heartbeat / 5,
+            max_accepted_links: 64,
+            max_frame_bytes: 2 << 20,
+            send_queue_capacity: 1024,
+            max_send_queue_bytes: 4 << 20,
+            connect_timeout: Duration::from_millis(1000),
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_millis(1000),
+            ping_interval: 5 * heartbeat,
+            silence_timeout: 20 * heartbeat,
+            inbox_capacity: 4096,
+            call_queue_capacity: 1024,
+            budget_queue_capacity: 4096,
+            usage_interval: heartbeat / 2,
+            max_unsynced_bytes: 32 << 20,
+            max_segment_bytes: 8 << 20,
+            retry_interval: Duration::from_millis(200),
+            tick_interval: heartbeat / 5,
         }
     }
 }
 
-/// Voters at most: each one more makes every commit wait for more disks.
-const VOTERS: usize = 7;
+/// The maximum number of voters: with each further voter, every commit waits for more disks.
+const MAX_VOTERS: usize = 7;
 
-impl Settings {
-    /// Descriptors that are set aside for the fleet, whatever clients do: links both ways, the listener, the
-    /// directory's files and the thread's own.
-    pub fn descriptors(&self) -> usize {
-        self.links.accepted + VOTERS + 16
+impl FleetSettings {
+    /// File descriptors that are reserved for the fleet and not available to clients: accepted and dialled links, the
+    /// listener, the directory's files and those of the thread itself.
+    pub fn reserved_descriptors(&self) -> usize {
+        self.link_limits.max_accepted_links + MAX_VOTERS + 16
     }
 
-    pub fn voters(&self) -> impl Iterator<Item = &PeerAt> {
-        self.peers.iter().filter(|peer| peer.votes)
+    /// The peers that vote.
+    pub fn voters(&self) -> impl Iterator<Item = &PeerConfig> {
+        self.peers.iter().filter(|peer| peer.is_voter)
     }
 
-    /// What is wrong with the section for a proxy of that name.
-    pub fn fits(&self, node: &str) -> Result<(), String> {
+    /// Checks the section for the proxy named `node`.
+    ///
+    /// # Errors
+    /// If no peer has this name, or the proxy votes and has no directory.
+    pub fn check_node(&self, node: &str) -> Result<(), String> {
         let own = self.peers.iter().find(|peer| peer.node == node);
         match own {
             None => Err(format!(
                 "`fleet.peer`: no peer has this proxy's own name, \"{node}\""
             )),
-            Some(own) if own.votes && self.dir.is_none() => Err(format!(
-                "`fleet.dir`: \"{node}\" votes, and has no directory to remember its votes in"
+            Some(own) if own.is_voter && self.data_dir.is_none() => Err(format!(
+                "`fleet.dir`: voter \"{node}\" needs a directory to store its votes"
             )),
             Some(_) => Ok(()),
         }
     }
 
+    /// Reads the section, and reports its problems through `root`; `None` without the section.
     pub fn read(root: &Section<'_>) -> Option<Self> {
         let section = root.section("fleet");
-        if !section.is_there() {
+        if !section.is_present() {
             return None;
         }
-        let settings = Self::from(&section);
-        section.finish();
+        let settings = Self::from_section(&section);
+        section.report_unknown_keys();
         Some(settings)
     }
 
-    fn from(section: &Section<'_>) -> Self {
+    fn from_section(section: &Section<'_>) -> Self {
         let ms = Duration::from_millis;
-        let span = |name: &str, from, to, default| {
-            let span = section.span(name, ms(from)..=ms(to), ms(default));
-            span.as_millis() as u64
+        let millis = |name: &str, from, to, default| {
+            let duration = section.duration(name, ms(from)..=ms(to), ms(default));
+            duration.as_millis() as u64
         };
-        let base = Limits::default();
-        let lease = span("lease", 200, 600_000, base.lease);
-        let election = span("election", 50, 60_000, base.log.election);
-        let mut limits = Limits::with(lease, election);
-        limits.weight = section.int("weight", 1..=Caps::WEIGHT, limits.weight);
-        limits.margin = span("margin", 1, 300_000, limits.margin);
-        match limits.check() {
+        let defaults = Limits::default();
+        let lease = millis("lease", 200, 600_000, defaults.lease_duration);
+        let election = millis("election", 50, 60_000, defaults.consensus.election_timeout);
+        let mut limits = Limits::with_timeouts(lease, election);
+        limits.weight = section.int("weight", 1..=StateLimits::MAX_WEIGHT, limits.weight);
+        limits.lease_margin = millis("margin", 1, 300_000, limits.lease_margin);
+        match limits.validate() {
             Ok(()) => {}
-            Err(Unsound::LeaseTooShort { least }) => section.wrong(
+            Err(LimitsError::LeaseTooShort { min_lease }) => section.report_problem(
                 "lease",
-                format!("shorter than elections need: {least}ms at least, or a shorter `election`"),
+                format!(
+                    "shorter than elections need: {min_lease}ms at least, or a shorter `election`"
+                ),
             ),
-            Err(Unsound::MarginTooLong { most }) => {
-                section.wrong("margin", format!("longer than half of the lease, {most}ms"));
+            Err(LimitsError::MarginTooLong { max_margin }) => {
+                section.report_problem(
+                    "margin",
+                    format!("longer than half of the lease, {max_margin}ms"),
+                );
             }
         }
-        let mut links = Links::new(&limits);
-        links.accepted = section.int("links", 1..=4096, links.accepted as u64) as usize;
-        links.queue_bytes =
-            section.int("queue_bytes", 65_536..=1 << 30, links.queue_bytes as u64) as usize;
-        links.segment_bytes = section.int("segment_bytes", 65_536..=1 << 40, links.segment_bytes);
-        let name = checked(section, "name");
-        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
+        let mut link_limits = LinkLimits::new(&limits);
+        link_limits.max_accepted_links =
+            section.int("links", 1..=4096, link_limits.max_accepted_links as u64) as usize;
+        link_limits.max_send_queue_bytes = section.int(
+            "queue_bytes",
+            65_536..=1 << 30,
+            link_limits.max_send_queue_bytes as u64,
+        ) as usize;
+        link_limits.max_segment_bytes = section.int(
+            "segment_bytes",
+            65_536..=1 << 40,
+            link_limits.max_segment_bytes,
+        );
+        let name = read_name(section, "name");
+        let unset_address = SocketAddr::from(([127, 0, 0, 1], 0));
         let address = |section: &Section<'_>, key: &str| {
-            if !section.has(key) {
-                section.wrong(key, "expected an address and a port, found nothing");
+            if !section.has_key(key) {
+                section.report_problem(key, "expected an address and a port, found nothing");
             }
             let expected = "an IP address and a port, such as \"127.0.0.1:7100\"";
-            section.parsed(key, expected, |text| text.parse().ok())
+            section.parse_with(key, expected, |text| text.parse().ok())
         };
-        let listen = address(section, "listen").unwrap_or(unset);
-        let dir = section.text("dir").map(PathBuf::from);
-        let sync = section.flag("sync", true);
+        let listen = address(section, "listen").unwrap_or(unset_address);
+        let data_dir = section.text("dir").map(PathBuf::from);
+        let fsync = section.flag("sync", true);
         let mut warnings = Vec::new();
-        if !sync {
-            warnings.push(
-                "`fleet.sync` is off: what is acknowledged is lost with the machine's power".into(),
-            );
+        if !fsync {
+            warnings.push("`fleet.sync` is off: a power failure loses acknowledged records".into());
         }
         let (mut names, mut addresses) = (BTreeSet::new(), BTreeSet::new());
         let mut peers = Vec::new();
         for section in section.sections("peer") {
-            let peer = PeerAt {
-                node: checked(&section, "node"),
-                address: address(&section, "address").unwrap_or(unset),
-                votes: section.flag("votes", false),
+            let peer = PeerConfig {
+                node: read_name(&section, "node"),
+                address: address(&section, "address").unwrap_or(unset_address),
+                is_voter: section.flag("votes", false),
             };
-            section.finish();
+            section.report_unknown_keys();
             if !names.insert(peer.node.clone()) {
-                section.wrong("node", "another peer has this name");
+                section.report_problem("node", "another peer has this name");
             }
-            if section.has("address") && !addresses.insert(peer.address) {
-                section.wrong("address", "another peer has this address");
+            if section.has_key("address") && !addresses.insert(peer.address) {
+                section.report_problem("address", "another peer has this address");
             }
             peers.push(peer);
         }
-        let voters = peers.iter().filter(|peer| peer.votes).count();
+        let voters = peers.iter().filter(|peer| peer.is_voter).count();
         match voters {
-            0 => section.wrong(
+            0 => section.report_problem(
                 "peer",
-                "nobody votes: 1, 3, 5 or 7 peers with `votes = true`",
+                "no voters: expected 1, 3, 5 or 7 peers with `votes = true`",
             ),
-            _ if voters > VOTERS => {
-                section.wrong("peer", format!("{voters} voters, {VOTERS} at most"));
+            _ if voters > MAX_VOTERS => {
+                section.report_problem("peer", format!("{voters} voters, {MAX_VOTERS} at most"));
             }
             _ if voters % 2 == 0 => warnings.push(format!(
-                "`fleet.peer`: {voters} voters stand no more losses than {}",
+                "`fleet.peer`: {voters} voters tolerate no more failures than {}",
                 voters - 1
             )),
             _ => {}
         }
         let mut duties = BTreeSet::new();
         for section in section.sections("duty") {
-            let duty = checked(&section, "name");
-            section.finish();
+            let duty = read_name(&section, "name");
+            section.report_unknown_keys();
             if !duties.insert(duty) {
-                section.wrong("name", "another duty has this name");
+                section.report_problem("name", "another duty has this name");
             }
         }
-        if duties.len() > Caps::DUTIES {
-            section.wrong(
+        if duties.len() > StateLimits::MAX_DUTIES {
+            section.report_problem(
                 "duty",
-                format!("{} duties, {} at most", duties.len(), Caps::DUTIES),
+                format!(
+                    "{} duties, {} at most",
+                    duties.len(),
+                    StateLimits::MAX_DUTIES
+                ),
             );
         }
-        let work = work(section, dir.as_deref(), &limits, &peers);
-        if work.as_ref().is_some_and(|(_, conducts)| *conducts) {
-            duties.insert(DUTY.into());
+        let maintenance = read_maintenance(section, data_dir.as_deref(), &limits, &peers);
+        if maintenance
+            .as_ref()
+            .is_some_and(|(_, may_conduct)| *may_conduct)
+        {
+            duties.insert(WORK_DUTY.into());
         }
-        let work = work.map(|(work, _)| work);
+        let maintenance = maintenance.map(|(maintenance, _)| maintenance);
         let duties = duties.into_iter().collect();
-        let (budgets, counted_by) = budgets(section, peers.len() as u64);
+        let (budgets, balancer_budgets) = read_budgets(section, peers.len() as u64);
         Self {
             name,
             listen,
-            dir,
-            sync,
+            data_dir,
+            fsync,
             peers,
             duties,
             budgets,
-            counted_by,
-            work,
+            balancer_budgets,
+            maintenance,
             limits,
-            links,
+            link_limits,
             warnings,
         }
     }
 }
 
-/// The section for work on machines, and whether this proxy may conduct.
-fn work(
+/// Reads the section `[fleet.work]`: its settings, and whether this proxy may conduct work.
+fn read_maintenance(
     root: &Section<'_>,
-    dir: Option<&Path>,
+    data_dir: Option<&Path>,
     limits: &Limits,
-    peers: &[PeerAt],
-) -> Option<(Work, bool)> {
+    peers: &[PeerConfig],
+) -> Option<(MaintenanceSettings, bool)> {
     let section = root.section("work");
-    if !section.is_there() {
+    if !section.is_present() {
         return None;
     }
     let ms = Duration::from_millis;
-    let mut named = BTreeMap::new();
-    let mut machines = Machines {
-        until: section
+    let mut named_machines = BTreeMap::new();
+    let mut machines = MachineMap {
+        name_delimiter: section
             .text("machine_until")
             .filter(|until| !until.is_empty()),
-        named: BTreeMap::new(),
+        by_server: BTreeMap::new(),
     };
     for machine in section.sections("machine") {
-        let name = checked(&machine, "name");
+        let name = read_name(&machine, "name");
         let proxy = machine.text("proxy");
         if let Some(proxy) = &proxy
             && !peers.iter().any(|peer| peer.node == *proxy)
         {
-            // Members that never vote need not be named among the peers; a mistyped voter would be worse.
-            machine.wrong("proxy", "no peer has this name");
+            // Non-voting members need not be listed as peers, but accepting unknown names would hide a mistyped voter.
+            machine.report_problem("proxy", "no peer has this name");
         }
-        for uid in machine.texts("servers") {
-            if machines.named.insert(uid.clone(), name.clone()).is_some() {
-                machine.wrong("servers", format!("\"{uid}\" is on another machine too"));
+        for uid in machine.text_list("servers") {
+            if machines
+                .by_server
+                .insert(uid.clone(), name.clone())
+                .is_some()
+            {
+                machine.report_problem(
+                    "servers",
+                    format!("server \"{uid}\" is listed on another machine too"),
+                );
             }
         }
         let zone = machine.text("zone");
-        machine.finish();
-        if named.insert(name, (zone, proxy)).is_some() {
-            machine.wrong("name", "another machine has this name");
+        machine.report_unknown_keys();
+        if named_machines.insert(name, (zone, proxy)).is_some() {
+            machine.report_problem("name", "another machine has this name");
         }
     }
-    let file = section.text("file").map(PathBuf::from);
-    let file = file.or_else(|| dir.map(|dir| dir.with_extension("out")));
-    if file.is_none() {
-        section.wrong(
+    let state_file = section.text("file").map(PathBuf::from);
+    let state_file = state_file.or_else(|| data_dir.map(|data_dir| data_dir.with_extension("out")));
+    if state_file.is_none() {
+        section.report_problem(
             "file",
-            "a file for what is out, as there is no `fleet.dir` beside it",
+            "expected a file for the machine list, because `fleet.dir` is not set",
         );
     }
-    let every = ms(limits.work / 2);
-    let work = Work {
+    let report_interval = ms(limits.work_poll_interval / 2);
+    let maintenance = MaintenanceSettings {
         machines,
-        named,
-        file: file.unwrap_or_default(),
-        file_bytes: 64 << 20,
-        // A killed process's session lasts for a lease: until then the next one has no list.
-        first: section.span("first", ms(0)..=ms(1_800_000), ms(2 * limits.lease)),
-        every,
-        idle: ms(limits.renew),
-        lists: 16,
+        named_machines,
+        state_file: state_file.unwrap_or_default(),
+        max_state_file_bytes: 64 << 20,
+        // The session of a killed process lasts for a lease; until then the next process receives no list.
+        machine_list_timeout: section.duration(
+            "first",
+            ms(0)..=ms(1_800_000),
+            ms(2 * limits.lease_duration),
+        ),
+        report_interval,
+        idle_report_interval: ms(limits.renew_interval),
+        list_queue_capacity: 16,
     };
-    let conducts = section.flag("conduct", true);
-    section.finish();
-    Some((work, conducts))
+    let may_conduct = section.flag("conduct", true);
+    section.report_unknown_keys();
+    Some((maintenance, may_conduct))
 }
 
-/// What `of` can say.
+/// The values of the key `of`, by the kind of budget that they require.
 #[derive(Clone)]
-enum Wanted {
+enum SubjectKind {
+    /// Counted by programs that call the operators' address.
     Callers,
-    Rate(Of),
-    Held(fn(Name) -> Of),
+    /// A rate that the balancer counts.
+    Rate(BudgetSubject),
+    /// Concurrent connections of a named class or tenant.
+    Concurrent(fn(Name) -> BudgetSubject),
 }
 
-/// Budgets of the whole fleet. `members` is how many members there may be at most, whose floors are set aside.
-fn budgets(section: &Section<'_>, peers: u64) -> (Vec<Def>, BTreeMap<Name, Of>) {
+/// Reads the budgets of the fleet, and the subjects of those that the balancer counts. The key `members` is the maximum
+/// number of members for which floors are reserved.
+fn read_budgets(
+    section: &Section<'_>,
+    peers: u64,
+) -> (Vec<BudgetDefinition>, BTreeMap<Name, BudgetSubject>) {
     let ms = Duration::from_millis;
-    let members = section.int("members", 1..=Caps::SESSIONS as u64, peers.max(1));
+    let members = section.int(
+        "members",
+        1..=StateLimits::MAX_SESSIONS as u64,
+        peers.max(1),
+    );
     let mut names = BTreeSet::new();
-    let (mut budgets, mut counted_by) = (Vec::new(), BTreeMap::new());
+    let (mut budgets, mut subjects) = (Vec::new(), BTreeMap::new());
     for section in section.sections("budget") {
-        let kinds = [("held", Kind::Held), ("rate", Kind::Rate)];
-        if !section.has("kind") {
-            section.wrong("kind", "expected \"held\" or \"rate\", found nothing");
+        let kinds = [("held", BudgetKind::Concurrent), ("rate", BudgetKind::Rate)];
+        if !section.has_key("kind") {
+            section.report_problem("kind", "expected \"held\" or \"rate\", found nothing");
         }
-        if !section.has("whole") {
-            section.wrong("whole", "expected a whole number, found nothing");
+        if !section.has_key("whole") {
+            section.report_problem("whole", "expected a whole number, found nothing");
         }
-        let window = section.span("window", ms(100)..=ms(3_600_000), ms(10_000));
-        let def = Def {
-            name: checked(&section, "name"),
-            kind: section.choice("kind", &kinds, Kind::Held),
-            whole: section.int("whole", 0..=1_000_000, 0),
+        let window = section.duration("window", ms(100)..=ms(3_600_000), ms(10_000));
+        let definition = BudgetDefinition {
+            name: read_name(&section, "name"),
+            kind: section.choice("kind", &kinds, BudgetKind::Concurrent),
+            total: section.int("whole", 0..=1_000_000, 0),
             floor: section.int("floor", 0..=1_000_000, 0),
             window: window.as_millis() as u64,
-            members,
+            max_members: members,
             version: section.int("version", 1..=u64::from(u32::MAX), 1),
         };
-        let words = [
-            ("callers", Wanted::Callers),
-            ("retries", Wanted::Rate(Of::Retries)),
-            ("moves", Wanted::Rate(Of::Moves)),
-            ("probes", Wanted::Rate(Of::Probes)),
-            ("cold", Wanted::Rate(Of::Cold)),
-            ("class", Wanted::Held(Of::Class)),
-            ("tenant", Wanted::Held(Of::Tenant)),
+        let choices = [
+            ("callers", SubjectKind::Callers),
+            ("retries", SubjectKind::Rate(BudgetSubject::Retries)),
+            ("moves", SubjectKind::Rate(BudgetSubject::Moves)),
+            ("probes", SubjectKind::Rate(BudgetSubject::Probes)),
+            ("cold", SubjectKind::Rate(BudgetSubject::Cold)),
+            ("class", SubjectKind::Concurrent(BudgetSubject::Class)),
+            ("tenant", SubjectKind::Concurrent(BudgetSubject::Tenant)),
         ];
-        let of = section.choice("of", &words, Wanted::Callers);
-        section.finish();
-        let named = def.name.split_once(':').map(|(_, name)| name.to_string());
-        let (kind, of) = match (of, named) {
-            (Wanted::Callers, _) => (def.kind, None),
-            (Wanted::Rate(of), _) => (Kind::Rate, Some(of)),
-            (Wanted::Held(of), Some(name)) => (Kind::Held, Some(of(name))),
-            (Wanted::Held(_), None) => {
-                section.wrong(
+        let subject = section.choice("of", &choices, SubjectKind::Callers);
+        section.report_unknown_keys();
+        let name_suffix = definition
+            .name
+            .split_once(':')
+            .map(|(_, name)| name.to_string());
+        let (kind, subject) = match (subject, name_suffix) {
+            (SubjectKind::Callers, _) => (definition.kind, None),
+            (SubjectKind::Rate(subject), _) => (BudgetKind::Rate, Some(subject)),
+            (SubjectKind::Concurrent(make_subject), Some(name)) => {
+                (BudgetKind::Concurrent, Some(make_subject(name)))
+            }
+            (SubjectKind::Concurrent(_), None) => {
+                section.report_problem(
                     "name",
-                    "expected what it is of behind a `:`, such as \"tenant:clinica-sur\"",
+                    "expected the name of a class or tenant after `:`, such as \"tenant:clinica-sur\"",
                 );
-                (def.kind, None)
+                (definition.kind, None)
             }
         };
-        if kind != def.kind {
-            section.wrong(
+        if kind != definition.kind {
+            section.report_problem(
                 "kind",
                 "retries, moves, probes and cold servers are rates; connections of a class or a tenant are held",
             );
         }
-        if of.is_some() && counted_by.values().any(|known| Some(known) == of.as_ref()) {
-            section.wrong("of", "another budget is of the same");
+        if subject.is_some()
+            && subjects
+                .values()
+                .any(|other| Some(other) == subject.as_ref())
+        {
+            section.report_problem("of", "another budget has the same subject");
         }
-        counted_by.extend(of.map(|of| (def.name.clone(), of)));
-        if let Err(what) = def.check() {
-            section.wrong("floor", what);
+        subjects.extend(subject.map(|subject| (definition.name.clone(), subject)));
+        if let Err(problem) = definition.validate() {
+            section.report_problem("floor", problem);
         }
-        if !names.insert(def.name.clone()) {
-            section.wrong("name", "another budget has this name");
+        if !names.insert(definition.name.clone()) {
+            section.report_problem("name", "another budget has this name");
         }
-        budgets.push(def);
+        budgets.push(definition);
     }
-    if budgets.len() > Caps::BUDGETS {
-        section.wrong(
+    if budgets.len() > StateLimits::MAX_BUDGETS {
+        section.report_problem(
             "budget",
-            format!("{} budgets, {} at most", budgets.len(), Caps::BUDGETS),
+            format!(
+                "{} budgets, {} at most",
+                budgets.len(),
+                StateLimits::MAX_BUDGETS
+            ),
         );
     }
-    (budgets, counted_by)
+    (budgets, subjects)
 }
 
-/// A name that must be there: it goes into frames, calls and logs.
-fn checked(section: &Section<'_>, key: &str) -> Name {
-    let name = section.need_text(key);
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-    if section.has(key) && (name.is_empty() || name.len() > Caps::NAME || !name.chars().all(plain))
+/// Reads a required name. Its characters are restricted because it goes into frames, calls and logs.
+fn read_name(section: &Section<'_>, key: &str) -> Name {
+    let name = section.required_text(key);
+    let is_allowed =
+        |character: char| character.is_ascii_alphanumeric() || "-_.:".contains(character);
+    if section.has_key(key)
+        && (name.is_empty()
+            || name.len() > StateLimits::MAX_NAME_BYTES
+            || !name.chars().all(is_allowed))
     {
-        section.wrong(
+        section.report_problem(
             key,
             "expected up to 64 letters, digits, `-`, `_`, `.` and `:`",
         );
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,7 +1,7 @@
-//! The proxy's program; all of it is in the library, so that tests can reach it.
+//! Entry point of the proxy. Everything else is in the library, so that tests can use it.
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    violetwind_proxy::program()
+    violetwind_proxy::run_cli()
 }
--- a/crates/proxy/src/management.rs
+++ b/crates/proxy/src/management.rs
@@ -1,5 +1,5 @@
-//! The operators' address: one line to a connection, one line back. What a call means is
-//! `violetwind_service`'s to read and `service`'s to carry out; here are the sockets.
+//! Listener for operators' calls: each connection carries one command line and one answer line. This module
+//! handles the sockets; `violetwind_service` parses the commands and `operator_service` executes them.
 
 use std::rc::Rc;
 
@@ -7,97 +7,104 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::info;
 use violetwind_net::try_read;
-use violetwind_service::Calls;
-use violetwind_service::call::{Call, Fault};
+use violetwind_service::CommandDecoder;
+use violetwind_service::command::{CommandError, OperatorCommand};
 
-use crate::first_lines::{FirstLines, Place};
+use crate::acceptor::ClientConnection;
 use crate::limits::Limits;
-use crate::repeats::Repeats;
-use crate::ring::Ring;
-use crate::service::Service;
-use crate::take_in::Client;
+use crate::log_throttle::LogThrottle;
+use crate::operator_service::OperatorService;
+use crate::pending_slots::{PendingSlot, PendingSlots};
+use crate::ring_buffer::RingBuffer;
 
-/// Accepts for good. Callers have places of their own: with none left the one that came longest ago and
-/// has not said its line yet goes, so that those who say nothing keep nobody waiting.
-pub async fn accept(listener: TcpListener, limits: Rc<Limits>, service: Rc<Service>) {
-    let places = FirstLines::new(&limits, limits.callers);
-    let repeats = Rc::new(Repeats::new(limits.log_lines, limits.log_span));
+/// Accepts operators' connections while the process runs. They have slots of their own. With no slot free, the oldest
+/// connection that has not sent its whole line is closed, so that silent connections don't block others.
+pub async fn accept_callers(
+    listener: TcpListener,
+    limits: Rc<Limits>,
+    service: Rc<OperatorService>,
+) {
+    let slots = PendingSlots::new(&limits, limits.max_callers);
+    let log_throttle = Rc::new(LogThrottle::new(limits.max_log_lines, limits.log_window));
     loop {
-        let place = places.place().await;
+        let slot = slots.acquire().await;
         match listener.accept().await {
             Ok((stream, _)) => {
-                place.begin();
-                let call = answer(
+                slot.allow_eviction();
+                let call = handle_connection(
                     stream,
-                    place,
+                    slot,
                     limits.clone(),
                     service.clone(),
-                    repeats.clone(),
+                    log_throttle.clone(),
                 );
                 tokio::task::spawn_local(call);
             }
             Err(error) => {
-                if let Some(left_out) = repeats.next() {
-                    info!(%error, left_out, "accept of an operator's call");
+                if let Some(left_out) = log_throttle.try_acquire() {
+                    info!(%error, left_out, "accepting an operator's connection failed");
                 }
-                sleep(limits.accept_again).await;
+                sleep(limits.accept_retry_delay).await;
             }
         }
     }
 }
 
-async fn answer(
+async fn handle_connection(
     stream: TcpStream,
-    place: Place,
+    slot: PendingSlot,
     limits: Rc<Limits>,
-    service: Rc<Service>,
-    repeats: Rc<Repeats>,
+    service: Rc<OperatorService>,
+    log_throttle: Rc<LogThrottle>,
 ) {
-    let told_to_go = place.told_to_go();
+    let eviction = slot.eviction_signal();
     let call = tokio::select! {
         biased;
-        call = timeout(limits.call, read(&stream, &limits)) => call,
-        () = told_to_go.notified() => return,
+        call = timeout(limits.call_read_timeout, read_command(&stream, &limits)) => call,
+        () = eviction.notified() => return,
     };
     let call = match call {
         Ok(Some(call)) => call,
-        // Half a call does nothing.
+        // An incomplete command is not executed.
         Ok(None) => return,
         Err(_) => Err("no whole line came in time".to_string()),
     };
-    // From here on it has its answer, whoever else comes.
-    place.keep();
+    // From here on the call gets its answer, even when other connections need a slot.
+    slot.forbid_eviction();
     let line = match call {
-        Ok(call) => service.call(call).await,
+        Ok(call) => service.handle_call(call).await,
         Err(fault) => {
-            if let Some(left_out) = repeats.next() {
-                info!(%fault, left_out, "an operator's call that makes no sense");
+            if let Some(left_out) = log_throttle.try_acquire() {
+                info!(%fault, left_out, "an operator's call is invalid");
             }
             format!("400 {fault}")
         }
     };
-    let client = Client {
+    let client = ClientConnection {
         stream,
-        ring: Ring::new(limits.ring_bytes),
+        ring: RingBuffer::new(limits.ring_buffer_bytes),
         arrived: Instant::now(),
-        place: Some(place),
+        pending_slot: Some(slot),
     };
-    client.answer(&line, &limits).await;
+    client.answer_and_close(&line, &limits).await;
 }
 
-/// A caller's line; none if it left before its end.
-async fn read(stream: &TcpStream, limits: &Limits) -> Option<Result<Call, String>> {
-    let mut calls = Calls::default();
-    let mut piece = [0; 256];
+/// Reads and parses a command line. Returns `None` if the connection ends before the end of the line.
+async fn read_command(
+    stream: &TcpStream,
+    limits: &Limits,
+) -> Option<Result<OperatorCommand, String>> {
+    let mut decoder = CommandDecoder::default();
+    let mut buffer = [0; 256];
     loop {
         stream.readable().await.ok()?;
-        let got = match try_read(stream, &mut piece) {
+        let received = match try_read(stream, &mut buffer) {
             Ok(Some(0)) | Err(_) => return None,
-            Ok(Some(got)) => got,
+            Ok(Some(received)) => received,
             Ok(None) => continue,
         };
-        if let Some(call) = calls.feed(&piece[..got], &limits.service) {
-            return Some(call.map_err(|fault: Fault| fault.to_string()));
+        if let Some(call) = decoder.feed(&buffer[..received], &limits.service) {
+            return Some(call.map_err(|fault: CommandError| fault.to_string()));
         }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/operator_client.rs
@@ -0,0 +1,463 @@
+//! The commands `violetwind fleet`, `work` and `hold`: a client for the operators' address of a proxy.
+
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::os::unix::process::{CommandExt, ExitStatusExt};
+use std::process::{Child, Command, ExitCode};
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+
+use rustix::process::{Pid, Signal, kill_process_group};
+use serde_json::Value;
+
+use crate::cli::{FleetCommand, HoldArgs, PlanArgs, WorkCommand};
+
+/// Timeout of each step of a call. A proxy answers within 1 s.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum size of an answer. The largest answer is the state of a whole fleet.
+const MAX_ANSWER_BYTES: u64 = 4 << 20;
+/// Time allowed for a membership change: a new member first has to receive the log and then a vote.
+const MEMBERSHIP_CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval between calls for a duty, while it is held or awaited, and between retries of a membership change.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Exit code: the duty is not held at the proxy.
+const EXIT_NOT_HELD: u8 = 75;
+/// Exit code: the duty was lost while the command ran.
+const EXIT_LOST: u8 = 76;
+/// Exit code: no proxy answers.
+const EXIT_NO_PROXY: u8 = 69;
+/// Exit code: the command can't be started.
+const EXIT_NO_COMMAND: u8 = 71;
+
+/// Answer of a proxy, with the text after the status.
+enum Answer {
+    Accepted(String),
+    Refused(String),
+}
+
+/// Sends one command line to a proxy. Fails when the proxy can't be reached or its answer is malformed.
+fn call(address: SocketAddr, line: &str) -> Result<Answer, String> {
+    let exchange = || -> std::io::Result<String> {
+        let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
+        stream.set_read_timeout(Some(CALL_TIMEOUT))?;
+        stream.set_write_timeout(Some(CALL_TIMEOUT))?;
+        stream.write_all(format!("{line}\n").as_bytes())?;
+        let mut answer = String::new();
+        BufReader::new(stream.take(MAX_ANSWER_BYTES)).read_line(&mut answer)?;
+        Ok(answer)
+    };
+    let answer = exchange().map_err(|error| format!("{address}: {error}"))?;
+    let answer = answer.trim_end();
+    match answer.split_at_checked(4) {
+        Some(("200 ", reply)) => Ok(Answer::Accepted(reply.to_string())),
+        Some(("400 ", reason)) => Ok(Answer::Refused(reason.to_string())),
+        _ => Err(format!("{address}: \"{answer}\" is no answer")),
+    }
+}
+
+/// Runs a `violetwind fleet` command. Exit codes: 0 success, 1 refused, 69 no proxy answers.
+pub fn run_fleet(command: FleetCommand) -> ExitCode {
+    let (proxy, line, as_table) = match command {
+        FleetCommand::Status { proxy, json } => (proxy, "FLEET".to_string(), !json),
+        FleetCommand::LetIn { node, proxy } => (proxy, format!("FLEET LET-IN {node}"), false),
+        FleetCommand::PutOut { node, proxy } => (proxy, format!("FLEET PUT-OUT {node}"), false),
+        FleetCommand::Gone { node, proxy } => (proxy, format!("FLEET GONE {node}"), false),
+        FleetCommand::HandOn { duty, to, proxy } => {
+            let target = to.unwrap_or_default();
+            (proxy, format!("FLEET HAND-ON {duty} {target}"), false)
+        }
+    };
+    // Membership changes take several steps. The proxy answers "not done yet" until the last one.
+    let deadline = Instant::now() + MEMBERSHIP_CHANGE_TIMEOUT;
+    let result = loop {
+        match call(proxy.address, &line) {
+            Ok(Answer::Refused(reason))
+                if reason.starts_with("not done yet") && Instant::now() < deadline =>
+            {
+                sleep(POLL_INTERVAL);
+            }
+            result => break result,
+        }
+    };
+    match result {
+        Ok(Answer::Accepted(reply)) if as_table => match serde_json::from_str(&reply) {
+            Ok(view) => {
+                print!("{}", format_fleet(&view));
+                ExitCode::SUCCESS
+            }
+            Err(error) => {
+                eprintln!("violetwind: {}: {error}", proxy.address);
+                ExitCode::FAILURE
+            }
+        },
+        Ok(Answer::Accepted(reply)) => {
+            println!("{reply}");
+            ExitCode::SUCCESS
+        }
+        Ok(Answer::Refused(reason)) => {
+            eprintln!("violetwind: {reason}");
+            ExitCode::FAILURE
+        }
+        Err(error) => {
+            eprintln!("violetwind: {error}");
+            ExitCode::from(EXIT_NO_PROXY)
+        }
+    }
+}
+
+/// Runs a `violetwind work` command, with the same exit codes as `run_fleet`.
+pub fn run_work(command: WorkCommand) -> ExitCode {
+    let format_order =
+        |order: Option<u64>| order.map_or(String::new(), |number| number.to_string());
+    let (address, line, as_json) = match command {
+        WorkCommand::Plan(plan) => (plan.proxy.address, plan_line(&plan), None),
+        WorkCommand::Show { proxy, json } => (proxy.address, "FLEET WORK".into(), Some(json)),
+        WorkCommand::Pause(args) => (
+            args.proxy.address,
+            format!("FLEET WORK PAUSE {}", format_order(args.order)),
+            None,
+        ),
+        WorkCommand::Resume(args) => (
+            args.proxy.address,
+            format!("FLEET WORK RESUME {}", format_order(args.order)),
+            None,
+        ),
+        WorkCommand::Cancel(args) => (
+            args.proxy.address,
+            format!("FLEET WORK CANCEL {}", format_order(args.order)),
+            None,
+        ),
+        WorkCommand::Done(args) => (
+            args.proxy.address,
+            format!("FLEET WORK DONE {}", args.machine),
+            None,
+        ),
+        WorkCommand::Failed(args) => (
+            args.proxy.address,
+            format!("FLEET WORK FAILED {}", args.machine),
+            None,
+        ),
+        WorkCommand::Recall(args) => (
+            args.proxy.address,
+            format!("FLEET WORK RECALL {}", args.machine),
+            None,
+        ),
+    };
+    match call(address, &line) {
+        Ok(Answer::Accepted(reply)) => {
+            let view = serde_json::from_str(&reply).ok();
+            match view.filter(|_| as_json == Some(false)) {
+                Some(view) => print!("{}", format_work(&view)),
+                None => println!("{reply}"),
+            }
+            ExitCode::SUCCESS
+        }
+        Ok(Answer::Refused(reason)) => {
+            eprintln!("violetwind: {reason}");
+            ExitCode::FAILURE
+        }
+        Err(error) => {
+            eprintln!("violetwind: {error}");
+            ExitCode::from(EXIT_NO_PROXY)
+        }
+    }
+}
+
+/// Formats the call for a new work order.
+fn plan_line(plan: &PlanArgs) -> String {
+    let ms = |seconds: f64| (seconds.max(0.0) * 1000.0) as u64;
+    format!(
+        "FLEET WORK PLAN {} {} most={} zone-most={} floor={} spare={} wait={} not-before={} leave={} work={} back={}",
+        plan.name,
+        plan.machines,
+        plan.most,
+        plan.zone_most,
+        (plan.floor * 1000.0).round() as i64,
+        plan.spare,
+        u8::from(plan.steps == "out,wait,back"),
+        ms(plan.not_before),
+        ms(plan.leave),
+        ms(plan.work),
+        ms(plan.back),
+    )
+}
+
+/// Formats the view of the work orders for the terminal.
+fn format_work(view: &Value) -> String {
+    let join_names = |list: &Value| {
+        let names = list.as_array().into_iter().flatten();
+        let names: Vec<&str> = names.filter_map(Value::as_str).collect();
+        match names.is_empty() {
+            true => "none".to_string(),
+            false => names.join(", "),
+        }
+    };
+    let mut output = format!("out: {}\n", join_names(&view["out"]));
+    if view["settled"] != true {
+        let reason = view["why"].as_str().unwrap_or("");
+        return output
+            + &format!("as this proxy goes by it; the fleet has not answered: {reason}\n");
+    }
+    if view["shut"].as_array().is_some_and(|shut| !shut.is_empty()) {
+        output += &format!("closed by operators: {}\n", join_names(&view["shut"]));
+    }
+    output += &format!(
+        "conducted by {}; {} have to confirm\n",
+        format_cell(&view["conductor"]),
+        join_names(&view["serving"])
+    );
+    for order in view["orders"].as_array().into_iter().flatten() {
+        output += &format!(
+            "\norder {} {}: {}, {} out at most, {} in a zone, {} of the room stays in{}\n",
+            order["number"],
+            format_cell(&order["name"]),
+            format_cell(&order["state"]),
+            order["most"],
+            order["zone_most"],
+            order["floor"].as_f64().unwrap_or(0.0) / 1000.0,
+            match order["spare"].as_str() {
+                Some("machine") => " with one machine more lost",
+                Some("zone") => " with one zone more lost",
+                _ => "",
+            },
+        );
+        let columns = [
+            ("MACHINE", "name"),
+            ("ZONE", "zone"),
+            ("PLACE", "phase"),
+            ("WAITS FOR", "why"),
+        ];
+        output += &format_table(&order["machines"], &columns);
+    }
+    for order in view["ended"].as_array().into_iter().flatten() {
+        output += &format!(
+            "order {} {}: ended, {} done, {} spared\n",
+            order["number"],
+            format_cell(&order["name"]),
+            order["done"],
+            order["spared"]
+        );
+    }
+    output
+}
+
+fn format_cell(value: &Value) -> String {
+    match value {
+        Value::Null => "-".to_string(),
+        Value::String(text) => text.clone(),
+        other => other.to_string(),
+    }
+}
+
+/// Formats a list as a table with aligned columns; an empty string for an empty list.
+fn format_table(list: &Value, columns: &[(&str, &str)]) -> String {
+    let headings = columns.iter().map(|(heading, _)| heading.to_string());
+    let mut rows = vec![headings.collect::<Vec<_>>()];
+    let list = list.as_array().into_iter().flatten();
+    rows.extend(list.map(|row| {
+        columns
+            .iter()
+            .map(|(_, key)| format_cell(&row[*key]))
+            .collect()
+    }));
+    if rows.len() == 1 {
+        return String::new();
+    }
+    let width = |column: usize| rows.iter().map(|row| row[column].len()).max().unwrap_or(0);
+    let widths: Vec<usize> = (0..columns.len()).map(width).collect();
+    let mut output = String::new();
+    for row in rows {
+        let cells = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:width$}"));
+        output += cells.collect::<Vec<_>>().join("  ").trim_end();
+        output.push('\n');
+    }
+    output
+}
+
+/// Formats the view of the fleet for the terminal.
+fn format_fleet(view: &Value) -> String {
+    let format_leader = format_cell;
+    let majority = if view["majority"] == true {
+        ""
+    } else {
+        ", no majority"
+    };
+    let mut output = format!(
+        "leader {}, term {}, commit {}{majority}\n",
+        format_leader(&view["leader"]),
+        view["term"],
+        view["commit"]
+    );
+    if let Some(reason) = view["why"].as_str() {
+        output += &format!("{reason}\n");
+    }
+    let mut add_section = |list: &Value, columns: &[(&str, &str)]| {
+        let rows = format_table(list, columns);
+        if !rows.is_empty() {
+            output += &format!("\n{rows}");
+        }
+    };
+    let members = [
+        ("NODE", "node"),
+        ("VOTES", "votes"),
+        ("STATE", "state"),
+        ("SINCE MS", "since_ms"),
+    ];
+    add_section(&view["members"], &members);
+    let duties = [
+        ("DUTY", "name"),
+        ("HOLDER", "holder"),
+        ("FENCE", "fence"),
+        ("HERE", "mine"),
+    ];
+    add_section(&view["duties"], &duties);
+    let budgets = [
+        ("BUDGET", "name"),
+        ("WHOLE", "whole"),
+        ("FLOORS", "floors"),
+        ("SHARED", "shared"),
+        ("STRANDED", "stranded"),
+        ("FREE", "free"),
+        ("USED HERE", "used_here"),
+        ("ALLOWED HERE", "allowed_here"),
+    ];
+    add_section(&view["budgets"], &budgets);
+    output
+}
+
+/// The lease of a held duty as last reported: no other program holds the duty before `expires_at`.
+#[derive(Clone, Copy)]
+struct DutyLease {
+    fence: u64,
+    expires_at: Instant,
+}
+
+/// Outcome of a call for a duty. `NotHeld` and `CallFailed` carry the reason.
+enum HoldAnswer {
+    Held(DutyLease),
+    NotHeld(String),
+    CallFailed(String),
+}
+
+/// Claims or renews the hold of a duty under `token`.
+fn request_hold(args: &HoldArgs, token: &str) -> HoldAnswer {
+    // The remaining time counts from before the call, so that the lease is never assumed to last longer than it does.
+    let called_at = Instant::now();
+    match call(
+        args.proxy.address,
+        &format!("FLEET HOLD {} {token}", args.duty),
+    ) {
+        Ok(Answer::Accepted(reply)) => {
+            let lease: Value = serde_json::from_str(&reply).unwrap_or_default();
+            match (lease["fence"].as_u64(), lease["left_ms"].as_u64()) {
+                (Some(fence), Some(remaining_ms)) => HoldAnswer::Held(DutyLease {
+                    fence,
+                    expires_at: called_at + Duration::from_millis(remaining_ms),
+                }),
+                _ => HoldAnswer::CallFailed(format!("\"{reply}\" is no holding")),
+            }
+        }
+        Ok(Answer::Refused(reason)) => HoldAnswer::NotHeld(reason),
+        Err(error) => HoldAnswer::CallFailed(error),
+    }
+}
+
+/// Runs a command while a duty is held at a proxy.
+pub fn run_hold(args: &HoldArgs) -> ExitCode {
+    let token = format!("{:016x}", rand::random::<u64>());
+    let mut reported = false;
+    let lease = loop {
+        let (reason, code) = match request_hold(args, &token) {
+            HoldAnswer::Held(lease) => break lease,
+            HoldAnswer::NotHeld(reason) => (reason, EXIT_NOT_HELD),
+            HoldAnswer::CallFailed(reason) => (reason, EXIT_NO_PROXY),
+        };
+        if !args.wait {
+            eprintln!("violetwind: {}: {reason}", args.duty);
+            return ExitCode::from(code);
+        }
+        if !std::mem::replace(&mut reported, true) {
+            eprintln!("violetwind: {}: {reason}; waiting", args.duty);
+        }
+        sleep(POLL_INTERVAL);
+    };
+    let (program, arguments) = args
+        .command
+        .split_first()
+        .expect("clap requires at least one argument");
+    let child = Command::new(program)
+        .args(arguments)
+        .env("VIOLETWIND_FENCE", lease.fence.to_string())
+        .env("VIOLETWIND_DUTY", &args.duty)
+        .process_group(0)
+        .spawn();
+    let code = match child {
+        Ok(child) => supervise_command(args, &token, lease, child),
+        Err(error) => {
+            eprintln!("violetwind: {program}: {error}");
+            ExitCode::from(EXIT_NO_COMMAND)
+        }
+    };
+    // If the proxy has exited, there is no hold left to release.
+    let _ = call(
+        args.proxy.address,
+        &format!("FLEET DONE {} {token}", args.duty),
+    );
+    code
+}
+
+/// Renews the hold until the command ends. When the duty is lost, or when a call fails and the lease ends within
+/// the grace period, sends SIGTERM to the command's process group. SIGKILL follows after the grace period or at the
+/// end of the lease, whichever comes first.
+fn supervise_command(
+    args: &HoldArgs,
+    token: &str,
+    mut lease: DutyLease,
+    mut child: Child,
+) -> ExitCode {
+    let group = Pid::from_child(&child);
+    let grace = Duration::from_secs_f64(args.grace.clamp(0.0, 3600.0));
+    let fence = lease.fence;
+    let reason = loop {
+        match child.try_wait() {
+            Ok(Some(status)) => {
+                let code = status.code().unwrap_or(128 + status.signal().unwrap_or(0));
+                return ExitCode::from(code as u8);
+            }
+            Ok(None) => {}
+            Err(error) => break error.to_string(),
+        }
+        match request_hold(args, token) {
+            HoldAnswer::Held(renewed) if renewed.fence == fence => {
+                lease.expires_at = lease.expires_at.max(renewed.expires_at)
+            }
+            HoldAnswer::Held(renewed) => break format!("held anew with {}", renewed.fence),
+            HoldAnswer::NotHeld(error) => break error,
+            HoldAnswer::CallFailed(error) if Instant::now() + grace >= lease.expires_at => {
+                break error;
+            }
+            HoldAnswer::CallFailed(_) => {}
+        }
+        sleep(POLL_INTERVAL);
+    };
+    let kill_at = lease.expires_at.min(Instant::now() + grace);
+    eprintln!(
+        "violetwind: {} is lost: {reason}; the command has {:?}",
+        args.duty,
+        kill_at.saturating_duration_since(Instant::now())
+    );
+    let _ = kill_process_group(group, Signal::TERM);
+    while Instant::now() < kill_at {
+        if !matches!(child.try_wait(), Ok(None)) {
+            return ExitCode::from(EXIT_LOST);
+        }
+        sleep(Duration::from_millis(5));
+    }
+    let _ = kill_process_group(group, Signal::KILL);
+    let _ = child.wait();
+    ExitCode::from(EXIT_LOST)
+}
