--- a/crates/proxy/src/route.rs
+++ b/crates/proxy/src/route.rs
@@ -1,4 +1,4 @@
-//! Stage three: asks the module, does as it says, and gives the client its one answer.
+//! Stage three: requests decisions from the balancer, executes them, and sends the client exactly one answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,205 +8,263 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until, timeout};
 use tracing::{debug, info, warn};
-use violetwind_balancer::api::{Outcome, Secs, ServerId};
+use violetwind_balancer::api::{Outcome, Seconds, ServerId};
 
-use crate::admit::Admitted;
-use crate::book::Booking;
-use crate::relay::{self, Heard};
-use crate::ring::Ring;
-use crate::send::{self, Attempt, Server, Target};
-use crate::take_in::{Client, Shared};
-use violetwind_engine::{Notice, Order};
+use crate::acceptor::{ClientConnection, SharedState};
+use crate::admission::AdmittedRequest;
+use crate::attempt::{self, AttemptResult, AttemptTarget, ServerConnection};
+use crate::relay::{self, RelayState};
+use crate::request_tracker::RequestTracker;
+use crate::ring_buffer::RingBuffer;
+use violetwind_engine::{ConnectionCommand, EngineEvent};
 use violetwind_net::is_open_and_idle;
 
-/// What a request comes to.
-enum Answer {
-    /// A server has it; what it said so far is for the client.
-    Taken(ServerId, Server),
-    Refused(Option<Secs>),
+/// The result of routing a request.
+enum Routed {
+    /// A server serves the request; the bytes that it has sent so far are to be relayed to the client.
+    Connected(ServerId, ServerConnection),
+    Refused(Option<Seconds>),
     Failed,
-    /// The client stopped waiting, by leaving or by its deadline.
-    Gone,
-    /// It sent on before it was up, which no usual client does.
-    Early,
+    /// The client stopped waiting: it left, or its deadline passed.
+    ClientLeft,
+    /// The client sent data before the request was connected, which conforming clients don't.
+    EarlyData,
 }
 
-pub async fn route(mut client: Client, admitted: Admitted<'_>, shared: &Rc<Shared>) {
+/// Routes an admitted request to a server, and relays the connection or answers the client.
+pub async fn route_request(
+    mut client: ClientConnection,
+    admitted: AdmittedRequest<'_>,
+    shared: &Rc<SharedState>,
+) {
     let limits = &shared.limits;
-    let (to, mut orders) = mpsc::channel(limits.orders);
-    let id = admitted.open.id;
-    let request_number = admitted.request.id;
-    let booking = Booking::new(&admitted.request, client.arrived, shared);
-    match decide(&mut client, &admitted, shared, &booking, to, &mut orders).await {
-        Answer::Taken(on, server) => {
-            booking.up();
-            let heard = (admitted.open, Heard::default());
-            relay::relay(client, server, on, orders, booking, heard, shared).await;
+    let (command_sender, mut commands) = mpsc::channel(limits.command_queue_capacity);
+    let id = admitted.open_line.id;
+    let request_id = admitted.request.id;
+    let tracker = RequestTracker::new(&admitted.request, client.arrived, shared);
+    match execute_commands(
+        &mut client,
+        &admitted,
+        shared,
+        &tracker,
+        command_sender,
+        &mut commands,
+    )
+    .await
+    {
+        Routed::Connected(server_id, server) => {
+            tracker.mark_up();
+            let relay_start = (admitted.open_line, RelayState::default());
+            relay::run_relay(
+                client,
+                server,
+                server_id,
+                commands,
+                tracker,
+                relay_start,
+                shared,
+            )
+            .await;
         }
-        Answer::Refused(wait) => {
-            debug!(id, request = request_number, "refused");
-            booking.answered(violetwind_record::Answer::Refused);
-            let word = match wait.map(|wait| (wait * 1e3).round() as u64) {
+        Routed::Refused(wait) => {
+            debug!(id, request = request_id, "refused");
+            tracker.mark_answered(violetwind_record::Answer::Refused);
+            let answer = match wait.map(|wait| (wait * 1e3).round() as u64) {
                 Some(ms) if ms > 0 => format!("BUSY {ms}"),
                 _ => "BUSY".to_string(),
             };
-            client.answer(&word, limits).await;
+            client.answer_and_close(&answer, limits).await;
         }
-        Answer::Failed => {
-            debug!(id, request = request_number, "failed");
-            booking.answered(violetwind_record::Answer::Failed);
-            client.answer("ERR", limits).await;
+        Routed::Failed => {
+            debug!(id, request = request_id, "failed");
+            tracker.mark_answered(violetwind_record::Answer::Failed);
+            client.answer_and_close("ERR", limits).await;
         }
-        Answer::Gone => {
-            debug!(id, "the client left, or its time is over");
-            booking.gone().await;
-            client.answer("ERR", limits).await;
+        Routed::ClientLeft => {
+            debug!(id, "the client left, or its deadline passed");
+            tracker.report_client_left().await;
+            client.answer_and_close("ERR", limits).await;
         }
-        Answer::Early => {
-            if let Some(left_out) = shared.repeats.next() {
-                info!(id, left_out, "a client sends on before it is up");
+        Routed::EarlyData => {
+            if let Some(left_out) = shared.log_throttle.try_acquire() {
+                info!(
+                    id,
+                    left_out, "the client sent data before its request was connected"
+                );
             }
-            booking.gone().await;
-            client.answer("ERR", limits).await;
+            tracker.report_client_left().await;
+            client.answer_and_close("ERR", limits).await;
         }
     }
-    drop(admitted.hold);
+    drop(admitted.guards);
 }
 
-async fn decide(
-    client: &mut Client,
-    admitted: &Admitted<'_>,
-    shared: &Rc<Shared>,
-    booking: &Booking,
-    to: mpsc::Sender<Order>,
-    orders: &mut mpsc::Receiver<Order>,
-) -> Answer {
+/// Executes the balancer's commands until a server serves the request or it gets its final answer.
+async fn execute_commands(
+    client: &mut ClientConnection,
+    admitted: &AdmittedRequest<'_>,
+    shared: &Rc<SharedState>,
+    tracker: &RequestTracker,
+    command_sender: mpsc::Sender<ConnectionCommand>,
+    commands: &mut mpsc::Receiver<ConnectionCommand>,
+) -> Routed {
     let limits = &shared.limits;
     let request = &admitted.request;
-    let ask = || match admitted.stood_at {
-        Some(uid) => Notice::Standing(request.id, uid.to_string(), to.clone()),
-        None => Notice::Request(request.clone(), to.clone()),
+    let engine_request = || match admitted.previous_server {
+        Some(uid) => EngineEvent::Resume(request.id, uid.to_string(), command_sender.clone()),
+        None => EngineEvent::Request(request.clone(), command_sender.clone()),
     };
-    booking.tell(ask()).await;
-    let end = admitted.deadline + limits.answer_slack;
+    tracker.notify_engine(engine_request()).await;
+    let decision_deadline = admitted.deadline + limits.answer_slack;
     loop {
-        // The client goes first: nothing is sent for one that has left in the same moment.
-        let order = tokio::select! {
+        // The client is polled first: nothing is sent for a client that has left in the same moment.
+        let command = tokio::select! {
             biased;
-            answer = client_first(&mut client.ring, &client.stream) => return answer,
-            order = orders.recv() => order,
-            () = sleep_until(end) => {
-                warn!(id = admitted.open.id, "no decision by the deadline");
-                return Answer::Gone;
+            routed = wait_for_client_activity(&mut client.ring, &client.stream) => return routed,
+            command = commands.recv() => command,
+            () = sleep_until(decision_deadline) => {
+                warn!(id = admitted.open_line.id, "no decision by the deadline");
+                return Routed::ClientLeft;
             }
         };
-        let (on, endpoint, within, write_by, report_write) = match order {
-            Some(Order::Send {
+        let (server_id, endpoint, attempt_timeout, write_by, report_write) = match command {
+            Some(ConnectionCommand::Send {
                 server,
                 endpoint,
                 within,
                 write_by,
                 report_write,
             }) => (server, endpoint, within, write_by, report_write),
-            Some(Order::Refuse(wait)) => return Answer::Refused(wait),
-            Some(Order::Fail) | None => return Answer::Failed,
-            // Nothing is out that could be called off or moved.
-            Some(Order::Cancel | Order::Recall | Order::Move | Order::HandOver) => continue,
-            Some(Order::NotYet) => {
-                if let Some(answer) = rest(client, limits.standing_again).await {
-                    return answer;
+            Some(ConnectionCommand::Refuse(wait)) => return Routed::Refused(wait),
+            Some(ConnectionCommand::Fail) | None => return Routed::Failed,
+            // No attempt or connection is open that could be cancelled or moved.
+            Some(
+                ConnectionCommand::Cancel
+                | ConnectionCommand::Recall
+                | ConnectionCommand::Move
+                | ConnectionCommand::HandOver,
+            ) => continue,
+            Some(ConnectionCommand::NotYet) => {
+                if let Some(routed) =
+                    pause_unless_client_acts(client, limits.resume_retry_interval).await
+                {
+                    return routed;
                 }
-                booking.tell(ask()).await;
+                tracker.notify_engine(engine_request()).await;
                 continue;
             }
         };
-        let left = admitted.deadline.saturating_duration_since(Instant::now());
+        let remaining = admitted.deadline.saturating_duration_since(Instant::now());
         let recalled = Cell::new(false);
-        let target = Target {
+        let target = AttemptTarget {
             request: request.id,
-            server: on,
+            server: server_id,
             endpoint,
-            within: within.min(left),
+            timeout: attempt_timeout.min(remaining),
         };
-        let Client { ring, stream, .. } = &mut *client;
+        let ClientConnection { ring, stream, .. } = &mut *client;
         let still_valid = || {
-            let in_time = write_by.is_none_or(|by| Instant::now() < by);
-            // The client waits still, by its socket itself: the runtime hears of an end only when it looks next.
+            let in_time = write_by.is_none_or(|write_by| Instant::now() < write_by);
+            // Checks the client's socket directly: the runtime notices that the client has left only at its next poll.
             in_time && !recalled.get() && is_open_and_idle(stream)
         };
         let on_written = async || {
             if report_write {
-                booking.tell(Notice::Written(request.id, on)).await;
+                tracker
+                    .notify_engine(EngineEvent::Written(request.id, server_id))
+                    .await;
             }
         };
-        let attempt = send::attempt(
+        let attempt = attempt::run_attempt(
             target,
-            admitted.open,
+            admitted.open_line,
             still_valid,
             on_written,
-            (limits, &shared.repeats),
+            (limits, &shared.log_throttle),
         );
         let attempt = tokio::select! {
             biased;
-            answer = client_first(ring, stream) => return answer,
-            () = called_off(orders, &recalled) => Attempt::Failed(Outcome::Cancelled, Default::default()),
+            routed = wait_for_client_activity(ring, stream) => return routed,
+            () = wait_for_cancellation(commands, &recalled) => {
+                AttemptResult::Failed(Outcome::Cancelled, Default::default())
+            }
             attempt = attempt => attempt,
         };
         match attempt {
-            // Bytes may have come together with the server's answer.
-            Attempt::Up(_) | Attempt::Served(_) if client.spoke() => return Answer::Early,
-            Attempt::Up(server) => {
-                booking
-                    .tell(match admitted.stood_at {
-                        Some(_) => Notice::Stands(request.clone(), on),
-                        None => Notice::Up(request.id, on),
+            // The client may have sent data in the same moment in which the server answered.
+            AttemptResult::Up(_) | AttemptResult::Served(_) if client.has_sent_more() => {
+                return Routed::EarlyData;
+            }
+            AttemptResult::Up(server) => {
+                tracker
+                    .notify_engine(match admitted.previous_server {
+                        Some(_) => EngineEvent::Resumed(request.clone(), server_id),
+                        None => EngineEvent::ConnectionUp(request.id, server_id),
                     })
                     .await;
-                return Answer::Taken(on, server);
+                return Routed::Connected(server_id, server);
             }
-            Attempt::Served(server) => return Answer::Taken(on, server),
-            Attempt::Failed(outcome, _) if admitted.stood_at.is_some() => {
+            // The connection does not come up, so the engine gets no `ConnectionUp`: to it the attempt is in flight
+            // until the relay reports the end.
+            AttemptResult::Served(server) => return Routed::Connected(server_id, server),
+            AttemptResult::Failed(outcome, _) if admitted.previous_server.is_some() => {
                 debug!(
-                    id = admitted.open.id,
+                    id = admitted.open_line.id,
                     ?outcome,
-                    "a standing connection is tried again"
+                    "resuming the connection failed; retrying"
                 );
-                if let Some(answer) = rest(client, limits.standing_again).await {
-                    return answer;
+                if let Some(routed) =
+                    pause_unless_client_acts(client, limits.resume_retry_interval).await
+                {
+                    return routed;
                 }
-                booking.tell(ask()).await;
+                tracker.notify_engine(engine_request()).await;
             }
-            Attempt::Failed(outcome, report) => {
-                debug!(id = admitted.open.id, server = on, ?outcome, "attempt");
-                booking.attempt_ended(on, outcome, report).await;
+            AttemptResult::Failed(outcome, report) => {
+                debug!(
+                    id = admitted.open_line.id,
+                    server = server_id,
+                    ?outcome,
+                    "attempt ended"
+                );
+                tracker.report_attempt_end(server_id, outcome, report).await;
             }
         }
     }
 }
 
-/// What a client comes to that does anything but wait.
-async fn client_first(ring: &mut Ring, stream: &TcpStream) -> Answer {
+/// Waits until the client leaves or sends data; a conforming client does neither before its answer.
+async fn wait_for_client_activity(ring: &mut RingBuffer, stream: &TcpStream) -> Routed {
     match ring.fill(stream).await {
-        Ok(0) | Err(_) => Answer::Gone,
-        Ok(_) => Answer::Early,
+        Ok(0) | Err(_) => Routed::ClientLeft,
+        Ok(_) => Routed::EarlyData,
     }
 }
 
-/// What the client comes to within such a time, if it does not wait.
-async fn rest(client: &mut Client, time: Duration) -> Option<Answer> {
-    timeout(time, client_first(&mut client.ring, &client.stream))
-        .await
-        .ok()
+/// Pauses for `duration`; returns early with the result if the client leaves or sends data.
+async fn pause_unless_client_acts(
+    client: &mut ClientConnection,
+    duration: Duration,
+) -> Option<Routed> {
+    timeout(
+        duration,
+        wait_for_client_activity(&mut client.ring, &client.stream),
+    )
+    .await
+    .ok()
 }
 
-/// Returns when the module calls the attempt off; notes that its server drains.
-async fn called_off(orders: &mut mpsc::Receiver<Order>, recalled: &Cell<bool>) {
+/// Returns when the balancer cancels the attempt. Sets `recalled` if the server of the attempt drains.
+async fn wait_for_cancellation(
+    commands: &mut mpsc::Receiver<ConnectionCommand>,
+    recalled: &Cell<bool>,
+) {
     loop {
-        match orders.recv().await {
-            Some(Order::Cancel) | None => return,
-            Some(Order::Recall) => recalled.set(true),
-            // Nothing else is said while an attempt is out.
-            Some(order) => warn!(?order, "out of turn"),
+        match commands.recv().await {
+            Some(ConnectionCommand::Cancel) | None => return,
+            Some(ConnectionCommand::Recall) => recalled.set(true),
+            // The engine sends nothing else during an attempt.
+            Some(command) => warn!(order = ?command, "unexpected command during an attempt"),
         }
     }
 }
--- a/crates/proxy/tests/troubles.rs
+++ b/crates/proxy/tests/troubles.rs
@@ -1,194 +1,207 @@
-//! Servers that vanish or leave, discovery that fails, and clients and servers that talk nonsense.
+//! Servers that vanish or drain, discovery that fails, and clients and servers that send invalid data.
 
 mod common;
 
 use std::time::{Duration, Instant};
 
-use common::{Discovery, End, Mood, Peer, Proxy, Server, one_server, target, without_loads};
+use common::{
+    ConnectionEnd, Discovery, DiscoveryMode, LineConnection, Proxy, Server, disable_load_reports,
+    one_server, target_row,
+};
 use serde_json::json;
 
-/// A machine that vanished leaves its connections open: only lines without an answer tell.
+/// A machine that vanishes leaves its connections open: only unanswered lines reveal the failure.
 #[test]
 fn the_client_of_a_silent_server_is_moved_within_seven_seconds() {
     let (server, _discovery, proxy) = one_server();
-    let (mut idle, _kept) = proxy.up(&server);
-    let (mut client, conn) = proxy.up(&server);
-    client.say("SAY one");
-    let at = Instant::now();
-    assert_eq!(client.hear(), "MOVE");
-    assert!(at.elapsed() < Duration::from_millis(4800));
-    assert_eq!(client.end(), End::Closed);
+    let (mut idle, _idle_conn) = proxy.establish_connection(&server);
+    let (mut client, conn) = proxy.establish_connection(&server);
+    client.send_line("SAY one");
+    let sent_at = Instant::now();
+    assert_eq!(client.read_line(), "MOVE");
+    assert!(sent_at.elapsed() < Duration::from_millis(4800));
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
     drop(conn);
-    // One that has nothing to say is not silent: it stays.
-    assert!(idle.quiet_for(Duration::from_millis(100)));
+    // A connection without unanswered lines does not count as silent and stays open.
+    assert!(idle.is_quiet_for(Duration::from_millis(100)));
 }
 
 #[test]
-fn answered_lines_keep_a_connection_however_long() {
+fn a_connection_with_answered_lines_stays_open() {
     let (server, _discovery, proxy) = one_server();
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     let until = Instant::now() + Duration::from_secs(4);
     while Instant::now() < until {
-        client.say("SAY on");
-        assert_eq!(conn.hear(), "SAY on");
-        conn.say("OK on");
-        assert_eq!(client.hear(), "OK on");
-        assert!(client.quiet_for(Duration::from_millis(400)));
+        client.send_line("SAY on");
+        assert_eq!(conn.read_line(), "SAY on");
+        conn.send_line("OK on");
+        assert_eq!(client.read_line(), "OK on");
+        assert!(client.is_quiet_for(Duration::from_millis(400)));
     }
 }
 
-/// Connections on a server that leaves are told in time, and only between two whole lines.
+/// Clients of a draining server get `MOVE` in time, and only between two complete lines.
 #[test]
 fn clients_of_a_draining_server_are_moved_between_two_lines() {
     let (server, discovery, proxy) = one_server();
-    let mut pairs: Vec<(Peer, Peer)> = (0..5).map(|_| proxy.up(&server)).collect();
-    let (mut split, mut theirs) = proxy.up(&server);
-    theirs.send(b"OK half a ");
-    discovery.tell(server.target("draining"));
+    let mut pairs: Vec<(LineConnection, LineConnection)> = (0..5)
+        .map(|_| proxy.establish_connection(&server))
+        .collect();
+    let (mut mid_line_client, mut mid_line_conn) = proxy.establish_connection(&server);
+    mid_line_conn.send_bytes(b"OK half a ");
+    discovery.upsert_target(server.target_row("draining"));
     for (client, conn) in &mut pairs {
-        assert_eq!(client.hear(), "MOVE");
-        assert_eq!(client.end(), End::Closed);
-        assert!(matches!(conn.try_hear(), Err(End::Closed | End::Reset)));
+        assert_eq!(client.read_line(), "MOVE");
+        assert_eq!(client.expect_end(), ConnectionEnd::Closed);
+        assert!(matches!(
+            conn.try_read_line(),
+            Err(ConnectionEnd::Closed | ConnectionEnd::Reset)
+        ));
     }
-    theirs.send(b"line\r\n");
-    assert_eq!(split.hear(), "OK half a line");
-    assert_eq!(split.hear(), "MOVE");
-    // Nothing new goes there.
+    mid_line_conn.send_bytes(b"line\r\n");
+    assert_eq!(mid_line_client.read_line(), "OK half a line");
+    assert_eq!(mid_line_client.read_line(), "MOVE");
+    // The server gets no new request.
     let mut client = proxy.open_with("c=watch,d=300");
-    assert!(client.hear().starts_with("BUSY"));
-    assert!(server.nothing_opened());
+    assert!(client.read_line().starts_with("BUSY"));
+    assert!(server.no_pending_open());
 }
 
-/// A draining server may itself send its clients away.
+/// A draining server may itself send `MOVE` to its clients.
 #[test]
-fn a_servers_own_move_is_passed_on() {
+fn a_servers_own_move_is_forwarded() {
     let (server, _discovery, proxy) = one_server();
-    let (mut client, mut conn) = proxy.up(&server);
-    conn.say("MOVE");
+    let (mut client, mut conn) = proxy.establish_connection(&server);
+    conn.send_line("MOVE");
     drop(conn);
-    assert_eq!(client.hear(), "MOVE");
-    assert_eq!(client.end(), End::Closed);
+    assert_eq!(client.read_line(), "MOVE");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
-/// The module's moves reach the client as lines: a load past the threshold with room elsewhere.
+/// A move decided by the decision module reaches the client as a line: here for a load above the threshold while
+/// another server has capacity.
 #[test]
 fn a_client_is_moved_off_a_server_whose_load_passes_the_threshold() {
     let (server, discovery, proxy) = one_server();
-    let (mut client, mut conn) = proxy.up(&server);
+    let (mut client, mut conn) = proxy.establish_connection(&server);
     let other = Server::start("s-2");
-    discovery.tell(other.target("ready"));
-    conn.say("LOAD 1000");
-    assert_eq!(client.hear(), "LOAD 1000");
-    server.answer_probes(Some("PONG x0=3.0"));
-    assert_eq!(client.hear(), "MOVE");
-    assert_eq!(client.end(), End::Closed);
+    discovery.upsert_target(other.target_row("ready"));
+    conn.send_line("LOAD 1000");
+    assert_eq!(client.read_line(), "LOAD 1000");
+    server.set_probe_answer(Some("PONG x0=3.0"));
+    assert_eq!(client.read_line(), "MOVE");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
 #[test]
 fn a_watch_is_followed_at_once_by_the_next() {
     let (server, discovery, _proxy) = one_server();
     for state in ["draining", "ready", "draining", "ready"] {
-        let seen = discovery.calls(1).len();
-        discovery.tell(server.target(state));
-        discovery.calls(seen + 1);
+        let calls_before = discovery.wait_for_requests(1).len();
+        discovery.upsert_target(server.target_row(state));
+        discovery.wait_for_requests(calls_before + 1);
     }
-    let calls = discovery.calls(5);
+    let calls = discovery.wait_for_requests(5);
     assert_eq!(calls[0].1, "/registry/instances");
     assert!(
         calls[1]
             .1
             .starts_with("/registry/instances?after=1&wait_ms=")
     );
-    for (answered, (called, _)) in discovery.answered().iter().zip(&calls[1..]) {
+    for (answered, (called, _)) in discovery.answer_times().iter().zip(&calls[1..]) {
         let gap = called.saturating_duration_since(*answered);
         assert!(gap < Duration::from_millis(200), "{gap:?}");
     }
 }
 
-/// With discovery down in any way the last list holds, calls back off, and changes come after it.
+/// While discovery fails in any way, the last list stays in use and calls back off; changes are applied after recovery.
 #[test]
-fn the_list_outlives_discoverys_troubles() {
-    for mood in [Mood::Refuses, Mood::Resets, Mood::Garbles] {
+fn the_list_stays_in_use_while_discovery_fails() {
+    for mode in [
+        DiscoveryMode::Refuses,
+        DiscoveryMode::Resets,
+        DiscoveryMode::Garbles,
+    ] {
         let (server, discovery, proxy) = one_server();
-        let before = discovery.calls(2).len();
-        discovery.set_mood(mood);
-        let calls = discovery.calls(before + 4);
-        // Four tries in a row take longer the more fail.
+        let before = discovery.wait_for_requests(2).len();
+        discovery.set_mode(mode);
+        let calls = discovery.wait_for_requests(before + 4);
+        // The interval between retries grows with consecutive failures.
         let span = calls[before + 3].0 - calls[before].0;
-        assert!(span > Duration::from_millis(150), "{mood:?} {span:?}");
-        proxy.up(&server);
-        discovery.set_mood(Mood::Works);
+        assert!(span > Duration::from_millis(150), "{mode:?} {span:?}");
+        proxy.establish_connection(&server);
+        discovery.set_mode(DiscoveryMode::Works);
         let second = Server::start("s-2");
-        discovery.tell(server.target("draining"));
-        discovery.tell(second.target("ready"));
+        discovery.upsert_target(server.target_row("draining"));
+        discovery.upsert_target(second.target_row("ready"));
         let mut client = proxy.open("watch");
-        second.opened().1.say("UP 2");
-        assert_eq!(client.hear(), "UP 2");
+        second.next_open().1.send_line("UP 2");
+        assert_eq!(client.read_line(), "UP 2");
     }
 }
 
-/// A connection that discovery ends after its answer is no loss of the list.
+/// A connection that discovery closes after an answer is no failure.
 #[test]
-fn discovery_may_end_its_connections_between_calls() {
+fn discovery_may_close_its_connections_between_calls() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
-    discovery.set_mood(Mood::Closes);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
+    discovery.set_mode(DiscoveryMode::Closes);
     let proxy = Proxy::start(&discovery);
     for _ in 0..3 {
-        let seen = discovery.calls(2).len();
-        discovery.tell(server.target("ready"));
-        discovery.calls(seen + 1);
+        let calls_before = discovery.wait_for_requests(2).len();
+        discovery.upsert_target(server.target_row("ready"));
+        discovery.wait_for_requests(calls_before + 1);
     }
-    proxy.up(&server);
+    proxy.establish_connection(&server);
     assert!(!proxy.log().contains("WARN"), "{}", proxy.log());
 }
 
-/// After a gap discovery tells the whole list: who is not in it is gone, and so are its clients.
+/// After a gap, discovery sends the whole list: servers missing from it are removed and their clients moved.
 #[test]
-fn clients_of_a_server_that_a_whole_list_leaves_out_are_moved() {
+fn clients_of_a_server_missing_from_a_whole_list_are_moved() {
     let (server, discovery, proxy) = one_server();
-    let (mut client, _conn) = proxy.up(&server);
-    discovery.forget("s-1");
-    assert_eq!(client.hear(), "MOVE");
-    assert_eq!(client.end(), End::Closed);
+    let (mut client, _conn) = proxy.establish_connection(&server);
+    discovery.remove_target("s-1");
+    assert_eq!(client.read_line(), "MOVE");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
-/// A hanging call must end in time for another within what the rules allow (5 s here).
+/// A hanging call must time out early enough for another one within `rules.ask-within-s` (5 s here).
 #[test]
-fn a_hanging_watch_is_given_up_within_the_time_to_ask() {
+fn a_hanging_watch_times_out_within_the_call_interval() {
     let (_server, discovery, _proxy) = one_server();
-    let before = discovery.calls(2);
-    discovery.set_mood(Mood::Hangs);
-    let calls = discovery.calls(before.len() + 1);
+    let before = discovery.wait_for_requests(2);
+    discovery.set_mode(DiscoveryMode::Hangs);
+    let calls = discovery.wait_for_requests(before.len() + 1);
     let gap = calls[before.len()].0 - calls[before.len() - 1].0;
     assert!(gap < Duration::from_secs(5), "{gap:?}");
-    discovery.set_mood(Mood::Works);
+    discovery.set_mode(DiscoveryMode::Works);
 }
 
-/// Nonsense in the list costs the rows that hold it, not the others.
+/// Invalid rows of a list are skipped; the others are used.
 #[test]
-fn rows_that_make_no_sense_are_passed_over() {
+fn invalid_rows_are_skipped() {
     let server = Server::start("s-1");
-    let mut huge = target("s-3", "127.0.0.1:1", "ready");
-    huge["boot_ms"] = json!(-1e300);
-    huge["capacity_hint"] = json!(1e308);
+    let mut extreme = target_row("s-3", "127.0.0.1:1", "ready");
+    extreme["boot_ms"] = json!(-1e300);
+    extreme["capacity_hint"] = json!(1e308);
     let discovery = Discovery::start(&[
         json!({"uid": 7, "state": "ready"}),
         json!({"uid": "s-4", "endpoint": "no address", "state": "ready"}),
         json!({"uid": "s-5", "endpoint": "127.0.0.1:1", "state": "happy"}),
-        server.target("ready"),
-        huge,
+        server.target_row("ready"),
+        extreme,
     ]);
     let proxy = Proxy::start(&discovery);
-    proxy.logged("s-4");
-    proxy.logged("s-5");
-    proxy.up(&server);
+    proxy.wait_for_log("s-4");
+    proxy.wait_for_log("s-5");
+    proxy.establish_connection(&server);
 }
 
 #[test]
-fn absurd_load_reports_do_no_harm() {
+fn clients_are_served_despite_invalid_load_reports() {
     let (server, _discovery, proxy) = one_server();
-    for pong in [
+    for probe_answer in [
         "PONG x0=-7",
         "PONG x0=1e400",
         "PONG x0=NaN",
@@ -196,126 +209,131 @@
         "PONG =,=,x0==",
         "WHAT",
     ] {
-        server.answer_probes(Some(pong));
-        let (mut client, mut conn) = proxy.up(&server);
-        conn.say("LOAD NaN");
-        conn.say("LOAD -5");
-        conn.say("LOAD 1e300");
-        conn.say("LOAD");
+        server.set_probe_answer(Some(probe_answer));
+        let (mut client, mut conn) = proxy.establish_connection(&server);
+        conn.send_line("LOAD NaN");
+        conn.send_line("LOAD -5");
+        conn.send_line("LOAD 1e300");
+        conn.send_line("LOAD");
         for _ in 0..4 {
-            assert!(client.hear().starts_with("LOAD"));
+            assert!(client.read_line().starts_with("LOAD"));
         }
     }
 }
 
-fn refused_line(proxy: &Proxy, bytes: &[u8]) {
-    let mut client = Peer::connect(proxy.addr);
-    client.send(bytes);
-    assert_eq!(client.hear(), "ERR");
-    assert_eq!(client.end(), End::Closed);
+/// Sends the bytes and asserts that the proxy answers with `ERR` and closes the connection.
+fn assert_line_refused(proxy: &Proxy, bytes: &[u8]) {
+    let mut client = LineConnection::connect(proxy.addr);
+    client.send_bytes(bytes);
+    assert_eq!(client.read_line(), "ERR");
+    assert_eq!(client.expect_end(), ConnectionEnd::Closed);
 }
 
 #[test]
-fn lines_that_make_no_sense_get_a_failed_answer_and_others_are_served() {
+fn invalid_lines_get_an_error_and_other_clients_are_served() {
     let (server, _discovery, mut proxy) = one_server();
-    refused_line(&proxy, b"HELLO\r\n");
-    refused_line(&proxy, b"\r\n");
-    refused_line(&proxy, b"OPEN\r\n");
-    refused_line(&proxy, b"OPEN 1 2 c=watch,d=\xff\xfe\r\n");
-    refused_line(&proxy, b"OPEN 1 2 c=unknown,d=100\r\n");
-    refused_line(&proxy, b"OPEN 1 2 c=watch,d=soon\r\n");
-    refused_line(&proxy, &[b'x'; 5000]);
-    refused_line(
+    assert_line_refused(&proxy, b"HELLO\r\n");
+    assert_line_refused(&proxy, b"\r\n");
+    assert_line_refused(&proxy, b"OPEN\r\n");
+    assert_line_refused(&proxy, b"OPEN 1 2 c=watch,d=\xff\xfe\r\n");
+    assert_line_refused(&proxy, b"OPEN 1 2 c=unknown,d=100\r\n");
+    assert_line_refused(&proxy, b"OPEN 1 2 c=watch,d=soon\r\n");
+    assert_line_refused(&proxy, &[b'x'; 5000]);
+    assert_line_refused(
         &proxy,
         format!("OPEN 1 2 c=watch,k={}\r\n", "y".repeat(5000)).as_bytes(),
     );
-    let mut half = Peer::connect(proxy.addr);
-    half.send(b"OPEN 1 2 c=wat");
-    half.end_sending();
-    assert_eq!(half.hear(), "ERR");
-    assert!(server.nothing_opened());
-    proxy.up(&server);
-    assert!(proxy.alive());
+    let mut partial_client = LineConnection::connect(proxy.addr);
+    partial_client.send_bytes(b"OPEN 1 2 c=wat");
+    partial_client.half_close();
+    assert_eq!(partial_client.read_line(), "ERR");
+    assert!(server.no_pending_open());
+    proxy.establish_connection(&server);
+    assert!(proxy.is_running());
 }
 
 #[test]
-fn a_client_that_never_finishes_its_line_is_let_go_and_stalls_nobody() {
+fn a_client_that_never_finishes_its_line_is_closed_and_delays_no_other() {
     let (server, _discovery, proxy) = one_server();
-    let mut slow: Vec<Peer> = (0..40).map(|_| Peer::connect(proxy.addr)).collect();
-    for peer in &mut slow {
-        peer.send(b"OPEN 1 ");
+    let mut slow_clients: Vec<LineConnection> = (0..40)
+        .map(|_| LineConnection::connect(proxy.addr))
+        .collect();
+    for peer in &mut slow_clients {
+        peer.send_bytes(b"OPEN 1 ");
     }
-    proxy.up(&server);
-    for peer in &mut slow {
-        assert_eq!(peer.hear(), "ERR");
+    proxy.establish_connection(&server);
+    for peer in &mut slow_clients {
+        assert_eq!(peer.read_line(), "ERR");
     }
 }
 
-/// More clients than descriptors: those beyond are turned away, and the program lives.
+/// With more clients than descriptors the surplus clients are rejected, and the process keeps running.
 #[test]
-fn out_of_descriptors_clients_are_turned_away() {
+fn clients_are_rejected_when_descriptors_run_out() {
     let server = Server::start("s-1");
-    let discovery = Discovery::start(&[server.target("ready")]);
+    let discovery = Discovery::start(&[server.target_row("ready")]);
     let mut proxy = Proxy::launch(discovery.addr, |config| {
         config["limits"]["sockets"] = json!(100);
-        // Only descriptors turn anyone away.
-        without_loads(config);
+        // Only a lack of descriptors leads to rejections.
+        disable_load_reports(config);
     });
     proxy.wait_ready();
     let mut held = Vec::new();
-    let mut turned_away = 0;
+    let mut rejected = 0;
     for number in 0..60 {
         let mut client = proxy.open("watch");
-        // The proxy either turns it away or opens a connection for it.
-        match server.opened_or(|| !client.quiet_for(Duration::from_millis(20))) {
+        // The proxy either rejects the client or opens a connection to the server for it.
+        match server.next_open_unless(|| !client.is_quiet_for(Duration::from_millis(20))) {
             Some((_, mut conn)) => {
-                conn.say(&format!("UP {number}"));
-                assert_eq!(client.hear(), format!("UP {number}"));
+                conn.send_line(&format!("UP {number}"));
+                assert_eq!(client.read_line(), format!("UP {number}"));
                 held.push((client, conn));
             }
             None => {
-                assert!(client.hear().starts_with("BUSY"));
-                turned_away += 1;
+                assert!(client.read_line().starts_with("BUSY"));
+                rejected += 1;
             }
         }
     }
     assert!(
-        turned_away > 0 && held.len() >= 15,
-        "{turned_away} {}",
+        rejected > 0 && held.len() >= 15,
+        "{rejected} {}",
         held.len()
     );
-    // All that were taken still work.
+    // All accepted connections still work.
     for (client, conn) in &mut held {
-        client.say("SAY on");
-        assert_eq!(conn.hear(), "SAY on");
+        client.send_line("SAY on");
+        assert_eq!(conn.read_line(), "SAY on");
     }
-    // Slow ones that hold a descriptor each don't keep the next from being turned away at once.
-    let _slow: Vec<Peer> = (0..4).map(|_| Peer::connect(proxy.addr)).collect();
-    let at = Instant::now();
-    assert!(proxy.open("watch").hear().starts_with("BUSY"));
+    // Slow clients that hold a descriptor each don't delay the rejection of the next client.
+    let _slow_clients: Vec<LineConnection> = (0..4)
+        .map(|_| LineConnection::connect(proxy.addr))
+        .collect();
+    let start = Instant::now();
+    assert!(proxy.open("watch").read_line().starts_with("BUSY"));
     assert!(
-        at.elapsed() < Duration::from_millis(150),
+        start.elapsed() < Duration::from_millis(150),
         "{:?}",
-        at.elapsed()
+        start.elapsed()
     );
-    assert!(proxy.alive());
+    assert!(proxy.is_running());
 }
 
 #[test]
-fn a_bad_configuration_ends_it_with_a_plain_message() {
+fn an_invalid_configuration_ends_the_process_with_an_error_message() {
     for config in ["{", "{}", r#"{"name":"n0","listen":"here"}"#] {
         let mut proxy = Proxy::run("127.0.0.1:1".parse().unwrap(), config);
-        assert!(!proxy.ended().success());
-        proxy.logged("violetwind: ");
+        assert!(!proxy.wait_for_exit().success());
+        proxy.wait_for_log("violetwind: ");
     }
 }
 
 #[test]
-fn an_address_that_is_taken_ends_it_with_a_plain_message() {
+fn an_address_in_use_ends_the_process_with_an_error_message() {
     let (_server, discovery, proxy) = one_server();
     let mut second = Proxy::launch(discovery.addr, |config| {
         config["listen"] = json!(proxy.addr.to_string());
     });
-    assert!(!second.ended().success());
-    second.logged(&format!("violetwind: {}", proxy.addr));
+    assert!(!second.wait_for_exit().success());
+    second.wait_for_log(&format!("violetwind: {}", proxy.addr));
 }
--- a/crates/proxy/tests/unit_line.rs
+++ b/crates/proxy/tests/unit_line.rs
@@ -1,53 +1,53 @@
-//! `line` by itself.
+//! Unit tests of `line_protocol`: parsing and encoding of lines.
 
 use violetwind_balancer::api::Report;
-use violetwind_proxy::line::*;
+use violetwind_proxy::line_protocol::*;
 
 #[test]
-fn a_clients_line_is_read_by_name() {
+fn parses_an_open_line_and_its_fields() {
     let line = b"OPEN 9b1f 7f3a c=chat,d=2000,g=5c0f";
-    let Some(First::Open(open)) = first(line) else {
-        panic!("not read");
+    let Some(FirstLine::Open(open)) = parse_first_line(line) else {
+        panic!("not parsed as an OPEN line");
     };
-    assert_eq!((open.id, open.key), ("9b1f", "7f3a"));
+    assert_eq!((open.id, open.flow_key), ("9b1f", "7f3a"));
     assert_eq!(open.get("c"), Some("chat"));
     assert_eq!(open.get("at"), None);
-    assert_eq!(first(b"PING"), Some(First::Ping));
+    assert_eq!(parse_first_line(b"PING"), Some(FirstLine::Ping));
 }
 
-/// The line goes on unchanged but for the time to wait.
+/// Servers get the client's line unchanged except for the wait.
 #[test]
-fn only_the_time_to_wait_changes() {
+fn encoding_for_the_next_hop_changes_only_the_wait() {
     let line = b"OPEN 9b1f 7f3a c=chat,d=2000,again=1,g=5c0f";
-    let Some(First::Open(open)) = first(line) else {
-        panic!("not read");
+    let Some(FirstLine::Open(open)) = parse_first_line(line) else {
+        panic!("not parsed as an OPEN line");
     };
-    let out = open.waiting(350);
-    assert_eq!(out, b"OPEN 9b1f 7f3a c=chat,d=350,again=1,g=5c0f\r\n");
+    let encoded = open.encode_with_wait(350);
+    assert_eq!(encoded, b"OPEN 9b1f 7f3a c=chat,d=350,again=1,g=5c0f\r\n");
 }
 
 #[test]
-fn figures_and_names_that_no_usual_client_sends_are_told() {
-    let open = |fields| Open {
+fn reports_invalid_numbers_and_field_names() {
+    let open = |fields| OpenLine {
         id: "9b1f",
-        key: "7f3a",
+        flow_key: "7f3a",
         fields,
     };
-    for bad in ["d=-5", "d=soon", "d=", "d", "d=inf", "d=NaN", "d=1e999"] {
-        assert!(open(bad).figure("d").is_err(), "{bad}");
+    for invalid in ["d=-5", "d=soon", "d=", "d", "d=inf", "d=NaN", "d=1e999"] {
+        assert!(open(invalid).number_field("d").is_err(), "{invalid}");
     }
-    assert_eq!(open("c=x").figure("d"), Ok(None));
-    assert_eq!(open("c=x,d=1999").figure("d"), Ok(Some(1999.0)));
-    assert!(open("c=x,d=1,c=y").fault(8).is_some());
-    assert!(open("c=x,d=1,r=1").again() && open("c=x,d=1,again=1").again());
-    assert!(!open("c=x,d=1,r=0").again() && !open("c=x,d=1").again());
-    assert!(open("c=x,d=1,r=1,g=2,again=1").fault(5).is_none());
-    assert!(open("c=x,d=1,r=1,g=2,again=1").fault(4).is_some());
+    assert_eq!(open("c=x").number_field("d"), Ok(None));
+    assert_eq!(open("c=x,d=1999").number_field("d"), Ok(Some(1999.0)));
+    assert!(open("c=x,d=1,c=y").find_fault(8).is_some());
+    assert!(open("c=x,d=1,r=1").is_repeat() && open("c=x,d=1,again=1").is_repeat());
+    assert!(!open("c=x,d=1,r=0").is_repeat() && !open("c=x,d=1").is_repeat());
+    assert!(open("c=x,d=1,r=1,g=2,again=1").find_fault(5).is_none());
+    assert!(open("c=x,d=1,r=1,g=2,again=1").find_fault(4).is_some());
 }
 
 #[test]
-fn what_is_no_first_line_is_none() {
-    let bad: [&[u8]; 7] = [
+fn rejects_lines_that_are_not_valid_first_lines() {
+    let invalid: [&[u8]; 7] = [
         b"",
         b"OPEN",
         b"OPEN 9b1f",
@@ -56,43 +56,50 @@
         b"OPEN 9b1f 7f3a c=\xff",
         b"OPEN 9b1f 7f3a c=x extra",
     ];
-    for line in bad {
-        assert_eq!(first(line), None, "{line:?}");
+    for line in invalid {
+        assert_eq!(parse_first_line(line), None, "{line:?}");
     }
 }
 
 #[test]
-fn reports_hold_what_they_name_and_nonsense_is_passed_over() {
-    let Word::Pong(report) = word(b"PONG fail_rate=0.5,x0=0.25,busy=,=3,x0,new=1,q=-4,rif=1e999")
+fn parses_load_reports_and_ignores_invalid_values() {
+    let ServerLine::Pong(report) =
+        parse_server_line(b"PONG fail_rate=0.5,x0=0.25,busy=,=3,x0,new=1,q=-4,rif=1e999")
     else {
-        panic!("not a report");
+        panic!("not parsed as a PONG line");
     };
     assert_eq!(report.load, Some(0.25));
     assert_eq!(report.errors, Some(0.5));
     assert_eq!(report.utilisation, None);
     assert_eq!((report.queue, report.connections), (None, None));
-    assert_eq!(word(b"PONG"), Word::Pong(Report::default()));
+    assert_eq!(
+        parse_server_line(b"PONG"),
+        ServerLine::Pong(Report::default())
+    );
 }
 
 #[test]
-fn words_of_servers() {
-    assert_eq!(word(b"UP 1a2b"), Word::Up);
-    assert_eq!(word(b"MOVE"), Word::Move);
-    assert_eq!(word(b"LOAD 812.5"), Word::Load(812.5));
-    assert_eq!(word(b"UPPER"), Word::Other);
-    assert_eq!(word(b"LOAD much"), Word::Other);
-    assert_eq!(word(b"LOAD -1"), Word::Other);
-    assert_eq!(word(b"LOAD inf"), Word::Other);
-    assert_eq!(word(b"BUSY"), Word::Busy(Report::default()));
+fn parses_lines_of_servers() {
+    assert_eq!(parse_server_line(b"UP 1a2b"), ServerLine::Up);
+    assert_eq!(parse_server_line(b"MOVE"), ServerLine::Move);
+    assert_eq!(parse_server_line(b"LOAD 812.5"), ServerLine::Load(812.5));
+    assert_eq!(parse_server_line(b"UPPER"), ServerLine::Other);
+    assert_eq!(parse_server_line(b"LOAD much"), ServerLine::Other);
+    assert_eq!(parse_server_line(b"LOAD -1"), ServerLine::Other);
+    assert_eq!(parse_server_line(b"LOAD inf"), ServerLine::Other);
+    assert_eq!(
+        parse_server_line(b"BUSY"),
+        ServerLine::Busy(Report::default())
+    );
 }
 
 #[test]
-fn lines_are_found_however_the_bytes_come() {
+fn finds_lines_however_the_bytes_are_split() {
     let text = b"LOAD 4\r\nOK 1\r\npart";
     for size in 1..text.len() {
-        let (mut scanner, mut lines) = (Scanner::default(), Vec::new());
-        for piece in text.chunks(size) {
-            scanner.feed(piece, |head, _| lines.push(head.to_vec()));
+        let (mut scanner, mut lines) = (LineScanner::default(), Vec::new());
+        for chunk in text.chunks(size) {
+            scanner.feed(chunk, |head, _| lines.push(head.to_vec()));
         }
         assert_eq!(lines, [b"LOAD 4".to_vec(), b"OK 1".to_vec()]);
     }
--- a/crates/simhost/src/codec.rs
+++ b/crates/simhost/src/codec.rs
@@ -1,40 +1,45 @@
-//! The wire's words, both ways. Nothing outside this file knows them.
+//! Parses and writes the lines of the simulator's protocol. The names of events, actions and their fields occur only in
+//! this file; the host handles the lines for batches, server lists and instances.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 
 use violetwind_balancer::api::{
-    Action, Ended, Event, ListKind, Outcome, Report, Request, RequestId, ServerId, Status,
+    Action, AttemptEnd, Event, ListKind, Outcome, Report, Request, RequestId, ServerId, Status,
 };
-pub use violetwind_common::{Facts, Names, Row, settings};
-use violetwind_common::{group_id, note};
+pub use violetwind_common::{NameTable, NamedValues, ServerRow, read_settings};
+use violetwind_common::{group_id, set_report_field};
 
 /// The `name=value` pairs of one line.
 #[derive(Debug, Default)]
 pub struct Fields<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Fields<'a> {
+    /// Parses the part of a line after its name.
+    ///
+    /// # Errors
+    /// A message naming the part that is not a `name=value` pair.
     pub fn parse(rest: &'a str) -> Result<Self, String> {
-        let pair = |part: &'a str| {
+        let parse_pair = |part: &'a str| {
             part.split_once('=')
                 .ok_or_else(|| format!("`{part}`: expected name=value"))
         };
         rest.split(' ')
             .filter(|part| !part.is_empty())
-            .map(pair)
+            .map(parse_pair)
             .collect::<Result<_, _>>()
             .map(Self)
     }
 
     fn server(&self) -> Result<ServerId, String> {
-        let value = self.need("server")?;
+        let value = self.require("server")?;
         value
             .parse()
             .map_err(|_| format!("server={value}: expected a number below 2^32"))
     }
 
     fn id(&self) -> Result<RequestId, String> {
-        let value = self.need("id")?;
+        let value = self.require("id")?;
         let id = RequestId::from_str_radix(value, 16)
             .ok()
             .filter(|_| value.len() == 16);
@@ -42,7 +47,7 @@
     }
 }
 
-impl Facts for Fields<'_> {
+impl NamedValues for Fields<'_> {
     fn get(&self, name: &str) -> Option<&str> {
         self.0
             .iter()
@@ -51,11 +56,15 @@
     }
 }
 
-pub fn row(fields: &Fields) -> Result<Row, String> {
-    Ok(Row {
+/// Parses a `SERVER` line.
+///
+/// # Errors
+/// A message naming the missing or invalid field.
+pub fn parse_row(fields: &Fields) -> Result<ServerRow, String> {
+    Ok(ServerRow {
         server: fields.server()?,
         cell: fields.int_or("cluster", 0)?,
-        status: match fields.need("status")? {
+        status: match fields.require("status")? {
             "U" => Status::Up,
             "L" => Status::Draining,
             "D" => Status::Gone,
@@ -63,54 +72,61 @@
         },
         kind: fields.get("sku").map(str::to_string),
         zone: fields.get("campus").map(str::to_string),
-        born: fields.number("born-s")?,
+        started_at: fields.number("born-s")?,
         rating: fields.number("rating")?,
     })
 }
 
-/// The event of a line, unless it means nothing to the module.
-pub fn event(
+/// Parses an event; `None` if the balancer has no use for it.
+///
+/// # Errors
+/// A message naming the unknown event, or the missing or invalid field.
+pub fn parse_event(
     name: &str,
     fields: &Fields,
-    names: &Names,
-    lists: &BTreeMap<u64, Vec<Row>>,
+    names: &NameTable,
+    lists: &BTreeMap<u64, Vec<ServerRow>>,
 ) -> Result<Option<Event>, String> {
     let event = match name {
-        "DISCOVERY" => servers(fields, names, lists)?,
-        "ORDER" => Event::Request(request(fields, names)?),
-        "ADOPTED" => Event::Open(request(fields, names)?, fields.server()?),
+        "DISCOVERY" => parse_servers(fields, names, lists)?,
+        "ORDER" => Event::Request(parse_request(fields, names)?),
+        "ADOPTED" => Event::Open(parse_request(fields, names)?, fields.server()?),
         "FIRST" => Event::Begun(fields.id()?, fields.server()?),
-        "SETTLED" => Event::Outcome(Ended {
+        "SETTLED" => Event::Outcome(AttemptEnd {
             id: fields.id()?,
             server: fields.server()?,
-            outcome: outcome(fields)?,
-            last: fields.flag("last")?,
-            report: report(fields)?,
+            outcome: parse_outcome(fields)?,
+            is_final: fields.flag("last")?,
+            report: parse_report(fields)?,
         }),
         "ABORTED" => Event::Gone(fields.id()?),
         "NOTE" => {
             let id = fields.id()?;
             let value = fields.number("value")?.ok_or("expected the field value")?;
-            match fields.int("what")? {
+            match fields.require_int("what")? {
                 1 => Event::LoadNote(id, value / 1e6),
                 2 => Event::DelayNote(fields.server()?, value / 1e3),
                 _ => return Ok(None),
             }
         }
-        "CHECK_RESULT" => Event::Probed(fields.server()?, outcome(fields)?, report(fields)?),
-        "ELAPSED" => Event::Timer(fields.int("nonce")?),
+        "CHECK_RESULT" => Event::Probed(
+            fields.server()?,
+            parse_outcome(fields)?,
+            parse_report(fields)?,
+        ),
+        "ELAPSED" => Event::Timer(fields.require_int("nonce")?),
         "MAIL" => return Ok(None),
         _ => return Err(format!("{name}: expected the name of an event")),
     };
     Ok(Some(event))
 }
 
-fn servers(
+fn parse_servers(
     fields: &Fields,
-    names: &Names,
-    lists: &BTreeMap<u64, Vec<Row>>,
+    names: &NameTable,
+    lists: &BTreeMap<u64, Vec<ServerRow>>,
 ) -> Result<Event, String> {
-    let kind = match fields.need("kind")? {
+    let kind = match fields.require("kind")? {
         "update" => ListKind::Update,
         "replace" => ListKind::Replace,
         "restored" => ListKind::Restored,
@@ -123,31 +139,31 @@
             ));
         }
     };
-    let list = fields.int("ref")?;
+    let list_number = fields.require_int("ref")?;
     let rows = lists
-        .get(&list)
-        .ok_or_else(|| format!("ref={list}: expected a list named before"))?;
-    let entry = |row: &Row| row.entry(names);
-    Ok(Event::Servers(kind, rows.iter().map(entry).collect()))
+        .get(&list_number)
+        .ok_or_else(|| format!("ref={list_number}: expected a list named before"))?;
+    let to_entry = |row: &ServerRow| row.to_entry(names);
+    Ok(Event::Servers(kind, rows.iter().map(to_entry).collect()))
 }
 
-fn request(fields: &Fields, names: &Names) -> Result<Request, String> {
-    let class = fields.need("priority")?;
+fn parse_request(fields: &Fields, names: &NameTable) -> Result<Request, String> {
+    let class = fields.require("priority")?;
     Ok(Request {
         id: fields.id()?,
         class: names
-            .class(class)
+            .class_index(class)
             .ok_or_else(|| format!("priority={class}: expected a class of the settings"))?,
-        tenant: names.tenant(fields.get("billing")),
+        tenant: names.tenant_index(fields.get("billing")),
         group: fields.get("channel").map(group_id),
         hint: fields.number("estimate-s")?,
-        patience: fields.secs("patience-left-s")?,
-        again: fields.flag("retry")? || fields.flag("again")?,
+        client_timeout: fields.require_seconds("patience-left-s")?,
+        is_repeat: fields.flag("retry")? || fields.flag("again")?,
     })
 }
 
-fn outcome(fields: &Fields) -> Result<Outcome, String> {
-    Ok(match fields.int("how")? {
+fn parse_outcome(fields: &Fields) -> Result<Outcome, String> {
+    Ok(match fields.require_int("how")? {
         0 => Outcome::Ok,
         5 => Outcome::Error,
         11 => Outcome::Full,
@@ -160,7 +176,7 @@
     })
 }
 
-fn report(fields: &Fields) -> Result<Report, String> {
+fn parse_report(fields: &Fields) -> Result<Report, String> {
     let mut report = Report::default();
     for pair in fields.list("gauge") {
         let (name, value) = pair
@@ -169,11 +185,15 @@
         let value = value
             .parse()
             .map_err(|_| format!("gauge {pair}: expected a number"))?;
-        note(&mut report, name, value);
+        set_report_field(&mut report, name, value);
     }
     Ok(report)
 }
 
+/// Writes the line of an action.
+///
+/// # Errors
+/// The error of the output.
 pub fn write_action(out: &mut impl Write, action: &Action) -> io::Result<()> {
     match action {
         Action::Send(id, server, timeout, _) => {
@@ -190,7 +210,10 @@
     }
 }
 
-/// Tells that the decision code has broken.
-pub fn write_fault(out: &mut impl Write, text: &str) -> io::Result<()> {
+/// Reports that the decision code has panicked, in one line.
+///
+/// # Errors
+/// The error of the output.
+pub fn write_panic(out: &mut impl Write, text: &str) -> io::Result<()> {
     writeln!(out, "GIVE_IN message={}", text.replace(['\n', '\r'], " "))
 }
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two that speak over TCP, faulty on command, each direction for itself.
+//! A TCP relay between two peers that can inject faults, separately for each direction.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,23 +11,24 @@
 
 /// What happens to the bytes of one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum LinkMode {
+    /// Bytes are forwarded unchanged.
     Pass,
-    /// Each piece comes so much later.
+    /// Each chunk is forwarded after this delay.
     Delay(Duration),
-    /// So many bytes a second.
-    Trickle(u32),
-    /// Nothing is read: the sender's own buffers fill.
-    Hold,
-    /// Read, and thrown away.
-    Swallow,
-    /// Connections are reset, and new ones too.
-    Cut,
-    /// Half of the next piece is passed on, then the connection is reset; after that it passes.
-    CutInside,
+    /// Forwards at most this many bytes per second.
+    Throttle(u32),
+    /// Nothing is read, so that the sender's buffers fill up.
+    Stall,
+    /// Bytes are read and discarded.
+    Blackhole,
+    /// Existing and new connections are reset.
+    Reset,
+    /// Forwards half of the next chunk, then resets the connection and returns to `Pass`.
+    ResetMidWrite,
 }
 
-impl FromStr for Way {
+impl FromStr for LinkMode {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
@@ -37,12 +38,12 @@
         };
         Ok(match text.split_once('=') {
             Some(("delay", ms)) => Self::Delay(Duration::from_millis(number(ms)?.into())),
-            Some(("trickle", bytes)) => Self::Trickle(number(bytes)?.max(1)),
+            Some(("trickle", bytes)) => Self::Throttle(number(bytes)?.max(1)),
             None if text == "pass" => Self::Pass,
-            None if text == "hold" => Self::Hold,
-            None if text == "swallow" => Self::Swallow,
-            None if text == "cut" => Self::Cut,
-            None if text == "cut-inside" => Self::CutInside,
+            None if text == "hold" => Self::Stall,
+            None if text == "swallow" => Self::Blackhole,
+            None if text == "cut" => Self::Reset,
+            None if text == "cut-inside" => Self::ResetMidWrite,
             _ => {
                 return Err(format!(
                     "\"{text}\": pass, delay=MS, trickle=BYTES, hold, swallow, cut or cut-inside"
@@ -52,115 +53,129 @@
     }
 }
 
-/// From who dials to who is dialled, and back.
+/// A direction of a relayed connection: from the connecting to the accepting side, or back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    There,
-    Back,
+    Forward,
+    Reverse,
 }
 
 #[derive(Debug)]
 struct Shared {
     to: SocketAddr,
-    /// There, back.
-    ways: Mutex<[Way; 2]>,
+    /// Modes of the forward and the reverse direction, indexed by `Direction`.
+    modes: Mutex<[LinkMode; 2]>,
 }
 
 impl Shared {
-    fn way(&self, direction: Direction) -> Way {
-        self.ways.lock().unwrap()[direction as usize]
+    fn mode(&self, direction: Direction) -> LinkMode {
+        self.modes.lock().unwrap()[direction as usize]
     }
 }
 
+/// A running relay; clones control the same one.
 #[derive(Clone, Debug)]
 pub struct Relay {
     pub addr: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// How long a direction waits before it looks for another command.
-const LOOK: Duration = Duration::from_millis(2);
+/// Interval at which each direction checks for a mode change.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 impl Relay {
-    /// From `at` (port 0: a free one) to `to`, which need not be there yet.
+    /// Starts a relay from `at` (port 0 picks a free one) to `to`, where nothing has to listen yet.
+    ///
+    /// # Errors
+    /// The address `at` cannot be bound.
     pub fn start(at: SocketAddr, to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(at)?;
         let addr = listener.local_addr()?;
         let shared = Arc::new(Shared {
             to,
-            ways: Mutex::new([Way::Pass; 2]),
+            modes: Mutex::new([LinkMode::Pass; 2]),
         });
-        let own = shared.clone();
+        let shared_clone = shared.clone();
         thread::spawn(move || {
             for from in listener.incoming().flatten() {
-                let shared = own.clone();
-                thread::spawn(move || carry(from, &shared));
+                let shared = shared_clone.clone();
+                thread::spawn(move || relay_connection(from, &shared));
             }
         });
         Ok(Self { addr, shared })
     }
 
-    pub fn set(&self, direction: Direction, way: Way) {
-        self.shared.ways.lock().unwrap()[direction as usize] = way;
+    /// Changes the mode of one direction, for existing and new connections.
+    pub fn set_mode(&self, direction: Direction, mode: LinkMode) {
+        self.shared.modes.lock().unwrap()[direction as usize] = mode;
     }
 
-    pub fn both(&self, way: Way) {
-        *self.shared.ways.lock().unwrap() = [way; 2];
+    /// Changes the mode of both directions.
+    pub fn set_both_modes(&self, mode: LinkMode) {
+        *self.shared.modes.lock().unwrap() = [mode; 2];
     }
 }
 
 fn reset(stream: &TcpStream) {
-    // With no time to linger the close is a reset.
+    // A linger time of zero turns the close into a reset.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-fn carry(from: TcpStream, shared: &Arc<Shared>) {
-    let cut = |direction| shared.way(direction) == Way::Cut;
-    if cut(Direction::There) || cut(Direction::Back) {
+/// Relays one connection in both directions until it ends.
+fn relay_connection(from: TcpStream, shared: &Arc<Shared>) {
+    let is_reset = |direction| shared.mode(direction) == LinkMode::Reset;
+    if is_reset(Direction::Forward) || is_reset(Direction::Reverse) {
         return reset(&from);
     }
     let Ok(to) = TcpStream::connect_timeout(&shared.to, Duration::from_secs(1)) else {
         return reset(&from);
     };
-    let (Ok(from_too), Ok(to_too)) = (from.try_clone(), to.try_clone()) else {
+    let (Ok(from_clone), Ok(to_clone)) = (from.try_clone(), to.try_clone()) else {
         return;
     };
-    let own = shared.clone();
-    let back = thread::spawn(move || pass(to_too, from_too, &own, Direction::Back));
-    pass(from, to, shared, Direction::There);
-    let _ = back.join();
+    let shared_clone = shared.clone();
+    let reverse = thread::spawn(move || {
+        forward_direction(to_clone, from_clone, &shared_clone, Direction::Reverse)
+    });
+    forward_direction(from, to, shared, Direction::Forward);
+    let _ = reverse.join();
 }
 
-/// One direction of a connection, until it ends or is cut.
-fn pass(mut from: TcpStream, mut to: TcpStream, shared: &Shared, direction: Direction) {
-    let _ = from.set_read_timeout(Some(LOOK));
+/// Forwards one direction of a connection until it ends or is reset.
+fn forward_direction(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    shared: &Shared,
+    direction: Direction,
+) {
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let _ = from.set_nodelay(true);
     let _ = to.set_nodelay(true);
-    let mut piece = [0; 16 << 10];
-    let mut swallowed = false;
-    let end = |from: &TcpStream, to: &TcpStream| {
+    let mut chunk = [0; 16 << 10];
+    let mut discarded = false;
+    let reset_both = |from: &TcpStream, to: &TcpStream| {
         reset(from);
         reset(to);
     };
     loop {
-        let way = shared.way(direction);
-        match way {
-            Way::Cut => return end(&from, &to),
-            Way::Hold => {
-                thread::sleep(LOOK);
+        let mode = shared.mode(direction);
+        match mode {
+            LinkMode::Reset => return reset_both(&from, &to),
+            LinkMode::Stall => {
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
-            // What follows something that was thrown away makes no sense.
-            _ if swallowed && way != Way::Swallow => return end(&from, &to),
+            // Bytes after discarded ones would corrupt the stream.
+            _ if discarded && mode != LinkMode::Blackhole => return reset_both(&from, &to),
             _ => {}
         }
-        let got = match from.read(&mut piece) {
+        let count = match from.read(&mut chunk) {
             Ok(0) => {
                 let _ = to.shutdown(std::net::Shutdown::Write);
                 return;
             }
-            Ok(got) => got,
+            Ok(count) => count,
             Err(error)
                 if matches!(
                     error.kind(),
@@ -169,54 +184,57 @@
             {
                 continue;
             }
-            Err(_) => return end(&from, &to),
+            Err(_) => return reset_both(&from, &to),
         };
-        let sent = match shared.way(direction) {
-            Way::Pass => to.write_all(&piece[..got]),
-            Way::Delay(by) => {
-                thread::sleep(by);
-                to.write_all(&piece[..got])
+        let sent = match shared.mode(direction) {
+            LinkMode::Pass => to.write_all(&chunk[..count]),
+            LinkMode::Delay(delay) => {
+                thread::sleep(delay);
+                to.write_all(&chunk[..count])
+            }
+            LinkMode::Throttle(bytes_per_s) => {
+                write_throttled(&mut to, &chunk[..count], bytes_per_s, shared, direction)
             }
-            Way::Trickle(bytes) => trickle(&mut to, &piece[..got], bytes, shared, direction),
-            Way::Swallow => {
-                swallowed = true;
+            LinkMode::Blackhole => {
+                discarded = true;
                 Ok(())
             }
-            Way::Hold => {
-                // It came in between: nothing of it goes on before the direction does.
-                while shared.way(direction) == Way::Hold {
-                    thread::sleep(LOOK);
+            LinkMode::Stall => {
+                // This chunk was read just before the stall began: it is held back until the stall ends.
+                while shared.mode(direction) == LinkMode::Stall {
+                    thread::sleep(POLL_INTERVAL);
                 }
-                to.write_all(&piece[..got])
+                to.write_all(&chunk[..count])
             }
-            Way::Cut => return end(&from, &to),
-            Way::CutInside => {
-                let _ = to.write_all(&piece[..got / 2]);
-                shared.ways.lock().unwrap()[direction as usize] = Way::Pass;
-                return end(&from, &to);
+            LinkMode::Reset => return reset_both(&from, &to),
+            LinkMode::ResetMidWrite => {
+                let _ = to.write_all(&chunk[..count / 2]);
+                shared.modes.lock().unwrap()[direction as usize] = LinkMode::Pass;
+                return reset_both(&from, &to);
             }
         };
         if sent.is_err() {
-            return end(&from, &to);
+            return reset_both(&from, &to);
         }
     }
 }
 
-fn trickle(
+/// Writes bytes one by one at a rate; once the mode changes, the rest follows at once.
+fn write_throttled(
     to: &mut TcpStream,
     bytes: &[u8],
-    a_second: u32,
+    bytes_per_s: u32,
     shared: &Shared,
     direction: Direction,
 ) -> std::io::Result<()> {
-    let begun = Instant::now();
-    for (at, byte) in bytes.iter().enumerate() {
-        let due = Duration::from_secs_f64(at as f64 / f64::from(a_second));
-        while begun.elapsed() < due {
-            if shared.way(direction) != Way::Trickle(a_second) {
-                return to.write_all(&bytes[at..]);
+    let started = Instant::now();
+    for (index, byte) in bytes.iter().enumerate() {
+        let due = Duration::from_secs_f64(index as f64 / f64::from(bytes_per_s));
+        while started.elapsed() < due {
+            if shared.mode(direction) != LinkMode::Throttle(bytes_per_s) {
+                return to.write_all(&bytes[index..]);
             }
-            thread::sleep(LOOK.min(due));
+            thread::sleep(POLL_INTERVAL.min(due));
         }
         to.write_all(&[*byte])?;
     }
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -1,15 +1,16 @@
-//! Directories that were cut, altered, copied or put aside.
+//! Truncated, altered and quarantined directories, and the compaction of a grown log.
 
 use std::fs;
 use std::path::PathBuf;
 
-use violetwind_consensus::{Disk, Entry, Member, Members, NodeId, Payload, Write};
-use violetwind_fleet::{Record, Saved};
+use violetwind_consensus::{DurableState, DurableWrite, Entry, Member, Members, NodeId, Payload};
+use violetwind_fleet::{MemberRecord, SavedState};
 use violetwind_store::{Settings, Store, StoreError};
 
-struct Dir(PathBuf);
+/// A directory that is removed when dropped.
+struct TestDir(PathBuf);
 
-impl Dir {
+impl TestDir {
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("violetwind-store-{}-{name}", std::process::id()));
@@ -17,12 +18,17 @@
         Self(path)
     }
 
-    fn open_as(&self, node: &str, id: u64, segment_bytes: u64) -> Result<Store, StoreError> {
+    fn open_as(
+        &self,
+        node: &str,
+        id: u64,
+        compaction_threshold_bytes: u64,
+    ) -> Result<Store, StoreError> {
         let settings = Settings {
             fleet: "f".into(),
             node: node.into(),
-            segment_bytes,
-            sync: true,
+            compaction_threshold_bytes,
+            sync_writes: true,
         };
         Store::open(&self.0, settings, NodeId(id))
     }
@@ -31,8 +37,8 @@
         self.open_as("n", 7, 1 << 20)
     }
 
-    /// The segment that counts.
-    fn log(&self) -> PathBuf {
+    /// The segment in use.
+    fn newest_segment_path(&self) -> PathBuf {
         self.0
             .join(format!("log.{}", self.segments().last().unwrap()))
     }
@@ -48,141 +54,158 @@
     }
 }
 
-impl Drop for Dir {
+impl Drop for TestDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn write(seq: u64) -> Record {
+fn write(seq: u64) -> MemberRecord {
     let entry = Entry {
         term: 1,
         index: seq,
         payload: Payload::Command(vec![seq as u8; 100]),
     };
-    Record::Write(Write {
+    MemberRecord::Write(DurableWrite {
         seq,
         term: 1,
-        append: vec![entry],
-        ..Write::default()
+        entries: vec![entry],
+        ..DurableWrite::default()
     })
 }
 
-fn filled(dir: &Dir, writes: u64) -> Saved {
+fn fill(dir: &TestDir, writes: u64) -> SavedState {
     let mut store = dir.open().unwrap();
     let member = Member {
         name: "n".into(),
-        votes: true,
+        is_voter: true,
     };
     let members = Members([(NodeId(7), member)].into());
     store
-        .append(&[Record::Agreed(members), Record::Formed])
+        .append(&[MemberRecord::Agreed(members), MemberRecord::Formed])
         .unwrap();
     for seq in 1..=writes {
         store.append(&[write(seq)]).unwrap();
     }
-    store.saved().clone()
+    store.saved_state().clone()
 }
 
 #[test]
-fn what_was_acknowledged_is_there_again_and_the_directory_is_used_once() {
-    let dir = Dir::new("again");
-    let saved = filled(&dir, 5);
+fn reopening_restores_acknowledged_records_and_a_directory_has_one_user() {
+    let dir = TestDir::new("again");
+    let saved = fill(&dir, 5);
     let store = dir.open().unwrap();
-    assert_eq!(*store.saved(), saved);
-    assert_eq!(store.saved().disk.entries.len(), 5);
+    assert_eq!(*store.saved_state(), saved);
+    assert_eq!(store.saved_state().consensus_state.entries.len(), 5);
     assert!(matches!(dir.open(), Err(StoreError::InUse { .. })));
     drop(store);
     assert!(matches!(
         dir.open_as("m", 8, 1 << 20),
-        Err(StoreError::Foreign { .. })
+        Err(StoreError::WrongOwner { .. })
     ));
 }
 
-/// A kill in the middle of a write leaves any part of it. Cut at every byte of the last record.
+/// A process killed during a write leaves any prefix of the record: the file is cut at every byte of the last record.
 #[test]
-fn a_torn_last_record_is_dropped_unless_it_was_acknowledged() {
-    let dir = Dir::new("torn");
-    filled(&dir, 3);
-    let (sound, mark) = (
-        fs::read(dir.log()).unwrap(),
+fn drops_a_torn_last_record_unless_it_was_acknowledged() {
+    let dir = TestDir::new("torn");
+    fill(&dir, 3);
+    let (intact, acked) = (
+        fs::read(dir.newest_segment_path()).unwrap(),
         fs::read(dir.0.join("acked")).unwrap(),
     );
     dir.open().unwrap().append(&[write(4)]).unwrap();
-    let longer = fs::read(dir.log()).unwrap();
-    assert!(longer.starts_with(&sound), "nothing was written anew");
-    let log = dir.log();
-    for cut in sound.len()..longer.len() {
+    let longer = fs::read(dir.newest_segment_path()).unwrap();
+    assert!(longer.starts_with(&intact), "the segment was not rewritten");
+    let log = dir.newest_segment_path();
+    for cut in intact.len()..longer.len() {
         fs::write(&log, &longer[..cut]).unwrap();
-        fs::write(dir.0.join("acked"), &mark).unwrap();
+        fs::write(dir.0.join("acked"), &acked).unwrap();
         let mut store = dir.open().unwrap();
-        assert_eq!(store.saved().disk.entries.len(), 3, "cut at {cut}");
-        // What follows stands in the place of what was torn.
+        assert_eq!(
+            store.saved_state().consensus_state.entries.len(),
+            3,
+            "cut at {cut}"
+        );
+        // The next record overwrites the torn one.
         store.append(&[write(4)]).unwrap();
         drop(store);
         assert_eq!(
-            dir.open().unwrap().saved().disk.entries.len(),
+            dir.open()
+                .unwrap()
+                .saved_state()
+                .consensus_state
+                .entries
+                .len(),
             4,
             "cut at {cut}"
         );
         assert_eq!(fs::metadata(&log).unwrap().len(), longer.len() as u64);
     }
-    // Shorter than what was acknowledged.
-    fs::write(&log, &sound[..sound.len() - 1]).unwrap();
-    assert!(matches!(dir.open(), Err(StoreError::Damaged { .. })));
+    // The file is shorter than the acknowledged offset.
+    fs::write(&log, &intact[..intact.len() - 1]).unwrap();
+    assert!(matches!(dir.open(), Err(StoreError::Corrupted { .. })));
 }
 
-/// A record that is whole but was never marked as acknowledged may be in memory alone: it is put on disk anew.
+/// A complete record beyond the acknowledged position may exist only in the page cache: it is written to disk again.
 #[test]
-fn a_whole_record_behind_the_mark_is_kept_and_written_anew() {
-    let dir = Dir::new("unmarked");
-    filled(&dir, 3);
-    let mark = fs::read(dir.0.join("acked")).unwrap();
+fn keeps_and_rewrites_a_complete_record_beyond_the_acked_position() {
+    let dir = TestDir::new("unmarked");
+    fill(&dir, 3);
+    let acked = fs::read(dir.0.join("acked")).unwrap();
     dir.open().unwrap().append(&[write(4)]).unwrap();
-    fs::write(dir.0.join("acked"), &mark).unwrap();
-    let before = dir.segments();
+    fs::write(dir.0.join("acked"), &acked).unwrap();
+    let segments_before = dir.segments();
     let store = dir.open().unwrap();
-    assert_eq!(store.saved().disk.entries.len(), 4);
+    assert_eq!(store.saved_state().consensus_state.entries.len(), 4);
     drop(store);
-    assert!(dir.segments() > before, "{before:?}");
-    let settled = dir.segments();
-    assert_eq!(dir.open().unwrap().saved().disk.entries.len(), 4);
-    assert_eq!(dir.segments(), settled, "once is enough");
+    assert!(dir.segments() > segments_before, "{segments_before:?}");
+    let rewritten = dir.segments();
+    assert_eq!(
+        dir.open()
+            .unwrap()
+            .saved_state()
+            .consensus_state
+            .entries
+            .len(),
+        4
+    );
+    assert_eq!(dir.segments(), rewritten, "a second start rewrites nothing");
 }
 
 #[test]
-fn an_altered_byte_is_refused_with_file_and_place_wherever_it_is() {
-    let dir = Dir::new("altered");
-    filled(&dir, 3);
-    let sound = fs::read(dir.log()).unwrap();
-    for at in 0..sound.len() {
-        let mut altered = sound.clone();
-        altered[at] ^= 0x10;
-        fs::write(dir.log(), &altered).unwrap();
-        let opened = dir.open().map(|store| store.saved().clone());
+fn reports_file_and_offset_of_any_altered_byte() {
+    let dir = TestDir::new("altered");
+    fill(&dir, 3);
+    let intact = fs::read(dir.newest_segment_path()).unwrap();
+    for offset in 0..intact.len() {
+        let mut altered = intact.clone();
+        altered[offset] ^= 0x10;
+        fs::write(dir.newest_segment_path(), &altered).unwrap();
+        let opened = dir.open().map(|store| store.saved_state().clone());
         let error = opened.unwrap_err().to_string();
-        assert!(error.contains("log.1: byte "), "{at}: {error}");
+        assert!(error.contains("log.1: byte "), "{offset}: {error}");
     }
-    fs::write(dir.log(), &sound).unwrap();
+    fs::write(dir.newest_segment_path(), &intact).unwrap();
     assert!(dir.open().is_ok());
     let mut member = fs::read(dir.0.join("member")).unwrap();
     *member.last_mut().unwrap() ^= 1;
     fs::write(dir.0.join("member"), member).unwrap();
-    assert!(matches!(dir.open(), Err(StoreError::Damaged { .. })));
+    assert!(matches!(dir.open(), Err(StoreError::Corrupted { .. })));
 }
 
 #[test]
-fn a_log_that_is_missing_is_told_and_one_that_grew_is_written_anew() {
-    let dir = Dir::new("anew");
+fn compacts_a_grown_log_and_reports_a_missing_one() {
+    let dir = TestDir::new("anew");
     let mut store = dir.open_as("n", 7, 1 << 12).unwrap();
     for seq in 1..=200 {
         store.append(&[write(seq)]).unwrap();
     }
-    let saved = store.saved().clone();
+    let saved = store.saved_state().clone();
     drop(store);
-    assert!(dir.segments()[0] > 1, "written anew");
-    assert_eq!(dir.segments().len(), 1, "older ones go");
-    assert_eq!(*dir.open().unwrap().saved(), saved);
+    assert!(dir.segments()[0] > 1, "the log was rewritten");
+    assert_eq!(dir.segments().len(), 1, "older segments are removed");
+    assert_eq!(*dir.open().unwrap().saved_state(), saved);
     for segment in dir.segments() {
         fs::remove_file(dir.0.join(format!("log.{segment}"))).unwrap();
     }
@@ -191,12 +214,15 @@
 }
 
 #[test]
-fn a_directory_that_is_put_aside_is_another_next_time() {
-    let dir = Dir::new("aside");
-    filled(&dir, 1);
-    let aside = dir.open().unwrap().set_aside("stale").unwrap();
-    assert!(aside.join("member").exists());
+fn a_quarantined_directory_opens_with_a_new_identity() {
+    let dir = TestDir::new("aside");
+    fill(&dir, 1);
+    let quarantine_dir = dir.open().unwrap().quarantine("stale").unwrap();
+    assert!(quarantine_dir.join("member").exists());
     let store = dir.open_as("n", 9, 1 << 20).unwrap();
-    let found = (store.saved().id, store.saved().disk.clone());
-    assert_eq!(found, (NodeId(9), Disk::default()));
+    let found = (
+        store.saved_state().id,
+        store.saved_state().consensus_state.clone(),
+    );
+    assert_eq!(found, (NodeId(9), DurableState::default()));
 }
