--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -227,7 +227,7 @@
     assert_eq!(&probe, b"STATS\r\n");
     first.write_all(b"PONG x0=0.10\r\n").unwrap();
     // The second answer comes after the first was read, and long before the next probe.
-    assert!(proxy.log().contains("list"));
+    proxy.wait_for_log("list");
     proxy.wait_ready();
     first.write_all(b"PONG x0=3.00\r\n").unwrap();
     let (mut second, _) = listener.accept().unwrap();
